--- a/internal/failurelog/failurelog.go
+++ b/internal/failurelog/failurelog.go
@@ -1,7 +1,7 @@
-// Package failurelog keeps how the last requests ended that were not served: which
-// request it was, where it was sent, what came of each sending and why it was given up.
-// It lies in memory, is of a fixed size and never holds a request up. It holds no keys
-// of clients and nothing of what was asked.
+// Package failurelog keeps the most recent failed requests: the identity of each request,
+// the databases it was sent to, the result of each attempt and why it was abandoned. The
+// log is kept in memory, has a fixed size and never delays a request. It contains no
+// client keys and nothing of the content of requests.
 package failurelog
 
 import (
@@ -12,53 +12,54 @@
 	"indigowalk/internal/kernel"
 )
 
-// Kept is how many failures a log holds; the newest take the place of the oldest.
-const Kept = 512
+// Capacity is the number of failures that a log keeps. Beyond it, new failures overwrite the oldest.
+const Capacity = 512
 
-// Kind is the kind of record of a failure, where decisions are recorded.
+// Kind is the kind under which a recorder of decisions stores a Failure.
 const Kind = "failure"
 
-// Attempt is one sending of a request to a database.
+// Attempt is one attempt to run a request on a database.
 type Attempt struct {
 	Database string        `json:"database"`
-	After    kernel.Micros `json:"after_us"` // from when the request was read until this ended
+	After    kernel.Micros `json:"after_us"` // from reading the request to the end of the attempt
 	Result   string        `json:"result"`
 }
 
-// Failure is a request that was not served.
+// Failure is a request that failed.
 type Failure struct {
-	At       time.Time     `json:"at"` // when it was answered, by the time of day
-	ID       string        `json:"id"` // that the client gave the request
+	At       time.Time     `json:"at"` // wall-clock time of the response
+	ID       string        `json:"id"` // request ID chosen by the client
 	Route    string        `json:"route,omitempty"`
 	Service  string        `json:"service,omitempty"`
 	Tenant   string        `json:"tenant,omitempty"`
-	Answer   string        `json:"answer"` // the code or status that the client was told
+	Answer   string        `json:"answer"` // code or status returned to the client
 	Cause    string        `json:"cause"`
-	Took     kernel.Micros `json:"took_us"`  // from when it was read until it was answered
+	Took     kernel.Micros `json:"took_us"`  // from reading the request to responding
 	Revision int64         `json:"revision"` // of the configuration in force
 	Attempts []Attempt     `json:"attempts,omitempty"`
 }
 
-// Log holds the newest failures of one process.
+// Log holds the most recent failures of one process. Add does nothing on a nil Log.
 type Log struct {
 	counters *kernel.Counters
 	recorder *kernel.Recorder
 
-	mu   sync.Mutex
-	ring [Kept]Failure
-	next int // how many were ever added
+	mu    sync.Mutex
+	ring  [Capacity]Failure
+	added int // number of failures ever added
 }
 
-// New returns an empty log, which counts failures by cause.
+// New returns an empty log that also counts failures by cause.
 func New(k *kernel.Kernel) *Log { return &Log{counters: k.Counters, recorder: k.Recorder} }
 
-// longestText bounds what is kept of a text that a client chose.
-const longestText = 128
+// maxTextLength is the number of bytes kept of a text chosen by a client.
+const maxTextLength = 128
 
-// clip returns a copy of the beginning of a text.
-func clip(text string) string { return strings.Clone(text[:min(len(text), longestText)]) }
+// clip returns a copy of at most the first maxTextLength bytes of a text. The copy lets the
+// rest of a long text be freed.
+func clip(text string) string { return strings.Clone(text[:min(len(text), maxTextLength)]) }
 
-// Add notes a failure. The attempts are copied, long texts cut.
+// Add records a failure and sets its time. Attempts are copied; long texts are truncated.
 func (l *Log) Add(f Failure) {
 	if l == nil {
 		return
@@ -70,18 +71,18 @@
 	l.recorder.Add(Kind, f)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ring[l.next%Kept] = f
-	l.next++
+	l.ring[l.added%Capacity] = f
+	l.added++
 }
 
-// Recent returns the failures that are kept, the oldest first.
+// Recent returns the failures in the log, oldest first.
 func (l *Log) Recent() []Failure {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	first := max(0, l.next-Kept)
-	out := make([]Failure, 0, l.next-first)
-	for n := first; n < l.next; n++ {
-		out = append(out, l.ring[n%Kept])
+	oldest := max(0, l.added-Capacity)
+	out := make([]Failure, 0, l.added-oldest)
+	for n := oldest; n < l.added; n++ {
+		out = append(out, l.ring[n%Capacity])
 	}
 	return out
 }
--- a/internal/failurelog/failurelog_test.go
+++ b/internal/failurelog/failurelog_test.go
@@ -9,23 +9,23 @@
 	"indigowalk/internal/kernel"
 )
 
-// The newest failures are kept whatever clients send, with their attempts.
-func TestTheNewestFailuresAreKept(t *testing.T) {
+// The most recent failures are kept with their attempts, and long texts are truncated.
+func TestKeepsMostRecentFailures(t *testing.T) {
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 	l := New(k)
 	attempts := []Attempt{{Database: "a", Result: "sent: silent"}}
-	for n := range Kept + 3 {
+	for n := range Capacity + 3 {
 		l.Add(Failure{ID: strconv.Itoa(n), Route: strings.Repeat("r", 1<<20), Cause: "deadline", Attempts: attempts})
 	}
 	attempts[0].Database = "b"
 	recent := l.Recent()
-	if len(recent) != Kept || recent[0].ID != "3" || recent[Kept-1].ID != strconv.Itoa(Kept+2) {
-		t.Errorf("%d kept, from %s", len(recent), recent[0].ID)
+	if len(recent) != Capacity || recent[0].ID != "3" || recent[Capacity-1].ID != strconv.Itoa(Capacity+2) {
+		t.Errorf("%d failures kept, the oldest is %s", len(recent), recent[0].ID)
 	}
-	if f := recent[0]; len(f.Route) != longestText || f.Attempts[0].Database != "a" || f.At.IsZero() {
+	if f := recent[0]; len(f.Route) != maxTextLength || f.Attempts[0].Database != "a" || f.At.IsZero() {
 		t.Errorf("%+v", f)
 	}
-	if n := k.Counters.Snapshot()["failure.deadline"]; n != Kept+3 {
-		t.Errorf("%d are counted", n)
+	if n := k.Counters.Snapshot()["failure.deadline"]; n != Capacity+3 {
+		t.Errorf("counted %d failures", n)
 	}
 }
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,6 +1,5 @@
-// Package latency keeps how long answers usually take, by route. It must not
-// remember a route for longer than it is used: configurations add and remove
-// routes all the time.
+// Package latency keeps a moving average of response times for each route. Routes that
+// are no longer used are dropped, since configurations add and remove routes all the time.
 package latency
 
 import (
@@ -9,36 +8,36 @@
 	"indigowalk/internal/kernel"
 )
 
-// weight is how much one answer counts.
+// weight is the weight of one response in the exponentially weighted moving average.
 const weight = 0.02
 
 type average struct {
-	span float64 // in microseconds
-	at   kernel.Micros
+	span    float64 // in microseconds
+	updated kernel.Micros
 }
 
-// Usual holds a moving average of the times of answers by route. It is not safe
-// for concurrent use.
+// Usual holds the moving average of the response times of each route. It is not safe for
+// concurrent use.
 type Usual struct {
-	of    map[string]average
-	sweep kernel.Sweep
+	averages map[string]average
+	sweep    kernel.Sweep
 }
 
-// Add takes in the time of an answer and returns the usual one, in microseconds.
+// Add records the response time span of a route and returns its average, in microseconds.
 func (u *Usual) Add(route string, span, now kernel.Micros) float64 {
-	if u.of == nil {
-		u.of = map[string]average{}
+	if u.averages == nil {
+		u.averages = map[string]average{}
 	}
 	if u.sweep.Due(now) {
-		maps.DeleteFunc(u.of, func(_ string, a average) bool { return now-a.at > kernel.Kept })
+		maps.DeleteFunc(u.averages, func(_ string, a average) bool { return now-a.updated > kernel.Kept })
 	}
 	usual := float64(span)
-	if before, known := u.of[route]; known {
-		usual = before.span + weight*(float64(span)-before.span)
+	if previous, known := u.averages[route]; known {
+		usual = previous.span + weight*(float64(span)-previous.span)
 	}
-	u.of[route] = average{usual, now}
+	u.averages[route] = average{usual, now}
 	return usual
 }
 
-// Of returns the usual time of an answer in microseconds, 0 if none was seen.
-func (u *Usual) Of(route string) float64 { return u.of[route].span }
+// Of returns the average response time of a route in microseconds, 0 if none was recorded.
+func (u *Usual) Of(route string) float64 { return u.averages[route].span }
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -8,25 +8,25 @@
 	"indigowalk/internal/kernel"
 )
 
-func TestUsualFollowsAnswers(t *testing.T) {
+func TestAverageFollowsResponseTimes(t *testing.T) {
 	var u Usual
 	if u.Of("a") != 0 {
-		t.Error("a time is usual of which nothing was seen")
+		t.Error("a route without responses has an average")
 	}
 	if usual := u.Add("a", 1000, 1); usual != 1000 {
-		t.Errorf("the first answer makes %v usual", usual)
+		t.Errorf("after the first response the average is %v", usual)
 	}
 	if usual := u.Add("a", 2000, 2); math.Abs(usual-1020) > 1e-9 || u.Of("a") != usual {
-		t.Errorf("the second makes %v usual", usual)
+		t.Errorf("after the second response the average is %v", usual)
 	}
 }
 
-func TestRoutesThatAreNotUsedAreDropped(t *testing.T) {
+func TestUnusedRoutesAreDropped(t *testing.T) {
 	var u Usual
 	for day := range kernel.Micros(1000) {
 		u.Add(fmt.Sprint("route-", day), 3*kernel.Millisecond, day*24*3600*kernel.Second)
 	}
-	if len(u.of) > 2 {
-		t.Errorf("%d routes are remembered", len(u.of))
+	if len(u.averages) > 2 {
+		t.Errorf("%d routes are remembered", len(u.averages))
 	}
 }
--- a/internal/loadbalance/loadbalance.go
+++ b/internal/loadbalance/loadbalance.go
@@ -1,6 +1,6 @@
-// Package loadbalance picks, for a request, one of many databases that could serve it
-// alike. Nodes do not tell each other their loads: each keeps to a few of the
-// databases, so that what it sees of them is much of what there is to see.
+// Package loadbalance picks a database for a request out of the many equivalent databases
+// of a service. Nodes do not exchange their loads. Instead, each node uses a small subset
+// of the databases, so that its own observations cover much of the traffic of each.
 package loadbalance
 
 import (
@@ -16,122 +16,128 @@
 	"indigowalk/internal/latency"
 )
 
-// How a database's answers weigh: its pace is their time over what is usual on
-// their route. What was seen fades, so that one that was slow is tried again.
+// Parameters of the cost of a database. Its relative latency is the time of its responses
+// divided by the typical response time of their route. Observations decay, so that a
+// database that was slow is tried again. Weights are those of one observation in an
+// exponentially weighted moving average, and decays are time constants.
 const (
-	paceWeight = 0.12
-	mostPace   = 4                 // of one answer: a long one may be the request's own
-	fades      = 3 * kernel.Second // to what all nodes say
-	toldFades  = 20 * kernel.Second
-	illWeight  = 0.3
-	illFades   = 3 * kernel.Second
-	// illCost is how many requests a database that fails all seems to have.
-	illCost = 30
-	// fullFor is how long one that said it was full is passed over.
-	fullFor = 150 * kernel.Millisecond
-	// shared is by how many nodes a database is used.
-	shared = 4
-	// fewest databases that a node uses, if there are as many.
-	fewest = 4
-	// awayCost is how many usual answers more another zone is like.
-	awayCost = 0.35
-	// drawn is how many of its own databases a node compares for a request. To
-	// take the best of all would have everyone run to the same ones, which what
-	// was seen of them no longer tells.
-	drawn = 8
+	latencyWeight      = 0.12
+	maxRelativeLatency = 4                 // cap for one response: a slow one may be due to the request itself
+	localDecay         = 3 * kernel.Second // towards the cost reported for all nodes
+	clusterDecay       = 20 * kernel.Second
+	failureWeight      = 0.3
+	failureDecay       = 3 * kernel.Second
+	// failureCost is the cost added for a database whose requests all fail, in typical
+	// response times.
+	failureCost = 30
+	// fullPause is how long a database is avoided after it reported that it is full.
+	fullPause = 150 * kernel.Millisecond
+	// nodesPerDatabase is the number of nodes of a zone that use a database.
+	nodesPerDatabase = 4
+	// minSubset is the minimum number of databases that a node uses, if there are as many.
+	minSubset = 4
+	// remoteZoneCost is the cost added for a database in another zone, in typical
+	// response times.
+	remoteZoneCost = 0.35
+	// sampleSize is the number of randomly chosen databases that a node compares for a
+	// request. If each node took the best of all, the nodes would overload the same few
+	// databases before their observations show it.
+	sampleSize = 8
 )
 
-type standing struct {
-	open   int
-	began  []kernel.Micros // of the open ones
-	pace   float64
-	paceAt kernel.Micros
-	ill    float64
-	illAt  kernel.Micros
-	full   kernel.Micros // until then it takes no more
-	seen   kernel.Micros // of the last answer
+// databaseStats is what this node has observed of one database.
+type databaseStats struct {
+	inFlight        int             // number of requests in flight
+	startTimes      []kernel.Micros // their start times, oldest first
+	relativeLatency float64
+	latencyAt       kernel.Micros
+	failureRate     float64
+	failureAt       kernel.Micros
+	fullUntil       kernel.Micros // until then the database is taken to be full
+	lastServed      kernel.Micros // when it last served a request
 }
 
-// Balancer remembers how databases have served of late.
+// Balancer picks databases by their recent latency, failures and load.
 type Balancer struct {
 	clock kernel.Clock
 
-	mu    sync.Mutex
-	of    map[string]*standing
-	usual latency.Usual
-	lists map[string]list  // by service
-	told  map[string]told  // by all nodes
-	sight map[string]Sight // since it was last told
+	mu           sync.Mutex
+	databases    map[string]*databaseStats // by ID
+	typical      latency.Usual
+	subsets      map[string]subset       // by service
+	clusterCosts map[string]reportedCost // as reported for all nodes
+	observed     map[string]Sight        // since the last call of Seen
 }
 
-// told is what a request at a database costs, as all nodes together saw it.
-type told struct {
-	cost float64
-	at   kernel.Micros
+// reportedCost is the cost of a request at a database, from the observations of all nodes.
+type reportedCost struct {
+	cost    float64
+	updated kernel.Micros
 }
 
-// Sight is what this node saw of a database: how many answers, the sum of their
-// times over what is usual, and how many requests failed.
+// Sight is what this node observed of a database: the number of responses, the sum of
+// their relative latencies, and the number of failed requests.
 type Sight struct {
 	Answers  int
 	Paces    float64
 	Failures int
 }
 
-// Seen returns what was seen since it was last asked for.
+// Seen returns the observations made since it was last called, by database ID.
 func (r *Balancer) Seen() map[string]Sight {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := r.sight
-	r.sight = map[string]Sight{}
-	return seen
+	taken := r.observed
+	r.observed = map[string]Sight{}
+	return taken
 }
 
-// Told takes in what all nodes saw, in hundredths of a usual answer.
+// Told takes in the costs that were computed from the observations of all nodes, by
+// database ID, in hundredths of a typical response time.
 func (r *Balancer) Told(costs map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	for id, c := range costs {
-		r.told[id] = told{float64(c) / 100, now}
+		r.clusterCosts[id] = reportedCost{float64(c) / 100, now}
 	}
 }
 
-// common is what all nodes say of a database, 1 if nothing.
-func (r *Balancer) common(id string, now kernel.Micros) float64 {
-	t, ok := r.told[id]
+// clusterCost returns the decayed cost reported for all nodes, 1 if there is none.
+func (r *Balancer) clusterCost(id string, now kernel.Micros) float64 {
+	t, ok := r.clusterCosts[id]
 	if !ok {
 		return 1
 	}
-	return faded(t.cost, 1, t.at, now, toldFades)
+	return decayed(t.cost, 1, t.updated, now, clusterDecay)
 }
 
-// New returns a load balancer that has seen nothing.
+// New returns a load balancer without observations.
 func New(clock kernel.Clock) *Balancer {
 	return &Balancer{
-		clock: clock, of: map[string]*standing{}, lists: map[string]list{},
-		told: map[string]told{}, sight: map[string]Sight{},
+		clock: clock, databases: map[string]*databaseStats{}, subsets: map[string]subset{},
+		clusterCosts: map[string]reportedCost{}, observed: map[string]Sight{},
 	}
 }
 
-// Candidates is what a choice is made from.
+// Candidates is what Pick chooses from.
 type Candidates struct {
 	Service   string
 	Databases []discovery.Database
 	Self      string
 	Zone      string
-	Peers     []string // the nodes of this zone, this one included
+	Peers     []string // the nodes of this zone, including this one
 	Up        func(id string) bool
-	Avoid     []string // tried already
+	Avoid     []string // IDs of databases that were already tried
 }
 
-// list is the order in which this node looks at a service's databases.
-type list struct {
-	databases []discovery.Database // that it was made from
+// subset is how this node divides the databases of a service.
+type subset struct {
+	databases []discovery.Database // all, as given when this was computed
 	peers     []string
-	own       []discovery.Database // of the zone
-	away      []discovery.Database // of other zones
-	rest      []discovery.Database // all others
+	own       []discovery.Database // used by this node, in its zone if there are any there
+	remote    []discovery.Database // used by this node, in other zones
+	remaining []discovery.Database // all others but draining ones
 }
 
 func hash(parts ...string) uint64 {
@@ -140,180 +146,187 @@
 		h.Write([]byte(p))
 		h.Write([]byte{0})
 	}
-	// FNV alone leaves like ends near each other.
+	// FNV alone gives similar hashes to strings that differ only near their ends.
 	n := h.Sum64()
 	n ^= n >> 33
 	n *= 0xff51afd7ed558ccd
 	return n ^ n>>33
 }
 
-// listOf returns the node's own databases and the others. Databases and nodes
-// of a zone stand in the order of their hashes, and each node has a stretch of
-// the databases that begins at its own place: all are covered evenly, and who
-// comes or goes moves the stretches by a little.
-func (r *Balancer) listOf(s Candidates) list {
-	l := r.lists[s.Service]
-	if same(l.databases, s.Databases) && slices.Equal(l.peers, s.Peers) {
+// subsetOf returns the subset of a service's databases that this node uses, and the others.
+// Databases and nodes of a zone are ordered by their hashes, and each node uses a range of
+// the databases that begins at a position proportional to its own. That covers all
+// databases evenly, and a node or database that joins or leaves shifts the ranges only a
+// little.
+func (r *Balancer) subsetOf(s Candidates) subset {
+	l := r.subsets[s.Service]
+	if sameSlice(l.databases, s.Databases) && slices.Equal(l.peers, s.Peers) {
 		return l
 	}
-	l = list{databases: s.Databases, peers: s.Peers}
-	var near, far []discovery.Database
+	l = subset{databases: s.Databases, peers: s.Peers}
+	var sameZone, otherZones []discovery.Database
 	for _, d := range s.Databases {
 		switch {
 		case d.Draining:
 		case d.Zone == s.Zone:
-			near = append(near, d)
+			sameZone = append(sameZone, d)
 		default:
-			far = append(far, d)
+			otherZones = append(otherZones, d)
 		}
 	}
-	if len(near) == 0 {
-		near, far = far, nil
+	if len(sameZone) == 0 {
+		sameZone, otherZones = otherZones, nil
 	}
-	before := 0
+	rank := 0
 	for _, p := range s.Peers {
 		if p != s.Self && hash(p) < hash(s.Self) {
-			before++
+			rank++
 		}
 	}
 	nodes := max(1, len(s.Peers))
-	size := max(fewest, (shared*len(near)+nodes-1)/nodes)
-	l.own, l.rest = stretch(near, before*len(near)/nodes, size)
-	if len(far) > 0 {
+	size := max(minSubset, (nodesPerDatabase*len(sameZone)+nodes-1)/nodes)
+	l.own, l.remaining = cutRange(sameZone, rank*len(sameZone)/nodes, size)
+	if len(otherZones) > 0 {
 		var others []discovery.Database
-		l.away, others = stretch(far, int(hash(s.Self)%uint64(len(far))), (size+1)/2)
-		l.rest = append(l.rest, others...)
+		l.remote, others = cutRange(otherZones, int(hash(s.Self)%uint64(len(otherZones))), (size+1)/2)
+		l.remaining = append(l.remaining, others...)
 	}
-	r.lists[s.Service] = l
+	r.subsets[s.Service] = l
 	return l
 }
 
-// stretch cuts so many databases out of those in the order of their hashes.
-func stretch(all []discovery.Database, start, size int) (in, out []discovery.Database) {
-	places := make(map[string]uint64, len(all))
+// cutRange sorts databases by their hashes and returns the circular range of the given
+// start and size, and the databases outside it.
+func cutRange(all []discovery.Database, start, size int) (in, out []discovery.Database) {
+	positions := make(map[string]uint64, len(all))
 	for _, d := range all {
-		places[d.ID] = hash(d.ID)
+		positions[d.ID] = hash(d.ID)
 	}
-	slices.SortFunc(all, func(a, b discovery.Database) int { return cmp.Compare(places[a.ID], places[b.ID]) })
-	turned := append(slices.Clone(all[start:]), all[:start]...)
+	slices.SortFunc(all, func(a, b discovery.Database) int { return cmp.Compare(positions[a.ID], positions[b.ID]) })
+	rotated := append(slices.Clone(all[start:]), all[:start]...)
 	size = min(size, len(all))
-	return turned[:size:size], turned[size:]
+	return rotated[:size:size], rotated[size:]
 }
 
-// same tells whether two lists are one: they are never changed in place.
-func same(a, b []discovery.Database) bool {
+// sameSlice reports whether two slices are the same one. Their elements are never changed
+// in place.
+func sameSlice(a, b []discovery.Database) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (r *Balancer) standing(id string) *standing {
-	st := r.of[id]
+// statsOf returns the statistics of a database, and creates them if there are none.
+func (r *Balancer) statsOf(id string) *databaseStats {
+	st := r.databases[id]
 	if st == nil {
-		st = &standing{pace: 1}
-		r.of[id] = st
+		st = &databaseStats{relativeLatency: 1}
+		r.databases[id] = st
 	}
 	return st
 }
 
-func faded(v, rest float64, at, now, span kernel.Micros) float64 {
-	return rest + (v-rest)*math.Exp(-float64(now-at)/float64(span))
+// decayed returns a value that was valid at a time, after its exponential decay towards a
+// baseline.
+func decayed(value, baseline float64, at, now, timeConstant kernel.Micros) float64 {
+	return baseline + (value-baseline)*math.Exp(-float64(now-at)/float64(timeConstant))
 }
 
-// cost is the time to expect, in usual answers.
-func (r *Balancer) cost(d discovery.Database, now kernel.Micros, usual float64) float64 {
-	st, common := r.of[d.ID], r.common(d.ID, now)
+// cost returns the expected duration of a request, in typical response times.
+func (r *Balancer) cost(d discovery.Database, now kernel.Micros, typical float64) float64 {
+	st, clusterCost := r.databases[d.ID], r.clusterCost(d.ID, now)
 	if st == nil {
-		return common
+		return clusterCost
 	}
-	pace := faded(st.pace, common, st.paceAt, now, fades)
-	if len(st.began) > 0 && usual > 0 {
-		// One that leaves a request unanswered is at least as slow as that.
-		pace = max(pace, float64(now-st.began[0])/usual/2)
+	relativeLatency := decayed(st.relativeLatency, clusterCost, st.latencyAt, now, localDecay)
+	if len(st.startTimes) > 0 && typical > 0 {
+		// A request without a response yet shows that the database is at least that slow.
+		// Half the age of the oldest one is taken as a minimum.
+		relativeLatency = max(relativeLatency, float64(now-st.startTimes[0])/typical/2)
 	}
-	c := pace * (1 + float64(st.open)/float64(max(1, d.Slots)))
-	c += illCost * faded(st.ill, 0, st.illAt, now, illFades)
-	if now < st.full {
-		c += illCost
+	c := relativeLatency * (1 + float64(st.inFlight)/float64(max(1, d.Slots)))
+	c += failureCost * decayed(st.failureRate, 0, st.failureAt, now, failureDecay)
+	if now < st.fullUntil {
+		c += failureCost
 	}
 	return c
 }
 
-// Pick returns the database to send to, or false if there is none.
+// Pick returns the database to send a request of a route to, or false if there is none.
 func (r *Balancer) Pick(route string, s Candidates) (discovery.Database, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now, usual := r.clock.Now(), r.usual.Of(route)
-	l := r.listOf(s)
+	now, typical := r.clock.Now(), r.typical.Of(route)
+	l := r.subsetOf(s)
 	var best discovery.Database
-	least, found := 0.0, false
-	// look takes the better of a few drawn from those that are up, if it is
-	// better than what has been found.
-	look := func(all []discovery.Database, few int, more float64) {
-		at := rand.Perm(len(all))
-		for _, i := range at {
+	lowest, found := 0.0, false
+	// consider compares up to limit randomly chosen databases that are up and not to be
+	// avoided, and keeps the cheapest found so far.
+	consider := func(all []discovery.Database, limit int, surcharge float64) {
+		order := rand.Perm(len(all))
+		for _, i := range order {
 			d := all[i]
-			if few == 0 {
+			if limit == 0 {
 				return
 			}
 			if !s.Up(d.ID) || slices.Contains(s.Avoid, d.ID) {
 				continue
 			}
-			few--
-			if c := r.cost(d, now, usual) + more; !found || c < least {
-				best, least, found = d, c, true
+			limit--
+			if c := r.cost(d, now, typical) + surcharge; !found || c < lowest {
+				best, lowest, found = d, c, true
 			}
 		}
 	}
-	look(l.own, drawn, 0)
-	look(l.away, 1, awayCost)
+	consider(l.own, sampleSize, 0)
+	consider(l.remote, 1, remoteZoneCost)
 	for range 2 {
-		if !found || least >= illCost/2 {
-			look(l.own, len(l.own), 0)
-			look(l.rest, drawn, awayCost)
+		if !found || lowest >= failureCost/2 {
+			consider(l.own, len(l.own), 0)
+			consider(l.remaining, sampleSize, remoteZoneCost)
 		}
 	}
 	return best, found
 }
 
-// Begin counts a request as under way at a database.
+// Begin counts a request as in flight at a database, and returns its start time for End.
 func (r *Balancer) Begin(id string) (began kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st := r.standing(id)
+	st := r.statsOf(id)
 	began = r.clock.Now()
-	st.open++
-	st.began = append(st.began, began)
+	st.inFlight++
+	st.startTimes = append(st.startTimes, began)
 	return began
 }
 
-// End ends what Begin began. A time counts for the pace only if the answer was
-// a success.
+// End removes a request that Begin counted, and records its outcome. Its duration counts
+// towards the relative latency only if it was served.
 func (r *Balancer) End(route, id string, began kernel.Micros, o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st, now := r.standing(id), r.clock.Now()
-	st.open--
-	if i := slices.Index(st.began, began); i >= 0 {
-		st.began = slices.Delete(st.began, i, i+1)
+	st, now := r.statsOf(id), r.clock.Now()
+	st.inFlight--
+	if i := slices.Index(st.startTimes, began); i >= 0 {
+		st.startTimes = slices.Delete(st.startTimes, i, i+1)
 	}
-	ill := faded(st.ill, 0, st.illAt, now, illFades)
+	failureRate := decayed(st.failureRate, 0, st.failureAt, now, failureDecay)
 	switch o {
 	case Served:
-		usual := r.usual.Add(route, now-began, now)
-		pace := faded(st.pace, r.common(id, now), st.paceAt, now, fades)
-		st.pace = pace + paceWeight*(min(float64(now-began)/max(usual, 1), mostPace)-pace)
-		st.paceAt, st.seen = now, now
-		see := r.sight[id]
-		see.Answers++
-		see.Paces += min(float64(now-began)/max(usual, 1), mostPace)
-		r.sight[id] = see
-		st.ill, st.illAt = ill*(1-illWeight), now
+		typical := r.typical.Add(route, now-began, now)
+		relativeLatency := decayed(st.relativeLatency, r.clusterCost(id, now), st.latencyAt, now, localDecay)
+		st.relativeLatency = relativeLatency + latencyWeight*(min(float64(now-began)/max(typical, 1), maxRelativeLatency)-relativeLatency)
+		st.latencyAt, st.lastServed = now, now
+		observation := r.observed[id]
+		observation.Answers++
+		observation.Paces += min(float64(now-began)/max(typical, 1), maxRelativeLatency)
+		r.observed[id] = observation
+		st.failureRate, st.failureAt = failureRate*(1-failureWeight), now
 	case Full:
-		st.full = now + fullFor
+		st.fullUntil = now + fullPause
 	case Failed:
-		st.ill, st.illAt = ill+illWeight*(1-ill), now
-		see := r.sight[id]
-		see.Failures++
-		r.sight[id] = see
+		st.failureRate, st.failureAt = failureRate+failureWeight*(1-failureRate), now
+		observation := r.observed[id]
+		observation.Failures++
+		r.observed[id] = observation
 	}
 }
 
@@ -322,41 +335,42 @@
 
 // Outcomes.
 const (
-	Served Outcome = iota
-	Full           // it took nothing and said so
-	Failed         // no answer, or one that tells of a fault
-	Unused         // it was not sent
+	Served Outcome = iota // successful response
+	Full                  // the database refused the request because it is full
+	Failed                // no response, or one that reports a fault
+	Unused                // the request was not sent
 )
 
-// Usual is how long an answer of the route usually takes, 0 if none was seen.
+// Usual returns the typical response time of a route, 0 if there was no response yet.
 func (r *Balancer) Usual(route string) kernel.Micros {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return kernel.Micros(r.usual.Of(route))
+	return kernel.Micros(r.typical.Of(route))
 }
 
-// Answered is when the database last served a request.
+// Answered returns when a database last served a request of this node, 0 if never.
 func (r *Balancer) Answered(id string) kernel.Micros {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if st := r.of[id]; st != nil {
-		return st.seen
+	if st := r.databases[id]; st != nil {
+		return st.lastServed
 	}
 	return 0
 }
 
-// Keep forgets databases that are no more.
-func (r *Balancer) Keep(there map[string]discovery.Database) {
+// Keep drops the state of databases that no longer exist. Observations of a database with
+// requests in flight stay.
+func (r *Balancer) Keep(current map[string]discovery.Database) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, st := range r.of {
-		if _, ok := there[id]; !ok && st.open == 0 {
-			delete(r.of, id)
+	for id, st := range r.databases {
+		if _, ok := current[id]; !ok && st.inFlight == 0 {
+			delete(r.databases, id)
 		}
 	}
-	for id := range r.told {
-		if _, ok := there[id]; !ok {
-			delete(r.told, id)
+	for id := range r.clusterCosts {
+		if _, ok := current[id]; !ok {
+			delete(r.clusterCosts, id)
 		}
 	}
 }
--- a/internal/loadbalance/loadbalance_test.go
+++ b/internal/loadbalance/loadbalance_test.go
@@ -12,14 +12,14 @@
 
 func (c *clock) Now() kernel.Micros { return c.now }
 
-func candidates(self int, nodes, near, far int) Candidates {
+func candidates(self int, nodes, sameZone, otherZones int) Candidates {
 	s := Candidates{Service: "s", Self: fmt.Sprint("node-", self), Zone: "a", Up: func(string) bool { return true }}
 	for i := range nodes {
 		s.Peers = append(s.Peers, fmt.Sprint("node-", i))
 	}
-	for i := range near + far {
+	for i := range sameZone + otherZones {
 		zone := "a"
-		if i >= near {
+		if i >= sameZone {
 			zone = "b"
 		}
 		s.Databases = append(s.Databases, discovery.Database{ID: fmt.Sprint("i-", i), Zone: zone, Slots: 2})
@@ -27,14 +27,14 @@
 	return s
 }
 
-// Every database of a zone is used by about as many nodes, and who leaves moves
-// few of them.
-func TestStretchesCoverEvenly(t *testing.T) {
+// Every database of a zone is used by about the same number of nodes, and a node that
+// leaves changes few of the subsets.
+func TestSubsetsCoverEvenly(t *testing.T) {
 	used := func(nodes int) (by map[string]int, of []map[string]bool) {
 		by = map[string]int{}
 		for n := range nodes {
 			mine := map[string]bool{}
-			for _, d := range New(&clock{1}).listOf(candidates(n, nodes, 51, 150)).own {
+			for _, d := range New(&clock{1}).subsetOf(candidates(n, nodes, 51, 150)).own {
 				by[d.ID]++
 				mine[d.ID] = true
 			}
@@ -47,7 +47,7 @@
 		t.Fatalf("%d of 51 databases are used", len(by))
 	}
 	for id, n := range by {
-		if n < shared-1 || n > shared+2 {
+		if n < nodesPerDatabase-1 || n > nodesPerDatabase+2 {
 			t.Errorf("%s is used by %d nodes", id, n)
 		}
 	}
@@ -61,13 +61,13 @@
 		}
 	}
 	if moved > 20*4 {
-		t.Errorf("one node less moves %d of 200 uses", moved)
+		t.Errorf("the removal of one node moves %d of 200 uses", moved)
 	}
 }
 
-// Slow, failing and hanging databases get few requests, and soon; a database
-// that all others found out about gets none even from a node that has not.
-func TestPickTurnsFromBadDatabases(t *testing.T) {
+// Slow, failing and hanging databases soon get few requests. A database that all nodes
+// reported as bad gets none, even from a node that has not used it.
+func TestPickAvoidsBadDatabases(t *testing.T) {
 	for name, serve := range map[string]func(r *Balancer, c *clock, id string, began kernel.Micros){
 		"slow": func(r *Balancer, c *clock, id string, began kernel.Micros) {
 			c.now += 600 * kernel.Millisecond
@@ -103,10 +103,10 @@
 	r.Told(map[string]int{"i-3": 900})
 	for range 200 {
 		if d, _ := r.Pick("r", s); d.ID == "i-3" {
-			t.Fatal("what others told is not heeded")
+			t.Fatal("the cost reported for all nodes is ignored")
 		}
 	}
-	// With all its own down, the others serve.
+	// If all databases of its subset are down, the node uses the others.
 	s = candidates(0, 1, 3, 5)
 	s.Up = func(id string) bool { return id == "i-6" }
 	if d, ok := r.Pick("r", s); !ok || d.ID != "i-6" {
--- a/internal/quota/bound_test.go
+++ b/internal/quota/bound_test.go
@@ -10,100 +10,100 @@
 	"indigowalk/internal/kernel"
 )
 
-// uncovered returns a carrier that can spend what the ledger does not count as out, ""
-// if there is none.
-func (p *play) uncovered() string {
-	for _, c := range p.carriers {
+// findUncovered describes a proxy that can spend operations which the ledger does not count as
+// outstanding; "" if there is none.
+func (p *simulation) findUncovered() string {
+	for _, c := range p.proxies {
 		now := c.client.k.Clock.Now()
 		for tenant, a := range c.client.allotments {
-			held, old := a.free+max(0, a.admitted), a.old
-			if now >= a.until {
+			held, previous := a.free+max(0, a.admitted), a.previousFree
+			if now >= a.expires {
 				held = 0
 			}
-			if now >= a.oldUntil {
-				old = 0
+			if now >= a.previousExpires {
+				previous = 0
 			}
-			counted := p.counted(tenant, holder{c.name, c.client.life})
+			counted := p.counted(tenant, proxyProcess{c.name, c.client.incarnation})
 			switch {
-			case p.now >= p.ledger.opens && (old > 0 || c.client.term != p.ledger.term && held > 0):
-				return fmt.Sprintf("%s holds %d of %s of a term that is over", c.name, held+old, tenant)
+			case p.now >= p.ledger.previousLeasesEnd && (previous > 0 || c.client.term != p.ledger.term && held > 0):
+				return fmt.Sprintf("%s holds %d of %s from a term that has ended", c.name, held+previous, tenant)
 			case c.client.term == p.ledger.term && held > counted:
-				return fmt.Sprintf("%s holds %d of %s, and the ledger counts %d", c.name, held, tenant, counted)
+				return fmt.Sprintf("%s holds %d of %s, but the ledger counts %d", c.name, held, tenant, counted)
 			}
 		}
 	}
 	return ""
 }
 
-// unbalanced returns a tenant of which there is more than the rate has added since the
-// ledger began to grant, or more in stock than there is room for; "" if there is none.
-func (p *play) unbalanced() string {
+// findUnbalanced describes a tenant of which there is more than the rate has added since the
+// ledger began to grant, or more in stock than the capacity allows; "" if there is none.
+func (p *simulation) findUnbalanced() string {
 	for tenant, a := range p.ledger.accounts {
 		limit := p.limits[len(p.limits)-1].by[tenant]
 		capacity := p.ledger.capacity(p.now, limit)
-		if room := max(0, capacity-float64(a.out)); a.stock > room+1e-6 && a.at == p.now {
-			return fmt.Sprintf("%s: %.1f in stock, and %d of %.1f out", tenant, a.stock, a.out, capacity)
+		if room := max(0, capacity-float64(a.outstanding)); a.stock > room+1e-6 && a.refilledAt == p.now {
+			return fmt.Sprintf("%s: %.1f in stock and %d outstanding, with a capacity of %.1f", tenant, a.stock, a.outstanding, capacity)
 		}
 		if tenant == "changing" {
 			continue
 		}
-		if all, most := a.stock+p.spendable(tenant), limit.Burst+p.tolerance.exceeding(limit); all > max(1, most)+1e-6 {
-			return fmt.Sprintf("%s: %.1f can be spent or are in stock, of %.1f", tenant, all, most)
+		if total, allowed := a.stock+p.spendable(tenant), limit.Burst+p.tolerance.usableExcess(limit); total > max(1, allowed)+1e-6 {
+			return fmt.Sprintf("%s: %.1f are in stock or can be spent, more than %.1f", tenant, total, allowed)
 		}
 		sum := a.stock
-		for _, s := range p.sendings {
+		for _, s := range p.sent {
 			if s.tenant == tenant && s.term == p.ledger.term {
 				sum++
 			}
 		}
-		if added := limit.PerS * float64(p.now-p.ledger.begins) / float64(kernel.Second); sum > max(0, added)+1e-6 {
-			return fmt.Sprintf("%s: %.1f are sent or in stock, and %.1f have been added", tenant, sum, added)
+		if added := limit.PerS * float64(p.now-p.ledger.grantsFrom) / float64(kernel.Second); sum > max(0, added)+1e-6 {
+			return fmt.Sprintf("%s: %.1f are in stock or were sent, but only %.1f were added", tenant, sum, added)
 		}
 	}
 	return ""
 }
 
-// spendable is how much carriers can spend of a tenant, of slices of any term.
-func (p *play) spendable(tenant string) (sum float64) {
-	for _, c := range p.carriers {
+// spendable returns how much proxies can spend of a tenant, of slices of any term.
+func (p *simulation) spendable(tenant string) (sum float64) {
+	for _, c := range p.proxies {
 		a, now := c.client.allotments[tenant], c.client.k.Clock.Now()
-		if a != nil && now < a.until {
+		if a != nil && now < a.expires {
 			sum += float64(a.free + max(0, a.admitted))
 		}
-		if a != nil && now < a.oldUntil {
-			sum += float64(a.old)
+		if a != nil && now < a.previousExpires {
+			sum += float64(a.previousFree)
 		}
 	}
 	return sum
 }
 
-// counted is how much the ledger takes a holder to have.
-func (p *play) counted(tenant string, who holder) int64 {
+// counted returns how much of a tenant the ledger assumes a holder to have.
+func (p *simulation) counted(tenant string, who proxyProcess) int64 {
 	a := p.ledger.accounts[tenant]
-	if a == nil || a.slices[who] == nil || p.now >= a.slices[who].until {
+	if a == nil || a.slices[who] == nil || p.now >= a.slices[who].expires {
 		return 0
 	}
 	return a.slices[who].held
 }
 
-// most is what a tenant may do in a window that begins then: by the highest limit that
-// was in force in it, or that slices may still be of.
-func (p *play) most(tenant string, from kernel.Micros) (most float64) {
+// maxOperations returns the maximum number of operations of a tenant in a window: by the
+// highest limit that was in force in it, or under which slices may still be outstanding.
+func (p *simulation) maxOperations(tenant string, from kernel.Micros) (highest float64) {
 	for i, l := range p.limits {
 		ended := i+1 < len(p.limits) && p.limits[i+1].since < from-testWindow-testLease
 		if !ended && l.since <= from+testWindow {
 			limit := l.by[tenant]
-			most = max(most, p.tolerance.allowed(limit)+p.tolerance.exceeding(limit))
+			highest = max(highest, p.tolerance.allowed(limit)+p.tolerance.usableExcess(limit))
 		}
 	}
-	return most
+	return highest
 }
 
-// excess returns the first window with too many operations, "" if there is none.
-func (p *play) excess() string {
+// findExcess describes the first window with too many operations; "" if there is none.
+func (p *simulation) findExcess() string {
 	for _, tenant := range tenants {
 		var at []kernel.Micros
-		for _, s := range p.sendings {
+		for _, s := range p.sent {
 			if s.tenant == tenant {
 				at = append(at, s.at)
 			}
@@ -113,56 +113,56 @@
 			for at[i]-at[first] > testWindow {
 				first++
 			}
-			if n, most := i-first+1, p.most(tenant, at[first]); float64(n) > most+1 {
-				return fmt.Sprintf("%s: %d operations within %d ms to %d ms, and %.1f are allowed", tenant, n, testWindow.Millis(), at[i].Millis(), most)
+			if n, limit := i-first+1, p.maxOperations(tenant, at[first]); float64(n) > limit+1 {
+				return fmt.Sprintf("%s: %d operations in the window of %d ms that ends at %d ms, but only %.1f are allowed", tenant, n, testWindow.Millis(), at[i].Millis(), limit)
 			}
 		}
 	}
 	return ""
 }
 
-// newPlay is the play of a seed.
-func newPlay(seed uint64) *play {
-	return &play{
+// newSimulation returns the simulation of a seed.
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
 		r: rand.New(rand.NewPCG(seed, 1)), tolerance: tolerances[seed%4%3],
-		atLast: float64(seed%3) / 2, flood: kernel.Micros(1+seed%4) * 5 * kernel.Millisecond,
+		lateShare: float64(seed%3) / 2, maxInterval: kernel.Micros(1+seed%4) * 5 * kernel.Millisecond,
 	}
 }
 
-// length is how long each is played.
-const length = 40 * kernel.Second
+// simulated is the period that each simulation covers.
+const simulated = 40 * kernel.Second
 
-// Whatever is lost, repeated, late, frozen, restarted or taken over: no window has more
-// operations than the limit allows and what is used of the tolerance.
+// No window has more operations than the limit and the usable excess allow, whatever messages
+// are lost, repeated or late, and whichever proxies freeze or restart or primaries change.
 func TestBoundOverRandomSchedules(t *testing.T) {
 	for seed := range uint64(80) {
-		p := newPlay(seed)
-		p.run(length)
-		if p.wrong == "" {
-			p.wrong = p.excess()
+		p := newSimulation(seed)
+		p.run(simulated)
+		if p.violation == "" {
+			p.violation = p.findExcess()
 		}
-		if p.wrong != "" {
-			t.Fatalf("seed %d: %s", seed, p.wrong)
+		if p.violation != "" {
+			t.Fatalf("seed %d: %s", seed, p.violation)
 		}
 	}
 }
 
-// What is held back must not cost much: there is a take-over each 10 s here, with a
-// pause of a lease on average and, under a tolerance of nothing, a lease besides.
+// What is held back must not cost much. There is a change of primary about every 10 s here,
+// each with a pause of a lease on average and, under a tolerance of zero, another lease.
 func TestServedOverRandomSchedules(t *testing.T) {
-	const plays = 20
+	const simulations = 20
 	served := 0
-	for seed := range uint64(plays) {
-		p := newPlay(3 * seed)
+	for seed := range uint64(simulations) {
+		p := newSimulation(3 * seed)
 		p.steady = true
-		p.run(length)
-		for _, s := range p.sendings {
+		p.run(simulated)
+		for _, s := range p.sent {
 			if s.tenant == "steady" {
 				served++
 			}
 		}
 	}
-	if rate := float64(served) / plays / float64(length/kernel.Second); rate < 10 {
-		t.Errorf("of a limit of 20 a second %.1f were served", rate)
+	if rate := float64(served) / simulations / float64(simulated/kernel.Second); rate < 10 {
+		t.Errorf("%.1f operations per second were served with a limit of 20", rate)
 	}
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -12,88 +12,88 @@
 )
 
 const (
-	// gather is for how long demands are put together in one call.
-	gather = 2 * kernel.Millisecond
-	// leaseMargin is kept to the end of a lease, for the way to a database and for
-	// clocks that do not run alike.
+	// batchDelay is how long demand is collected into one request.
+	batchDelay = 2 * kernel.Millisecond
+	// leaseMargin is how much earlier than the ledger a proxy ends a lease, to allow for the
+	// delay on the way to a database and for differences in clock rates.
 	leaseMargin = 100 * kernel.Millisecond
-	// Parts of a lease: for how much of a tenant's use a carrier holds a slice; how
-	// long before its end it is renewed; and after how long without use it is given
-	// back then.
+	// Shares of a lease: the period for whose expected use a proxy holds operations; how
+	// long before its end a lease is renewed; and the time without use after which a slice
+	// is returned instead of renewed.
 	horizonShare = 0.8
 	renewShare   = 0.4
 	idleShare    = 0.5
-	// lowWater is the part of what is to be held at which more is asked for.
-	lowWater = 0.5
-	// useMemory is over how long the use of a tenant is averaged.
-	useMemory = 2 * kernel.Second
-	// forgetAfter is after how long without use a tenant is forgotten.
+	// lowWatermark is the share of the target holding below which more is requested.
+	lowWatermark = 0.5
+	// rateAveraging is the time constant with which the request rate of a tenant is averaged.
+	rateAveraging = 2 * kernel.Second
+	// forgetAfter is how long a tenant without use is remembered.
 	forgetAfter = 20 * kernel.Second
-	// shortestLook is the shortest pause between two looks at leases.
-	shortestLook = 20 * kernel.Millisecond
-	// unreachedPause is for how long a ledger that can't be reached is left alone.
-	unreachedPause = 100 * kernel.Millisecond
-	// mostAsked bounds the tenants in one call.
-	mostAsked = 500
-	// mostWaiting bounds the operations of a tenant that wait for a grant.
-	mostWaiting = 32
+	// minCheckInterval is the minimum interval between two checks of leases.
+	minCheckInterval = 20 * kernel.Millisecond
+	// unreachablePause is how long no request is sent after the ledger did not respond.
+	unreachablePause = 100 * kernel.Millisecond
+	// maxHoldings bounds the number of tenants in one request.
+	maxHoldings = 500
+	// maxWaiting bounds the number of operations of a tenant that wait for a grant.
+	maxWaiting = 32
 )
 
-// Client is a carrier's side: its slices.
+// Client holds the slices of a proxy, and requests more from the ledger.
 type Client struct {
-	k       *kernel.Kernel
-	carrier string
-	// call asks the ledger; an error says that there is no answer.
-	call func(ctx context.Context, q ask) (answer, error)
-
-	mu         sync.Mutex
-	life       int64
-	seq        int64
-	term       int64
-	lease      kernel.Micros // as the ledger told last
-	allotments map[string]*allotment
-	wake       chan struct{}
+	k     *kernel.Kernel
+	proxy string
+	// call sends a request to the ledger; on an error there is no response.
+	call func(ctx context.Context, req sliceRequest) (sliceResponse, error)
+
+	mu          sync.Mutex
+	incarnation int64
+	seq         int64
+	term        int64
+	lease       kernel.Micros // duration, from the latest response of the ledger
+	allotments  map[string]*allotment
+	wake        chan struct{}
 }
 
-// allotment is what a carrier has of one tenant's stock. What it holds is free, or
+// allotment is what a proxy holds of one tenant's stock. Held operations are either free, or
 // admitted and not sent yet.
 type allotment struct {
-	free     int64
-	admitted int64
-	until    kernel.Micros // end of the lease
-	lease    int64         // which lease that is: counted up when one ends
-	old      int64         // free when the term of another ledger began
-	oldUntil kernel.Micros
-	waiting  int           // operations that wait for a grant
-	paused   kernel.Micros // until then nothing is asked for
-	use      float64       // operations a second, averaged
-	used     kernel.Micros // when one was wanted last
-	changed  kernel.Bell
+	free            int64
+	admitted        int64
+	expires         kernel.Micros // end of the lease
+	leaseNumber     int64         // number of the lease, incremented when one ends
+	previousFree    int64         // left of the slice of the previous term, spendable until previousExpires
+	previousExpires kernel.Micros
+	waiting         int           // number of operations that wait for a grant
+	pausedUntil     kernel.Micros // until then nothing is requested
+	rate            float64       // wanted operations per second, averaged, as of lastWanted
+	lastWanted      kernel.Micros // when an operation was last wanted
+	changed         kernel.Bell
 }
 
 // NewClient returns a client that holds nothing.
-func NewClient(k *kernel.Kernel, carrier string, call func(ctx context.Context, q ask) (answer, error)) *Client {
+func NewClient(k *kernel.Kernel, proxy string, call func(ctx context.Context, req sliceRequest) (sliceResponse, error)) *Client {
 	return &Client{
-		k: k, carrier: carrier, call: call, life: time.Now().UnixMicro(),
+		k: k, proxy: proxy, call: call, incarnation: time.Now().UnixMicro(),
 		allotments: map[string]*allotment{}, wake: make(chan struct{}, 1),
 	}
 }
 
-// Admission is leave to send one operation of a tenant. It is used by Sent, or
-// returned by Unused.
+// Admission is the permission to send one operation of a tenant. It must be passed to Spend
+// or Return.
 type Admission struct {
-	// Until is when the leave ends.
-	Until  kernel.Micros
-	tenant string
-	from   *allotment // nil if nothing is counted
-	lease  int64
+	// Until is when the permission ends.
+	Until       kernel.Micros
+	tenant      string
+	allotment   *allotment // nil if the operation is not counted
+	leaseNumber int64
 }
 
-// endedLease is that of an admission by what was left of the term before: of that
-// nothing is counted any more.
-const endedLease = -1
+// previousTermLease is the lease number of an admission from the slice of the previous term,
+// of which nothing is counted any more.
+const previousTermLease = -1
 
-// Exhausted says that there is nothing left of a tenant's quota.
+// Exhausted is the error that a tenant's quota is used up.
 type Exhausted struct {
 	ComeBack kernel.Micros // when to try again
 }
@@ -102,28 +102,28 @@
 	return fmt.Sprintf("quota: over the limit, more in %d ms", e.ComeBack.Millis())
 }
 
-// Admit takes one operation from what is held of a tenant, for which it waits for so
-// long at most. The error is an Exhausted.
+// Admit takes one operation from what is held of a tenant, and waits at most for wait until
+// there is one. An error is an *Exhausted.
 func (c *Client) Admit(tenant string, limit Limit, wait kernel.Micros) (Admission, error) {
 	if limit.Unlimited() {
 		return Admission{Until: math.MaxInt64}, nil
 	}
 	end := c.k.Clock.Now() + wait
-	a := c.wanted(tenant)
+	a := c.recordDemand(tenant)
 	for {
-		admission, ok := c.admit(tenant, a)
+		admission, ok := c.tryAdmit(tenant, a)
 		if ok {
 			return admission, nil
 		}
-		if !c.await(a, end) {
+		if !c.awaitChange(a, end) {
 			c.k.Counters.Add("quota.refused", 1)
-			return Admission{}, &Exhausted{c.comeBack(a)}
+			return Admission{}, &Exhausted{c.retryAfter(a)}
 		}
 	}
 }
 
-// wanted notes the wish for an operation.
-func (c *Client) wanted(tenant string) *allotment {
+// recordDemand counts a wanted operation in the rate of a tenant, and returns its allotment.
+func (c *Client) recordDemand(tenant string) *allotment {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a := c.allotments[tenant]
@@ -132,45 +132,46 @@
 		c.allotments[tenant] = a
 	}
 	now := c.k.Clock.Now()
-	a.use = a.useAt(now) + float64(kernel.Second)/float64(useMemory)
-	a.used = now
+	a.rate = a.rateAt(now) + float64(kernel.Second)/float64(rateAveraging)
+	a.lastWanted = now
 	return a
 }
 
-// admit takes one, if there is one.
-func (c *Client) admit(tenant string, a *allotment) (Admission, bool) {
+// tryAdmit takes one operation if there is one, first from the slice of the previous term.
+func (c *Client) tryAdmit(tenant string, a *allotment) (Admission, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
 	a.expire(now)
 	switch {
-	case a.old > 0:
-		a.old--
-		return Admission{a.oldUntil, tenant, a, endedLease}, true
+	case a.previousFree > 0:
+		a.previousFree--
+		return Admission{a.previousExpires, tenant, a, previousTermLease}, true
 	case a.free > 0:
 		a.free--
 		a.admitted++
-		if c.low(a) && now >= a.paused {
-			c.poke()
+		if c.belowWatermark(a) && now >= a.pausedUntil {
+			c.wakeServe()
 		}
-		return Admission{a.until, tenant, a, a.lease}, true
+		return Admission{a.expires, tenant, a, a.leaseNumber}, true
 	}
 	return Admission{}, false
 }
 
-// await waits for a change of what is held; false if none is to be waited for.
-func (c *Client) await(a *allotment, end kernel.Micros) bool {
+// awaitChange waits until the allotment changes, or until the end of a pause or of the given
+// time. It returns false without waiting if that cannot help.
+func (c *Client) awaitChange(a *allotment, end kernel.Micros) bool {
 	c.mu.Lock()
 	now := c.k.Clock.Now()
-	if now >= end || a.paused >= end || a.waiting >= mostWaiting {
+	if now >= end || a.pausedUntil >= end || a.waiting >= maxWaiting {
 		c.mu.Unlock()
 		return false
 	}
 	until := end
-	if a.paused > now {
-		until = a.paused
+	if a.pausedUntil > now {
+		until = a.pausedUntil
 	} else {
-		c.poke()
+		c.wakeServe()
 	}
 	a.waiting++
 	changed := a.changed.Wait()
@@ -189,247 +190,252 @@
 	return true
 }
 
-func (c *Client) comeBack(a *allotment) kernel.Micros {
+// retryAfter returns how long no more is requested of an allotment, at least minRetryAfter.
+func (c *Client) retryAfter(a *allotment) kernel.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return max(a.paused-c.k.Clock.Now(), leastComeBack)
+	return max(a.pausedUntil-c.k.Clock.Now(), minRetryAfter)
 }
 
-// Sent says that the operation was sent, whatever came of it.
-func (c *Client) Sent(a Admission) {
-	if c.k.Recorder != nil && a.from != nil {
+// Spend records that the operation was sent, whatever its result.
+func (c *Client) Spend(a Admission) {
+	if c.k.Recorder != nil && a.allotment != nil {
 		c.k.Recorder.Add(SentKind, SentRecord{a.tenant})
 	}
-	c.end(a, 0)
+	c.finish(a, 0)
 }
 
-// Unused says that the operation was not sent, and will not be.
-func (c *Client) Unused(a Admission) { c.end(a, 1) }
+// Return records that the operation was not sent, and will not be.
+func (c *Client) Return(a Admission) { c.finish(a, 1) }
 
-// end ends an admission, of which so much is free again. Of one whose lease is over
-// nothing is held any more.
-func (c *Client) end(a Admission, free int64) {
-	if a.from == nil {
+// finish ends an admission and adds free to the free operations. If the lease of the
+// admission has ended, nothing of it is held any more.
+func (c *Client) finish(a Admission, free int64) {
+	if a.allotment == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.from.lease == a.lease {
-		a.from.admitted--
-		a.from.free += free
-		c.k.Invariants.Check(a.from.admitted >= 0, invariant.CountsPositive, "%d operations of %s admitted", a.from.admitted, a.tenant)
+	if a.allotment.leaseNumber == a.leaseNumber {
+		a.allotment.admitted--
+		a.allotment.free += free
+		c.k.Invariants.Check(a.allotment.admitted >= 0, invariant.CountsPositive, "%d operations of %s admitted", a.allotment.admitted, a.tenant)
 	}
 }
 
-func (a *allotment) useAt(now kernel.Micros) float64 {
-	if a.used == 0 {
+// rateAt returns the averaged rate of wanted operations per second, as of now.
+func (a *allotment) rateAt(now kernel.Micros) float64 {
+	if a.lastWanted == 0 {
 		return 0
 	}
-	return a.use * math.Exp(-float64(now-a.used)/float64(useMemory))
+	return a.rate * math.Exp(-float64(now-a.lastWanted)/float64(rateAveraging))
 }
 
 func (a *allotment) held() int64 { return a.free + a.admitted }
 
-// part is a share of a lease.
-func (c *Client) part(share float64) kernel.Micros { return kernel.Micros(share * float64(c.lease)) }
+// leaseShare returns a share of the duration of a lease.
+func (c *Client) leaseShare(s float64) kernel.Micros { return kernel.Micros(s * float64(c.lease)) }
 
-// ahead is how much is to be held for what is to come: nothing for a tenant of which
-// less than one operation is expected, since that would rest mostly.
-func (c *Client) ahead(a *allotment, now kernel.Micros) int64 {
-	return int64(a.useAt(now) * float64(c.part(horizonShare)) / float64(kernel.Second))
+// targetHolding returns how many operations to hold for the expected use. It is 0 for a
+// tenant of which less than one operation is expected, since that would be idle mostly.
+func (c *Client) targetHolding(a *allotment, now kernel.Micros) int64 {
+	return int64(a.rateAt(now) * float64(c.leaseShare(horizonShare)) / float64(kernel.Second))
 }
 
-// low tells whether it is time to ask for more.
-func (c *Client) low(a *allotment) bool {
-	return float64(a.free) < lowWater*float64(c.ahead(a, a.used))
+// belowWatermark reports whether it is time to request more.
+func (c *Client) belowWatermark(a *allotment) bool {
+	return float64(a.free) < lowWatermark*float64(c.targetHolding(a, a.lastWanted))
 }
 
-// expire drops what no lease covers any more.
+// expire drops what is no longer covered by a lease.
 func (a *allotment) expire(now kernel.Micros) {
-	if now >= a.until && a.held() > 0 {
-		a.drop()
+	if now >= a.expires && a.held() > 0 {
+		a.dropLease()
 	}
-	if now >= a.oldUntil {
-		a.old = 0
+	if now >= a.previousExpires {
+		a.previousFree = 0
 	}
 }
 
-// drop ends the lease.
-func (a *allotment) drop() {
+// dropLease ends the lease and drops everything held under it.
+func (a *allotment) dropLease() {
 	a.free, a.admitted = 0, 0
-	a.lease++
+	a.leaseNumber++
 }
 
-func (c *Client) poke() {
+// wakeServe makes Serve check for something to request.
+func (c *Client) wakeServe() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Serve asks for slices until ctx ends, one call at a time.
+// Serve requests slices until ctx ends, with one request in flight at a time.
 func (c *Client) Serve(ctx context.Context) error {
-	look := time.NewTimer(forgetAfter.Duration())
-	defer look.Stop()
+	timer := time.NewTimer(forgetAfter.Duration())
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-look.C:
+		case <-timer.C:
 		case <-c.wake:
-			if !kernel.Sleep(ctx, gather) {
+			if !kernel.Sleep(ctx, batchDelay) {
 				return nil
 			}
 		}
-		if q, needed := c.next(); needed {
-			asked := c.k.Clock.Now()
+		if req, needed := c.nextRequest(); needed {
+			requestedAt := c.k.Clock.Now()
 			c.k.Counters.Add("quota.asked", 1)
-			a, err := c.call(ctx, q)
-			c.apply(q, a, err, asked)
+			a, err := c.call(ctx, req)
+			c.apply(req, a, err, requestedAt)
 		}
-		look.Reset(c.nextLook().Duration())
+		timer.Reset(c.untilNextCheck().Duration())
 	}
 }
 
-// nextLook is how long until a lease is to be looked at.
-func (c *Client) nextLook() kernel.Micros {
+// untilNextCheck returns how long it takes until a lease is due for renewal.
+func (c *Client) untilNextCheck() kernel.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, span := c.k.Clock.Now(), forgetAfter
 	for _, a := range c.allotments {
 		if a.held() > 0 {
-			span = min(span, a.until-c.part(renewShare)-now)
+			span = min(span, a.expires-c.leaseShare(renewShare)-now)
 		}
 	}
-	return max(span, shortestLook)
+	return max(span, minCheckInterval)
 }
 
-// next puts together what is to be asked now; false if nothing is.
-func (c *Client) next() (ask, bool) {
+// nextRequest builds the request to send now; it returns false if there is nothing to send. It
+// also removes tenants that have not been used for long.
+func (c *Client) nextRequest() (sliceRequest, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
-	q := ask{Carrier: c.carrier, Life: c.life}
+	req := sliceRequest{Proxy: c.proxy, Incarnation: c.incarnation}
 	for tenant, a := range c.allotments {
 		a.expire(now)
-		if a.held() == 0 && a.old == 0 && a.waiting == 0 && now-a.used > forgetAfter {
+		if a.held() == 0 && a.previousFree == 0 && a.waiting == 0 && now-a.lastWanted > forgetAfter {
 			delete(c.allotments, tenant)
 			continue
 		}
-		if len(q.Holdings) == mostAsked {
-			c.poke()
+		if len(req.Holdings) == maxHoldings {
+			c.wakeServe()
 			break
 		}
-		if h, tell := c.holding(a, now); tell {
+		if h, report := c.reportHolding(a, now); report {
 			h.Tenant = tenant
-			q.Holdings = append(q.Holdings, h)
+			req.Holdings = append(req.Holdings, h)
 		}
 	}
-	if len(q.Holdings) == 0 {
-		return q, false
+	if len(req.Holdings) == 0 {
+		return req, false
 	}
 	c.seq++
-	q.Seq = c.seq
-	return q, true
+	req.Seq = c.seq
+	return req, true
 }
 
-// holding is what the ledger is to be told of an allotment; false if nothing is. One
-// that rests is given back when its lease would be renewed: a message that is lost
-// then loses what it returns.
-func (c *Client) holding(a *allotment, now kernel.Micros) (h Holding, tell bool) {
-	due := a.held() > 0 && a.until-now <= c.part(renewShare)
-	rests := a.waiting == 0 && now-a.used > c.part(idleShare)
-	if due && rests {
+// reportHolding returns what to report of an allotment to the ledger, and whether there is
+// anything to report. An idle allotment is returned when its lease is due for renewal, not
+// earlier: if that request is lost, so is what it returns.
+func (c *Client) reportHolding(a *allotment, now kernel.Micros) (h Holding, report bool) {
+	due := a.held() > 0 && a.expires-now <= c.leaseShare(renewShare)
+	idle := a.waiting == 0 && now-a.lastWanted > c.leaseShare(idleShare)
+	if due && idle {
 		h.Returned, a.free = a.free, 0
 	}
 	h.Held = a.held()
-	want := max(int64(a.waiting)-a.free, c.ahead(a, now)-a.held())
-	if !rests && now >= a.paused && want > 0 && (a.waiting > 0 || c.low(a)) {
+	want := max(int64(a.waiting)-a.free, c.targetHolding(a, now)-a.held())
+	if !idle && now >= a.pausedUntil && want > 0 && (a.waiting > 0 || c.belowWatermark(a)) {
 		h.Want = want
 	}
 	return h, due || h.Want > 0
 }
 
-// apply takes in the answer to what was asked at that time.
-func (c *Client) apply(q ask, n answer, err error, asked kernel.Micros) {
+// apply processes the response to a request that was sent at requestedAt.
+func (c *Client) apply(req sliceRequest, resp sliceResponse, err error, requestedAt kernel.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
 	switch {
 	case err != nil:
-		c.unanswered(q, now)
+		c.pauseRequests(req, now)
 		return
-	case n.Newest > 0:
-		c.renew(n.Newest)
+	case resp.NewestIncarnation > 0:
+		c.restartIncarnation(resp.NewestIncarnation)
 		return
-	case n.Term != c.term:
-		c.enter(n.Term)
+	case resp.Term != c.term:
+		c.enterTerm(resp.Term)
 	}
 	if c.k.Recorder != nil {
-		c.k.Recorder.Add(AskedKind, CallRecord{q.Carrier, q.Life, q.Seq, asked})
+		c.k.Recorder.Add(AskedKind, CallRecord{req.Proxy, req.Incarnation, req.Seq, requestedAt})
 	}
-	c.lease = n.Lease
-	until := asked + n.Lease - leaseMargin
-	for i, s := range n.Slices {
-		a := c.allotments[s.Tenant]
-		if a == nil || i >= len(q.Holdings) || q.Holdings[i].Tenant != s.Tenant {
+	c.lease = resp.Lease
+	until := requestedAt + resp.Lease - leaseMargin
+	for i, g := range resp.Grants {
+		a := c.allotments[g.Tenant]
+		if a == nil || i >= len(req.Holdings) || req.Holdings[i].Tenant != g.Tenant {
 			continue
 		}
 		a.expire(now)
-		if !s.Renewed {
-			a.drop()
+		if !g.Renewed {
+			a.dropLease()
 		}
-		a.free += s.Grant
-		a.until = until
-		if s.ComeBack > 0 {
-			a.paused = now + s.ComeBack
+		a.free += g.Granted
+		a.expires = until
+		if g.RetryAfter > 0 {
+			a.pausedUntil = now + g.RetryAfter
 		}
 		a.changed.Ring()
 	}
 }
 
-// unanswered notes that the ledger did not answer.
-func (c *Client) unanswered(q ask, now kernel.Micros) {
+// pauseRequests records that the ledger did not respond to a request.
+func (c *Client) pauseRequests(req sliceRequest, now kernel.Micros) {
 	c.k.Counters.Add("quota.unanswered", 1)
-	for _, h := range q.Holdings {
+	for _, h := range req.Holdings {
 		if a := c.allotments[h.Tenant]; a != nil {
-			a.paused = now + unreachedPause
+			a.pausedUntil = now + unreachablePause
 			a.changed.Ring()
 		}
 	}
 }
 
-// renew begins a life after one that the ledger has heard of: the clock by which lives
-// are counted has stepped back meanwhile. Whatever an earlier life holds is its own.
-func (c *Client) renew(newest int64) {
-	if newest < c.life {
+// restartIncarnation begins an incarnation later than the newest that the ledger knows: the
+// clock from which incarnation numbers are taken has stepped back since. Whatever an earlier
+// incarnation holds belongs to that one.
+func (c *Client) restartIncarnation(newest int64) {
+	if newest < c.incarnation {
 		return
 	}
-	c.life, c.seq = newest+1, 0
+	c.incarnation, c.seq = newest+1, 0
 	for _, a := range c.allotments {
-		a.drop()
-		a.old = 0
+		a.dropLease()
+		a.previousFree = 0
 	}
-	c.poke()
+	c.wakeServe()
 }
 
-// enter begins the term of another ledger. What is held of the one before lasts to the
-// end of its lease, for which the new one waits.
-func (c *Client) enter(term int64) {
+// enterTerm begins the term of another ledger. What is held of the previous term remains valid
+// to the end of its lease, for which the new ledger waits.
+func (c *Client) enterTerm(term int64) {
 	c.term = term
 	for _, a := range c.allotments {
-		a.old, a.oldUntil = a.free, a.until
-		a.drop()
+		a.previousFree, a.previousExpires = a.free, a.expires
+		a.dropLease()
 	}
 }
 
-// Use is what a carrier does for one tenant.
+// Use is what a proxy holds and needs of one tenant's quota.
 type Use struct {
 	Held int64   `json:"held"`  // operations
-	PerS float64 `json:"per_s"` // that are wanted, averaged
+	PerS float64 `json:"per_s"` // wanted operations per second, averaged
 }
 
-// Uses tells it of each tenant that was heard of late, by name.
+// Uses returns the use of each tenant that was used recently, by tenant.
 func (c *Client) Uses() map[string]Use {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -437,7 +443,7 @@
 	out := map[string]Use{}
 	for tenant, a := range c.allotments {
 		a.expire(now)
-		out[tenant] = Use{a.held() + a.old, a.useAt(now)}
+		out[tenant] = Use{a.held() + a.previousFree, a.rateAt(now)}
 	}
 	return out
 }
--- a/internal/quota/client_test.go
+++ b/internal/quota/client_test.go
@@ -14,29 +14,29 @@
 	"indigowalk/internal/kernel"
 )
 
-// fixture is a client with the ledger that it asks, at hand.
+// fixture is a client with the ledger that it calls directly.
 type fixture struct {
 	*testing.T
-	client *Client
-	ledger *Ledger
-	asked  atomic.Int64
-	away   bool
+	client      *Client
+	ledger      *Ledger
+	requests    atomic.Int64
+	unreachable bool
 }
 
-// withClient runs a test with a client of a ledger that has been open for a while.
+// withClient runs a test with a client of a ledger that has been granting for a while.
 func withClient(t *testing.T, limit Limit, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		f := &fixture{T: t}
 		f.ledger = NewLedger(1, k.Clock.Now(), testLease, strict)
 		f.ledger.SetLimits(k.Clock.Now(), map[string]Limit{"ann": limit, "bob": limit})
-		f.client = NewClient(k, "a", func(_ context.Context, q ask) (answer, error) {
-			f.asked.Add(1)
+		f.client = NewClient(k, "a", func(_ context.Context, req sliceRequest) (sliceResponse, error) {
+			f.requests.Add(1)
 			time.Sleep(time.Millisecond)
-			if f.away {
-				return answer{}, errors.New("not reached")
+			if f.unreachable {
+				return sliceResponse{}, errors.New("unreachable")
 			}
-			return f.ledger.Take(k.Clock.Now(), q)
+			return f.ledger.Take(k.Clock.Now(), req)
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
@@ -50,22 +50,22 @@
 	})
 }
 
-// spend sends one operation; it reports whether that was admitted, and how long it took.
+// spend sends one operation. It returns whether it was admitted, and how long that took.
 func (f *fixture) spend(tenant string, limit Limit) (bool, time.Duration) {
 	began := time.Now()
 	a, err := f.client.Admit(tenant, limit, 100*kernel.Millisecond)
 	var exhausted *Exhausted
 	switch {
 	case err == nil:
-		f.client.Sent(a)
-	case !errors.As(err, &exhausted) || exhausted.ComeBack < leastComeBack:
+		f.client.Spend(a)
+	case !errors.As(err, &exhausted) || exhausted.ComeBack < minRetryAfter:
 		f.Errorf("refused with %v", err)
 	}
 	return err == nil, time.Since(began)
 }
 
-// A tenant without a limit asks nothing, one that is used seldom is asked for once per
-// operation, and one that is used often far less than that, without waiting.
+// A tenant without a limit causes no requests, a rarely used tenant one per operation, and an
+// often used one far fewer, mostly without waiting.
 func TestRoundTrips(t *testing.T) {
 	limit := Limit{PerS: 100, Burst: 100}
 	withClient(t, limit, func(f *fixture) {
@@ -74,41 +74,42 @@
 				f.Errorf("no limit: %v after %v", ok, took)
 			}
 		}
-		if f.asked.Load() != 0 {
-			f.Errorf("asked %d times for a tenant without a limit", f.asked.Load())
+		if f.requests.Load() != 0 {
+			f.Errorf("%d requests for a tenant without a limit", f.requests.Load())
 		}
 		for range 20 {
 			time.Sleep(3 * time.Second)
 			if ok, took := f.spend("bob", limit); !ok || took > 5*time.Millisecond {
-				f.Errorf("seldom used: %v after %v", ok, took)
+				f.Errorf("rarely used: %v after %v", ok, took)
 			}
 		}
-		if f.asked.Load() != 20 {
-			f.Errorf("asked %d times for 20 operations, one in 3 s", f.asked.Load())
+		if f.requests.Load() != 20 {
+			f.Errorf("%d requests for 20 operations, one per 3 s", f.requests.Load())
 		}
-		f.asked.Store(0)
+		f.requests.Store(0)
 		waited := 0
 		for i := range 1000 {
 			time.Sleep(20 * time.Millisecond)
 			ok, took := f.spend("ann", limit)
 			if !ok {
-				f.Errorf("operation %d is refused", i)
+				f.Errorf("operation %d was refused", i)
 			}
 			if took > 0 {
 				waited++
 			}
 		}
-		if f.asked.Load() > 150 || waited > 20 {
-			f.Errorf("asked %d times for 1,000 operations, of which %d waited", f.asked.Load(), waited)
+		if f.requests.Load() > 150 || waited > 20 {
+			f.Errorf("%d requests for 1,000 operations, of which %d waited", f.requests.Load(), waited)
 		}
 		time.Sleep(2 * time.Second)
 		if held := f.client.Uses()["ann"].Held; held != 0 {
-			f.Errorf("held at rest: %v", held)
+			f.Errorf("held when idle: %v", held)
 		}
 	})
 }
 
-// What is over the limit is refused, soon and without a call each; the rest is served.
+// Demand above the limit is refused soon and without a request for each operation; the rest is
+// served, and so are other tenants.
 func TestOverTheLimit(t *testing.T) {
 	limit := Limit{PerS: 20, Burst: 10}
 	withClient(t, limit, func(f *fixture) {
@@ -126,7 +127,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if ok, took := f.spend("bob", limit); !ok || took > 5*time.Millisecond {
-			f.Errorf("another tenant is served: %v after %v", ok, took)
+			f.Errorf("another tenant: served %v after %v", ok, took)
 		}
 		served, slowest := 0, time.Duration(0)
 		for range sent {
@@ -136,45 +137,45 @@
 				served++
 			}
 		}
-		if served < 180 || served > 212 || slowest > 100*time.Millisecond || f.asked.Load() > 400 {
-			f.Errorf("%d of %d served, the slowest after %v, with %d calls", served, sent, slowest, f.asked.Load())
+		if served < 180 || served > 212 || slowest > 100*time.Millisecond || f.requests.Load() > 400 {
+			f.Errorf("%d of %d served, the slowest after %v, with %d calls", served, sent, slowest, f.requests.Load())
 		}
 	})
 }
 
-// Operations that wait are bounded in number.
+// The number of operations that wait for a grant is bounded.
 func TestWaitingIsBounded(t *testing.T) {
 	limit := Limit{PerS: 20, Burst: 10}
 	withClient(t, limit, func(f *fixture) {
-		f.away = true
+		f.unreachable = true
 		refusedAtOnce, done := 0, make(chan time.Duration)
-		for range 3 * mostWaiting {
+		for range 3 * maxWaiting {
 			go func() {
 				_, took := f.spend("ann", limit)
 				done <- took
 			}()
 		}
-		for range 3 * mostWaiting {
+		for range 3 * maxWaiting {
 			if took := <-done; took < time.Millisecond {
 				refusedAtOnce++
 			}
 		}
-		if refusedAtOnce != 2*mostWaiting {
-			f.Errorf("%d of %d are refused at once", refusedAtOnce, 3*mostWaiting)
+		if refusedAtOnce != 2*maxWaiting {
+			f.Errorf("%d of %d operations were refused at once", refusedAtOnce, 3*maxWaiting)
 		}
 	})
 }
 
-// A carrier that is cut off spends what it has until the lease ends, and goes on as soon
-// as it is back.
-func TestCutOff(t *testing.T) {
+// A proxy that cannot reach the ledger spends what it holds until the lease ends, and resumes
+// as soon as the ledger is reachable again.
+func TestLedgerUnreachable(t *testing.T) {
 	limit := Limit{PerS: 100, Burst: 100}
 	withClient(t, limit, func(f *fixture) {
 		for range 100 {
 			f.spend("ann", limit)
 			time.Sleep(10 * time.Millisecond)
 		}
-		f.away = true
+		f.unreachable = true
 		served := 0
 		for range 100 {
 			if ok, _ := f.spend("ann", limit); ok {
@@ -183,19 +184,19 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if held := f.client.Uses()["ann"].Held; served < 10 || served > 70 || held != 0 {
-			f.Errorf("%d served while cut off, %d held at its end", served, held)
+			f.Errorf("%d served while the ledger was unreachable, %d held at the end", served, held)
 		}
-		f.away = false
-		time.Sleep(2 * unreachedPause.Duration())
+		f.unreachable = false
+		time.Sleep(2 * unreachablePause.Duration())
 		if ok, took := f.spend("ann", limit); !ok || took > 10*time.Millisecond {
-			f.Errorf("back again: %v after %v", ok, took)
+			f.Errorf("reachable again: served %v after %v", ok, took)
 		}
 	})
 }
 
-// What a leave is for must be sent before its lease ends, and what is not sent is there
-// for the next.
-func TestLeaveEnds(t *testing.T) {
+// An admission ends before the lease of its slice, and an operation that was not sent is
+// available to the next one.
+func TestAdmissionEndsWithLease(t *testing.T) {
 	limit := Limit{PerS: 1, Burst: 2}
 	withClient(t, limit, func(f *fixture) {
 		a, err := f.client.Admit("ann", limit, 100*kernel.Millisecond)
@@ -203,12 +204,12 @@
 			f.Fatal(err)
 		}
 		if left := a.Until - f.client.k.Clock.Now(); left <= 0 || left > testLease-leaseMargin {
-			f.Errorf("a leave for %d ms", left.Millis())
+			f.Errorf("an admission for %d ms", left.Millis())
 		}
-		f.client.Unused(a)
-		asked := f.asked.Load()
-		if ok, took := f.spend("ann", limit); !ok || took > 0 || f.asked.Load() != asked {
-			f.Errorf("what was not sent: %v after %v", ok, took)
+		f.client.Return(a)
+		requests := f.requests.Load()
+		if ok, took := f.spend("ann", limit); !ok || took > 0 || f.requests.Load() != requests {
+			f.Errorf("after an unused admission: served %v after %v", ok, took)
 		}
 		b, err := f.client.Admit("ann", limit, 100*kernel.Millisecond)
 		if err != nil {
@@ -216,28 +217,29 @@
 		}
 		time.Sleep(testLease.Duration())
 		if now := f.client.k.Clock.Now(); now < b.Until {
-			f.Errorf("a leave that lasts for longer than its lease")
+			f.Errorf("an admission lasts longer than its lease")
 		}
-		f.client.Unused(b)
+		f.client.Return(b)
 		time.Sleep(testLease.Duration())
 		if held := f.client.Uses()["ann"].Held; held != 0 {
-			f.Errorf("held at rest: %v", held)
+			f.Errorf("held when idle: %v", held)
 		}
 	})
 }
 
-// A carrier whose clock has stepped back begins a life after the one that is known.
+// A proxy whose clock has stepped back begins an incarnation later than the one that the
+// ledger knows.
 func TestClockSteppedBack(t *testing.T) {
 	limit := Limit{PerS: 100, Burst: 100}
 	withClient(t, limit, func(f *fixture) {
-		f.client.call = func(ctx context.Context, q ask) (answer, error) {
-			a, err := f.ledger.Take(f.client.k.Clock.Now(), q)
-			if a.Newest > 0 {
+		f.client.call = func(ctx context.Context, req sliceRequest) (sliceResponse, error) {
+			a, err := f.ledger.Take(f.client.k.Clock.Now(), req)
+			if a.NewestIncarnation > 0 {
 				err = nil
 			}
 			return a, err
 		}
-		if _, err := f.ledger.Take(f.client.k.Clock.Now(), ask{Carrier: "a", Life: f.client.life + 7, Seq: 9}); err != nil {
+		if _, err := f.ledger.Take(f.client.k.Clock.Now(), sliceRequest{Proxy: "a", Incarnation: f.client.incarnation + 7, Seq: 9}); err != nil {
 			f.Fatal(err)
 		}
 		if ok, _ := f.spend("ann", limit); !ok {
@@ -246,7 +248,7 @@
 	})
 }
 
-// Thousands of tenants are asked for in calls of bounded size, and forgotten at rest.
+// Thousands of tenants are requested in calls of bounded size, and forgotten when idle.
 func TestManyTenants(t *testing.T) {
 	limit := Limit{PerS: 100, Burst: 100}
 	withClient(t, limit, func(f *fixture) {
@@ -267,12 +269,12 @@
 				f.Error("refused")
 			}
 		}
-		if f.asked.Load() < 3000/mostAsked || f.asked.Load() > 20 {
-			f.Errorf("asked %d times", f.asked.Load())
+		if f.requests.Load() < 3000/maxHoldings || f.requests.Load() > 20 {
+			f.Errorf("%d requests for 3000 tenants", f.requests.Load())
 		}
 		time.Sleep(3 * forgetAfter.Duration())
 		if n := len(f.client.allotments); n > 0 {
-			f.Errorf("%d tenants are known at rest", n)
+			f.Errorf("%d tenants are remembered when idle", n)
 		}
 	})
 }
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -12,7 +12,7 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// controlState is what a holder needs of the control state.
+// controlState is the part of the control state replica that a Holder uses.
 type controlState interface {
 	Term() (*controlstate.Term, error)
 	Durable() (controlstate.State, error)
@@ -20,34 +20,35 @@
 	Changed() <-chan struct{}
 }
 
-// Holder has the ledger of the term that runs at this control node.
+// Holder runs the ledger of the current term, if this control node is the primary.
 type Holder struct {
 	k         *kernel.Kernel
 	replica   controlState
 	lease     kernel.Micros
 	tolerance Tolerance
 
-	mu     sync.Mutex
-	ledger *Ledger
-	seq    int64           // of the control state whose limits the ledger has
-	entry  json.RawMessage // with the configuration that they are of
+	mu          sync.Mutex
+	ledger      *Ledger
+	stateSeq    int64           // of the control state from which the ledger has its limits
+	configEntry json.RawMessage // entry with the configuration of those limits
 }
 
-// NewHolder returns a holder that has no ledger yet.
+// NewHolder returns a holder without a ledger.
 func NewHolder(k *kernel.Kernel, replica controlState, lease kernel.Micros, tolerance Tolerance) *Holder {
 	return &Holder{k: k, replica: replica, lease: lease, tolerance: tolerance}
 }
 
-// Serve begins a ledger with each term, since that counts its first lease from then.
+// Serve creates a ledger at the start of each term, without waiting for a request, since the
+// first lease of a ledger counts from its creation. It runs until ctx ends.
 func (h *Holder) Serve(ctx context.Context) error {
-	begun := int64(0)
+	startedTerm := int64(0)
 	for ctx.Err() == nil {
 		changed := h.replica.Changed()
-		term, ledger, err := h.inTerm()
+		term, ledger, err := h.currentTerm()
 		switch {
-		case err == nil && ledger.term != begun:
-			begun = ledger.term
-			h.open(ctx, term, ledger)
+		case err == nil && ledger.term != startedTerm:
+			startedTerm = ledger.term
+			h.runOpening(ctx, term, ledger)
 			continue
 		case err != nil && !errors.Is(err, errNoLedger):
 			h.k.Counters.Add("quota.unreadable", 1)
@@ -60,64 +61,68 @@
 	return nil
 }
 
-// open sees a ledger through its first lease, or its term if that is shorter.
-func (h *Holder) open(ctx context.Context, term *controlstate.Term, ledger *Ledger) {
+// runOpening sees a ledger through its opening period, which is its first lease, or its term
+// if that is shorter. The ledger grants early if that is safe.
+func (h *Holder) runOpening(ctx context.Context, term *controlstate.Term, ledger *Ledger) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(term.Context(), cancel)()
-	if h.settled() && h.note(ctx, opening{Term: ledger.term}) == nil {
-		ledger.Narrow(h.k.Clock.Now())
+	if h.mayGrantEarly() && h.writeOpening(ctx, openingRecord{Term: ledger.term}) == nil {
+		ledger.GrantEarly(h.k.Clock.Now())
 	}
-	kernel.Sleep(ctx, ledger.opens-h.k.Clock.Now())
-	for ctx.Err() == nil && h.note(ctx, opening{ledger.term, true}) != nil {
-		kernel.Sleep(ctx, noteAgain)
+	kernel.Sleep(ctx, ledger.previousLeasesEnd-h.k.Clock.Now())
+	for ctx.Err() == nil && h.writeOpening(ctx, openingRecord{ledger.term, true}) != nil {
+		kernel.Sleep(ctx, writeRetryInterval)
 	}
 }
 
-// noteAgain is between two attempts at writing how far a ledger has come.
-const noteAgain = 200 * kernel.Millisecond
+// writeRetryInterval is the pause between attempts to write an opening record.
+const writeRetryInterval = 200 * kernel.Millisecond
 
-// openingKey is the entry of the control state with the last opening.
+// openingKey is the key of the control state entry with the last opening record.
 const openingKey = "quota/opening"
 
-// opening tells of the last ledger that granted in its first lease whether that is
-// over. Until it is, slices of that term and of the one before may be out together.
-type opening struct {
-	Term    int64 `json:"term"`
-	Settled bool  `json:"settled"`
+// openingRecord records, for the last ledger that granted during its first lease, whether that
+// lease has ended. Until then, slices of that term and of the previous one may be outstanding
+// at once.
+type openingRecord struct {
+	Term      int64 `json:"term"`
+	Completed bool  `json:"settled"`
 }
 
-// settled tells whether slices of no more than one term may be out.
-func (h *Holder) settled() bool {
+// mayGrantEarly reports whether slices of at most one term may be outstanding, so that a new
+// ledger may grant during its first lease.
+func (h *Holder) mayGrantEarly() bool {
 	state, err := h.replica.Durable()
 	if err != nil {
 		return false
 	}
-	raw, there := state.Entries[openingKey]
-	if !there {
+	raw, present := state.Entries[openingKey]
+	if !present {
 		return true
 	}
-	var last opening
-	return json.Unmarshal(raw, &last) == nil && last.Settled
+	var last openingRecord
+	return json.Unmarshal(raw, &last) == nil && last.Completed
 }
 
-// note writes an opening to the control state.
-func (h *Holder) note(ctx context.Context, o opening) error {
-	raw, err := json.Marshal(o)
+// writeOpening writes an opening record to the control state, unless one of a later term is there.
+func (h *Holder) writeOpening(ctx context.Context, record openingRecord) error {
+	raw, err := json.Marshal(record)
 	if err != nil {
 		return err
 	}
 	return h.replica.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
-		var last opening
-		if json.Unmarshal(entries[openingKey], &last) == nil && last.Term > o.Term {
-			return nil, errNoLedger // the term of this one is over
+		var last openingRecord
+		if json.Unmarshal(entries[openingKey], &last) == nil && last.Term > record.Term {
+			return nil, errNoLedger // the term of this record has ended
 		}
 		return map[string]json.RawMessage{openingKey: raw}, nil
 	})
 }
 
-// inTerm returns the term that runs, and its ledger with the newest limits.
-func (h *Holder) inTerm() (*controlstate.Term, *Ledger, error) {
+// currentTerm returns the current term and its ledger with the latest limits. The error is
+// errNoLedger if this node is not the primary.
+func (h *Holder) currentTerm() (*controlstate.Term, *Ledger, error) {
 	term, err := h.replica.Term()
 	if err != nil {
 		return nil, nil, errNoLedger
@@ -130,7 +135,7 @@
 	defer h.mu.Unlock()
 	now := h.k.Clock.Now()
 	if h.ledger == nil || h.ledger.term < term.Began() {
-		h.ledger, h.seq, h.entry = NewLedger(term.Began(), now, h.lease, h.tolerance), 0, nil
+		h.ledger, h.stateSeq, h.configEntry = NewLedger(term.Began(), now, h.lease, h.tolerance), 0, nil
 	}
 	if h.ledger.term != term.Began() {
 		return nil, nil, errNoLedger
@@ -138,46 +143,46 @@
 	return term, h.ledger, h.updateLimits(now, state)
 }
 
-// updateLimits gives the ledger the limits of a state, if those are newer.
+// updateLimits passes the limits of a control state to the ledger, if they are newer.
 func (h *Holder) updateLimits(now kernel.Micros, state controlstate.State) error {
-	if state.Seq <= h.seq {
+	if state.Seq <= h.stateSeq {
 		return nil
 	}
-	h.seq = state.Seq
+	h.stateSeq = state.Seq
 	entry := state.Entries[routeconfig.Key]
-	if bytes.Equal(entry, h.entry) {
+	if bytes.Equal(entry, h.configEntry) {
 		return nil
 	}
-	_, conf, err := routeconfig.Decode(entry)
+	_, config, err := routeconfig.Decode(entry)
 	if err != nil {
 		return err
 	}
 	limits := map[string]Limit{}
-	if conf != nil {
-		for _, t := range conf.Tenants {
+	if config != nil {
+		for _, t := range config.Tenants {
 			limits[t.Name] = Limit{t.RatePerS, t.Burst}
 		}
 	}
 	h.ledger.SetLimits(now, limits)
 	h.k.Recorder.Add(LimitsKind, LimitsRecord{h.tolerance, limits})
-	h.entry = entry
+	h.configEntry = entry
 	return nil
 }
 
-// onTake answers a carrier. The answer leaves only in the term in which it was made:
-// what is granted later may not be known to the next ledger.
-func (h *Holder) onTake(_ context.Context, q ask) (any, error) {
-	term, ledger, err := h.inTerm()
+// onTake handles the request of a proxy. The response is sent only within the term in which
+// it was made: the next ledger may not allow for anything granted after that.
+func (h *Holder) onTake(_ context.Context, req sliceRequest) (any, error) {
+	term, ledger, err := h.currentTerm()
 	if errors.Is(err, errNoLedger) {
-		return answer{}, nil
+		return sliceResponse{}, nil
 	}
 	if err != nil {
 		h.k.Counters.Add("quota.unreadable", 1)
 		return nil, err
 	}
-	a, err := ledger.Take(h.k.Clock.Now(), q)
+	a, err := ledger.Take(h.k.Clock.Now(), req)
 	switch {
-	case a.Newest > 0:
+	case a.NewestIncarnation > 0:
 		h.k.Counters.Add("quota.old_life", 1)
 		return a, nil
 	case err != nil:
@@ -185,17 +190,18 @@
 		return nil, err
 	case !term.Valid():
 		h.k.Counters.Add("quota.term_ended", 1)
-		return answer{}, nil
+		return sliceResponse{}, nil
 	}
 	if h.k.Recorder != nil {
-		h.k.Recorder.Add(TakenKind, CallRecord{Carrier: q.Carrier, Life: q.Life, Seq: q.Seq})
+		h.k.Recorder.Add(TakenKind, CallRecord{Carrier: req.Proxy, Life: req.Incarnation, Seq: req.Seq})
 	}
 	return a, nil
 }
 
-// Accounts shows the tenants of the ledger of the term that runs, nil if none does here.
+// Accounts returns the accounts of the current ledger by tenant, nil if this node has no
+// ledger.
 func (h *Holder) Accounts() map[string]Account {
-	term, ledger, err := h.inTerm()
+	term, ledger, err := h.currentTerm()
 	if err != nil || !term.Valid() {
 		return nil
 	}
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -11,59 +11,59 @@
 	"indigowalk/internal/kernel"
 )
 
-// entries is a control state of entries alone.
+// entries is a control state that consists of entries only.
 type entries struct {
 	controlState
-	now  map[string]json.RawMessage
-	away bool
+	current     map[string]json.RawMessage
+	unavailable bool
 }
 
 func (e *entries) Durable() (controlstate.State, error) {
-	if e.away {
+	if e.unavailable {
 		return controlstate.State{}, errors.New("no primary")
 	}
-	return controlstate.State{Entries: e.now}, nil
+	return controlstate.State{Entries: e.current}, nil
 }
 
 func (e *entries) Update(_ context.Context, change controlstate.ChangeFunc) error {
-	changes, err := change(e.now)
-	maps.Copy(e.now, changes)
+	changes, err := change(e.current)
+	maps.Copy(e.current, changes)
 	return err
 }
 
-// A ledger may grant in its first lease unless the one before did, and ended within
-// its own: slices of two terms may be out then.
-func TestSettled(t *testing.T) {
-	e := &entries{now: map[string]json.RawMessage{}}
+// A ledger may grant in its first lease unless the previous one did and ended within its own
+// first lease: slices of two terms may be outstanding then.
+func TestMayGrantEarly(t *testing.T) {
+	e := &entries{current: map[string]json.RawMessage{}}
 	h := NewHolder(nil, e, kernel.Second, strict)
 	for _, step := range []struct {
-		name string
-		note opening
-		want bool
+		name   string
+		record openingRecord
+		want   bool
 	}{
-		{"after a first lease that is not over", opening{7, false}, false},
-		{"after one that is", opening{7, true}, true},
-		{"of a later term", opening{9, false}, false},
+		{"after a first lease that has not ended", openingRecord{7, false}, false},
+		{"after one that has ended", openingRecord{7, true}, true},
+		{"of a later term", openingRecord{9, false}, false},
 	} {
-		if step.note.Term == 7 && !step.note.Settled && !h.settled() {
-			t.Error("before there was any ledger: not settled")
+		if step.record.Term == 7 && !step.record.Completed && !h.mayGrantEarly() {
+			t.Error("before the first ledger: may not grant early")
 		}
-		if err := h.note(t.Context(), step.note); err != nil {
+		if err := h.writeOpening(t.Context(), step.record); err != nil {
 			t.Fatal(err)
 		}
-		if got := h.settled(); got != step.want {
+		if got := h.mayGrantEarly(); got != step.want {
 			t.Errorf("%s: %v", step.name, got)
 		}
 	}
-	if err := h.note(t.Context(), opening{7, true}); err == nil || h.settled() {
-		t.Error("an earlier term is noted after a later one")
+	if err := h.writeOpening(t.Context(), openingRecord{7, true}); err == nil || h.mayGrantEarly() {
+		t.Error("the record of an earlier term replaces that of a later one")
 	}
-	e.now[openingKey] = json.RawMessage("{")
-	if h.settled() {
-		t.Error("after what can't be read: settled")
+	e.current[openingKey] = json.RawMessage("{")
+	if h.mayGrantEarly() {
+		t.Error("after an unreadable record: may grant early")
 	}
-	e.now = map[string]json.RawMessage{}
-	if e.away = true; h.settled() {
-		t.Error("without a control state: settled")
+	e.current = map[string]json.RawMessage{}
+	if e.unavailable = true; h.mayGrantEarly() {
+		t.Error("without a control state: may grant early")
 	}
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -8,109 +8,111 @@
 	"indigowalk/internal/kernel"
 )
 
-// Errors of an ask.
+// Errors returned for a request of a proxy.
 var (
-	ErrRepeated  = errors.New("quota: an earlier message, or one of an earlier life")
-	ErrMalformed = errors.New("quota: malformed")
+	ErrStale     = errors.New("quota: stale request: not newer than the last one, or from an earlier incarnation")
+	ErrMalformed = errors.New("quota: malformed request, or too many proxies")
 )
 
 const (
-	// mostCarriers bounds the carriers that a ledger knows.
-	mostCarriers = 4096
-	// Bounds of the pause that carriers are told.
-	leastComeBack = 50 * kernel.Millisecond
-	mostComeBack  = kernel.Second
-	// grantShare is how much of a stock one grant may take, so that the last of
-	// it is there for carriers that need little.
+	// maxProxies bounds the number of proxies that a ledger remembers.
+	maxProxies = 4096
+	// Bounds of the retry-after period in responses to proxies.
+	minRetryAfter = 50 * kernel.Millisecond
+	maxRetryAfter = kernel.Second
+	// grantShare is the share of a stock that one grant may take at most, so that some
+	// of a low stock remains for proxies that need little.
 	grantShare = 0.5
 )
 
-// Ledger is the holder's side in one term: stock, and every slice with its lease.
-// Nothing of it is on disk: the ledger of the next term assumes that all stock is in
-// slices until a lease is over. It grants nothing for as long, or what Opening allows
-// from when Narrow was called.
+// Ledger keeps, for one term, the stock of each tenant and every slice with its lease. It is
+// not stored on disk: the ledger of the next term assumes that all stock is in slices until
+// one lease has passed. During that time it grants nothing, or what OpeningCapacity allows
+// once GrantEarly was called.
 type Ledger struct {
-	term      int64
-	lease     kernel.Micros
-	tolerance Tolerance
-	opens     kernel.Micros // until then slices of the term before may be spent
+	term              int64
+	lease             kernel.Micros
+	tolerance         Tolerance
+	previousLeasesEnd kernel.Micros // until then slices of the previous term may be spent
 
-	mu       sync.Mutex
-	begins   kernel.Micros // before that nothing is granted, and stock does not grow
-	limits   map[string]Limit
-	accounts map[string]*account
-	carriers map[string]*sender
+	mu             sync.Mutex
+	grantsFrom     kernel.Micros // before that nothing is granted and stock does not grow
+	limits         map[string]Limit
+	accounts       map[string]*account
+	latestRequests map[string]*requestID // by proxy
 }
 
-// sender is the newest message that was taken from a carrier.
-type sender struct{ life, seq int64 }
+// requestID identifies the latest request that was accepted from a proxy.
+type requestID struct{ incarnation, seq int64 }
 
-// holder is one life of a carrier.
-type holder struct {
-	carrier string
-	life    int64
+// proxyProcess is one incarnation of a proxy, as the holder of a slice.
+type proxyProcess struct {
+	proxy       string
+	incarnation int64
 }
 
-// slice is what a holder may have.
+// slice is what a holder may have of one tenant's stock.
 type slice struct {
-	held  int64 // at most
-	until kernel.Micros
+	held    int64 // upper bound of the unused operations
+	expires kernel.Micros
 }
 
-// account is one tenant's. Stock and what is in slices are never more together than
-// the capacity, and what is in slices is never less than holders can spend.
+// account is the account of one tenant. Stock and slices together never exceed the capacity,
+// and the outstanding operations are never less than what holders can still spend.
 type account struct {
-	stock    float64
-	at       kernel.Micros // when the stock was that
-	out      int64         // in slices whose leases run
-	slices   map[holder]*slice
-	earliest kernel.Micros // when the next lease ends
-	used     kernel.Micros // when it was asked for last
+	stock         float64
+	refilledAt    kernel.Micros // when stock was last brought up to date
+	outstanding   int64         // operations in slices with unexpired leases
+	slices        map[proxyProcess]*slice
+	nextExpiry    kernel.Micros // when the next lease ends
+	lastRequested kernel.Micros // when a proxy last reported a holding of it
 }
 
-// NewLedger begins a term.
+// NewLedger returns the ledger of a term that begins now.
 func NewLedger(term int64, now, lease kernel.Micros, tolerance Tolerance) *Ledger {
 	return &Ledger{
-		term: term, lease: lease, tolerance: tolerance, opens: now + lease, begins: now + lease,
-		limits: map[string]Limit{}, accounts: map[string]*account{}, carriers: map[string]*sender{},
+		term: term, lease: lease, tolerance: tolerance, previousLeasesEnd: now + lease, grantsFrom: now + lease,
+		limits: map[string]Limit{}, accounts: map[string]*account{}, latestRequests: map[string]*requestID{},
 	}
 }
 
-// Narrow begins to grant, as far as that may be while slices of the term before are
-// out. It is for a ledger whose forerunner had no slices out of a term before its own.
-func (l *Ledger) Narrow(now kernel.Micros) {
+// GrantEarly starts granting at once, up to the opening capacity while slices of the previous
+// term may be outstanding. It must only be called if no slices of a still earlier term were
+// outstanding during the previous one.
+func (l *Ledger) GrantEarly(now kernel.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now >= l.begins {
+	if now >= l.grantsFrom {
 		return
 	}
-	l.begins = now
+	l.grantsFrom = now
 	for _, a := range l.accounts {
-		a.at = now
+		a.refilledAt = now
 	}
 }
 
-// capacity is the most that may lie in stock and in slices together at a time.
+// capacity returns the maximum number of operations in stock and in slices together at a time.
 func (l *Ledger) capacity(now kernel.Micros, limit Limit) float64 {
 	switch {
-	case now < l.begins:
+	case now < l.grantsFrom:
 		return 0
-	case now < l.opens:
-		return l.tolerance.Opening(limit)
+	case now < l.previousLeasesEnd:
+		return l.tolerance.OpeningCapacity(limit)
 	}
 	return l.tolerance.Capacity(limit)
 }
 
-// SetLimits takes the limits of a configuration, by tenant. Stock beyond a lower
-// limit is gone at once; slices that are out last until they are spent or their leases
-// end. A tenant that went is forgotten once nothing of it can be in a window any more.
+// SetLimits applies the limits of a configuration, by tenant. Stock beyond a lower limit is
+// dropped at once; outstanding slices remain until they are spent or their leases end. The
+// account of a removed tenant is deleted once none of its operations can be in the current
+// window.
 func (l *Ledger) SetLimits(now kernel.Micros, limits map[string]Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for tenant, a := range l.accounts {
 		l.advance(a, now, l.limits[tenant])
-		limit, there := limits[tenant]
-		if !there && a.out == 0 && now-a.used > l.tolerance.Window+l.lease {
+		limit, present := limits[tenant]
+		if !present && a.outstanding == 0 && now-a.lastRequested > l.tolerance.Window+l.lease {
 			delete(l.accounts, tenant)
 			continue
 		}
@@ -119,172 +121,174 @@
 	l.limits = limits
 }
 
-// Take looks at what a carrier holds and grants what it may get. Slices last for a
-// lease, which the carrier counts from before it asked.
-func (l *Ledger) Take(now kernel.Micros, q ask) (answer, error) {
+// Take reconciles what a proxy reports of its slices and grants what is available. Slices last
+// for one lease, which the proxy counts from before it sent the request.
+func (l *Ledger) Take(now kernel.Micros, req sliceRequest) (sliceResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	newest, err := l.hear(q)
+	newest, err := l.acceptRequest(req)
 	if err != nil {
-		return answer{Newest: newest}, err
+		return sliceResponse{NewestIncarnation: newest}, err
 	}
-	a := answer{Term: l.term, Lease: l.lease}
-	for _, h := range q.Holdings {
-		a.Slices = append(a.Slices, l.answer(now, holder{q.Carrier, q.Life}, h))
+	a := sliceResponse{Term: l.term, Lease: l.lease}
+	for _, h := range req.Holdings {
+		a.Grants = append(a.Grants, l.processHolding(now, proxyProcess{req.Proxy, req.Incarnation}, h))
 	}
 	return a, nil
 }
 
-// hear notes a message; newest is the carrier's later life if there is one.
-func (l *Ledger) hear(q ask) (newest int64, err error) {
-	s := l.carriers[q.Carrier]
+// acceptRequest checks that a request is newer than the last one of its proxy, and records it.
+// newest is the later incarnation of the proxy if the request is from an earlier one.
+func (l *Ledger) acceptRequest(req sliceRequest) (newest int64, err error) {
+	s := l.latestRequests[req.Proxy]
 	switch {
-	case q.Carrier == "" || q.Life <= 0 || q.Seq <= 0 || s == nil && len(l.carriers) >= mostCarriers:
+	case req.Proxy == "" || req.Incarnation <= 0 || req.Seq <= 0 || s == nil && len(l.latestRequests) >= maxProxies:
 		return 0, ErrMalformed
 	case s == nil:
-		s = &sender{}
-		l.carriers[q.Carrier] = s
-	case q.Life < s.life:
-		return s.life, ErrRepeated
-	case q.Life == s.life && q.Seq <= s.seq:
-		return 0, ErrRepeated
+		s = &requestID{}
+		l.latestRequests[req.Proxy] = s
+	case req.Incarnation < s.incarnation:
+		return s.incarnation, ErrStale
+	case req.Incarnation == s.incarnation && req.Seq <= s.seq:
+		return 0, ErrStale
 	}
-	s.life, s.seq = q.Life, q.Seq
+	s.incarnation, s.seq = req.Incarnation, req.Seq
 	return 0, nil
 }
 
-// answer is the slice of one tenant.
-func (l *Ledger) answer(now kernel.Micros, who holder, h Holding) Slice {
+// processHolding reconciles the slice of one tenant and grants more if requested.
+func (l *Ledger) processHolding(now kernel.Micros, owner proxyProcess, h Holding) Grant {
 	limit, known := l.limits[h.Tenant]
 	switch {
 	case !known || h.Returned < 0 || h.Held < 0 || h.Want < 0:
-		return Slice{Tenant: h.Tenant, ComeBack: mostComeBack}
+		return Grant{Tenant: h.Tenant, RetryAfter: maxRetryAfter}
 	case limit.Unlimited():
-		// The carrier has an older configuration.
-		return Slice{Tenant: h.Tenant, Grant: h.Want, Renewed: true}
+		// The proxy has an older configuration, in which the tenant had a limit.
+		return Grant{Tenant: h.Tenant, Granted: h.Want, Renewed: true}
 	}
 	a := l.account(now, h.Tenant)
 	l.advance(a, now, limit)
-	s, renewed := a.settle(who, h)
+	s, renewed := a.reconcile(owner, h)
 	a.clamp(l.capacity(now, limit))
-	granted := min(h.Want, share(a.stock))
+	granted := min(h.Want, maxGrant(a.stock))
 	a.grant(s, granted, now+l.lease)
-	given := Slice{Tenant: h.Tenant, Grant: granted, Renewed: renewed}
+	response := Grant{Tenant: h.Tenant, Granted: granted, Renewed: renewed}
 	if granted < h.Want {
-		given.ComeBack = l.comeBack(now, a, limit)
+		response.RetryAfter = l.retryAfter(now, a, limit)
 	}
-	return given
+	return response
 }
 
-// share is the most of a stock that one grant takes.
-func share(stock float64) int64 {
+// maxGrant returns the maximum number of operations that one grant takes from a stock.
+func maxGrant(stock float64) int64 {
 	if stock < 1 {
 		return 0
 	}
 	return max(1, int64(math.Ceil(grantShare*stock)))
 }
 
-// comeBack is when there will be something in stock again.
-func (l *Ledger) comeBack(now kernel.Micros, a *account, limit Limit) kernel.Micros {
-	wait := max(0, l.begins-now)
-	if lacks := 1 - a.stock; lacks > 0 {
-		wait += kernel.Micros(math.Min(lacks/limit.PerS*float64(kernel.Second), float64(mostComeBack)))
+// retryAfter returns how long it takes until there is an operation in stock, within bounds.
+func (l *Ledger) retryAfter(now kernel.Micros, a *account, limit Limit) kernel.Micros {
+	wait := max(0, l.grantsFrom-now)
+	if missing := 1 - a.stock; missing > 0 {
+		wait += kernel.Micros(math.Min(missing/limit.PerS*float64(kernel.Second), float64(maxRetryAfter)))
 	}
-	return min(max(wait, leastComeBack), mostComeBack)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// account returns a tenant's account. Of one that was not asked for in this term the
-// stock was empty when the ledger began to grant.
+// account returns the account of a tenant. A new one has an empty stock as of when the ledger
+// began to grant.
 func (l *Ledger) account(now kernel.Micros, tenant string) *account {
 	a := l.accounts[tenant]
 	if a == nil {
-		a = &account{at: l.begins, slices: map[holder]*slice{}, earliest: math.MaxInt64}
+		a = &account{refilledAt: l.grantsFrom, slices: map[proxyProcess]*slice{}, nextExpiry: math.MaxInt64}
 		l.accounts[tenant] = a
 	}
-	a.used = now
+	a.lastRequested = now
 	return a
 }
 
-// advance brings an account to a time: stock grows by the rate as far as there is room
-// beside what is in slices, and leases end, each at its time.
+// advance brings an account to a time: leases end, each at its own time, and in between stock
+// grows at the rate of the limit, as far as the capacity allows beside outstanding slices.
 func (l *Ledger) advance(a *account, now kernel.Micros, limit Limit) {
-	for a.earliest <= now {
-		l.refill(a, a.earliest, limit)
-		a.expire(a.earliest)
+	for a.nextExpiry <= now {
+		l.refill(a, a.nextExpiry, limit)
+		a.expireLeases(a.nextExpiry)
 	}
 	l.refill(a, now, limit)
 }
 
-// refill lets the stock of an account grow to a time at which no lease ends before.
+// refill adds stock up to a time, before which no lease may end.
 func (l *Ledger) refill(a *account, now kernel.Micros, limit Limit) {
-	if a.at < l.opens && l.opens < now {
-		a.grow(l.opens, limit.PerS)
-		a.clamp(l.tolerance.Opening(limit))
+	if a.refilledAt < l.previousLeasesEnd && l.previousLeasesEnd < now {
+		a.accrue(l.previousLeasesEnd, limit.PerS)
+		a.clamp(l.tolerance.OpeningCapacity(limit))
 	}
-	a.grow(now, limit.PerS)
+	a.accrue(now, limit.PerS)
 	a.clamp(l.capacity(now, limit))
 }
 
-func (a *account) grow(now kernel.Micros, rate float64) {
-	if now > a.at {
-		a.stock += rate * float64(now-a.at) / float64(kernel.Second)
-		a.at = now
+// accrue adds the operations that the rate yields up to a time, without a bound.
+func (a *account) accrue(now kernel.Micros, rate float64) {
+	if now > a.refilledAt {
+		a.stock += rate * float64(now-a.refilledAt) / float64(kernel.Second)
+		a.refilledAt = now
 	}
 }
 
-// expire ends the leases that are over at a time. What was in those slices counts as
-// spent, whether it was or not.
-func (a *account) expire(now kernel.Micros) {
-	a.earliest = math.MaxInt64
-	for who, s := range a.slices {
-		if s.until <= now {
-			a.out -= s.held
-			delete(a.slices, who)
+// expireLeases removes the slices whose leases have ended. Their operations count as spent,
+// whether they were or not.
+func (a *account) expireLeases(now kernel.Micros) {
+	a.nextExpiry = math.MaxInt64
+	for owner, s := range a.slices {
+		if s.expires <= now {
+			a.outstanding -= s.held
+			delete(a.slices, owner)
 			continue
 		}
-		a.earliest = min(a.earliest, s.until)
+		a.nextExpiry = min(a.nextExpiry, s.expires)
 	}
 }
 
-// clamp drops stock for which there is no room beside what is in slices.
+// clamp drops the stock that exceeds the capacity together with outstanding slices.
 func (a *account) clamp(capacity float64) {
-	a.stock = math.Max(0, math.Min(a.stock, capacity-float64(a.out)))
+	a.stock = math.Max(0, math.Min(a.stock, capacity-float64(a.outstanding)))
 }
 
-// settle brings a slice to what its holder tells, and returns it; renewed says that
-// its lease had not ended. What is neither kept nor returned counts as spent.
-func (a *account) settle(who holder, h Holding) (s *slice, renewed bool) {
-	s = a.slices[who]
+// reconcile updates a slice to what its holder reports, and returns it. renewed reports that
+// its lease had not ended. What the holder neither keeps nor returns counts as spent.
+func (a *account) reconcile(owner proxyProcess, h Holding) (s *slice, renewed bool) {
+	s = a.slices[owner]
 	if s == nil {
 		s = &slice{}
-		a.slices[who] = s
+		a.slices[owner] = s
 		return s, false
 	}
 	kept := min(h.Held, s.held)
 	a.stock += float64(min(h.Returned, s.held-kept))
-	a.out -= s.held - kept
+	a.outstanding -= s.held - kept
 	s.held = kept
 	return s, true
 }
 
-// grant moves some of the stock into a slice, and gives that a new lease.
-func (a *account) grant(s *slice, n int64, until kernel.Micros) {
+// grant moves n operations from stock to a slice, and sets the end of its lease.
+func (a *account) grant(s *slice, n int64, expires kernel.Micros) {
 	a.stock -= float64(n)
-	a.out += n
+	a.outstanding += n
 	s.held += n
-	s.until = until
-	a.earliest = min(a.earliest, until)
+	s.expires = expires
+	a.nextExpiry = min(a.nextExpiry, expires)
 }
 
-// Account is a tenant's account as it is shown.
+// Account is the state of a tenant's account, for display.
 type Account struct {
 	Stock    float64 `json:"stock"`
 	Out      int64   `json:"out"`     // in slices
-	Holders  int     `json:"holders"` // that have any
+	Holders  int     `json:"holders"` // number of holders of slices with operations
 	Capacity float64 `json:"capacity"`
 }
 
-// Accounts shows every tenant that has been asked for, by name.
+// Accounts returns the accounts of all tenants that proxies have reported, by tenant.
 func (l *Ledger) Accounts(now kernel.Micros) map[string]Account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -292,13 +296,13 @@
 	for tenant, a := range l.accounts {
 		limit := l.limits[tenant]
 		l.advance(a, now, limit)
-		shown := Account{Stock: a.stock, Out: a.out, Capacity: l.capacity(now, limit)}
+		view := Account{Stock: a.stock, Out: a.outstanding, Capacity: l.capacity(now, limit)}
 		for _, s := range a.slices {
 			if s.held > 0 {
-				shown.Holders++
+				view.Holders++
 			}
 		}
-		out[tenant] = shown
+		out[tenant] = view
 	}
 	return out
 }
--- a/internal/quota/permit.go
+++ b/internal/quota/permit.go
@@ -6,21 +6,22 @@
 	"indigowalk/internal/kernel"
 )
 
-// ErrEnded says that the admission of a request ended before it was sent.
+// ErrEnded is returned if the admission of a request expired before the request was sent.
 var ErrEnded = errors.New("quota: the admission has ended")
 
-// Permit is the admission of one request over all its sendings, each of which takes
-// one operation. A nil Permit is of a request that is not counted. It is not for use
-// by several at a time.
+// Permit is the admission of one request over all its attempts, each of which uses one
+// operation. A nil Permit belongs to a request that is not counted. A Permit is not safe for
+// concurrent use.
 type Permit struct {
 	client    *Client
 	tenant    string
 	limit     Limit
 	admission Admission
-	held      bool
+	admitted  bool // the admission is valid and not used yet
 }
 
-// Permit returns one that has not been admitted yet; nil if there is no limit.
+// Permit returns a permit that has not been admitted yet. It returns nil if there is no
+// limit.
 func (c *Client) Permit(tenant string, limit Limit) *Permit {
 	if limit.Unlimited() {
 		return nil
@@ -28,21 +29,22 @@
 	return &Permit{client: c, tenant: tenant, limit: limit}
 }
 
-// Take has the next sending admitted, unless it is. The error is an Exhausted.
+// Take admits the next attempt, unless it already is admitted. It waits at most for wait. An
+// error is an *Exhausted.
 func (p *Permit) Take(wait kernel.Micros) (err error) {
-	if p == nil || p.held && p.Check() == nil {
+	if p == nil || p.admitted && p.Check() == nil {
 		return nil
 	}
 	p.Release()
 	if p.admission, err = p.client.Admit(p.tenant, p.limit, wait); err != nil {
 		return err
 	}
-	p.held = true
+	p.admitted = true
 	return nil
 }
 
-// Check tells whether what was admitted may be sent now: ErrEnded if not. The check and
-// the sending are to be one step.
+// Check returns ErrEnded if the admitted attempt may no longer be sent. The check and the
+// sending must be one atomic step.
 func (p *Permit) Check() error {
 	if p == nil || p.client.k.Clock.Now() < p.admission.Until {
 		return nil
@@ -50,20 +52,20 @@
 	return ErrEnded
 }
 
-// Sent says that it was sent, or may have been.
+// Sent records that the admitted attempt was sent, or may have been.
 func (p *Permit) Sent() {
-	if p == nil || !p.held {
+	if p == nil || !p.admitted {
 		return
 	}
-	p.held = false
-	p.client.Sent(p.admission)
+	p.admitted = false
+	p.client.Spend(p.admission)
 }
 
-// Release gives back what was admitted and not sent.
+// Release returns an admission that was not used.
 func (p *Permit) Release() {
-	if p == nil || !p.held {
+	if p == nil || !p.admitted {
 		return
 	}
-	p.held = false
-	p.client.Unused(p.admission)
+	p.admitted = false
+	p.client.Return(p.admission)
 }
--- a/internal/quota/plugin.go
+++ b/internal/quota/plugin.go
@@ -31,8 +31,8 @@
 			s := kernel.Need[*settings.Live](k).Now()
 			subscriber := kernel.Need[*distribution.Subscriber](k)
 			endpoint := kernel.Need[*rpc.Endpoint](k)
-			c := NewClient(k, s.NodeName, func(ctx context.Context, q ask) (answer, error) {
-				return call(ctx, endpoint, subscriber.ControlNode(), q)
+			c := NewClient(k, s.NodeName, func(ctx context.Context, req sliceRequest) (sliceResponse, error) {
+				return requestSlices(ctx, endpoint, subscriber.ControlNode(), req)
 			})
 			kernel.Offer(k, c)
 			k.Supervise("quota", c.Serve)
@@ -41,22 +41,23 @@
 	})
 }
 
-// errNoLedger says that there is none where it was asked for.
-var errNoLedger = errors.New("quota: no ledger is known")
+// errNoLedger says that the node asked has no ledger, or that no node is known to ask.
+var errNoLedger = errors.New("quota: no active ledger")
 
-// answerWait is how long the ledger's answer is waited for.
-const answerWait = 200 * kernel.Millisecond
+// responseTimeout is how long a proxy waits for the response of the ledger.
+const responseTimeout = 200 * kernel.Millisecond
 
-// call asks the ledger at the control node that is taken for the primary.
-func call(ctx context.Context, endpoint *rpc.Endpoint, addr string, q ask) (a answer, err error) {
+// requestSlices sends a request to the ledger at addr, the control node that is assumed to
+// be the primary.
+func requestSlices(ctx context.Context, endpoint *rpc.Endpoint, addr string, req sliceRequest) (resp sliceResponse, err error) {
 	if addr == "" {
-		return a, errNoLedger
+		return resp, errNoLedger
 	}
-	if err := endpoint.Call(ctx, addr, takeOp, q, &a, answerWait); err != nil {
-		return a, err
+	if err := endpoint.Call(ctx, addr, takeOp, req, &resp, responseTimeout); err != nil {
+		return resp, err
 	}
-	if a.Term == 0 && a.Newest == 0 {
-		return a, errNoLedger
+	if resp.Term == 0 && resp.NewestIncarnation == 0 {
+		return resp, errNoLedger
 	}
-	return a, nil
+	return resp, nil
 }
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -2,29 +2,29 @@
 
 import "indigowalk/internal/kernel"
 
-// Kinds of the records from which windows can be counted again.
+// Kinds of the records from which the operations in each window can be recounted.
 const (
-	SentKind   = "quota.sent"   // at a carrier: a SentRecord
-	AskedKind  = "quota.asked"  // at a carrier, when an answer comes: a CallRecord
+	SentKind   = "quota.sent"   // at a proxy: a SentRecord
+	AskedKind  = "quota.asked"  // at a proxy, when a response arrives: a CallRecord
 	TakenKind  = "quota.taken"  // at the ledger: a CallRecord
 	LimitsKind = "quota.limits" // at the ledger: a LimitsRecord
 )
 
-// SentRecord is an operation that was sent to a database.
+// SentRecord records an operation that was sent to a database.
 type SentRecord struct {
 	Tenant string `json:"tenant"`
 }
 
-// CallRecord is a call of a carrier at the ledger, by which the clocks of the two can be
-// compared.
+// CallRecord records a request of a proxy to the ledger. The records of both sides allow
+// their clocks to be compared.
 type CallRecord struct {
 	Carrier string        `json:"carrier"`
 	Life    int64         `json:"life"`
 	Seq     int64         `json:"seq"`
-	Asked   kernel.Micros `json:"asked_us,omitempty"` // at the carrier
+	Asked   kernel.Micros `json:"asked_us,omitempty"` // when it was sent, by the clock of the proxy
 }
 
-// LimitsRecord is the limits that a ledger has from now on.
+// LimitsRecord records the limits that a ledger applies from now on.
 type LimitsRecord struct {
 	Tolerance Tolerance        `json:"tolerance"`
 	Limits    map[string]Limit `json:"limits"`
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,4 +1,4 @@
-// Package retrybudget bounds how often a node sends something again.
+// Package retrybudget limits the retries of a node to a share of its initial requests.
 package retrybudget
 
 import (
@@ -7,89 +7,89 @@
 	"indigowalk/internal/kernel"
 )
 
-// parts is how many steps a window is kept in.
-const parts = 20
+// buckets is the number of buckets that a sliding window is divided into.
+const buckets = 20
 
-// Allowance lets a node send again, to each service, as a share of what it has
-// itself sent there first: in every window its further sends stay below that
-// share of its first ones, and so do those of all nodes together, with nothing
-// to be agreed on.
+// Allowance is a retry budget per service. In every window, the retries of this node to
+// a service stay within a fixed share of its own initial requests to that service. The
+// same bound then holds for all nodes together, without any coordination.
 type Allowance struct {
-	clock kernel.Clock
-	ratio func() float64
-	step  kernel.Micros
+	clock      kernel.Clock
+	ratio      func() float64
+	bucketSpan kernel.Micros
 
-	mu sync.Mutex
-	of map[string]*sends // by service
+	mu       sync.Mutex
+	services map[string]*counts // by name
 }
 
-type sends struct {
-	at     int64 // step of the newest part
-	firsts [parts + 1]int
-	agains [parts + 1]int
+// counts holds the requests to one service by bucket, in a ring.
+type counts struct {
+	latest  int64 // number of the newest bucket, counted from time 0
+	initial [buckets + 1]int
+	retries [buckets + 1]int
 }
 
-// New returns an allowance of a share of the first sends of a window.
+// New returns a budget that allows, in each window, ratio retries per initial request.
 func New(clock kernel.Clock, ratio func() float64, window kernel.Micros) *Allowance {
-	return &Allowance{clock: clock, ratio: ratio, step: max(window/parts, 1), of: map[string]*sends{}}
+	return &Allowance{clock: clock, ratio: ratio, bucketSpan: max(window/buckets, 1), services: map[string]*counts{}}
 }
 
-// sends returns what has been sent to a service, as of now.
-func (a *Allowance) sends(service string) *sends {
-	s := a.of[service]
-	if s == nil {
-		s = &sends{}
-		a.of[service] = s
+// countsOf returns the counts of a service, advanced to the current time.
+func (a *Allowance) countsOf(service string) *counts {
+	c := a.services[service]
+	if c == nil {
+		c = &counts{}
+		a.services[service] = c
 	}
-	s.turn(int64(a.clock.Now() / a.step))
-	return s
+	c.advance(int64(a.clock.Now() / a.bucketSpan))
+	return c
 }
 
-// turn forgets what has left the window. Of the parts that are kept the oldest
-// lies in the window only in part.
-func (a *sends) turn(now int64) {
-	for ; a.at < now && now-a.at <= parts+1; a.at++ {
-		i := (a.at + 1) % (parts + 1)
-		a.firsts[i], a.agains[i] = 0, 0
+// advance moves the ring on to the bucket of the current time and clears the buckets that
+// have left the window. The oldest bucket that remains lies only partly in the window.
+func (c *counts) advance(now int64) {
+	for ; c.latest < now && now-c.latest <= buckets+1; c.latest++ {
+		i := (c.latest + 1) % (buckets + 1)
+		c.initial[i], c.retries[i] = 0, 0
 	}
-	if a.at < now {
-		a.at = now
-		clear(a.firsts[:])
-		clear(a.agains[:])
+	if c.latest < now {
+		c.latest = now
+		clear(c.initial[:])
+		clear(c.retries[:])
 	}
 }
 
-// newest is the index of the part that now lies in.
-func (a *sends) newest() int { return int(a.at % (parts + 1)) }
+// newestIndex returns the index of the newest bucket.
+func (c *counts) newestIndex() int { return int(c.latest % (buckets + 1)) }
 
-// First counts a first send.
+// First counts an initial request to a service.
 func (a *Allowance) First(service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := a.sends(service)
-	s.firsts[s.newest()]++
+	c := a.countsOf(service)
+	c.initial[c.newestIndex()]++
 }
 
-// Again tells whether something may be sent again now, and counts it. Of the
-// first sends only those surely inside the window are counted, of the others
-// all that may be. The part of the allowance that is kept for more pressing
-// sends is not used.
-func (a *Allowance) Again(service string, keep float64) bool {
+// Again reports whether a retry may be sent now, and counts it if so. The share reserve of
+// the budget is left for more urgent retries. The oldest bucket is only partly inside the
+// window: its retries are counted and its initial requests are not, so that the bound
+// holds in any case.
+func (a *Allowance) Again(service string, reserve float64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := a.sends(service)
-	newest := s.newest()
-	oldest := (newest + 1) % (parts + 1)
-	firsts, agains := 0, 0
-	for i := range s.firsts {
-		agains += s.agains[i]
-		if i != oldest {
-			firsts += s.firsts[i]
+	c := a.countsOf(service)
+	newestBucket := c.newestIndex()
+	oldestBucket := (newestBucket + 1) % (buckets + 1)
+	initial, retries := 0, 0
+	for i := range c.initial {
+		retries += c.retries[i]
+		if i != oldestBucket {
+			initial += c.initial[i]
 		}
 	}
-	if float64(agains+1) > a.ratio()*(1-keep)*float64(firsts) {
+	if float64(retries+1) > a.ratio()*(1-reserve)*float64(initial) {
 		return false
 	}
-	s.agains[newest]++
+	c.retries[newestBucket]++
 	return true
 }
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -11,15 +11,15 @@
 
 func (c *clock) Now() kernel.Micros { return c.now }
 
-// In every window that ends with a further send, these stay below their share of
-// the first sends in it, whatever the traffic does; and most of the share can be
-// used.
-func TestFurtherSendsStayBelowTheirShare(t *testing.T) {
+// In every window that ends with a retry, the retries stay within their share of the
+// initial requests, whatever the traffic pattern. Most of the share must be usable, and
+// the budgets of services are independent.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	const ratio, window = 0.2, 10 * kernel.Second
 	rnd := rand.New(rand.NewPCG(1, 1))
 	c := &clock{now: kernel.Second}
 	a := New(c, func() float64 { return ratio }, window)
-	var firsts, agains []kernel.Micros
+	var initial, retries []kernel.Micros
 	within := func(list []kernel.Micros) (n int) {
 		for _, at := range list {
 			if at > c.now-window {
@@ -36,20 +36,20 @@
 		c.now += rand.N(40 * pause)
 		if rnd.IntN(3) > 0 {
 			a.First("s")
-			firsts = append(firsts, c.now)
+			initial = append(initial, c.now)
 			continue
 		}
 		if a.Again("s", 0) {
-			agains = append(agains, c.now)
-			if n, m := within(agains), within(firsts); float64(n) > ratio*float64(m) {
-				t.Fatalf("%d further sends in a window of %d first ones", n, m)
+			retries = append(retries, c.now)
+			if n, m := within(retries), within(initial); float64(n) > ratio*float64(m) {
+				t.Fatalf("%d retries in a window with %d initial requests", n, m)
 			}
 		}
 	}
-	if float64(len(agains)) < 0.8*ratio*float64(len(firsts)) {
-		t.Errorf("only %d of some %.0f further sends were allowed", len(agains), ratio*float64(len(firsts)))
+	if float64(len(retries)) < 0.8*ratio*float64(len(initial)) {
+		t.Errorf("only %d of about %.0f retries were allowed", len(retries), ratio*float64(len(initial)))
 	}
 	if a.Again("other", 0) {
-		t.Error("one service lives on another's first sends")
+		t.Error("a service uses the retry budget of another")
 	}
 }
