--- a/internal/loadbalance/loadbalance.go
+++ b/internal/loadbalance/loadbalance.go
@@ -66,7 +66,7 @@
 	typical      latency.Usual
 	subsets      map[string]subset       // by service
 	clusterCosts map[string]reportedCost // as reported for all nodes
-	observed     map[string]Sight        // since the last call of Seen
+	observed     map[string]Sight        // since they were last taken
 }
 
 // reportedCost is the cost of a request at a database, from the observations of all nodes.
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -103,7 +103,7 @@
 }
 
 // Admit takes one operation from what is held of a tenant, and waits at most for wait until
-// there is one. An error is an *Exhausted.
+// there is one. It fails only if the quota is used up; the error says when to try again.
 func (c *Client) Admit(tenant string, limit Limit, wait kernel.Micros) (Admission, error) {
 	if limit.Unlimited() {
 		return Admission{Until: math.MaxInt64}, nil
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -12,7 +12,7 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// controlState is the part of the control state replica that a Holder uses.
+// controlState is the part of the control state replica that the ledger depends on.
 type controlState interface {
 	Term() (*controlstate.Term, error)
 	Durable() (controlstate.State, error)
@@ -33,7 +33,7 @@
 	configEntry json.RawMessage // entry with the configuration of those limits
 }
 
-// NewHolder returns a holder without a ledger.
+// NewHolder returns one that has no ledger yet.
 func NewHolder(k *kernel.Kernel, replica controlState, lease kernel.Micros, tolerance Tolerance) *Holder {
 	return &Holder{k: k, replica: replica, lease: lease, tolerance: tolerance}
 }
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -5,7 +5,7 @@
 // takeOp is the RPC operation by which a proxy requests slices.
 const takeOp = "quota.take"
 
-// sliceRequest reports to the ledger what a proxy holds, and requests more.
+// sliceRequest reports to the ledger what a proxy holds, and requests further operations.
 type sliceRequest struct {
 	Proxy       string    `json:"carrier"`
 	Incarnation int64     `json:"life"` // of the process of the proxy
@@ -23,7 +23,7 @@
 
 // sliceResponse is the response of the ledger to a sliceRequest.
 type sliceResponse struct {
-	NewestIncarnation int64         `json:"newest,omitempty"` // a later incarnation of the proxy is known; the request is rejected
+	NewestIncarnation int64         `json:"newest,omitempty"` // the known later incarnation of the proxy, if the request is rejected for it
 	Term              int64         `json:"term,omitempty"`   // 0 if this node has no ledger
 	Lease             kernel.Micros `json:"lease_us,omitempty"`
 	Grants            []Grant       `json:"slices,omitempty"`
--- a/internal/quota/permit.go
+++ b/internal/quota/permit.go
@@ -29,8 +29,8 @@
 	return &Permit{client: c, tenant: tenant, limit: limit}
 }
 
-// Take admits the next attempt, unless it already is admitted. It waits at most for wait. An
-// error is an *Exhausted.
+// Take admits the next attempt, unless it already is admitted. It waits at most for wait. It
+// fails only if the quota is used up; the error says when to try again.
 func (p *Permit) Take(wait kernel.Micros) (err error) {
 	if p == nil || p.admitted && p.Check() == nil {
 		return nil
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Check returns ErrEnded if the admitted attempt may no longer be sent. The check and the
+// Check returns an error if the admitted attempt may no longer be sent. The check and the
 // sending must be one atomic step.
 func (p *Permit) Check() error {
 	if p == nil || p.client.k.Clock.Now() < p.admission.Until {
