--- a/internal/controlstate/candidacy.go
+++ b/internal/controlstate/candidacy.go
@@ -14,28 +14,28 @@
 // tryStand has the witnesses elect this for a new view, and puts the state on the view's
 // backups before that is accepted.
 func (v *Replica) tryStand(ctx context.Context) error {
-	c, err := v.candidacy()
+	c, err := v.newCandidacy()
 	if err != nil {
 		return err
 	}
-	answers := v.elect(ctx, &c)
-	state, err := v.promised(c, answers)
+	responses := v.elect(ctx, &c)
+	state, err := v.concludePromises(c, responses)
 	if err != nil {
 		return err
 	}
-	disks := disksOf(answers)
-	if c.view.Backups, err = v.spread(ctx, state, c, disks); err != nil {
+	disks := disksOf(responses)
+	if c.view.Backups, err = v.replicateState(ctx, state, c, disks); err != nil {
 		return err
 	}
 	start := v.k.Clock.Now()
 	voters := slices.Collect(maps.Keys(disks))
-	accepted := func(got map[string]renewAnswer) bool {
-		return majorities(c.sets, func(addr string) bool { return got[addr].Granted })
+	accepted := func(got map[string]renewResponse) bool {
+		return majorityOfEach(c.sets, func(addr string) bool { return got[addr].Granted })
 	}
 	v.mu.Lock()
-	v.tentative = c.view
+	v.lastProposed = c.view
 	v.mu.Unlock()
-	if !accepted(ask(ctx, v, voters, "controlstate.accept", func(addr string) any { return acceptAsk{c.view, disks[addr]} }, accepted)) {
+	if !accepted(ask(ctx, v, voters, "controlstate.accept", func(addr string) any { return acceptRequest{c.view, disks[addr]} }, accepted)) {
 		return errors.New("no majority accepted")
 	}
 	return v.lead(c, state, start, voters)
@@ -51,18 +51,18 @@
 }
 
 // candidacy begins one.
-func (v *Replica) candidacy() (c candidacy, err error) {
+func (v *Replica) newCandidacy() (c candidacy, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
-	if v.active && !v.leads(now) || !v.mayStand() {
+	if v.active && !v.leads(now) || !v.mayCampaign() {
 		// Its term ended since the caller looked: others may have led meanwhile,
 		// and what it has is not for sure the state.
 		return c, ErrNotPrimary
 	}
 	c = candidacy{epoch: v.nextEpoch(), known: v.seen, wasActive: v.active}
-	if v.tentative.Epoch > c.known.Epoch {
-		c.known = v.tentative
+	if v.lastProposed.Epoch > c.known.Epoch {
+		c.known = v.lastProposed
 	}
 	c.view, c.sets = v.members.proposal(c.known, c.wasActive, c.epoch, now)
 	return c, nil
@@ -71,108 +71,108 @@
 // elect asks the witnesses for their promises. Those that are silent are asked once more,
 // and newcomers too where only half of a set of witnesses is left; with their help the view
 // has others in the places of those that are lost.
-func (v *Replica) elect(ctx context.Context, c *candidacy) map[string]promiseAnswer {
-	voters := union(slices.Concat(c.sets, c.known.chain())...)
-	answers := v.promises(ctx, c.epoch, voters, promiseFirst, c.decided)
-	silent := except(voters, answeredIn(answers))
-	hoped := func(addr string) bool { return answers[addr].Granted || slices.Contains(silent, addr) }
-	half := v.halfLeft(c.known, answers)
-	if majorities(c.sets, grantedIn(answers)) || !half && !majorities(c.sets, hoped) {
-		return answers
-	}
-	asked := silent
-	if half {
-		asked = union(silent, v.cfg.ControlNodes())
-		asked = except(asked, answeredIn(answers))
-	}
-	unreached := make(chan []string, 1)
+func (v *Replica) elect(ctx context.Context, c *candidacy) map[string]promiseResponse {
+	voters := union(slices.Concat(c.sets, c.known.witnessSets())...)
+	responses := v.collectPromises(ctx, c.epoch, voters, firstRoundTimeout, c.decided)
+	silent := difference(voters, respondents(responses))
+	mayStillGrant := func(addr string) bool { return responses[addr].Granted || slices.Contains(silent, addr) }
+	halfSurvives := v.halfSurvives(c.known, responses)
+	if majorityOfEach(c.sets, grantedBy(responses)) || !halfSurvives && !majorityOfEach(c.sets, mayStillGrant) {
+		return responses
+	}
+	secondRound := silent
+	if halfSurvives {
+		secondRound = union(silent, v.cfg.ControlNodes())
+		secondRound = difference(secondRound, respondents(responses))
+	}
+	unreachable := make(chan []string, 1)
 	go func() {
-		if half {
-			unreached <- v.unreachable(ctx, silent)
+		if halfSurvives {
+			unreachable <- v.findUnreachable(ctx, silent)
 		}
-		close(unreached)
+		close(unreachable)
 	}()
-	again := v.promises(ctx, c.epoch, asked, promiseWait, func(got map[string]promiseAnswer) bool {
-		return majorities(c.sets, func(addr string) bool { return answers[addr].Granted || got[addr].Granted })
+	secondResponses := v.collectPromises(ctx, c.epoch, secondRound, secondRoundTimeout, func(got map[string]promiseResponse) bool {
+		return majorityOfEach(c.sets, func(addr string) bool { return responses[addr].Granted || got[addr].Granted })
 	})
-	maps.Copy(answers, again)
-	if majorities(c.sets, grantedIn(answers)) {
-		return answers
+	maps.Copy(responses, secondResponses)
+	if majorityOfEach(c.sets, grantedBy(responses)) {
+		return responses
 	}
-	v.succeed(c, answers, <-unreached)
-	return answers
+	v.adoptNewcomers(c, responses, <-unreachable)
+	return responses
 }
 
 // decided tells whether the witnesses have promised, or can't any more in this round.
-func (c *candidacy) decided(got map[string]promiseAnswer) bool {
+func (c *candidacy) decided(responses map[string]promiseResponse) bool {
 	possible := func(addr string) bool {
-		a, ok := got[addr]
+		a, ok := responses[addr]
 		return !ok || a.Granted
 	}
-	return majorities(c.sets, grantedIn(got)) || !majorities(c.sets, possible)
+	return majorityOfEach(c.sets, grantedBy(responses)) || !majorityOfEach(c.sets, possible)
 }
 
 // succeed has newcomers that have promised take the places of witnesses that are lost, if
 // they may.
-func (v *Replica) succeed(c *candidacy, answers map[string]promiseAnswer, unreached []string) {
+func (v *Replica) adoptNewcomers(c *candidacy, responses map[string]promiseResponse, unreached []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	gone := intersection(unreached, v.members.suspects(c.known, answers))
-	view, ok := v.members.succession(c.known, c.view, answers, gone)
+	unreachable := intersection(unreached, v.members.suspects(c.known, responses))
+	view, ok := v.members.succession(c.known, c.view, responses, unreachable)
 	if !ok {
 		return
 	}
 	v.k.Counters.Add("controlstate.half_succeeded", 1)
-	v.k.Log.Warn("half of the witnesses are lost, newcomers take their places", "epoch", c.epoch, "witnesses", view.Witnesses, "gone", gone)
-	c.view, c.sets = view, view.sets()
+	v.k.Log.Warn("half of the witnesses are lost, newcomers take their places", "epoch", c.epoch, "witnesses", view.Witnesses, "gone", unreachable)
+	c.view, c.sets = view, view.quorumSets()
 }
 
 // answeredIn lists who has answered, and will say no other in a moment.
-func answeredIn(answers map[string]promiseAnswer) (answered []string) {
-	for addr, a := range answers {
-		if a.Granted || a.refused() {
-			answered = append(answered, addr)
+func respondents(responses map[string]promiseResponse) (addrs []string) {
+	for addr, a := range responses {
+		if a.Granted || a.refusedForAnother() {
+			addrs = append(addrs, addr)
 		}
 	}
-	return answered
+	return addrs
 }
 
 // reachWait is how long a control node may take to answer others that probe it.
-const reachWait = promiseWait
+const probeTimeout = secondRoundTimeout
 
 // unreachable lists those control nodes that nobody who is asked can reach.
-func (v *Replica) unreachable(ctx context.Context, addrs []string) (gone []string) {
-	ctx, cancel := context.WithTimeout(ctx, reachWait.Duration())
+func (v *Replica) findUnreachable(ctx context.Context, addrs []string) (unreachable []string) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	reached := make([]bool, len(addrs))
-	var all sync.WaitGroup
+	var probes sync.WaitGroup
 	for i, addr := range addrs {
-		all.Go(func() { reached[i] = v.cfg.Reachable(ctx, addr) })
+		probes.Go(func() { reached[i] = v.cfg.Reachable(ctx, addr) })
 	}
-	all.Wait()
+	probes.Wait()
 	for i, addr := range addrs {
 		if !reached[i] {
-			gone = append(gone, addr)
+			unreachable = append(unreachable, addr)
 		}
 	}
-	return gone
+	return unreachable
 }
 
-func (v *Replica) halfLeft(known View, answers map[string]promiseAnswer) bool {
+func (v *Replica) halfSurvives(known View, responses map[string]promiseResponse) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.members.halfLeft(known, answers)
+	return v.members.halfSurvives(known, responses)
 }
 
 // grantedIn tells who has promised.
-func grantedIn(answers map[string]promiseAnswer) func(addr string) bool {
-	return func(addr string) bool { return answers[addr].Granted }
+func grantedBy(responses map[string]promiseResponse) func(addr string) bool {
+	return func(addr string) bool { return responses[addr].Granted }
 }
 
 // disksOf are the disks of those that have promised.
-func disksOf(answers map[string]promiseAnswer) map[string]string {
+func disksOf(responses map[string]promiseResponse) map[string]string {
 	disks := map[string]string{}
-	for addr, a := range answers {
+	for addr, a := range responses {
 		if a.Granted {
 			disks[addr] = a.Disk
 		}
@@ -182,12 +182,12 @@
 
 // promised takes in what the witnesses answered, and returns the state under the new
 // epoch if they promised.
-func (v *Replica) promised(c candidacy, answers map[string]promiseAnswer) (State, error) {
+func (v *Replica) concludePromises(c candidacy, responses map[string]promiseResponse) (State, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	won, highest := majorities(c.sets, grantedIn(answers)), highestInForce(c.epoch, answers)
-	if wait := leaseOf(c.sets, answers); !won && !v.active && wait > 0 {
-		v.seenTill = max(v.seenTill, v.k.Clock.Now()+wait)
+	won, highest := majorityOfEach(c.sets, grantedBy(responses)), highestBindingView(c.epoch, responses)
+	if wait := remainingLease(c.sets, responses); !won && !v.active && wait > 0 {
+		v.takeoverAt = max(v.takeoverAt, v.k.Clock.Now()+wait)
 	}
 	switch {
 	case highest.Epoch > c.known.Epoch:
@@ -204,7 +204,7 @@
 
 // spread puts the state on the own disk and on backups, side by side: the lease before
 // can't be renewed now.
-func (v *Replica) spread(ctx context.Context, state State, c candidacy, disks map[string]string) ([]Member, error) {
+func (v *Replica) replicateState(ctx context.Context, state State, c candidacy, disks map[string]string) ([]Member, error) {
 	saved := make(chan error, 1)
 	go func() { saved <- v.onDisk(ctx, func() error { return v.store.SaveState(state) }) }()
 	backups, err := v.copyToBackups(ctx, state, c.known, disks)
@@ -228,20 +228,20 @@
 		"primary of epoch %d with change %d, though change %d was durable", c.epoch, state.Seq, v.durable)
 	v.leaseEnd, v.renewAt = start+v.lease, start+v.lease/3
 	if !v.active {
-		v.begin(c.epoch)
+		v.beginTerm(c.epoch)
 		for _, addr := range voters {
-			v.members.heard[addr] = v.members.since
+			v.members.lastHeard[addr] = v.members.primarySince
 		}
-		v.renewAt = v.members.since // to learn who else takes part
+		v.renewAt = v.members.primarySince // to learn who else takes part
 	}
 	v.active, v.state, v.seen = true, state, c.view
-	v.seenTill = v.leaseEnd
+	v.takeoverAt = v.leaseEnd
 	clear(v.missed)
-	if c.view.inChange() {
+	if c.view.inTransition() {
 		v.poke() // the set before is to be let go
 	}
 	v.k.Counters.Add("controlstate.epochs", 1)
-	v.k.Log.Info("primary", "epoch", c.epoch, "backups", names(c.view.Backups), "witnesses", len(c.view.Witnesses), "prior", len(c.view.Prior))
+	v.k.Log.Info("primary", "epoch", c.epoch, "backups", memberNames(c.view.Backups), "witnesses", len(c.view.Witnesses), "prior", len(c.view.Prior))
 	v.changed.Ring()
 	return nil
 }
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -24,16 +24,16 @@
 
 // Config is what a control state is built from.
 type Config struct {
-	Name         string
-	Dir          string
-	Seeds        func() []string // inner addresses of the seeds' control nodes
-	Bootstrap    bool
-	Lease        kernel.Micros
-	Away         kernel.Micros          // a witness that is away for longer is exchanged
-	Catchup      kernel.Micros          // how long to wait for the control nodes that Losses asks for
-	Losses       int                    // control nodes that may be lost at once, with their disks
-	ControlNodes func() []string        // inner addresses of control nodes that seem alive
-	Changed      func() <-chan struct{} // closes when those change
+	Name              string
+	Dir               string
+	Seeds             func() []string // inner addresses of the seeds' control nodes
+	Bootstrap         bool
+	Lease             kernel.Micros
+	WitnessTimeout    kernel.Micros          // a witness that is away for longer is exchanged
+	CatchupTimeout    kernel.Micros          // how long to wait for the control nodes that Losses asks for
+	Losses            int                    // control nodes that may be lost at once, with their disks
+	ControlNodes      func() []string        // inner addresses of control nodes that seem alive
+	MembershipChanged func() <-chan struct{} // closes when those change
 	// Reachable tells whether a control node answers this one, or others that are asked to
 	// probe it, before ctx is over.
 	Reachable func(ctx context.Context, addr string) bool
@@ -55,23 +55,23 @@
 	seen    View  // newest view heard of
 	// tentative is the last view that this control node asked to be accepted: some
 	// may have, so its next attempt starts from that one, if none newer is known.
-	tentative View
-	seenTill  kernel.Micros
-	heardTill kernel.Micros // until when the word of the newest view's primary stands
-	active    bool
-	term      *Term // the last one of this control node
-	endTerm   context.CancelFunc
-	leaseEnd  kernel.Micros
-	renewAt   kernel.Micros
-	members   memberPolicy
-	missed    map[string]int // renewals in a row that a control node left unanswered
-	leaving   bool
-	standAt   kernel.Micros
-	toldAt    kernel.Micros
-	voided    int64 // epoch of a view whose primary lost its disk, and with it the lease
-	tried     int64 // highest epoch stood for or heard of
-	durable   int64 // sequence of the newest change that is known to be durable
-	queue     []*update
+	lastProposed      View
+	takeoverAt        kernel.Micros
+	primaryAliveUntil kernel.Micros // until when the word of the newest view's primary stands
+	active            bool
+	term              *Term // the last one of this control node
+	cancelTerm        context.CancelFunc
+	leaseEnd          kernel.Micros
+	renewAt           kernel.Micros
+	members           memberPolicy
+	missed            map[string]int // renewals in a row that a control node left unanswered
+	leaving           bool
+	standAt           kernel.Micros
+	nextAnnounceAt    kernel.Micros
+	voidedEpoch       int64 // epoch of a view whose primary lost its disk, and with it the lease
+	tried             int64 // highest epoch stood for or heard of
+	durable           int64 // sequence of the newest change that is known to be durable
+	queue             []*update
 	// A large state is staged before a view is formed.
 	staging    bool
 	stagedAt   []string // the control nodes that have it, or nearly
@@ -111,7 +111,7 @@
 	v.witness.reg = reg
 	switch {
 	case found:
-		v.witness.quietTill = now + cfg.Lease
+		v.witness.priorLeaseUntil = now + cfg.Lease
 	case cfg.Bootstrap:
 		// The very first start: the seeds elect.
 		v.witness.reg.Accepted.Witnesses = cfg.Seeds()
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	v.seen = v.witness.reg.Accepted
-	v.seenTill = v.members.takeover(v.seen, now)
+	v.takeoverAt = v.members.takeoverTime(v.seen, now)
 	if st.torn > 0 {
 		k.Counters.Add("controlstate.torn_tails", 1)
 		k.Log.Warn("unfinished last write of the store cut off", "bytes", st.torn)
@@ -140,8 +140,8 @@
 	rpc.On(b, "controlstate.write", v.onWrite)
 	rpc.On(b, "controlstate.succeed", v.onSucceed)
 	rpc.On(b, "controlstate.leaving", v.onLeaving)
-	rpc.On(b, "controlstate.tell", v.onTell)
-	rpc.On(b, "controlstate.void", v.onVoid)
+	rpc.On(b, "controlstate.tell", v.onAnnounce)
+	rpc.On(b, "controlstate.void", v.onVoidLease)
 	return v, nil
 }
 
@@ -149,7 +149,7 @@
 func (v *Replica) Witnesses() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return union(v.seen.sets()...)
+	return union(v.seen.quorumSets()...)
 }
 
 // Self is this control node as a member.
@@ -167,7 +167,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now, out := v.k.Clock.Now(), map[string]kernel.Micros{}
-	for addr, at := range v.members.heard {
+	for addr, at := range v.members.lastHeard {
 		out[addr] = now - at
 	}
 	return out
@@ -188,7 +188,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	addr := v.seen.Primary.Addr
-	return addr, addr != v.self.Addr && v.k.Clock.Now() < v.heardTill
+	return addr, addr != v.self.Addr && v.k.Clock.Now() < v.primaryAliveUntil
 }
 
 // Referral returns the inner address of the control node that a caller does best to
@@ -246,29 +246,29 @@
 
 // ask calls several control nodes at once, each with its own message, and returns
 // the answers when enough says so, or all have answered or failed.
-func ask[A any](ctx context.Context, v *Replica, addrs []string, op string, message func(addr string) any, enough func(map[string]A) bool) map[string]A {
-	type reply struct {
+func ask[A any](ctx context.Context, v *Replica, addrs []string, op string, request func(addr string) any, enough func(map[string]A) bool) map[string]A {
+	type result struct {
 		addr   string
 		answer A
 		err    error
 	}
-	ch := make(chan reply, len(addrs))
+	ch := make(chan result, len(addrs))
 	for _, addr := range addrs {
 		go func() {
-			r := reply{addr: addr}
-			r.err = v.endpoint.Call(ctx, addr, op, message(addr), &r.answer, callWait)
-			ch <- r
+			result := result{addr: addr}
+			result.err = v.endpoint.Call(ctx, addr, op, request(addr), &result.answer, callWait)
+			ch <- result
 		}()
 	}
-	got := map[string]A{}
+	responses := map[string]A{}
 	for range addrs {
-		if r := <-ch; r.err == nil {
-			if got[r.addr] = r.answer; enough(got) {
+		if result := <-ch; result.err == nil {
+			if responses[result.addr] = result.answer; enough(responses) {
 				break
 			}
 		}
 	}
-	return got
+	return responses
 }
 
 // Serve renews the lease as primary, and stands when nobody holds one.
@@ -278,16 +278,16 @@
 	}
 	go v.watchDisk(ctx)
 	for {
-		changed := v.cfg.Changed()
-		v.step(ctx)
-		t := time.NewTimer(v.pause().Duration())
+		changed := v.cfg.MembershipChanged()
+		v.reconcile(ctx)
+		t := time.NewTimer(v.nextStepDelay().Duration())
 		select {
 		case <-ctx.Done():
 			t.Stop()
-			v.resign("stopped")
+			v.stepDown("stopped")
 			return nil
 		case <-changed:
-			v.standSoon()
+			v.campaignSoon()
 		case <-v.wake:
 		case <-t.C:
 		}
@@ -296,7 +296,7 @@
 }
 
 // standSoon: somebody came or went, so what failed a moment ago may succeed.
-func (v *Replica) standSoon() {
+func (v *Replica) campaignSoon() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.active {
@@ -305,11 +305,11 @@
 }
 
 // pause is how long nothing is due.
-func (v *Replica) pause() kernel.Micros {
+func (v *Replica) nextStepDelay() kernel.Micros {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
-	due := v.standsAt()
+	due := v.campaignNotBefore()
 	if v.active {
 		due = v.renewAt
 	}
@@ -319,8 +319,8 @@
 // standsAt is when this control node, as a member, may stand. One that leaves does so
 // only if no other has: it then holds what others may have lost, and hands over
 // once they have it.
-func (v *Replica) standsAt() kernel.Micros {
-	at := max(v.seenTill, v.standAt)
+func (v *Replica) campaignNotBefore() kernel.Micros {
+	at := max(v.takeoverAt, v.standAt)
 	if v.leaving {
 		at += v.lease / 2
 	}
@@ -328,39 +328,39 @@
 }
 
 // mayStand tells whether this control node has what the newest view keeps.
-func (v *Replica) mayStand() bool {
-	return v.members.mayStand(v.seen, v.cfg.Bootstrap && !v.witness.abstains)
+func (v *Replica) mayCampaign() bool {
+	return v.members.mayCampaign(v.seen, v.cfg.Bootstrap && !v.witness.abstains)
 }
 
 // step does what is due: what is wanted is one primary with a running lease,
 // backups that answer, and witnesses that take part.
-func (v *Replica) step(ctx context.Context) {
+func (v *Replica) reconcile(ctx context.Context) {
 	v.mu.Lock()
 	now := v.k.Clock.Now()
 	active, leads := v.active, v.leads(now)
 	renew := active && now >= v.renewAt
-	idle := !active && now >= v.standsAt()
-	may := v.mayStand() && !v.stalled.Load()
-	another := leads && now >= v.standAt && (max(v.tried, v.state.Epoch) > v.seen.Epoch || v.members.wantsAnother(v.seen, now))
-	tell := idle && !may && v.seen.Epoch > 0 && now >= v.toldAt
-	if tell {
-		v.toldAt = now + v.lease
+	electionDue := !active && now >= v.campaignNotBefore()
+	mayCampaign := v.mayCampaign() && !v.stalled.Load()
+	newViewWanted := leads && now >= v.standAt && (max(v.tried, v.state.Epoch) > v.seen.Epoch || v.members.wantsNewView(v.seen, now))
+	announce := electionDue && !mayCampaign && v.seen.Epoch > 0 && now >= v.nextAnnounceAt
+	if announce {
+		v.nextAnnounceAt = now + v.lease
 	}
 	v.mu.Unlock()
 	if active && !leads {
-		v.resign("lease ran out")
+		v.stepDown("lease ran out")
 		return
 	}
 	if renew {
 		v.renew(ctx)
 	}
-	switch wanted := another || idle && may; {
+	switch wanted := newViewWanted || electionDue && mayCampaign; {
 	case wanted && v.staged():
-		v.stand(ctx)
+		v.campaign(ctx)
 	case wanted:
 		v.stageSoon(ctx)
-	case tell:
-		v.tell(ctx)
+	case announce:
+		v.announceView(ctx)
 	}
 }
 
@@ -372,7 +372,7 @@
 	v.mu.Lock()
 	v.leaving = true
 	v.mu.Unlock()
-	for again := true; again; again = kernel.Sleep(ctx, 20*kernel.Millisecond) {
+	for retry := true; retry; retry = kernel.Sleep(ctx, 20*kernel.Millisecond) {
 		v.mu.Lock()
 		view, active := v.seen, v.active
 		v.mu.Unlock()
@@ -383,15 +383,15 @@
 			}
 			v.handOver("leaving")
 			v.writing.Leave()
-		case view.Epoch == 0 || !view.Has(v.self) && !slices.Contains(union(view.sets()...), v.self.Addr):
+		case view.Epoch == 0 || !view.Has(v.self) && !slices.Contains(union(view.quorumSets()...), v.self.Addr):
 			return
 		case view.Primary.Addr != v.self.Addr:
-			var a leaveAnswer
-			if v.endpoint.Call(ctx, view.Primary.Addr, "controlstate.leaving", v.self, &a, callWait) == nil {
+			var response leaveResponse
+			if v.endpoint.Call(ctx, view.Primary.Addr, "controlstate.leaving", v.self, &response, callWait) == nil {
 				v.mu.Lock()
-				v.observe(a.View)
+				v.observe(response.View)
 				v.mu.Unlock()
-				if a.Go {
+				if response.MayStop {
 					return
 				}
 			}
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -92,7 +92,7 @@
 		"a hole before a whole record":       {slices.Concat(good[:state], make([]byte, 9), good[state+9:]), ErrDamaged},
 		"another program's file":             {[]byte("not a store at all"), ErrDamaged},
 		"the format before":                  {[]byte("*3\r\n$3\r\nset\r\n$4\r\ndisk\r\n$14\r\ne5a0a1a \"ABCD\"\r\n"), ErrDamaged},
-		"another format":                     {other(t), ErrFormat},
+		"another format":                     {storeOfOtherFormat(t), ErrFormat},
 	} {
 		if err := os.WriteFile(path, c.raw, 0o644); err != nil {
 			t.Fatal(err)
@@ -117,7 +117,7 @@
 }
 
 // other is the file of a store whose identity was written as mere text.
-func other(t *testing.T) []byte {
+func storeOfOtherFormat(t *testing.T) []byte {
 	dir := t.TempDir()
 	s := open(t, dir)
 	if err := s.Save(diskKey, "ABCD"); err != nil {
@@ -187,7 +187,7 @@
 	now := 10 * kernel.Second
 	promise := func(epoch int64, m Member) bool {
 		t.Helper()
-		p, err := e.promise(now, promiseAsk{epoch, m, 0})
+		p, err := e.promise(now, promiseRequest{epoch, m, 0})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -222,31 +222,31 @@
 		t.Error("a replayed renewal of an old epoch was granted")
 	}
 	v2 := View{Epoch: 2, Primary: b, Backups: []Member{a}}
-	if r, changed := e.renew(now, v2); !r.Granted || !changed || !e.reg.Accepted.is(v2) {
+	if r, changed := e.renew(now, v2); !r.Granted || !changed || !e.reg.Accepted.sameAs(v2) {
 		t.Error("a renewal did not make up for a missed acceptance")
 	}
 	if !promise(3, b) {
 		t.Error("the lease's own holder may form another view")
 	}
 	e.release(1)
-	if now+1 > e.until {
+	if now+1 > e.leaseUntil {
 		t.Error("an old epoch's release ended the lease")
 	}
 	// After a restart a lease may still run that was granted before.
-	again := &witness{reg: e.reg, lease: lease, quietTill: now + lease}
-	if p, _ := again.promise(now, promiseAsk{9, a, 0}); p.Granted || p.Wait != lease {
+	again := &witness{reg: e.reg, lease: lease, priorLeaseUntil: now + lease}
+	if p, _ := again.promise(now, promiseRequest{9, a, 0}); p.Granted || p.LeaseRemaining != lease {
 		t.Error("a restarted witness promised before a lease could have run out")
 	}
-	if p, _ := again.promise(now, promiseAsk{8, a, 1}); p.Granted {
+	if p, _ := again.promise(now, promiseRequest{8, a, 1}); p.Granted {
 		t.Error("the word that another view's lease is void was taken")
 	}
-	if p, _ := again.promise(now, promiseAsk{8, a, 2}); !p.Granted {
+	if p, _ := again.promise(now, promiseRequest{8, a, 2}); !p.Granted {
 		t.Error("not promised though the lease is void")
 	}
-	if p, _ := again.promise(now, promiseAsk{8, a, 2}); !p.Granted {
+	if p, _ := again.promise(now, promiseRequest{8, a, 2}); !p.Granted {
 		t.Error("asked again by the same candidate, the promise was not repeated")
 	}
-	if p, _ := again.promise(now, promiseAsk{9, b, 0}); !p.Granted {
+	if p, _ := again.promise(now, promiseRequest{9, b, 0}); !p.Granted {
 		t.Error("the holder of that lease, started again itself, was refused")
 	}
 	if v2.Has(Member{"a", "a:1", "another disk"}) {
@@ -270,14 +270,14 @@
 		{[][]string{three}, "a", false, false},
 		{[][]string{four}, "ab", false, true},
 		{[][]string{four}, "abc", true, true},
-		{changing.sets(), "cd", false, false},
-		{changing.sets(), "bc", true, true},
-		{changing.sets(), "acd", true, true},
+		{changing.quorumSets(), "cd", false, false},
+		{changing.quorumSets(), "bc", true, true},
+		{changing.quorumSets(), "acd", true, true},
 	} {
-		if got := majorities(c.sets, of(c.voted)); got != c.majority {
+		if got := majorityOfEach(c.sets, of(c.voted)); got != c.majority {
 			t.Errorf("%s of %v: majority %v", c.voted, c.sets, got)
 		}
-		if got := overlap(c.sets, of(c.voted)); got != c.overlap {
+		if got := intersectsEveryMajority(c.sets, of(c.voted)); got != c.overlap {
 			t.Errorf("%s of %v: overlap %v", c.voted, c.sets, got)
 		}
 	}
@@ -287,18 +287,18 @@
 func TestHighestInForce(t *testing.T) {
 	set := []string{"a", "b", "c", "d"}
 	old, next := View{Epoch: 7, Witnesses: set}, View{Epoch: 8, Witnesses: set}
-	promised := func(v View) promiseAnswer { return promiseAnswer{Granted: true, Accepted: v} }
+	promised := func(v View) promiseResponse { return promiseResponse{Granted: true, Accepted: v} }
 	for name, c := range map[string]struct {
 		epoch   int64
-		answers map[string]promiseAnswer
+		answers map[string]promiseResponse
 		want    int64
 	}{
-		"one accepted it, one is silent":       {9, map[string]promiseAnswer{"a": promised(next), "b": promised(old), "c": promised(old)}, 7},
-		"one accepted it, two are silent":      {9, map[string]promiseAnswer{"a": promised(next), "b": promised(old)}, 8},
-		"one that promised nothing may accept": {9, map[string]promiseAnswer{"a": promised(next), "b": promised(old), "c": {Accepted: old}}, 8},
-		"it is of a later epoch":               {6, map[string]promiseAnswer{"a": {Accepted: next}, "b": promised(old), "c": promised(old)}, 8},
+		"one accepted it, one is silent":       {9, map[string]promiseResponse{"a": promised(next), "b": promised(old), "c": promised(old)}, 7},
+		"one accepted it, two are silent":      {9, map[string]promiseResponse{"a": promised(next), "b": promised(old)}, 8},
+		"one that promised nothing may accept": {9, map[string]promiseResponse{"a": promised(next), "b": promised(old), "c": {Accepted: old}}, 8},
+		"it is of a later epoch":               {6, map[string]promiseResponse{"a": {Accepted: next}, "b": promised(old), "c": promised(old)}, 8},
 	} {
-		if got := highestInForce(c.epoch, c.answers); got.Epoch != c.want {
+		if got := highestBindingView(c.epoch, c.answers); got.Epoch != c.want {
 			t.Errorf("%s: %d, want %d", name, got.Epoch, c.want)
 		}
 	}
--- a/internal/controlstate/election.go
+++ b/internal/controlstate/election.go
@@ -11,7 +11,7 @@
 	"indigowalk/internal/rpc"
 )
 
-type epochAsk struct {
+type epochRequest struct {
 	Epoch int64 `json:"epoch"`
 }
 
@@ -26,26 +26,26 @@
 		v.durable = max(v.durable, v.state.Seq)
 	}
 	v.mu.Unlock()
-	voters := union(view.sets()...)
+	voters := union(view.quorumSets()...)
 	others := slices.DeleteFunc(union(backupAddrs(view), v.cfg.ControlNodes()), func(a string) bool { return slices.Contains(voters, a) })
 	for _, addr := range others {
 		if addr != v.self.Addr {
-			go v.renewWith(ctx, addr, view)
+			go v.sendRenewal(ctx, addr, view)
 		}
 	}
 	type vote struct {
 		addr string
-		renewAnswer
+		renewResponse
 	}
 	ch := make(chan vote, len(voters))
 	for _, addr := range voters {
-		go func() { ch <- vote{addr, v.renewWith(ctx, addr, view)} }()
+		go func() { ch <- vote{addr, v.sendRenewal(ctx, addr, view)} }()
 	}
 	granted := map[string]bool{}
 	for range voters {
 		a := <-ch
-		if granted[a.addr] = a.Granted; majorities(view.sets(), func(addr string) bool { return granted[addr] }) {
-			v.renewed(view, start)
+		if granted[a.addr] = a.Granted; majorityOfEach(view.quorumSets(), func(addr string) bool { return granted[addr] }) {
+			v.extendLease(view, start)
 			return
 		}
 	}
@@ -58,50 +58,50 @@
 	v.renewAt = min(v.renewAt, v.k.Clock.Now()+50*kernel.Millisecond)
 }
 
-func (v *Replica) renewed(view View, start kernel.Micros) {
+func (v *Replica) extendLease(view View, start kernel.Micros) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.active && v.seen.Epoch == view.Epoch {
 		v.leaseEnd = max(v.leaseEnd, start+v.lease)
-		v.seenTill = v.leaseEnd
+		v.takeoverAt = v.leaseEnd
 	}
 }
 
 // missedMost renewals in a row that a backup leaves unanswered are too many.
-const missedMost = 2
+const maxMissedRenewals = 2
 
 // renewWith tells one control node of the lease and notes whether it takes part.
-func (v *Replica) renewWith(ctx context.Context, addr string, view View) (a renewAnswer) {
+func (v *Replica) sendRenewal(ctx context.Context, addr string, view View) (response renewResponse) {
 	v.mu.Lock()
 	durable := v.durable
 	v.mu.Unlock()
-	err := v.endpoint.Call(ctx, addr, "controlstate.renew", renewAsk{view, durable}, &a, callWait)
+	err := v.endpoint.Call(ctx, addr, "controlstate.renew", renewRequest{view, durable}, &response, callWait)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	i := slices.IndexFunc(view.Backups, func(b Member) bool { return b.Addr == addr })
 	switch {
-	case err == nil && i >= 0 && a.Disk != view.Backups[i].Disk:
+	case err == nil && i >= 0 && response.Disk != view.Backups[i].Disk:
 		// It came back without the state, sooner than it was missed.
-		v.missed[addr] = missedMost
-	case err == nil && !a.Stalled:
+		v.missed[addr] = maxMissedRenewals
+	case err == nil && !response.Stalled:
 		delete(v.missed, addr)
 	default:
 		v.missed[addr]++
 	}
-	if i >= 0 && v.missed[addr] >= missedMost && v.active && v.seen.Epoch == view.Epoch {
+	if i >= 0 && v.missed[addr] >= maxMissedRenewals && v.active && v.seen.Epoch == view.Epoch {
 		// A backup that is of no use is replaced before a write needs it.
 		delete(v.missed, addr)
 		v.shun(addr)
 	}
-	if err == nil && a.Granted && !a.Stalled {
-		v.members.heard[addr] = v.k.Clock.Now()
+	if err == nil && response.Granted && !response.Stalled {
+		v.members.lastHeard[addr] = v.k.Clock.Now()
 	}
-	if err == nil && !a.Granted && v.active && v.seen.Epoch == view.Epoch {
+	if err == nil && !response.Granted && v.active && v.seen.Epoch == view.Epoch {
 		// It promised a later epoch, to a candidate that failed, or has read of
 		// one: it takes part in a view of a later epoch only.
-		v.tried = max(v.tried, a.Promised)
+		v.tried = max(v.tried, response.Promised)
 	}
-	return a
+	return response
 }
 
 func backupAddrs(view View) []string {
@@ -114,7 +114,7 @@
 
 // stand tries to become primary of a new epoch, or to form another view as
 // primary.
-func (v *Replica) stand(ctx context.Context) {
+func (v *Replica) campaign(ctx context.Context) {
 	if v.writing.Enter(ctx) != nil {
 		return
 	}
@@ -130,54 +130,54 @@
 // How long promises are waited for: witnesses that have just started, or are
 // about to, are asked again and again.
 const (
-	promiseTry   = 150 * kernel.Millisecond
-	promiseFirst = 180 * kernel.Millisecond // before newcomers are asked too
-	promiseWait  = 450 * kernel.Millisecond
+	promiseCallTimeout = 150 * kernel.Millisecond
+	firstRoundTimeout  = 180 * kernel.Millisecond // before newcomers are asked too
+	secondRoundTimeout = 450 * kernel.Millisecond
 )
 
 // promises asks control nodes for their promises of an epoch, for a span at most or until
 // the answers will do, and returns what each answered.
-func (v *Replica) promises(ctx context.Context, epoch int64, voters []string, wait kernel.Micros, done func(got map[string]promiseAnswer) bool) map[string]promiseAnswer {
-	type reply struct {
+func (v *Replica) collectPromises(ctx context.Context, epoch int64, voters []string, timeout kernel.Micros, done func(responses map[string]promiseResponse) bool) map[string]promiseResponse {
+	type result struct {
 		addr   string
-		answer *promiseAnswer
+		answer *promiseResponse
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	v.mu.Lock()
-	q := promiseAsk{epoch, v.self, v.voided}
+	request := promiseRequest{epoch, v.self, v.voidedEpoch}
 	v.mu.Unlock()
-	ch := make(chan reply, len(voters))
+	ch := make(chan result, len(voters))
 	for _, addr := range voters {
-		go func() { ch <- reply{addr, v.promiseOf(ctx, addr, q)} }()
+		go func() { ch <- result{addr, v.requestPromise(ctx, addr, request)} }()
 	}
-	got := map[string]promiseAnswer{}
+	responses := map[string]promiseResponse{}
 	for range voters {
-		r := <-ch
-		if r.answer == nil {
-			r.answer = &promiseAnswer{}
+		result := <-ch
+		if result.answer == nil {
+			result.answer = &promiseResponse{}
 		}
-		if got[r.addr] = *r.answer; done(got) {
+		if responses[result.addr] = *result.answer; done(responses) {
 			break
 		}
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.tried = max(v.tried, epoch)
-	for _, a := range got {
-		v.tried = max(v.tried, a.Promised)
+	for _, response := range responses {
+		v.tried = max(v.tried, response.Promised)
 	}
-	return got
+	return responses
 }
 
 // promiseOf asks one control node, again and again while it does not answer; nil if it
 // never does.
-func (v *Replica) promiseOf(ctx context.Context, addr string, q promiseAsk) *promiseAnswer {
+func (v *Replica) requestPromise(ctx context.Context, addr string, request promiseRequest) *promiseResponse {
 	for {
-		a := &promiseAnswer{}
-		err := v.endpoint.Call(ctx, addr, "controlstate.promise", q, a, promiseTry)
+		response := &promiseResponse{}
+		err := v.endpoint.Call(ctx, addr, "controlstate.promise", request, response, promiseCallTimeout)
 		if err == nil {
-			return a
+			return response
 		}
 		if errors.As(err, new(*rpc.Refused)) || !kernel.Sleep(ctx, 20*kernel.Millisecond) {
 			return nil
@@ -187,15 +187,15 @@
 
 // leaseOf is how long leases stand against a majority; one that a few stale
 // witnesses still guard does not.
-func leaseOf(sets [][]string, got map[string]promiseAnswer) kernel.Micros {
+func remainingLease(sets [][]string, responses map[string]promiseResponse) kernel.Micros {
 	waits := []kernel.Micros{0}
-	for _, a := range got {
-		waits = append(waits, a.Wait)
+	for _, a := range responses {
+		waits = append(waits, a.LeaseRemaining)
 	}
 	slices.Sort(waits)
 	for _, wait := range waits {
-		free := func(addr string) bool { return got[addr].Wait <= wait }
-		if majorities(sets, free) {
+		leaseExpired := func(addr string) bool { return responses[addr].LeaseRemaining <= wait }
+		if majorityOfEach(sets, leaseExpired) {
 			return wait
 		}
 	}
@@ -207,7 +207,7 @@
 	return max(v.witness.reg.Promised, v.seen.Epoch, v.state.Epoch, v.tried) + 1
 }
 
-func names(members []Member) []string {
+func memberNames(members []Member) []string {
 	out := make([]string, 0, len(members))
 	for _, m := range members {
 		out = append(out, m.Name)
@@ -225,15 +225,15 @@
 		if v.active && view.Epoch > v.seen.Epoch {
 			v.leaseEnd = 0
 		}
-		v.seen, v.heardTill = view, 0
-		v.seenTill = max(v.seenTill, v.members.takeover(view, v.k.Clock.Now()))
+		v.seen, v.primaryAliveUntil = view, 0
+		v.takeoverAt = max(v.takeoverAt, v.members.takeoverTime(view, v.k.Clock.Now()))
 		v.changed.Ring()
 	}
 }
 
 // tell passes the newest view on to its members: one whose acceptance they
 // missed only they can succeed.
-func (v *Replica) tell(ctx context.Context) {
+func (v *Replica) announceView(ctx context.Context) {
 	v.mu.Lock()
 	view := v.seen
 	v.mu.Unlock()
@@ -244,14 +244,14 @@
 	}
 }
 
-func (v *Replica) onTell(_ context.Context, view View) (any, error) {
+func (v *Replica) onAnnounce(_ context.Context, view View) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.observe(view)
 	return struct{}{}, nil
 }
 
-func (v *Replica) onPromise(ctx context.Context, q promiseAsk) (any, error) {
+func (v *Replica) onPromise(ctx context.Context, q promiseRequest) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
 	defer cancel()
 	v.mu.Lock()
@@ -270,7 +270,7 @@
 	return a, nil
 }
 
-func (v *Replica) onAccept(ctx context.Context, q acceptAsk) (any, error) {
+func (v *Replica) onAccept(ctx context.Context, q acceptRequest) (any, error) {
 	if q.Disk != v.self.Disk {
 		v.k.Counters.Add("controlstate.other_disk_refused", 1)
 		return nil, errors.New("promised on another disk")
@@ -288,26 +288,26 @@
 	}
 	if !q.View.Primary.same(v.self) { // its own is in force once a majority has it
 		v.mu.Lock()
-		v.hear(v.k.Clock.Now(), q.View)
+		v.notePrimaryAlive(v.k.Clock.Now(), q.View)
 		v.mu.Unlock()
 	}
 	v.k.Recorder.Add(VoteKind, Vote{"accept", q.View.Epoch, q.View.Primary.Name, true})
 	return a, nil
 }
 
-func (v *Replica) onRenew(ctx context.Context, q renewAsk) (any, error) {
+func (v *Replica) onRenew(ctx context.Context, q renewRequest) (any, error) {
 	v.mu.Lock()
 	now := v.k.Clock.Now()
 	if q.View.Epoch < v.seen.Epoch || len(q.View.Witnesses) == 0 {
 		v.k.Counters.Add("controlstate.old_epoch_refused", 1)
-		a := renewAnswer{Promised: v.witness.reg.Promised}
+		a := renewResponse{Promised: v.witness.reg.Promised}
 		v.mu.Unlock()
 		return a, nil
 	}
 	a, changed := v.witness.renew(now, q.View)
 	a.Disk, a.Stalled = v.self.Disk, v.stalled.Load()
 	v.durable = max(v.durable, q.Durable)
-	v.hear(now, q.View)
+	v.notePrimaryAlive(now, q.View)
 	v.mu.Unlock()
 	if changed {
 		ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
@@ -320,18 +320,18 @@
 }
 
 // hear notes that the view's primary is at work.
-func (v *Replica) hear(now kernel.Micros, view View) {
+func (v *Replica) notePrimaryAlive(now kernel.Micros, view View) {
 	v.observe(view)
 	if view.Epoch == v.seen.Epoch && !v.active {
-		if now >= v.heardTill {
+		if now >= v.primaryAliveUntil {
 			v.changed.Ring() // there is somebody to send callers to
 		}
-		v.heardTill = now + v.lease
-		v.seenTill = max(v.seenTill, v.members.takeover(view, now))
+		v.primaryAliveUntil = now + v.lease
+		v.takeoverAt = max(v.takeoverAt, v.members.takeoverTime(view, now))
 	}
 }
 
-func (v *Replica) onRelease(_ context.Context, q epochAsk) (any, error) {
+func (v *Replica) onRelease(_ context.Context, q epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.witness.release(q.Epoch)
@@ -341,7 +341,7 @@
 func (v *Replica) onRegister(context.Context, struct{}) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return registerAnswer{v.witness.reg, v.witness.abstains}, nil
+	return registerResponse{v.witness.reg, v.witness.abstains}, nil
 }
 
 var errOldEpoch = errors.New("old epoch")
@@ -369,33 +369,33 @@
 }
 
 // onSucceed: the primary leaves in order and has given up its lease.
-func (v *Replica) onSucceed(_ context.Context, q epochAsk) (any, error) {
+func (v *Replica) onSucceed(_ context.Context, q epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if q.Epoch == v.seen.Epoch {
-		v.seenTill, v.standAt = 0, 0
+		v.takeoverAt, v.standAt = 0, 0
 		v.poke()
 	}
 	return struct{}{}, nil
 }
 
 // onVoid: the primary's address is served by another life.
-func (v *Replica) onVoid(_ context.Context, q epochAsk) (any, error) {
+func (v *Replica) onVoidLease(_ context.Context, q epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if q.Epoch != v.seen.Epoch || !v.seen.Has(v.self) || v.active {
 		return nil, errOldEpoch
 	}
-	v.voided, v.seenTill, v.standAt = q.Epoch, 0, 0
+	v.voidedEpoch, v.takeoverAt, v.standAt = q.Epoch, 0, 0
 	v.poke()
 	return struct{}{}, nil
 }
 
 // leaveAnswer tells a control node that is about to end which view there is, and
 // whether it may go.
-type leaveAnswer struct {
-	View View `json:"view"`
-	Go   bool `json:"go"`
+type leaveResponse struct {
+	View    View `json:"view"`
+	MayStop bool `json:"go"`
 }
 
 // onLeaving has a backup that is about to end replaced.
@@ -403,9 +403,9 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
-	v.members.leaves(m.Addr, now)
+	v.members.noteLeaving(m.Addr, now)
 	if v.active && slices.ContainsFunc(v.seen.Backups, m.same) {
 		v.poke()
 	}
-	return leaveAnswer{v.seen, v.leads(now) && v.members.dispensable(v.seen, m, now)}, nil
+	return leaveResponse{v.seen, v.leads(now) && v.members.safeToRemove(v.seen, m, now)}, nil
 }
--- a/internal/controlstate/export_test.go
+++ b/internal/controlstate/export_test.go
@@ -11,5 +11,5 @@
 	return sync.OnceFunc(v.store.unlock)
 }
 
-// TryStand stands as a step would that looked before.
-func (v *Replica) TryStand(ctx context.Context) error { return v.tryStand(ctx) }
+// TryCampaign stands as a step would that looked before.
+func (v *Replica) TryCampaign(ctx context.Context) error { return v.tryStand(ctx) }
--- a/internal/controlstate/membership_model_test.go
+++ b/internal/controlstate/membership_model_test.go
@@ -16,9 +16,9 @@
 	taken := 0
 	for _, c := range sizes {
 		for seed := range uint64(200) {
-			w := walk(seed, c.f, c.controlNodes, "")
-			if taken += w.taken; w.broken != "" {
-				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.broken, strings.Join(w.trace, "\n"))
+			w := randomHistory(seed, c.f, c.controlNodes, "")
+			if taken += w.newcomerViews; w.violation != "" {
+				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.violation, strings.Join(w.trace, "\n"))
 				break
 			}
 		}
@@ -40,8 +40,8 @@
 		{3, 6, []uint64{4595, 6131, 19191}},
 	} {
 		for _, seed := range c.seeds {
-			if w := walk(seed, c.f, c.controlNodes, ""); w.broken != "" {
-				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.broken, strings.Join(w.trace, "\n"))
+			if w := randomHistory(seed, c.f, c.controlNodes, ""); w.violation != "" {
+				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.violation, strings.Join(w.trace, "\n"))
 			}
 		}
 	}
@@ -54,10 +54,10 @@
 	for _, c := range append(sizes, struct{ f, controlNodes int }{2, 8}) {
 		for seed := range uint64(200) {
 			w := newModel(seed, c.f, c.controlNodes, "").boot()
-			w.cuts = true
-			w.wander(200)
-			if taken += w.taken; w.broken != "" {
-				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.broken, strings.Join(w.trace, "\n"))
+			w.anyCuts = true
+			w.randomSteps(200)
+			if taken += w.newcomerViews; w.violation != "" {
+				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.violation, strings.Join(w.trace, "\n"))
 				break
 			}
 		}
@@ -71,39 +71,39 @@
 // whole, a change is acknowledged on fewer disks than may be lost.
 func TestAcknowledgedOutlastsAnyCuts(t *testing.T) {
 	w := newModel(3532, 2, 4, "").boot()
-	w.cuts = true
-	if w.wander(200); w.broken != "" {
-		t.Errorf("%s\n%s", w.broken, strings.Join(w.trace, "\n"))
+	w.anyCuts = true
+	if w.randomSteps(200); w.violation != "" {
+		t.Errorf("%s\n%s", w.violation, strings.Join(w.trace, "\n"))
 	}
 }
 
 // explore tries each row of troubles that may come, with up to 40 steps between
 // and after them, and at the end the losses and the restart that may come then.
-func explore(w *model, troubles, every int) (found *model, histories int) {
-	if troubles == 0 {
-		w.close()
-		w.power()
-		w.check()
-		w.remains(true)
-		if w.broken != "" {
+func explore(w *model, faults, every int) (found *model, histories int) {
+	if faults == 0 {
+		w.loseRemaining()
+		w.powerCycle()
+		w.checkInvariants()
+		w.checkMajorityRemains(true)
+		if w.violation != "" {
 			return w, 1
 		}
 		return nil, 1
 	}
 	for i := range w.nodes {
-		for what := wiped; what <= back; what++ {
+		for what := wiped; what <= returned; what++ {
 			c := w.clone()
-			if !c.do(c.nodes[i], what) {
+			if !c.inject(c.nodes[i], what) {
 				continue
 			}
 			for step := range 40 {
 				if step%every == 0 {
-					next, n := explore(c.clone(), troubles-1, every)
+					next, n := explore(c.clone(), faults-1, every)
 					if histories += n; next != nil {
 						return next, histories
 					}
 				}
-				if c.advance(); c.broken != "" {
+				if c.advance(); c.violation != "" {
 					return c, histories
 				}
 			}
@@ -114,16 +114,16 @@
 
 // advance goes on by one call, or a tick when none is due, after a change.
 func (w *model) advance() {
-	if busy := w.busy(); len(busy) > 0 {
+	if busy := w.nodesWithPendingStep(); len(busy) > 0 {
 		busy[0].step(w)
 	} else {
 		w.tick(false)
-		w.count()
+		w.clearRecovered()
 		if n := w.leader(); n != nil {
 			n.write(w)
 		}
 	}
-	w.check()
+	w.checkInvariants()
 }
 
 func TestMembershipModelOfAllTwoTroubles(t *testing.T) {
@@ -132,7 +132,7 @@
 		w.write()
 		broken, n := explore(w, 2, c.every)
 		if t.Logf("f %d, %d control nodes: %d histories", c.f, c.controlNodes, n); broken != nil {
-			t.Errorf("%s\n%s", broken.broken, strings.Join(broken.trace, "\n"))
+			t.Errorf("%s\n%s", broken.violation, strings.Join(broken.trace, "\n"))
 		}
 	}
 }
@@ -140,7 +140,7 @@
 // leader is the primary, if there is one.
 func (w *model) leader() *node {
 	for _, n := range w.nodes {
-		if n.up && n.leads(w.now) {
+		if n.up && n.holdsLease(w.now) {
 			return n
 		}
 	}
@@ -151,13 +151,13 @@
 func (w *model) write() bool {
 	before, n := w.acked, w.leader()
 	if n != nil && n.write(w) {
-		w.settleSteps()
+		w.runPendingSteps()
 	}
 	return w.acked != before
 }
 
 func (w *model) lose(n *node, wipe bool) {
-	n.counted = true
+	n.countedLost = true
 	if n.stop(); wipe {
 		n.wipe(w)
 	}
@@ -165,15 +165,15 @@
 
 // unheard has the primary form a view of which some control nodes hear nothing, and
 // acknowledge a change in it.
-func (w *model) unheard(p *node, deaf ...*node) {
+func (w *model) formViewUnheardBy(p *node, deaf ...*node) {
 	for _, n := range deaf {
-		n.far = true
+		n.partitioned = true
 	}
-	p.stand(w)
-	w.settleSteps()
+	p.campaign(w)
+	w.runPendingSteps()
 	w.write()
 	for _, n := range deaf {
-		n.far = false
+		n.partitioned = false
 	}
 }
 
@@ -191,7 +191,7 @@
 			b := w.members()[1]
 			w.lose(b, true)
 			b.start(w)
-			w.calm(11)
+			w.runQuietly(11)
 			w.lose(w.leader(), true)
 		}},
 		// The primary is lost while its backup leaves for good.
@@ -201,20 +201,20 @@
 		"EmptyAbstains": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
 			m[0].members.shun(m[1].addr, w.now)
-			w.unheard(m[0], m[1])
+			w.formViewUnheardBy(m[0], m[1])
 			m[0].wipe(w)
-			w.power()
-			w.calm(20)
+			w.powerCycle()
+			w.runQuietly(20)
 		}},
 		// The same, where the empty one can read one register only.
 		"IntactOverlap": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
-			w.unheard(m[0], m[1])
-			other := w.leader().seen.Backups[0].Addr
+			w.formViewUnheardBy(m[0], m[1])
+			other := w.leader().newestView.Backups[0].Addr
 			m[0].wipe(w)
-			w.power()
+			w.powerCycle()
 			w.at(other).stop()
-			w.calm(20)
+			w.runQuietly(20)
 		}},
 		// The set is changed without the old one's majority, and that is what
 		// comes back first.
@@ -226,51 +226,51 @@
 			}
 			w.lose(c, false)
 			for range 20 {
-				p.members.heard[c.addr] = w.now - 10*kernel.Second
+				p.members.lastHeard[c.addr] = w.now - 10*kernel.Second
 			}
-			w.unheard(p, b)
+			w.formViewUnheardBy(p, b)
 			c.start(w)
-			w.power()
+			w.powerCycle()
 			for _, n := range w.nodes {
 				if n != b && n != c {
 					n.stop()
 				}
 			}
-			w.calm(20)
+			w.runQuietly(20)
 		}},
 		// Three control nodes are silent as the view is formed, and there again.
 		"EnoughBackups": {2, 5, "AcknowledgedSurvives", func(w *model) {
 			m := w.members()
 			p := m[0]
-			p.stand(w)
-			for p.standing != nil && len(p.standing.view.Backups) == 0 {
+			p.campaign(w)
+			for p.attempt != nil && len(p.attempt.view.Backups) == 0 {
 				p.step(w)
 			}
-			b := p.standing.view.Backups[0].Addr
+			b := p.attempt.view.Backups[0].Addr
 			for _, n := range w.nodes {
-				n.far = n != p && n.addr != b && p.standing.phase == 1
+				n.partitioned = n != p && n.addr != b && p.attempt.phase == 1
 			}
-			for p.standing != nil && p.standing.phase == 1 {
+			for p.attempt != nil && p.attempt.phase == 1 {
 				p.step(w)
 			}
 			for _, n := range w.nodes {
-				n.far = false
+				n.partitioned = false
 			}
-			w.settleSteps()
+			w.runPendingSteps()
 			w.write()
 			w.lose(w.at(b), true)
 			w.lose(p, true)
 		}},
 		// Two of the first three witnesses are lost, though five are there.
 		"LargeEnough": {2, 5, "MajorityRemains", func(w *model) {
-			if w.calm(4); !w.write() {
+			if w.runQuietly(4); !w.write() {
 				return // none was acknowledged
 			}
 			m := w.members()
 			w.lose(m[0], true)
 			w.lose(m[1], true)
 			for _, n := range w.nodes {
-				n.counted = !n.up
+				n.countedLost = !n.up
 			}
 		}},
 		// Two control nodes are about to be replaced, the new ones being there first, and
@@ -279,7 +279,7 @@
 			w.write()
 			var newcomers []*node
 			for range 2 {
-				n := w.add()
+				n := w.addNode()
 				n.start(w)
 				newcomers = append(newcomers, n)
 			}
@@ -288,17 +288,17 @@
 			}
 			m := w.members()
 			for _, n := range []*node{m[0], m[1], newcomers[0]} {
-				n.far = true
+				n.partitioned = true
 			}
 			for range 20 {
-				w.calm(1)
-				w.check()
+				w.runQuietly(1)
+				w.checkInvariants()
 				w.write()
 			}
 			for _, n := range w.nodes {
-				n.far = false
+				n.partitioned = false
 			}
-			w.calm(20)
+			w.runQuietly(20)
 		}},
 		"NewerViewStops": {2, 7, "OldStateNeverLeads", nil},
 		"MembersStand":   {1, 3, "OldStateNeverLeads", nil},
@@ -309,17 +309,17 @@
 			for seed := range uint64(40) {
 				w := newModel(seed, c.f, c.controlNodes, without)
 				if c.play == nil {
-					w = walk(seed, c.f, c.controlNodes, without)
+					w = randomHistory(seed, c.f, c.controlNodes, without)
 				} else {
 					if guard != "LargeEnough" {
 						w.boot()
 					}
 					c.play(w)
-					w.check()
-					w.remains(true)
+					w.checkInvariants()
+					w.checkMajorityRemains(true)
 				}
-				if invariant, _, found := strings.Cut(w.broken, ":"); found {
-					out[invariant] = fmt.Sprintf("%s (seed %d)\n%s", w.broken, seed, strings.Join(w.trace, "\n"))
+				if invariant, _, found := strings.Cut(w.violation, ":"); found {
+					out[invariant] = fmt.Sprintf("%s (seed %d)\n%s", w.violation, seed, strings.Join(w.trace, "\n"))
 				}
 			}
 			return out
@@ -338,7 +338,7 @@
 	m := w.members()
 	m[1].leaving = true
 	w.lose(m[0], true)
-	w.calm(14) // the grace
+	w.runQuietly(14) // the grace
 	if m[1].up {
 		m[1].end(w)
 	}
--- a/internal/controlstate/model_test.go
+++ b/internal/controlstate/model_test.go
@@ -16,20 +16,20 @@
 // until catchup has gone by, one that is replaced until its successor has had
 // that time.
 type model struct {
-	rng     *rand.Rand
-	now     kernel.Micros
-	f       int
-	nodes   []*node
-	disks   int
-	writes  int
-	acked   uint64           // changes that were acknowledged, one bit each
-	leaders map[int64]string // by epoch
-	without string           // the guard that is taken out
-	over    bool             // more than f are lost, since one left as another was
-	taken   int              // views in which newcomers took the places of half of the witnesses
-	cuts    bool             // any number may be cut off, or down with their disks whole
-	broken  string           // the invariant that was broken, and how
-	trace   []string
+	rng           *rand.Rand
+	now           kernel.Micros
+	f             int
+	nodes         []*node
+	disks         int
+	writes        int
+	acked         uint64           // changes that were acknowledged, one bit each
+	leaders       map[int64]string // by epoch
+	disabledGuard string           // the guard that is taken out
+	overBudget    bool             // more than f are lost, since one left as another was
+	newcomerViews int              // views in which newcomers took the places of half of the witnesses
+	anyCuts       bool             // any number may be cut off, or down with their disks whole
+	violation     string           // the invariant that was broken, and how
+	trace         []string
 }
 
 type node struct {
@@ -40,55 +40,55 @@
 	epoch   int64  // of the state
 	content uint64 // changes in the state
 	// In memory.
-	up, far, leaving, gone bool // far: cut off, or frozen, with others that are; gone: replaced for good
-	counted                bool // as lost
-	backAt                 kernel.Micros
-	wit                    witness
-	seen                   View
-	seenTill, standAt      kernel.Micros
-	active                 bool
-	leaseEnd               kernel.Micros
-	tried                  int64
-	tentative              View
-	members                memberPolicy
-	missed                 map[string]int
-	standing               *standing
-	writing                *writing
-	before                 *node // whose successor this is
+	up, partitioned, leaving, retired bool // far: cut off, or frozen, with others that are; gone: replaced for good
+	countedLost                       bool // as lost
+	backAt                            kernel.Micros
+	witness                           witness
+	newestView                        View
+	takeoverAt, nextCampaignAt        kernel.Micros
+	active                            bool
+	leaseEnd                          kernel.Micros
+	highestEpochTried                 int64
+	lastProposed                      View
+	members                           memberPolicy
+	missedRenewals                    map[string]int
+	attempt                           *attempt
+	pendingWrite                      *pendingWrite
+	predecessor                       *node // whose successor this is
 }
 
 // writing is a change under way to the backups.
-type writing struct {
-	view View
-	bit  uint64
-	todo []string
+type pendingWrite struct {
+	view    View
+	bit     uint64
+	pending []string
 }
 
-func (w *model) holds(guard string, ok bool) bool { return ok || w.without == guard }
+func (w *model) guardHolds(guard string, ok bool) bool { return ok || w.disabledGuard == guard }
 
-func (w *model) breaks(invariant, how string, args ...any) {
-	if w.broken == "" {
-		w.broken = invariant + ": " + fmt.Sprintf(how, args...)
+func (w *model) violate(invariant, how string, args ...any) {
+	if w.violation == "" {
+		w.violation = invariant + ": " + fmt.Sprintf(how, args...)
 	}
 }
 
-func (w *model) note(format string, args ...any) {
+func (w *model) logf(format string, args ...any) {
 	if len(w.trace) < 400 {
 		w.trace = append(w.trace, fmt.Sprintf("%5d ", w.now.Millis())+fmt.Sprintf(format, args...))
 	}
 }
 
 // vain notes an attempt that failed, if it is among the first in a row.
-func (w *model) vain(format string, args ...any) {
+func (w *model) logFailedAttempt(format string, args ...any) {
 	if n := len(w.trace); n < 4 || !strings.Contains(w.trace[n-4], "in vain") {
-		w.note(format, args...)
+		w.logf(format, args...)
 	}
 }
 
 func newModel(seed uint64, f, controlNodes int, without string) *model {
-	w := &model{rng: rand.New(rand.NewPCG(seed, 3)), now: kernel.Second, f: f, leaders: map[int64]string{}, without: without}
+	w := &model{rng: rand.New(rand.NewPCG(seed, 3)), now: kernel.Second, f: f, leaders: map[int64]string{}, disabledGuard: without}
 	for range controlNodes {
-		w.add()
+		w.addNode()
 	}
 	var seeds []string
 	for _, n := range w.nodes[:min(3, controlNodes)] {
@@ -105,46 +105,46 @@
 
 // boot lets the first start go by.
 func (w *model) boot() *model {
-	w.calm(40)
+	w.runQuietly(40)
 	for _, n := range w.nodes {
-		n.counted = false
+		n.countedLost = false
 	}
 	return w
 }
 
 // calm lets time go by without trouble.
-func (w *model) calm(ticks int) {
+func (w *model) runQuietly(ticks int) {
 	for range ticks {
 		w.tick(true)
 	}
 }
 
-func (w *model) add() *node {
+func (w *model) addNode() *node {
 	w.disks++
-	n := &node{addr: string(rune('a' + len(w.nodes))), disk: fmt.Sprint("disk", w.disks), counted: true}
+	n := &node{addr: string(rune('a' + len(w.nodes))), disk: fmt.Sprint("disk", w.disks), countedLost: true}
 	w.nodes = append(w.nodes, n)
 	return n
 }
 
 // start begins a life on what is on disk.
 func (n *node) start(w *model) {
-	n.standing, n.writing = nil, nil
-	n.up, n.leaving, n.far, n.backAt = true, false, false, w.now
-	n.wit = witness{lease: modelLease, reg: n.reg, quietTill: w.now + modelLease}
+	n.attempt, n.pendingWrite = nil, nil
+	n.up, n.leaving, n.partitioned, n.backAt = true, false, false, w.now
+	n.witness = witness{lease: modelLease, reg: n.reg, priorLeaseUntil: w.now + modelLease}
 	if n.reg.Promised == 0 && len(n.reg.Accepted.Witnesses) == 0 {
-		n.wit.abstains = w.without != "EmptyAbstains"
+		n.witness.abstains = w.disabledGuard != "EmptyAbstains"
 	}
-	n.members = newMemberPolicy(Member{n.addr, n.addr, n.disk}, Config{Losses: w.f, Lease: modelLease, Away: modelAway, Catchup: modelCatch})
-	n.seen = n.reg.Accepted
-	n.active, n.leaseEnd, n.tried, n.standAt, n.tentative, n.missed = false, 0, 0, 0, View{}, map[string]int{}
-	n.seenTill = n.members.takeover(n.seen, w.now)
+	n.members = newMemberPolicy(Member{n.addr, n.addr, n.disk}, Config{Losses: w.f, Lease: modelLease, WitnessTimeout: modelAway, CatchupTimeout: modelCatch})
+	n.newestView = n.reg.Accepted
+	n.active, n.leaseEnd, n.highestEpochTried, n.nextCampaignAt, n.lastProposed, n.missedRenewals = false, 0, 0, 0, View{}, map[string]int{}
+	n.takeoverAt = n.members.takeoverTime(n.newestView, w.now)
 }
 
-func (n *node) stop() { n.up, n.active, n.standing, n.writing = false, false, nil, nil }
+func (n *node) stop() { n.up, n.active, n.attempt, n.pendingWrite = false, false, nil, nil }
 
 func (n *node) self() Member { return n.members.self }
 
-func (n *node) leads(now kernel.Micros) bool { return n.active && now < n.leaseEnd }
+func (n *node) holdsLease(now kernel.Micros) bool { return n.active && now < n.leaseEnd }
 
 func (w *model) at(addr string) *node {
 	if i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.addr == addr }); i >= 0 {
@@ -154,16 +154,16 @@
 }
 
 // reach returns the control node that a call from n is answered by.
-func (w *model) reach(n *node, addr string) *node {
-	if o := w.at(addr); o != nil && o.up && o.far == n.far {
+func (w *model) reachable(n *node, addr string) *node {
+	if o := w.at(addr); o != nil && o.up && o.partitioned == n.partitioned {
 		return o
 	}
 	return nil
 }
 
-func (w *model) alive(n *node) (out []string) {
+func (w *model) reachablePeers(n *node) (out []string) {
 	for _, o := range w.nodes {
-		if o != n && w.reach(n, o.addr) != nil {
+		if o != n && w.reachable(n, o.addr) != nil {
 			out = append(out, o.addr)
 		}
 	}
@@ -171,38 +171,38 @@
 }
 
 func (n *node) observe(w *model, view View) {
-	if view.Epoch > n.seen.Epoch || len(n.seen.Witnesses) == 0 {
-		if n.active && view.Epoch > n.seen.Epoch {
+	if view.Epoch > n.newestView.Epoch || len(n.newestView.Witnesses) == 0 {
+		if n.active && view.Epoch > n.newestView.Epoch {
 			n.leaseEnd = 0
 		}
-		n.seen = view
-		n.seenTill = max(n.seenTill, n.members.takeover(view, w.now))
+		n.newestView = view
+		n.takeoverAt = max(n.takeoverAt, n.members.takeoverTime(view, w.now))
 	}
 }
 
-func (n *node) hear(w *model, view View) {
+func (n *node) notePrimaryAlive(w *model, view View) {
 	n.observe(w, view)
-	if view.Epoch == n.seen.Epoch && !n.active {
-		n.seenTill = max(n.seenTill, n.members.takeover(view, w.now))
+	if view.Epoch == n.newestView.Epoch && !n.active {
+		n.takeoverAt = max(n.takeoverAt, n.members.takeoverTime(view, w.now))
 	}
 }
 
-func (n *node) resign(w *model) {
-	n.active, n.members.since, n.standAt, n.writing = false, 0, w.now+modelLease, nil
+func (n *node) stepDown(w *model) {
+	n.active, n.members.primarySince, n.nextCampaignAt, n.pendingWrite = false, 0, w.now+modelLease, nil
 }
 
 func (n *node) handOver(w *model) {
-	view := n.seen
-	n.resign(w)
-	for _, addr := range union(view.sets()...) {
-		if o := w.reach(n, addr); o != nil {
-			o.wit.release(view.Epoch)
+	view := n.newestView
+	n.stepDown(w)
+	for _, addr := range union(view.quorumSets()...) {
+		if o := w.reachable(n, addr); o != nil {
+			o.witness.release(view.Epoch)
 		}
 	}
 	for _, b := range view.Backups {
-		if o := w.reach(n, b.Addr); o != nil {
-			if o.seen.Epoch == view.Epoch {
-				o.seenTill, o.standAt = 0, 0
+		if o := w.reachable(n, b.Addr); o != nil {
+			if o.newestView.Epoch == view.Epoch {
+				o.takeoverAt, o.nextCampaignAt = 0, 0
 			}
 			return
 		}
@@ -211,35 +211,35 @@
 
 // write begins a change, if one may be taken now.
 func (n *node) write(w *model) bool {
-	if n.standing != nil || n.writing != nil || !n.leads(w.now) || n.epoch != n.seen.Epoch || w.writes == 60 {
+	if n.attempt != nil || n.pendingWrite != nil || !n.holdsLease(w.now) || n.epoch != n.newestView.Epoch || w.writes == 60 {
 		return false
 	}
-	if !w.holds("EnoughBackups", n.members.enoughBackups(n.seen, w.now)) || !w.holds("LargeEnough", n.members.largeEnough(n.seen, w.now)) {
+	if !w.guardHolds("EnoughBackups", n.members.enoughBackups(n.newestView, w.now)) || !w.guardHolds("LargeEnough", n.members.largeEnough(n.newestView, w.now)) {
 		return false
 	}
-	n.writing = &writing{n.seen, 1 << w.writes, backupAddrs(n.seen)}
+	n.pendingWrite = &pendingWrite{n.newestView, 1 << w.writes, backupAddrs(n.newestView)}
 	w.writes++
-	n.content |= n.writing.bit
+	n.content |= n.pendingWrite.bit
 	return true
 }
 
-func (c *writing) step(w *model, n *node) {
-	if len(c.todo) > 0 {
-		addr := c.todo[0]
-		c.todo = c.todo[1:]
-		if o := w.reach(n, addr); o != nil && o.epoch == n.epoch && o.content|c.bit == n.content && !o.active {
+func (c *pendingWrite) step(w *model, n *node) {
+	if len(c.pending) > 0 {
+		addr := c.pending[0]
+		c.pending = c.pending[1:]
+		if o := w.reachable(n, addr); o != nil && o.epoch == n.epoch && o.content|c.bit == n.content && !o.active {
 			o.content |= c.bit
 			return
 		}
-		n.writing = nil
+		n.pendingWrite = nil
 		n.members.shun(addr, w.now)
-		n.stand(w)
+		n.campaign(w)
 		return
 	}
-	n.writing = nil
-	if n.leads(w.now) && n.seen.Epoch == c.view.Epoch {
+	n.pendingWrite = nil
+	if n.holdsLease(w.now) && n.newestView.Epoch == c.view.Epoch {
 		w.acked |= c.bit
-		w.note("%s acknowledges %b", n.addr, c.bit)
+		w.logf("%s acknowledges %b", n.addr, c.bit)
 	}
 }
 
@@ -252,20 +252,20 @@
 			n.tick(w)
 		}
 		if calm {
-			w.settleSteps()
+			w.runPendingSteps()
 		}
 	}
 }
 
 func (n *node) tick(w *model) {
-	if n.active && !n.leads(w.now) {
-		n.resign(w)
+	if n.active && !n.holdsLease(w.now) {
+		n.stepDown(w)
 	}
-	if n.wit.abstains {
-		n.wit.meets(w.alive(n)...)
+	if n.witness.abstains {
+		n.witness.noteContact(w.reachablePeers(n)...)
 	}
-	if n.wit.abstains && w.now-n.backAt >= modelLease {
-		n.recover(w)
+	if n.witness.abstains && w.now-n.backAt >= modelLease {
+		n.recoverRegister(w)
 	}
 	if n.active {
 		n.renew(w)
@@ -273,76 +273,76 @@
 	if n.leaving && n.leave(w) {
 		return
 	}
-	at := max(n.seenTill, n.standAt)
+	campaignNotBefore := max(n.takeoverAt, n.nextCampaignAt)
 	if n.leaving {
-		at += modelLease / 2
+		campaignNotBefore += modelLease / 2
 	}
-	may := w.holds("MembersStand", n.members.mayStand(n.seen, !n.wit.abstains && n.seen.Epoch == 0)) && (!n.leaving || w.without != "LeavingStands")
+	mayCampaign := w.guardHolds("MembersStand", n.members.mayCampaign(n.newestView, !n.witness.abstains && n.newestView.Epoch == 0)) && (!n.leaving || w.disabledGuard != "LeavingStands")
 	switch {
-	case n.standing != nil || n.writing != nil:
-	case n.leads(w.now) && w.now >= n.standAt && (max(n.tried, n.epoch) > n.seen.Epoch || n.members.wantsAnother(n.seen, w.now)):
-		n.stand(w)
-	case !n.active && w.now >= at && may:
-		n.stand(w)
-	case !n.active && w.now >= at && n.seen.Epoch > 0:
-		for _, addr := range union([]string{n.seen.Primary.Addr}, backupAddrs(n.seen)) {
-			if o := w.reach(n, addr); o != nil {
-				o.observe(w, n.seen)
+	case n.attempt != nil || n.pendingWrite != nil:
+	case n.holdsLease(w.now) && w.now >= n.nextCampaignAt && (max(n.highestEpochTried, n.epoch) > n.newestView.Epoch || n.members.wantsNewView(n.newestView, w.now)):
+		n.campaign(w)
+	case !n.active && w.now >= campaignNotBefore && mayCampaign:
+		n.campaign(w)
+	case !n.active && w.now >= campaignNotBefore && n.newestView.Epoch > 0:
+		for _, addr := range union([]string{n.newestView.Primary.Addr}, backupAddrs(n.newestView)) {
+			if o := w.reachable(n, addr); o != nil {
+				o.observe(w, n.newestView)
 			}
 		}
 	}
 }
 
 func (n *node) renew(w *model) {
-	view, granted := n.seen, map[string]bool{}
-	for _, addr := range union(union(view.sets()...), backupAddrs(view), w.alive(n)) {
-		o := w.reach(n, addr)
+	view, granted := n.newestView, map[string]bool{}
+	for _, addr := range union(union(view.quorumSets()...), backupAddrs(view), w.reachablePeers(n)) {
+		o := w.reachable(n, addr)
 		if addr == n.addr {
 			o = n
 		}
 		i := slices.IndexFunc(view.Backups, func(b Member) bool { return b.Addr == addr })
 		if o == nil {
-			n.missed[addr]++
-		} else if delete(n.missed, addr); view.Epoch >= o.seen.Epoch {
-			a, _ := o.wit.renew(w.now, view)
-			o.reg = o.wit.reg
-			o.hear(w, view)
+			n.missedRenewals[addr]++
+		} else if delete(n.missedRenewals, addr); view.Epoch >= o.newestView.Epoch {
+			a, _ := o.witness.renew(w.now, view)
+			o.reg = o.witness.reg
+			o.notePrimaryAlive(w, view)
 			if granted[addr] = a.Granted; a.Granted {
-				n.members.heard[addr] = w.now
-			} else if w.without != "RefusalsHeeded" {
-				n.tried = max(n.tried, a.Promised)
+				n.members.lastHeard[addr] = w.now
+			} else if w.disabledGuard != "RefusalsHeeded" {
+				n.highestEpochTried = max(n.highestEpochTried, a.Promised)
 			}
 		}
-		if i >= 0 && (n.missed[addr] >= missedMost || o != nil && w.without != "RenewalNamesDisk" && o.disk != view.Backups[i].Disk) {
-			delete(n.missed, addr)
+		if i >= 0 && (n.missedRenewals[addr] >= maxMissedRenewals || o != nil && w.disabledGuard != "RenewalNamesDisk" && o.disk != view.Backups[i].Disk) {
+			delete(n.missedRenewals, addr)
 			n.members.shun(addr, w.now)
 		}
 	}
-	if majorities(view.sets(), func(addr string) bool { return granted[addr] }) && n.active && n.seen.Epoch == view.Epoch {
+	if majorityOfEach(view.quorumSets(), func(addr string) bool { return granted[addr] }) && n.active && n.newestView.Epoch == view.Epoch {
 		n.leaseEnd = max(n.leaseEnd, w.now+modelLease)
-		n.seenTill = n.leaseEnd
+		n.takeoverAt = n.leaseEnd
 	}
 }
 
 // recover reads the others' registers.
-func (n *node) recover(w *model) {
-	for view, hop := n.seen, 0; hop < 8; hop++ {
-		answers := map[string]registerAnswer{}
-		for _, addr := range w.alive(n) {
+func (n *node) recoverRegister(w *model) {
+	for view, hop := n.newestView, 0; hop < 8; hop++ {
+		responses := map[string]registerResponse{}
+		for _, addr := range w.reachablePeers(n) {
 			o := w.at(addr)
-			answers[addr] = registerAnswer{o.wit.reg, o.wit.abstains}
+			responses[addr] = registerResponse{o.witness.reg, o.witness.abstains}
 		}
-		reg, newest, err := registerFrom(view, answers)
-		if w.without == "IntactOverlap" && err != nil && len(newest.Witnesses) > 0 {
+		reg, newest, err := registerFromPeers(view, responses)
+		if w.disabledGuard == "IntactOverlap" && err != nil && len(newest.Witnesses) > 0 {
 			reg, err = register{Promised: newest.Epoch, Accepted: newest}, nil
 		}
 		if err != nil {
 			return
 		}
 		if newest.Epoch == view.Epoch && len(view.Witnesses) > 0 {
-			reg = n.wit.restored(n.addr, reg)
+			reg = n.witness.restoredRegister(n.addr, reg)
 			n.observe(w, reg.Accepted)
-			n.reg, n.wit.reg, n.wit.abstains = reg, reg, false
+			n.reg, n.witness.reg, n.witness.abstains = reg, reg, false
 			return
 		}
 		view = newest
@@ -352,16 +352,16 @@
 // leave does what Control state.Leave does at a time, and tells whether n has ended.
 func (n *node) leave(w *model) bool {
 	switch {
-	case n.standing != nil || n.writing != nil:
+	case n.attempt != nil || n.pendingWrite != nil:
 	case n.active:
 		n.handOver(w)
-	case !n.seen.Has(n.self()) && !slices.Contains(union(n.seen.sets()...), n.addr) || w.without == "LeaveWaits":
+	case !n.newestView.Has(n.self()) && !slices.Contains(union(n.newestView.quorumSets()...), n.addr) || w.disabledGuard == "LeaveWaits":
 		n.end(w)
 		return true
 	default:
-		if p := w.reach(n, n.seen.Primary.Addr); p != nil && p != n {
-			p.members.leaves(n.addr, w.now)
-			if n.observe(w, p.seen); p.leads(w.now) && p.members.dispensable(p.seen, n.self(), w.now) {
+		if p := w.reachable(n, n.newestView.Primary.Addr); p != nil && p != n {
+			p.members.noteLeaving(n.addr, w.now)
+			if n.observe(w, p.newestView); p.holdsLease(w.now) && p.members.safeToRemove(p.newestView, n.self(), w.now) {
 				n.end(w)
 				return true
 			}
@@ -371,15 +371,15 @@
 }
 
 func (n *node) end(w *model) {
-	w.note("%s ends", n.addr)
+	w.logf("%s ends", n.addr)
 	n.stop()
-	n.counted = true
+	n.countedLost = true
 }
 
 // busy lists the control nodes that have a call to make.
-func (w *model) busy() (out []*node) {
+func (w *model) nodesWithPendingStep() (out []*node) {
 	for _, n := range w.nodes {
-		if n.up && (n.standing != nil || n.writing != nil) {
+		if n.up && (n.attempt != nil || n.pendingWrite != nil) {
 			out = append(out, n)
 		}
 	}
@@ -387,17 +387,17 @@
 }
 
 func (n *node) step(w *model) {
-	if n.standing != nil {
-		n.standing.step(w, n)
-	} else if n.writing != nil {
-		n.writing.step(w, n)
+	if n.attempt != nil {
+		n.attempt.step(w, n)
+	} else if n.pendingWrite != nil {
+		n.pendingWrite.step(w, n)
 	}
 }
 
 // settleSteps carries out all calls that are due.
-func (w *model) settleSteps() {
+func (w *model) runPendingSteps() {
 	for range 500 {
-		busy := w.busy()
+		busy := w.nodesWithPendingStep()
 		if len(busy) == 0 {
 			return
 		}
--- a/internal/controlstate/model_troubles_test.go
+++ b/internal/controlstate/model_troubles_test.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-func (w *model) lost() (n int) {
+func (w *model) lostCount() (n int) {
 	for _, o := range w.nodes {
-		if o.counted && !o.gone {
+		if o.countedLost && !o.retired {
 			n++
 		}
 	}
@@ -17,9 +17,9 @@
 }
 
 // leaving counts those that are about to end, and not lost yet.
-func (w *model) leaving() (n int) {
+func (w *model) leavingCount() (n int) {
 	for _, o := range w.nodes {
-		if o.up && o.leaving && !o.counted {
+		if o.up && o.leaving && !o.countedLost {
 			n++
 		}
 	}
@@ -27,55 +27,55 @@
 }
 
 // fault has the environment do something that it may do now.
-func (w *model) fault() {
+func (w *model) randomFault() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if m := w.members(); len(m) > 0 && w.rng.IntN(2) == 0 {
 		n = m[w.rng.IntN(len(m))]
 	}
-	if kinds := []trouble{wiped, killed, cut, left, replaced, back, back, back}; !n.gone {
-		w.do(n, kinds[w.rng.IntN(len(kinds))])
+	if kinds := []faultKind{wiped, killed, cutOff, toldToLeave, replaced, returned, returned, returned}; !n.retired {
+		w.inject(n, kinds[w.rng.IntN(len(kinds))])
 	}
 }
 
 // trouble is what the environment may do to a control node.
-type trouble int
+type faultKind int
 
 // do has the environment do something, if it may now; it tells whether it did.
-func (w *model) do(n *node, what trouble) bool {
-	if n.gone || w.succeeded(n) {
+func (w *model) inject(n *node, what faultKind) bool {
+	if n.retired || w.hasSuccessor(n) {
 		return false
 	}
-	lost, leaving := w.lost(), w.leaving()
-	w.over = w.over || lost > w.f // one left while another was lost: no more, till they are back
-	mayLose := (lost+max(0, leaving-1) < w.f || n.counted && lost == w.f) && !w.over
+	lost, leaving := w.lostCount(), w.leavingCount()
+	w.overBudget = w.overBudget || lost > w.f // one left while another was lost: no more, till they are back
+	mayLose := (lost+max(0, leaving-1) < w.f || n.countedLost && lost == w.f) && !w.overBudget
 	switch {
 	case what <= killed && n.up && mayLose:
-		n.counted = true
+		n.countedLost = true
 		if n.stop(); what == wiped {
 			n.wipe(w)
 		}
-		w.note("%s lost, wiped %v", n.addr, what == wiped)
-	case what == cut && n.up && !n.far && (mayLose || w.cuts):
-		w.note("%s cut off", n.addr)
-		n.counted, n.far = n.counted || !w.cuts, true
-	case what == killed && n.up && w.cuts:
-		w.note("%s down", n.addr)
+		w.logf("%s lost, wiped %v", n.addr, what == wiped)
+	case what == cutOff && n.up && !n.partitioned && (mayLose || w.anyCuts):
+		w.logf("%s cut off", n.addr)
+		n.countedLost, n.partitioned = n.countedLost || !w.anyCuts, true
+	case what == killed && n.up && w.anyCuts:
+		w.logf("%s down", n.addr)
 		n.stop()
-	case what == left && n.up && !n.leaving && !n.far && lost+leaving < w.f && !w.over:
-		w.note("%s leaves", n.addr)
+	case what == toldToLeave && n.up && !n.leaving && !n.partitioned && lost+leaving < w.f && !w.overBudget:
+		w.logf("%s leaves", n.addr)
 		n.leaving = true
 	case what == replaced && !n.up && mayLose && len(w.nodes) < 12:
-		w.note("%s replaced by %c", n.addr, rune('a'+len(w.nodes)))
-		n.counted, n.epoch, n.content, n.reg = true, 0, 0, register{}
-		s := w.add()
-		s.before = n
-		s.counted = false // its predecessor is, until it has caught up
+		w.logf("%s replaced by %c", n.addr, rune('a'+len(w.nodes)))
+		n.countedLost, n.epoch, n.content, n.reg = true, 0, 0, register{}
+		s := w.addNode()
+		s.predecessor = n
+		s.countedLost = false // its predecessor is, until it has caught up
 		s.start(w)
-	case what == back && n.far:
-		w.note("%s joined again", n.addr)
-		n.far, n.backAt = false, w.now
-	case what == back && !n.up:
-		w.note("%s back", n.addr)
+	case what == returned && n.partitioned:
+		w.logf("%s joined again", n.addr)
+		n.partitioned, n.backAt = false, w.now
+	case what == returned && !n.up:
+		w.logf("%s back", n.addr)
 		n.start(w)
 	default:
 		return false
@@ -83,8 +83,8 @@
 	return true
 }
 
-func (w *model) succeeded(n *node) bool {
-	return slices.ContainsFunc(w.nodes, func(o *node) bool { return o.before == n })
+func (w *model) hasSuccessor(n *node) bool {
+	return slices.ContainsFunc(w.nodes, func(o *node) bool { return o.predecessor == n })
 }
 
 // wipe empties the disk.
@@ -95,14 +95,14 @@
 
 // count has those that are back for catchup count no more, if what the primary
 // wants to repair is repaired: that it is by then, the simulations show.
-func (w *model) count() {
-	if w.over = w.over && w.lost() > 0; !slices.ContainsFunc(w.nodes, w.repaired) {
+func (w *model) clearRecovered() {
+	if w.overBudget = w.overBudget && w.lostCount() > 0; !slices.ContainsFunc(w.nodes, w.repaired) {
 		return
 	}
 	for _, n := range w.nodes {
-		if n.up && !n.far && !n.leaving && w.now-n.backAt >= modelCatch {
-			if n.counted = false; n.before != nil {
-				n.before.gone, n.before = true, nil
+		if n.up && !n.partitioned && !n.leaving && w.now-n.backAt >= modelCatch {
+			if n.countedLost = false; n.predecessor != nil {
+				n.predecessor.retired, n.predecessor = true, nil
 			}
 		}
 	}
@@ -110,11 +110,11 @@
 
 // repaired tells whether n is the primary, and wants nothing more.
 func (w *model) repaired(n *node) bool {
-	if !n.up || n.far || n.leaving || !n.leads(w.now) || max(n.tried, n.epoch) > n.seen.Epoch || n.members.wantsAnother(n.seen, w.now) || w.now-n.members.since < 2*tick {
+	if !n.up || n.partitioned || n.leaving || !n.holdsLease(w.now) || max(n.highestEpochTried, n.epoch) > n.newestView.Epoch || n.members.wantsNewView(n.newestView, w.now) || w.now-n.members.primarySince < 2*tick {
 		return false
 	}
 	for _, o := range w.nodes {
-		if o != n && o.up && !o.far && !o.leaving && !n.members.fresh(o.addr, w.now) {
+		if o != n && o.up && !o.partitioned && !o.leaving && !n.members.isLive(o.addr, w.now) {
 			return false
 		}
 	}
@@ -122,46 +122,46 @@
 }
 
 // check looks at what must hold at every moment.
-func (w *model) check() {
+func (w *model) checkInvariants() {
 	held := slices.ContainsFunc(w.nodes, func(n *node) bool { return n.content&w.acked == w.acked })
 	if !held {
-		w.breaks("AcknowledgedSurvives", "%b is on no disk", w.acked)
+		w.violate("AcknowledgedSurvives", "%b is on no disk", w.acked)
 	}
-	leads := ""
+	holders := ""
 	for _, n := range w.nodes {
-		if n.up && n.leads(w.now) {
-			leads += n.addr
+		if n.up && n.holdsLease(w.now) {
+			holders += n.addr
 		}
 	}
-	if len(leads) > 1 {
-		w.breaks("OneLease", "%s hold one", leads)
+	if len(holders) > 1 {
+		w.violate("OneLease", "%s hold one", holders)
 	}
 }
 
 // remains checks that the control nodes go on by themselves: those that run now, if
 // they are more than half, or all after those that are lost are back.
-func (w *model) remains(back bool) {
-	if (w.over || w.lost()+w.leaving() > w.f) && !back || w.broken != "" {
+func (w *model) checkMajorityRemains(back bool) {
+	if (w.overBudget || w.lostCount()+w.leavingCount() > w.f) && !back || w.violation != "" {
 		return
 	}
 	c := w.clone()
 	up, all := 0, 0
 	for _, n := range c.nodes {
-		if n.gone || c.succeeded(n) {
+		if n.retired || c.hasSuccessor(n) {
 			continue
 		}
-		if all++; back && n.far {
-			n.far = false
+		if all++; back && n.partitioned {
+			n.partitioned = false
 		}
 		if back && !n.up {
 			n.start(c)
 		}
-		if n.leaving = false; n.up && !n.far {
+		if n.leaving = false; n.up && !n.partitioned {
 			up++
 		}
 	}
 	if all <= 2*w.f && !back {
-		up -= c.unplaced() // they are taken in once another is back
+		up -= c.returnedWithoutSeat() // they are taken in once another is back
 	}
 	if 2*up <= all {
 		return
@@ -170,31 +170,31 @@
 		c.tick(true)
 		for _, n := range c.nodes {
 			if before := c.acked; n.up && n.write(c) {
-				for n.writing != nil {
-					n.writing.step(c, n)
+				for n.pendingWrite != nil {
+					n.pendingWrite.step(c, n)
 				}
 				if c.acked != before {
-					w.broken = c.broken
+					w.violation = c.violation
 					return
 				}
 			}
 		}
 	}
 	w.trace = c.trace
-	w.breaks("MajorityRemains", "%d of %d run, and no change is taken", up, all)
+	w.violate("MajorityRemains", "%d of %d run, and no change is taken", up, all)
 }
 
 // unplaced counts the control nodes that have come back, and whose place among the witnesses
 // a newcomer has, rather than that of the one that is gone for good.
-func (w *model) unplaced() (n int) {
+func (w *model) returnedWithoutSeat() (n int) {
 	var newest View
 	for _, o := range w.nodes {
-		if o.up && o.seen.Epoch > newest.Epoch {
-			newest = o.seen
+		if o.up && o.newestView.Epoch > newest.Epoch {
+			newest = o.newestView
 		}
 	}
 	for _, o := range w.nodes {
-		if o.up && !o.far && o.counted && o.before == nil && !slices.Contains(newest.Witnesses, o.addr) {
+		if o.up && !o.partitioned && o.countedLost && o.predecessor == nil && !slices.Contains(newest.Witnesses, o.addr) {
 			n++
 		}
 	}
@@ -207,56 +207,56 @@
 	c.leaders, c.trace, c.nodes = maps.Clone(w.leaders), slices.Clone(w.trace), nil
 	for _, n := range w.nodes {
 		o := *n
-		o.missed, o.members.heard, o.members.shunned, o.members.leaving = maps.Clone(n.missed), maps.Clone(n.members.heard), maps.Clone(n.members.shunned), maps.Clone(n.members.leaving)
-		o.members.failing = maps.Clone(n.members.failing)
-		if n.standing != nil {
-			s := *n.standing
-			s.disks, s.answers, s.granted = maps.Clone(s.disks), maps.Clone(s.answers), maps.Clone(s.granted)
-			o.standing = &s
+		o.missedRenewals, o.members.lastHeard, o.members.excludedUntil, o.members.leaveNoticeAt = maps.Clone(n.missedRenewals), maps.Clone(n.members.lastHeard), maps.Clone(n.members.excludedUntil), maps.Clone(n.members.leaveNoticeAt)
+		o.members.copyFailingSince = maps.Clone(n.members.copyFailingSince)
+		if n.attempt != nil {
+			s := *n.attempt
+			s.disks, s.responses, s.granted = maps.Clone(s.disks), maps.Clone(s.responses), maps.Clone(s.granted)
+			o.attempt = &s
 		}
-		if n.writing != nil {
-			wr := *n.writing
-			o.writing = &wr
+		if n.pendingWrite != nil {
+			wr := *n.pendingWrite
+			o.pendingWrite = &wr
 		}
 		c.nodes = append(c.nodes, &o)
 	}
 	for _, o := range c.nodes {
-		if o.before != nil {
-			o.before = c.at(o.before.addr)
+		if o.predecessor != nil {
+			o.predecessor = c.at(o.predecessor.addr)
 		}
 	}
 	return &c
 }
 
 // walk plays one random history and returns the model.
-func walk(seed uint64, f, controlNodes int, without string) *model {
+func randomHistory(seed uint64, f, controlNodes int, without string) *model {
 	w := newModel(seed, f, controlNodes, without).boot()
-	w.wander(160)
-	if w.broken != "" {
+	w.randomSteps(160)
+	if w.violation != "" {
 		return w
 	}
-	w.remains(false)
-	w.close()
+	w.checkMajorityRemains(false)
+	w.loseRemaining()
 	if w.rng.IntN(2) == 0 {
-		w.power()
+		w.powerCycle()
 	}
-	w.check()
-	w.remains(true)
+	w.checkInvariants()
+	w.checkMajorityRemains(true)
 	return w
 }
 
 // wander plays so many random steps, or fewer if an invariant breaks.
-func (w *model) wander(steps int) {
+func (w *model) randomSteps(steps int) {
 	for range steps {
-		busy := w.busy()
+		busy := w.nodesWithPendingStep()
 		switch r := w.rng.IntN(100); {
 		case r < 12:
-			w.fault()
+			w.randomFault()
 			for w.rng.IntN(2) == 0 { // troubles come together
-				w.fault()
+				w.randomFault()
 			}
 		case r == 12 && w.rng.IntN(4) == 0:
-			w.power()
+			w.powerCycle()
 		case len(busy) > 0 && r < 98:
 			busy[w.rng.IntN(len(busy))].step(w)
 		case r < 30:
@@ -268,39 +268,39 @@
 		default:
 			w.tick(false)
 		}
-		if len(w.busy()) == 0 {
-			w.count()
+		if len(w.nodesWithPendingStep()) == 0 {
+			w.clearRecovered()
 		}
-		w.check()
-		if w.broken != "" {
+		w.checkInvariants()
+		if w.violation != "" {
 			return
 		}
-		if !w.cuts && w.rng.IntN(40) == 0 {
-			w.remains(w.rng.IntN(2) == 0)
+		if !w.anyCuts && w.rng.IntN(40) == 0 {
+			w.checkMajorityRemains(w.rng.IntN(2) == 0)
 		}
 	}
 }
 
 // power has all that run begin another life at once, with what is on disk. All
 // count as lost then.
-func (w *model) power() {
-	w.note("power")
+func (w *model) powerCycle() {
+	w.logf("power")
 	for _, n := range w.nodes {
 		if n.up {
 			n.stop()
 			n.start(w)
-			n.counted, w.over = true, true
+			n.countedLost, w.overBudget = true, true
 		}
 	}
 }
 
 // close has as many lose their disks as still may be lost, those first that
 // keep the newest view's state.
-func (w *model) close() {
+func (w *model) loseRemaining() {
 	for _, n := range w.members() {
-		if n.up && (n.counted || w.lost()+max(0, w.leaving()-1) < w.f) && !w.over {
-			w.note("%s lost at the end", n.addr)
-			n.counted = true
+		if n.up && (n.countedLost || w.lostCount()+max(0, w.leavingCount()-1) < w.f) && !w.overBudget {
+			w.logf("%s lost at the end", n.addr)
+			n.countedLost = true
 			n.stop()
 			n.wipe(w)
 		}
@@ -311,8 +311,8 @@
 func (w *model) members() (out []*node) {
 	var view View
 	for _, n := range w.nodes {
-		if n.up && n.seen.Epoch > view.Epoch {
-			view = n.seen
+		if n.up && n.newestView.Epoch > view.Epoch {
+			view = n.newestView
 		}
 	}
 	for _, addr := range append([]string{view.Primary.Addr}, backupAddrs(view)...) {
@@ -324,10 +324,10 @@
 }
 
 const (
-	wiped trouble = iota // lost with its disk
+	wiped faultKind = iota // lost with its disk
 	killed
-	cut
-	left // told to end
+	cutOff
+	toldToLeave // told to end
 	replaced
-	back
+	returned
 )
--- a/internal/controlstate/model_votes_test.go
+++ b/internal/controlstate/model_votes_test.go
@@ -8,45 +8,45 @@
 )
 
 // standing is an attempt to become primary, or to form another view, under way.
-type standing struct {
-	known   View
-	view    View
-	sets    [][]string
-	was     bool // primary already
-	todo    []string
-	phase   int  // 0 promises, 1 copies, 2 acceptances
-	further bool // newcomers were asked too
-	disks   map[string]string
-	answers map[string]promiseAnswer
-	granted map[string]bool
-	start   kernel.Micros
+type attempt struct {
+	known          View
+	view           View
+	sets           [][]string
+	wasActive      bool // primary already
+	pending        []string
+	phase          int  // 0 promises, 1 copies, 2 acceptances
+	askedNewcomers bool // newcomers were asked too
+	disks          map[string]string
+	responses      map[string]promiseResponse
+	granted        map[string]bool
+	start          kernel.Micros
 }
 
 // stand begins an attempt.
-func (n *node) stand(w *model) {
-	epoch := max(n.wit.reg.Promised, n.seen.Epoch, n.epoch, n.tried) + 1
-	s := &standing{known: n.seen, was: n.active, disks: map[string]string{}, answers: map[string]promiseAnswer{}, granted: map[string]bool{}}
-	if n.tentative.Epoch > n.seen.Epoch {
-		s.known = n.tentative
+func (n *node) campaign(w *model) {
+	epoch := max(n.witness.reg.Promised, n.newestView.Epoch, n.epoch, n.highestEpochTried) + 1
+	s := &attempt{known: n.newestView, wasActive: n.active, disks: map[string]string{}, responses: map[string]promiseResponse{}, granted: map[string]bool{}}
+	if n.lastProposed.Epoch > n.newestView.Epoch {
+		s.known = n.lastProposed
 	}
 	s.view, s.sets = n.members.proposal(s.known, n.active, epoch, w.now)
-	if w.without == "BothSetsAgree" && len(s.view.Prior) > 0 {
+	if w.disabledGuard == "BothSetsAgree" && len(s.view.Prior) > 0 {
 		s.view.Prior, s.sets = nil, s.sets[1:]
 	}
-	s.todo = union(slices.Concat(s.sets, s.known.chain())...)
-	w.rng.Shuffle(len(s.todo), func(i, j int) { s.todo[i], s.todo[j] = s.todo[j], s.todo[i] })
-	n.standing = s
+	s.pending = union(slices.Concat(s.sets, s.known.witnessSets())...)
+	w.rng.Shuffle(len(s.pending), func(i, j int) { s.pending[i], s.pending[j] = s.pending[j], s.pending[i] })
+	n.attempt = s
 }
 
 func (n *node) fail(w *model) {
-	w.vain("%s stands for %d in vain in phase %d: promised %v accepted %v", n.addr, n.standing.view.Epoch, n.standing.phase, n.standing.disks, n.standing.granted)
-	n.standing = nil
-	n.standAt = w.now + modelLease/24 + kernel.Micros(w.rng.IntN(int(modelLease/12)))
+	w.logFailedAttempt("%s stands for %d in vain in phase %d: promised %v accepted %v", n.addr, n.attempt.view.Epoch, n.attempt.phase, n.attempt.disks, n.attempt.granted)
+	n.attempt = nil
+	n.nextCampaignAt = w.now + modelLease/24 + kernel.Micros(w.rng.IntN(int(modelLease/12)))
 }
 
 // step carries an attempt on by one call.
-func (s *standing) step(w *model, n *node) {
-	if s.was && !n.active {
+func (s *attempt) step(w *model, n *node) {
+	if s.wasActive && !n.active {
 		n.fail(w)
 		return
 	}
@@ -60,39 +60,39 @@
 	}
 }
 
-func (s *standing) promise(w *model, n *node) {
-	won := majorities(s.sets, has(s.disks))
-	if len(s.todo) > 0 && !won {
-		addr := s.todo[0]
-		s.todo = s.todo[1:]
-		if o := w.reach(n, addr); o != nil {
-			a, err := o.wit.promise(w.now, promiseAsk{Epoch: s.view.Epoch, From: n.self()})
+func (s *attempt) promise(w *model, n *node) {
+	won := majorityOfEach(s.sets, has(s.disks))
+	if len(s.pending) > 0 && !won {
+		addr := s.pending[0]
+		s.pending = s.pending[1:]
+		if o := w.reachable(n, addr); o != nil {
+			a, err := o.witness.promise(w.now, promiseRequest{Epoch: s.view.Epoch, From: n.self()})
 			if err == nil {
 				if a.Granted {
-					o.reg = o.wit.reg
+					o.reg = o.witness.reg
 					s.disks[addr] = o.disk
 				}
-				s.answers[addr] = a
-				n.tried = max(n.tried, a.Promised)
+				s.responses[addr] = a
+				n.highestEpochTried = max(n.highestEpochTried, a.Promised)
 			}
 		}
 		return
 	}
-	if asked := w.alive(n); !won && !s.further && n.members.halfLeft(s.known, s.answers) {
-		s.further = true
+	if peers := w.reachablePeers(n); !won && !s.askedNewcomers && n.members.halfSurvives(s.known, s.responses) {
+		s.askedNewcomers = true
 		voters := union(s.sets...)
-		s.todo = slices.DeleteFunc(asked, func(addr string) bool { return slices.Contains(voters, addr) })
+		s.pending = slices.DeleteFunc(peers, func(addr string) bool { return slices.Contains(voters, addr) })
 		return
 	}
-	gone := slices.DeleteFunc(n.members.suspects(s.known, s.answers), func(addr string) bool { return w.reach(n, addr) != nil })
-	if w.without == "GoneIsShown" {
-		gone = n.members.silentOf(s.known.standing(), has(s.disks), nil)
+	unreachable := slices.DeleteFunc(n.members.suspects(s.known, s.responses), func(addr string) bool { return w.reachable(n, addr) != nil })
+	if w.disabledGuard == "GoneIsShown" {
+		unreachable = n.members.nonVotersOf(s.known.establishedWitnesses(), has(s.disks), nil)
 	}
-	if view, ok := n.members.succession(s.known, s.view, s.answers, gone); !won && ok {
-		s.view, s.sets, won = view, view.sets(), true
+	if view, ok := n.members.succession(s.known, s.view, s.responses, unreachable); !won && ok {
+		s.view, s.sets, won = view, view.quorumSets(), true
 	}
-	n.tried = max(n.tried, s.view.Epoch)
-	if highest := highestInForce(s.view.Epoch, s.answers); highest.Epoch > s.known.Epoch && w.without != "NewerViewStops" {
+	n.highestEpochTried = max(n.highestEpochTried, s.view.Epoch)
+	if highest := highestBindingView(s.view.Epoch, s.responses); highest.Epoch > s.known.Epoch && w.disabledGuard != "NewerViewStops" {
 		n.observe(w, highest)
 		n.fail(w)
 		return
@@ -102,14 +102,14 @@
 		return
 	}
 	n.epoch = s.view.Epoch
-	s.phase, s.todo = 1, n.members.candidates(s.known, w.alive(n), has(s.disks), w.now)
+	s.phase, s.pending = 1, n.members.candidates(s.known, w.reachablePeers(n), has(s.disks), w.now)
 }
 
-func (s *standing) copy(w *model, n *node) {
-	if len(s.todo) > 0 && len(s.view.Backups) < n.members.copies() {
-		addr := s.todo[0]
-		s.todo = s.todo[1:]
-		if o := w.reach(n, addr); o != nil && s.view.Epoch > o.epoch && !o.leads(w.now) && !o.leaving {
+func (s *attempt) copy(w *model, n *node) {
+	if len(s.pending) > 0 && len(s.view.Backups) < n.members.copies() {
+		addr := s.pending[0]
+		s.pending = s.pending[1:]
+		if o := w.reachable(n, addr); o != nil && s.view.Epoch > o.epoch && !o.holdsLease(w.now) && !o.leaving {
 			o.epoch, o.content = s.view.Epoch, n.content
 			s.view.Backups = append(slices.Clone(s.view.Backups), o.self())
 			n.members.took(addr)
@@ -118,56 +118,56 @@
 		}
 		return
 	}
-	if len(s.view.Backups) == 0 || !w.holds("EnoughBackups", n.members.enoughCopies(backupAddrs(s.view), slices.Collect(maps.Keys(s.disks)), has(s.disks), w.now)) {
+	if len(s.view.Backups) == 0 || !w.guardHolds("EnoughBackups", n.members.enoughCopies(backupAddrs(s.view), slices.Collect(maps.Keys(s.disks)), has(s.disks), w.now)) {
 		n.fail(w)
 		return
 	}
-	n.tentative = s.view
-	s.phase, s.start, s.todo = 2, w.now, slices.Sorted(maps.Keys(s.disks))
-	w.rng.Shuffle(len(s.todo), func(i, j int) { s.todo[i], s.todo[j] = s.todo[j], s.todo[i] })
+	n.lastProposed = s.view
+	s.phase, s.start, s.pending = 2, w.now, slices.Sorted(maps.Keys(s.disks))
+	w.rng.Shuffle(len(s.pending), func(i, j int) { s.pending[i], s.pending[j] = s.pending[j], s.pending[i] })
 }
 
-func (s *standing) accept(w *model, n *node) {
-	won := majorities(s.sets, func(addr string) bool { return s.granted[addr] })
-	if len(s.todo) > 0 && !won {
-		addr := s.todo[0]
-		s.todo = s.todo[1:]
-		if o := w.reach(n, addr); o != nil && o.disk == s.disks[addr] {
-			if a, _ := o.wit.accept(w.now, s.view); a.Granted {
-				o.reg = o.wit.reg
+func (s *attempt) accept(w *model, n *node) {
+	won := majorityOfEach(s.sets, func(addr string) bool { return s.granted[addr] })
+	if len(s.pending) > 0 && !won {
+		addr := s.pending[0]
+		s.pending = s.pending[1:]
+		if o := w.reachable(n, addr); o != nil && o.disk == s.disks[addr] {
+			if a, _ := o.witness.accept(w.now, s.view); a.Granted {
+				o.reg = o.witness.reg
 				if s.granted[addr] = true; o != n {
-					o.hear(w, s.view)
+					o.notePrimaryAlive(w, s.view)
 				}
 			}
 		}
 		return
 	}
-	if !won || n.seen.Epoch > s.view.Epoch {
+	if !won || n.newestView.Epoch > s.view.Epoch {
 		n.fail(w)
 		return
 	}
-	n.standing = nil
+	n.attempt = nil
 	if !n.active {
-		n.members.since = w.now
+		n.members.primarySince = w.now
 		for addr := range s.disks {
-			n.members.heard[addr] = w.now
+			n.members.lastHeard[addr] = w.now
 		}
 	}
-	n.active, n.seen, n.leaseEnd = true, s.view, s.start+modelLease
-	n.seenTill = n.leaseEnd
-	clear(n.missed)
-	w.note("%s leads %d with %v of %v %v %v", n.addr, s.view.Epoch, backupAddrs(s.view), s.view.Witnesses, s.view.Prior, s.view.Unanimous)
+	n.active, n.newestView, n.leaseEnd = true, s.view, s.start+modelLease
+	n.takeoverAt = n.leaseEnd
+	clear(n.missedRenewals)
+	w.logf("%s leads %d with %v of %v %v %v", n.addr, s.view.Epoch, backupAddrs(s.view), s.view.Witnesses, s.view.Prior, s.view.Unanimous)
 	if len(s.view.Unanimous) > 0 {
-		w.taken++
+		w.newcomerViews++
 	}
-	if n.leads(w.now) && n.content&w.acked != w.acked {
-		w.breaks("OldStateNeverLeads", "%s leads epoch %d with %b of %b", n.addr, s.view.Epoch, n.content, w.acked)
+	if n.holdsLease(w.now) && n.content&w.acked != w.acked {
+		w.violate("OldStateNeverLeads", "%s leads epoch %d with %b of %b", n.addr, s.view.Epoch, n.content, w.acked)
 	}
 	if other := w.leaders[s.view.Epoch]; other != "" && other != n.disk {
-		w.breaks("OnePrimaryPerEpoch", "%s and %s in epoch %d", other, n.disk, s.view.Epoch)
+		w.violate("OnePrimaryPerEpoch", "%s and %s in epoch %d", other, n.disk, s.view.Epoch)
 	}
 	w.leaders[s.view.Epoch] = n.disk
-	if s.view.inChange() && w.without != "PriorLetGoAtOnce" {
-		n.stand(w)
+	if s.view.inTransition() && w.disabledGuard != "PriorLetGoAtOnce" {
+		n.campaign(w)
 	}
 }
--- a/internal/controlstate/plugin.go
+++ b/internal/controlstate/plugin.go
@@ -19,14 +19,14 @@
 			ring := kernel.Need[*membership.Ring](k)
 			v, err := Open(k, kernel.Need[*rpc.Endpoint](k), Config{
 				Name: s.NodeName, Dir: s.DataDir, Bootstrap: s.Bootstrap,
-				Seeds:        func() []string { return book.Now().SeedPeers() },
-				Lease:        settings.Span(s.ControlLeaseMs),
-				Away:         settings.Span(s.WitnessAwayMs),
-				Catchup:      kernel.Micros(s.CatchupS) * kernel.Second,
-				Losses:       int(s.TolerateHosts),
-				ControlNodes: func() []string { return ring.Peers("control") },
-				Reachable:    ring.Reachable,
-				Changed:      ring.Changed,
+				Seeds:             func() []string { return book.Now().SeedPeers() },
+				Lease:             settings.Span(s.ControlLeaseMs),
+				WitnessTimeout:    settings.Span(s.WitnessAwayMs),
+				CatchupTimeout:    kernel.Micros(s.CatchupS) * kernel.Second,
+				Losses:            int(s.TolerateHosts),
+				ControlNodes:      func() []string { return ring.Peers("control") },
+				Reachable:         ring.Reachable,
+				MembershipChanged: ring.Changed,
 			})
 			if err != nil {
 				return err
--- a/internal/controlstate/term.go
+++ b/internal/controlstate/term.go
@@ -10,13 +10,13 @@
 
 // Lease returns how long the lease runs yet; nothing may be answered or done
 // as primary at or past its end.
-func (v *Replica) Lease() (epoch int64, left kernel.Micros) {
+func (v *Replica) Lease() (epoch int64, remaining kernel.Micros) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.leaseLeft()
+	return v.leaseRemaining()
 }
 
-func (v *Replica) leaseLeft() (epoch int64, left kernel.Micros) {
+func (v *Replica) leaseRemaining() (epoch int64, remaining kernel.Micros) {
 	now := v.k.Clock.Now()
 	if !v.leads(now) {
 		return 0, 0
@@ -55,10 +55,10 @@
 }
 
 // begin starts a term. The caller holds the lock.
-func (v *Replica) begin(epoch int64) {
+func (v *Replica) beginTerm(epoch int64) {
 	v.term = &Term{v: v, began: epoch}
-	v.term.ctx, v.endTerm = context.WithCancel(context.WithValue(context.Background(), termKey{}, v.term))
-	v.members.since = v.k.Clock.Now()
+	v.term.ctx, v.cancelTerm = context.WithCancel(context.WithValue(context.Background(), termKey{}, v.term))
+	v.members.primarySince = v.k.Clock.Now()
 }
 
 // Context ends with the term, at the latest before another one begins.
@@ -69,7 +69,7 @@
 
 // Lease returns the epoch and how long the lease runs yet, 0 if the term is
 // over.
-func (t *Term) Lease() (epoch int64, left kernel.Micros) {
+func (t *Term) Lease() (epoch int64, remaining kernel.Micros) {
 	if t == nil {
 		return 0, 0
 	}
@@ -78,42 +78,42 @@
 	if t.v.term != t {
 		return 0, 0
 	}
-	return t.v.leaseLeft()
+	return t.v.leaseRemaining()
 }
 
 // Valid tells whether the term runs.
 func (t *Term) Valid() bool {
-	_, left := t.Lease()
-	return left > 0
+	_, remaining := t.Lease()
+	return remaining > 0
 }
 
 // resign ends this control node's time as primary, and returns its last view; false
 // if it was none.
-func (v *Replica) resign(why string) (View, bool) {
+func (v *Replica) stepDown(reason string) (View, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.active {
 		return View{}, false
 	}
-	v.active, v.members.since = false, 0
-	v.endTerm()
-	v.k.Log.Info("no longer primary", "epoch", v.seen.Epoch, "why", why)
+	v.active, v.members.primarySince = false, 0
+	v.cancelTerm()
+	v.k.Log.Info("no longer primary", "epoch", v.seen.Epoch, "why", reason)
 	v.standAt = v.k.Clock.Now() + v.lease
 	v.changed.Ring()
 	return v.seen, true
 }
 
 // handOver gives the lease up before it ends and has the backups stand.
-func (v *Replica) handOver(why string) {
-	view, was := v.resign(why)
-	if !was {
+func (v *Replica) handOver(reason string) {
+	view, wasPrimary := v.stepDown(reason)
+	if !wasPrimary {
 		return
 	}
 	ctx := context.Background() // each call is bounded
-	ask(ctx, v, union(view.sets()...), "controlstate.release", func(string) any { return epochAsk{view.Epoch} },
-		func(got map[string]struct{}) bool { return majorities(view.sets(), has(got)) })
+	ask(ctx, v, union(view.quorumSets()...), "controlstate.release", func(string) any { return epochRequest{view.Epoch} },
+		func(got map[string]struct{}) bool { return majorityOfEach(view.quorumSets(), has(got)) })
 	for _, b := range view.Backups {
-		if v.endpoint.Call(ctx, b.Addr, "controlstate.succeed", epochAsk{view.Epoch}, nil, callWait) == nil {
+		if v.endpoint.Call(ctx, b.Addr, "controlstate.succeed", epochRequest{view.Epoch}, nil, callWait) == nil {
 			return
 		}
 	}
--- a/internal/controlstate/term_test.go
+++ b/internal/controlstate/term_test.go
@@ -35,7 +35,7 @@
 			}
 			w.Isolate(z, true)
 			time.Sleep(3 * time.Second)
-			if err := at(z).TryStand(t.Context()); !errors.Is(err, controlstate.ErrNotPrimary) {
+			if err := at(z).TryCampaign(t.Context()); !errors.Is(err, controlstate.ErrNotPrimary) {
 				t.Errorf("a control node that is no member stood: %v", err)
 			}
 			for range 20 {
--- a/internal/controlstate/view.go
+++ b/internal/controlstate/view.go
@@ -30,12 +30,12 @@
 // Has reports whether m, with its disk, keeps the state.
 func (v View) Has(m Member) bool { return m.same(v.Primary) || slices.ContainsFunc(v.Backups, m.same) }
 
-func (v View) is(o View) bool { return v.Epoch == o.Epoch && v.Primary == o.Primary }
+func (v View) sameAs(o View) bool { return v.Epoch == o.Epoch && v.Primary == o.Primary }
 
 // sets are the sets of witnesses of each of which a majority is needed.
-func (v View) sets() [][]string {
+func (v View) quorumSets() [][]string {
 	if len(v.Unanimous) == 0 {
-		return v.chain()
+		return v.witnessSets()
 	}
 	sets := [][]string{v.Witnesses}
 	for _, addr := range v.Unanimous {
@@ -46,7 +46,7 @@
 
 // chain are the view's witnesses and, during a change, those before it: whoever votes in
 // some later election is of these.
-func (v View) chain() [][]string {
+func (v View) witnessSets() [][]string {
 	if len(v.Prior) == 0 {
 		return [][]string{v.Witnesses}
 	}
@@ -55,7 +55,7 @@
 
 // standing are the witnesses that a majority of stands for as long as the view is not
 // followed: those before a change that may not be done.
-func (v View) standing() []string {
+func (v View) establishedWitnesses() []string {
 	if len(v.Prior) > 0 {
 		return v.Prior
 	}
@@ -64,7 +64,7 @@
 
 // inChange tells whether the view names more than its witnesses, and is to be followed by
 // one that does not.
-func (v View) inChange() bool { return len(v.Prior) > 0 || len(v.Unanimous) > 0 }
+func (v View) inTransition() bool { return len(v.Prior) > 0 || len(v.Unanimous) > 0 }
 
 // union lists the members of all sets once.
 func union(sets ...[]string) []string {
@@ -80,7 +80,7 @@
 }
 
 // majorities tells whether the voters are a majority of each set.
-func majorities(sets [][]string, voted func(addr string) bool) bool {
+func majorityOfEach(sets [][]string, voted func(addr string) bool) bool {
 	for _, set := range sets {
 		if 2*len(votersOf(set, voted)) <= len(set) {
 			return false
@@ -91,7 +91,7 @@
 
 // overlap tells whether the intact registers that were read must include one
 // of any majority that may have voted.
-func overlap(sets [][]string, read func(addr string) bool) bool {
+func intersectsEveryMajority(sets [][]string, read func(addr string) bool) bool {
 	for _, set := range sets {
 		if majority := len(set)/2 + 1; len(votersOf(set, read)) <= len(set)-majority {
 			return false
@@ -106,7 +106,7 @@
 }
 
 // except lists the addresses that are not among others; nil if there are none.
-func except(addrs, others []string) (out []string) {
+func difference(addrs, others []string) (out []string) {
 	for _, addr := range addrs {
 		if !slices.Contains(others, addr) {
 			out = append(out, addr)
