--- a/internal/controlstate/candidacy.go
+++ b/internal/controlstate/candidacy.go
@@ -11,8 +11,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// tryStand has the witnesses elect this for a new view, and puts the state on the view's
-// backups before that is accepted.
+// tryStand makes one attempt at a new view: it collects promises from the witnesses, copies the
+// state to the view's backups, and then has the witnesses accept the view.
 func (v *Replica) tryStand(ctx context.Context) error {
 	c, err := v.newCandidacy()
 	if err != nil {
@@ -36,28 +36,28 @@
 	v.lastProposed = c.view
 	v.mu.Unlock()
 	if !accepted(ask(ctx, v, voters, "controlstate.accept", func(addr string) any { return acceptRequest{c.view, disks[addr]} }, accepted)) {
-		return errors.New("no majority accepted")
+		return errors.New("no majority accepted the view")
 	}
 	return v.lead(c, state, start, voters)
 }
 
-// candidacy is an attempt at a view.
+// candidacy is one attempt to form a view.
 type candidacy struct {
 	epoch     int64
-	known     View // the newest that was known when it began
-	view      View // the one that is proposed
-	sets      [][]string
-	wasActive bool // it was the primary already
+	known     View       // the newest view known when the attempt began
+	view      View       // the proposed view
+	sets      [][]string // a majority of each must promise and accept
+	wasActive bool       // already the primary when the attempt began
 }
 
-// candidacy begins one.
+// newCandidacy prepares an attempt, unless this control node may not campaign.
 func (v *Replica) newCandidacy() (c candidacy, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
 	if v.active && !v.leads(now) || !v.mayCampaign() {
-		// Its term ended since the caller looked: others may have led meanwhile,
-		// and what it has is not for sure the state.
+		// The term ended since the caller checked: another node may have been primary
+		// meanwhile, so the state held here may be outdated.
 		return c, ErrNotPrimary
 	}
 	c = candidacy{epoch: v.nextEpoch(), known: v.seen, wasActive: v.active}
@@ -68,9 +68,9 @@
 	return c, nil
 }
 
-// elect asks the witnesses for their promises. Those that are silent are asked once more,
-// and newcomers too where only half of a set of witnesses is left; with their help the view
-// has others in the places of those that are lost.
+// elect collects promises from the witnesses. Those that do not respond are asked in a second
+// round. Where only half of a set of witnesses survives, newcomers are asked as well; with their
+// votes the view replaces the lost witnesses.
 func (v *Replica) elect(ctx context.Context, c *candidacy) map[string]promiseResponse {
 	voters := union(slices.Concat(c.sets, c.known.witnessSets())...)
 	responses := v.collectPromises(ctx, c.epoch, voters, firstRoundTimeout, c.decided)
@@ -103,7 +103,8 @@
 	return responses
 }
 
-// decided tells whether the witnesses have promised, or can't any more in this round.
+// decided reports whether the witnesses have granted the promise, or can no longer do so in this
+// round.
 func (c *candidacy) decided(responses map[string]promiseResponse) bool {
 	possible := func(addr string) bool {
 		a, ok := responses[addr]
@@ -112,8 +113,8 @@
 	return majorityOfEach(c.sets, grantedBy(responses)) || !majorityOfEach(c.sets, possible)
 }
 
-// succeed has newcomers that have promised take the places of witnesses that are lost, if
-// they may.
+// adoptNewcomers replaces lost witnesses in the proposed view by newcomers that have promised, if
+// the membership policy allows it.
 func (v *Replica) adoptNewcomers(c *candidacy, responses map[string]promiseResponse, unreached []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -123,24 +124,25 @@
 		return
 	}
 	v.k.Counters.Add("controlstate.half_succeeded", 1)
-	v.k.Log.Warn("half of the witnesses are lost, newcomers take their places", "epoch", c.epoch, "witnesses", view.Witnesses, "gone", unreachable)
+	v.k.Log.Warn("half of the witnesses are lost, replacing them by newcomers", "epoch", c.epoch, "witnesses", view.Witnesses, "gone", unreachable)
 	c.view, c.sets = view, view.quorumSets()
 }
 
-// answeredIn lists who has answered, and will say no other in a moment.
+// respondents returns the nodes whose response is final: retrying in this attempt would not change
+// it.
 func respondents(responses map[string]promiseResponse) (addrs []string) {
 	for addr, a := range responses {
-		if a.Granted || a.refusedForAnother() {
+		if a.Granted || a.refused() {
 			addrs = append(addrs, addr)
 		}
 	}
 	return addrs
 }
 
-// reachWait is how long a control node may take to answer others that probe it.
+// probeTimeout is how long a control node may take to respond to probes by others.
 const probeTimeout = secondRoundTimeout
 
-// unreachable lists those control nodes that nobody who is asked can reach.
+// findUnreachable returns those control nodes that none of the probing nodes can reach.
 func (v *Replica) findUnreachable(ctx context.Context, addrs []string) (unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
@@ -158,18 +160,19 @@
 	return unreachable
 }
 
+// halfSurvives is memberPolicy.halfSurvives under the lock.
 func (v *Replica) halfSurvives(known View, responses map[string]promiseResponse) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.members.halfSurvives(known, responses)
 }
 
-// grantedIn tells who has promised.
+// grantedBy returns a predicate that reports whether an address has promised.
 func grantedBy(responses map[string]promiseResponse) func(addr string) bool {
 	return func(addr string) bool { return responses[addr].Granted }
 }
 
-// disksOf are the disks of those that have promised.
+// disksOf returns the disks of the nodes that have promised, by address.
 func disksOf(responses map[string]promiseResponse) map[string]string {
 	disks := map[string]string{}
 	for addr, a := range responses {
@@ -180,8 +183,8 @@
 	return disks
 }
 
-// promised takes in what the witnesses answered, and returns the state under the new
-// epoch if they promised.
+// concludePromises evaluates the responses of the witnesses. If they promised, it moves the state
+// to the new epoch and returns it.
 func (v *Replica) concludePromises(c candidacy, responses map[string]promiseResponse) (State, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -192,32 +195,32 @@
 	switch {
 	case highest.Epoch > c.known.Epoch:
 		v.observe(highest)
-		return State{}, errors.New("a newer view is there")
+		return State{}, errors.New("a newer view exists")
 	case !won:
-		return State{}, errors.New("no majority promised")
+		return State{}, errors.New("no majority promised the epoch")
 	case c.wasActive && !v.active:
 		return State{}, errors.New("no longer primary")
 	}
-	v.state.Epoch = c.epoch // writes of older epochs are refused from here on
+	v.state.Epoch = c.epoch // from here on writes of older epochs are rejected
 	return v.state, nil
 }
 
-// spread puts the state on the own disk and on backups, side by side: the lease before
-// can't be renewed now.
+// replicateState saves the state on the local disk and copies it to backups concurrently, because
+// the previous lease can't be renewed meanwhile.
 func (v *Replica) replicateState(ctx context.Context, state State, c candidacy, disks map[string]string) ([]Member, error) {
 	saved := make(chan error, 1)
 	go func() { saved <- v.onDisk(ctx, func() error { return v.store.SaveState(state) }) }()
 	backups, err := v.copyToBackups(ctx, state, c.known, disks)
 	if err := <-saved; err != nil {
 		if c.wasActive {
-			go v.handOver("own disk fails")
+			go v.handOver("local disk failed")
 		}
 		return nil, err
 	}
 	return backups, err
 }
 
-// lead makes this the primary of a view that was accepted.
+// lead makes this control node the primary of an accepted view.
 func (v *Replica) lead(c candidacy, state State, start kernel.Micros, voters []string) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -225,20 +228,20 @@
 		return errors.New("no longer primary")
 	}
 	v.k.Invariants.Check(state.Seq >= v.durable, invariant.StateKept,
-		"primary of epoch %d with change %d, though change %d was durable", c.epoch, state.Seq, v.durable)
+		"primary of epoch %d has state up to change %d, but change %d was already durable", c.epoch, state.Seq, v.durable)
 	v.leaseEnd, v.renewAt = start+v.lease, start+v.lease/3
 	if !v.active {
 		v.beginTerm(c.epoch)
 		for _, addr := range voters {
 			v.members.lastHeard[addr] = v.members.primarySince
 		}
-		v.renewAt = v.members.primarySince // to learn who else takes part
+		v.renewAt = v.members.primarySince // renew at once, to learn which other control nodes take part
 	}
 	v.active, v.state, v.seen = true, state, c.view
 	v.takeoverAt = v.leaseEnd
 	clear(v.missed)
 	if c.view.inTransition() {
-		v.poke() // the set before is to be let go
+		v.poke() // form the next view, which drops the previous set of witnesses
 	}
 	v.k.Counters.Add("controlstate.epochs", 1)
 	v.k.Log.Info("primary", "epoch", c.epoch, "backups", memberNames(c.view.Backups), "witnesses", len(c.view.Witnesses), "prior", len(c.view.Prior))
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -14,32 +14,35 @@
 	"indigowalk/internal/rpc"
 )
 
-// Errors of this layer.
 var (
-	ErrNotPrimary  = errors.New("controlstate: not the primary")
+	// ErrNotPrimary is returned when this control node does not hold the primary's lease.
+	ErrNotPrimary = errors.New("controlstate: not the primary")
+	// ErrUnavailable is returned when the control state can't be written at present.
 	ErrUnavailable = errors.New("controlstate: control state can't be written now")
 )
 
+// callWait is the timeout of one call to another control node.
 const callWait = 300 * kernel.Millisecond
 
-// Config is what a control state is built from.
+// Config holds the settings and dependencies of a Replica.
 type Config struct {
 	Name              string
 	Dir               string
-	Seeds             func() []string // inner addresses of the seeds' control nodes
+	Seeds             func() []string // internal addresses of the seed control nodes
 	Bootstrap         bool
 	Lease             kernel.Micros
-	WitnessTimeout    kernel.Micros          // a witness that is away for longer is exchanged
-	CatchupTimeout    kernel.Micros          // how long to wait for the control nodes that Losses asks for
-	Losses            int                    // control nodes that may be lost at once, with their disks
-	ControlNodes      func() []string        // inner addresses of control nodes that seem alive
-	MembershipChanged func() <-chan struct{} // closes when those change
-	// Reachable tells whether a control node answers this one, or others that are asked to
-	// probe it, before ctx is over.
+	WitnessTimeout    kernel.Micros          // a witness unreachable for longer than this is replaced
+	CatchupTimeout    kernel.Micros          // how long to wait for as many control nodes as the tolerated failures require
+	Losses            int                    // control nodes that may be lost at once, together with their disks
+	ControlNodes      func() []string        // internal addresses of the control nodes believed to be alive
+	MembershipChanged func() <-chan struct{} // closed when the set of live control nodes changes
+	// Reachable reports whether a control node responds to this one, or to others that are
+	// asked to probe it, before ctx is done.
 	Reachable func(ctx context.Context, addr string) bool
 }
 
-// Replica is one control node's part in keeping the control state.
+// Replica is one control node's share in replicating the control state: it votes as a witness,
+// stores the state as primary or backup, and campaigns to become primary.
 type Replica struct {
 	k        *kernel.Kernel
 	endpoint *rpc.Endpoint
@@ -48,48 +51,49 @@
 	store    *Store
 	self     Member
 
-	// mu guards what is in memory; it is never held across disk or network.
+	// mu guards the fields in memory; it is never held during disk or network I/O.
 	mu      sync.Mutex
 	witness witness
-	state   State // on this disk; on the active primary also on the backups'
-	seen    View  // newest view heard of
-	// tentative is the last view that this control node asked to be accepted: some
-	// may have, so its next attempt starts from that one, if none newer is known.
+	state   State // stored on this disk; on the active primary also on the disks of all backups
+	seen    View  // newest view known
+	// lastProposed is the last view that this control node asked witnesses to accept. Some may
+	// have accepted it, so the next attempt starts from it unless a newer view is known.
 	lastProposed      View
-	takeoverAt        kernel.Micros
-	primaryAliveUntil kernel.Micros // until when the word of the newest view's primary stands
+	takeoverAt        kernel.Micros // not before then may this control node campaign against the newest view
+	primaryAliveUntil kernel.Micros // until then the primary of the newest view counts as alive
 	active            bool
-	term              *Term // the last one of this control node
+	term              *Term // the latest term of this control node
 	cancelTerm        context.CancelFunc
 	leaseEnd          kernel.Micros
 	renewAt           kernel.Micros
 	members           memberPolicy
-	missed            map[string]int // renewals in a row that a control node left unanswered
-	leaving           bool
-	standAt           kernel.Micros
+	missed            map[string]int // consecutive renewals that a control node did not answer
+	leaving           bool           // Leave was called
+	standAt           kernel.Micros  // earliest time of the next campaign after a failed one or a loss of the lease
 	nextAnnounceAt    kernel.Micros
-	voidedEpoch       int64 // epoch of a view whose primary lost its disk, and with it the lease
-	tried             int64 // highest epoch stood for or heard of
-	durable           int64 // sequence of the newest change that is known to be durable
+	voidedEpoch       int64 // epoch of a view whose primary lost its disk and thereby its lease
+	tried             int64 // highest epoch campaigned for or learned from others
+	durable           int64 // sequence number of the newest change known to be durable
 	queue             []*update
-	// A large state is staged before a view is formed.
+	// A large state is copied to other control nodes (staged) before a view is formed.
 	staging    bool
-	stagedAt   []string // the control nodes that have it, or nearly
+	stagedAt   []string // control nodes that hold the staged state, or nearly all of it
 	stagedTill kernel.Micros
-	small      bool // it was said that the core is smaller than Losses asks
+	small      bool // already logged that there are fewer witnesses than the tolerated failures require
 
-	refusing atomic.Bool // the disk refused the last write
-	stalled  atomic.Bool // the disk has not answered for a while
+	refusing atomic.Bool // the last write to the disk failed
+	stalled  atomic.Bool // the disk has not completed a request for a while
 
-	writing kernel.Gate // one write or change of view at a time
-	stating kernel.Gate // one write of the state to the disk at a time
-	voting  kernel.Gate // one write of the register at a time
+	writing kernel.Gate // serializes writes and view changes
+	stating kernel.Gate // serializes writes of the state to disk
+	voting  kernel.Gate // serializes writes of the witness register to disk
 	intake  intake
 	changed kernel.Bell
 	wake    chan struct{}
 }
 
-// Open opens the store and takes part in the elections through the endpoint.
+// Open opens the store and registers the RPC handlers through which this control node takes part
+// in elections.
 func Open(k *kernel.Kernel, b *rpc.Endpoint, cfg Config) (*Replica, error) {
 	st, err := openStore(cfg.Dir, k.Sync)
 	if err != nil {
@@ -113,7 +117,7 @@
 	case found:
 		v.witness.priorLeaseUntil = now + cfg.Lease
 	case cfg.Bootstrap:
-		// The very first start: the seeds elect.
+		// First start of the cluster: the seeds are the initial witnesses.
 		v.witness.reg.Accepted.Witnesses = cfg.Seeds()
 		if err := st.Save(registerKey, v.witness.reg); err != nil {
 			return nil, err
@@ -128,7 +132,7 @@
 	v.takeoverAt = v.members.takeoverTime(v.seen, now)
 	if st.torn > 0 {
 		k.Counters.Add("controlstate.torn_tails", 1)
-		k.Log.Warn("unfinished last write of the store cut off", "bytes", st.torn)
+		k.Log.Warn("truncated an incomplete last record of the store", "bytes", st.torn)
 	}
 	rpc.On(b, "controlstate.promise", v.onPromise)
 	rpc.On(b, "controlstate.accept", v.onAccept)
@@ -145,24 +149,24 @@
 	return v, nil
 }
 
-// Witnesses returns the inner addresses of the witnesses.
+// Witnesses returns the internal addresses of the witnesses of the newest view.
 func (v *Replica) Witnesses() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return union(v.seen.quorumSets()...)
 }
 
-// Self is this control node as a member.
+// Self returns this control node as a member.
 func (v *Replica) Self() Member { return v.self }
 
-// Abstains tells whether this control node, as a witness, may not vote yet.
+// Abstains reports whether this witness may not vote yet because it started with an empty disk.
 func (v *Replica) Abstains() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.witness.abstains
 }
 
-// Heard returns, for the primary, how long ago each control node last took part.
+// Heard returns, on the primary, the time since each control node last granted a lease renewal.
 func (v *Replica) Heard() map[string]kernel.Micros {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -173,17 +177,16 @@
 	return out
 }
 
-// Primary returns the newest view heard of and whether this control node is its
-// active primary.
+// Primary returns the newest view known and whether this control node is its active primary.
 func (v *Replica) Primary() (View, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.seen, v.leads(v.k.Clock.Now())
 }
 
-// Known returns the inner address of another control node that leads: the newest
-// view's primary, if it was itself heard within a lease. One that was known
-// once, or that others told of, may be gone or superseded.
+// Known returns the internal address of the newest view's primary and whether that is another
+// control node that itself contacted this one within the last lease period. A primary known
+// from earlier, or only from a third party, may have failed or been superseded.
 func (v *Replica) Known() (string, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -191,11 +194,11 @@
 	return addr, addr != v.self.Addr && v.k.Clock.Now() < v.primaryAliveUntil
 }
 
-// Referral returns the inner address of the control node that a caller does best to
-// ask instead of this one: the primary, if it is known, else any member of the
-// newest view but the primary that fell silent. If this control node is cut off, that
-// member knows the primary; if the primary is gone, its successor is one of them.
-// It is "" if there is none.
+// Referral returns the internal address of the control node that a caller should contact
+// instead of this one: the primary, if it is known to be alive, otherwise any member or witness
+// of the newest view other than its unresponsive primary. If this control node is partitioned,
+// that node knows the primary; if the primary has failed, its successor is one of the members.
+// Referral returns "" if there is no such node.
 func (v *Replica) Referral() string {
 	if addr, known := v.Known(); known {
 		return addr
@@ -211,18 +214,18 @@
 	return others[rand.IntN(len(others))]
 }
 
-// Changed closes at the next change of state or of who is primary.
+// Changed returns a channel that is closed at the next change of the state or of the primary.
 func (v *Replica) Changed() <-chan struct{} { return v.changed.Wait() }
 
-// Read returns the entry's durable value. Only the primary reads, under its
-// lease.
+// Read returns the durable value of an entry. Only the primary serves reads, and only while it
+// holds its lease.
 func (v *Replica) Read(key string) (json.RawMessage, error) {
 	state, err := v.Durable()
 	return state.Entries[key], err
 }
 
-// Durable returns the whole durable state, under the epoch of the view that
-// keeps it; its entries are not to be changed.
+// Durable returns the whole durable state with the epoch of the current view. The caller must
+// not modify its entries. Only the primary serves it, while it holds its lease.
 func (v *Replica) Durable() (State, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -232,6 +235,7 @@
 	return State{v.seen.Epoch, v.state.Seq, v.state.Entries, v.state.revisions}, nil
 }
 
+// poke makes Serve run its next step at once.
 func (v *Replica) poke() {
 	select {
 	case v.wake <- struct{}{}:
@@ -239,13 +243,13 @@
 	}
 }
 
-// has tells which addresses gave an answer.
+// has returns a predicate that reports whether an address responded.
 func has[A any](got map[string]A) func(string) bool {
 	return func(addr string) bool { _, ok := got[addr]; return ok }
 }
 
-// ask calls several control nodes at once, each with its own message, and returns
-// the answers when enough says so, or all have answered or failed.
+// ask calls several control nodes concurrently, each with its own request, and returns the
+// responses received once enough reports true, or once all calls have succeeded or failed.
 func ask[A any](ctx context.Context, v *Replica, addrs []string, op string, request func(addr string) any, enough func(map[string]A) bool) map[string]A {
 	type result struct {
 		addr   string
@@ -271,7 +275,8 @@
 	return responses
 }
 
-// Serve renews the lease as primary, and stands when nobody holds one.
+// Serve runs until ctx is done: as primary it renews the lease, otherwise it campaigns when no
+// primary holds one. A witness with an empty disk first recovers its register.
 func (v *Replica) Serve(ctx context.Context) error {
 	if v.Abstains() {
 		go v.recoverWitness(ctx)
@@ -295,7 +300,8 @@
 	}
 }
 
-// standSoon: somebody came or went, so what failed a moment ago may succeed.
+// campaignSoon brings the next campaign forward after a membership change, since an attempt
+// that failed a moment ago may now succeed.
 func (v *Replica) campaignSoon() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -304,7 +310,7 @@
 	}
 }
 
-// pause is how long nothing is due.
+// nextStepDelay returns the time until the next renewal or campaign is due.
 func (v *Replica) nextStepDelay() kernel.Micros {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -316,9 +322,9 @@
 	return min(max(due-now, 20*kernel.Millisecond), v.lease/2)
 }
 
-// standsAt is when this control node, as a member, may stand. One that leaves does so
-// only if no other has: it then holds what others may have lost, and hands over
-// once they have it.
+// campaignNotBefore returns when this control node, as a member, may campaign. A draining node
+// waits half a lease longer, so that it campaigns only if no other member has: it then holds
+// state that others may have lost, and hands over once they have a copy.
 func (v *Replica) campaignNotBefore() kernel.Micros {
 	at := max(v.takeoverAt, v.standAt)
 	if v.leaving {
@@ -327,13 +333,13 @@
 	return at
 }
 
-// mayStand tells whether this control node has what the newest view keeps.
+// mayCampaign reports whether this control node holds the state of the newest view.
 func (v *Replica) mayCampaign() bool {
 	return v.members.mayCampaign(v.seen, v.cfg.Bootstrap && !v.witness.abstains)
 }
 
-// step does what is due: what is wanted is one primary with a running lease,
-// backups that answer, and witnesses that take part.
+// reconcile carries out the actions that are due. The desired condition is one primary with an
+// unexpired lease, responsive backups, and participating witnesses.
 func (v *Replica) reconcile(ctx context.Context) {
 	v.mu.Lock()
 	now := v.k.Clock.Now()
@@ -348,7 +354,7 @@
 	}
 	v.mu.Unlock()
 	if active && !leads {
-		v.stepDown("lease ran out")
+		v.stepDown("lease expired")
 		return
 	}
 	if renew {
@@ -364,10 +370,10 @@
 	}
 }
 
-// Leave hands over in order: as primary to the backups, as backup or witness by
-// asking to be replaced. It returns once the primary can do without this control node,
-// or ctx is over: till then what was acknowledged may be on no other disk, and its
-// vote may be needed.
+// Leave drains this control node: a primary hands over to its backups, a backup or witness asks
+// the primary to be replaced. It returns once the primary no longer needs this control node, or
+// ctx is done. Until then acknowledged changes may be on no other disk, and its vote may be
+// needed.
 func (v *Replica) Leave(ctx context.Context) {
 	v.mu.Lock()
 	v.leaving = true
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -116,7 +116,7 @@
 	return out
 }
 
-// other is the file of a store whose identity was written as mere text.
+// storeOfOtherFormat is the file of a store whose identity was written as mere text.
 func storeOfOtherFormat(t *testing.T) []byte {
 	dir := t.TempDir()
 	s := open(t, dir)
--- a/internal/controlstate/election.go
+++ b/internal/controlstate/election.go
@@ -15,9 +15,9 @@
 	Epoch int64 `json:"epoch"`
 }
 
-// renew prolongs the lease. Backups and spare control nodes hear of it too: the
-// ones must take part to be kept, the others may be needed soon, and all must
-// know whom to send callers to.
+// renew extends the lease. The renewal is sent to backups and spare control nodes as well:
+// backups must respond to keep their place, spares may be needed soon, and all of them must know
+// which primary to refer callers to.
 func (v *Replica) renew(ctx context.Context) {
 	v.mu.Lock()
 	view, start := v.seen, v.k.Clock.Now()
@@ -58,6 +58,7 @@
 	v.renewAt = min(v.renewAt, v.k.Clock.Now()+50*kernel.Millisecond)
 }
 
+// extendLease extends the lease from the start of a renewal that a quorum granted.
 func (v *Replica) extendLease(view View, start kernel.Micros) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -67,10 +68,11 @@
 	}
 }
 
-// missedMost renewals in a row that a backup leaves unanswered are too many.
+// maxMissedRenewals is the number of consecutive unanswered renewals after which a backup is
+// replaced.
 const maxMissedRenewals = 2
 
-// renewWith tells one control node of the lease and notes whether it takes part.
+// sendRenewal sends the renewal to one control node and records whether it takes part.
 func (v *Replica) sendRenewal(ctx context.Context, addr string, view View) (response renewResponse) {
 	v.mu.Lock()
 	durable := v.durable
@@ -81,7 +83,7 @@
 	i := slices.IndexFunc(view.Backups, func(b Member) bool { return b.Addr == addr })
 	switch {
 	case err == nil && i >= 0 && response.Disk != view.Backups[i].Disk:
-		// It came back without the state, sooner than it was missed.
+		// It restarted with an empty disk before it missed enough renewals.
 		v.missed[addr] = maxMissedRenewals
 	case err == nil && !response.Stalled:
 		delete(v.missed, addr)
@@ -89,7 +91,7 @@
 		v.missed[addr]++
 	}
 	if i >= 0 && v.missed[addr] >= maxMissedRenewals && v.active && v.seen.Epoch == view.Epoch {
-		// A backup that is of no use is replaced before a write needs it.
+		// An unusable backup is replaced before a write depends on it.
 		delete(v.missed, addr)
 		v.shun(addr)
 	}
@@ -97,8 +99,8 @@
 		v.members.lastHeard[addr] = v.k.Clock.Now()
 	}
 	if err == nil && !response.Granted && v.active && v.seen.Epoch == view.Epoch {
-		// It promised a later epoch, to a candidate that failed, or has read of
-		// one: it takes part in a view of a later epoch only.
+		// It promised a later epoch to a candidate that failed, or learned of one while
+		// recovering its register: it only takes part in a view of a later epoch.
 		v.tried = max(v.tried, response.Promised)
 	}
 	return response
@@ -112,8 +114,8 @@
 	return out
 }
 
-// stand tries to become primary of a new epoch, or to form another view as
-// primary.
+// campaign tries to become the primary of a new epoch or, as primary, to form another view. After
+// a failure it schedules the next attempt with jitter.
 func (v *Replica) campaign(ctx context.Context) {
 	if v.writing.Enter(ctx) != nil {
 		return
@@ -127,16 +129,18 @@
 	}
 }
 
-// How long promises are waited for: witnesses that have just started, or are
-// about to, are asked again and again.
+// Timeouts for collecting promises. Witnesses that have just started, or are about to, are
+// retried until the round times out.
 const (
+	// promiseCallTimeout is the timeout of one promise call.
 	promiseCallTimeout = 150 * kernel.Millisecond
-	firstRoundTimeout  = 180 * kernel.Millisecond // before newcomers are asked too
+	firstRoundTimeout  = 180 * kernel.Millisecond // before newcomers are asked as well
 	secondRoundTimeout = 450 * kernel.Millisecond
 )
 
-// promises asks control nodes for their promises of an epoch, for a span at most or until
-// the answers will do, and returns what each answered.
+// collectPromises requests promises of an epoch from control nodes, until the timeout or until done
+// reports that the responses suffice. It returns the response of each; that of a node which did
+// not answer is the zero value.
 func (v *Replica) collectPromises(ctx context.Context, epoch int64, voters []string, timeout kernel.Micros, done func(responses map[string]promiseResponse) bool) map[string]promiseResponse {
 	type result struct {
 		addr   string
@@ -170,8 +174,8 @@
 	return responses
 }
 
-// promiseOf asks one control node, again and again while it does not answer; nil if it
-// never does.
+// requestPromise requests a promise from one control node and retries while it does not answer. It
+// returns nil if the node refuses the call or ctx is done first.
 func (v *Replica) requestPromise(ctx context.Context, addr string, request promiseRequest) *promiseResponse {
 	for {
 		response := &promiseResponse{}
@@ -185,8 +189,8 @@
 	}
 }
 
-// leaseOf is how long leases stand against a majority; one that a few stale
-// witnesses still guard does not.
+// remainingLease returns how long leases still prevent a majority of each set from granting. A
+// lease that only a minority of stale witnesses still honours does not count.
 func remainingLease(sets [][]string, responses map[string]promiseResponse) kernel.Micros {
 	waits := []kernel.Micros{0}
 	for _, a := range responses {
@@ -202,7 +206,7 @@
 	return 0
 }
 
-// nextEpoch is above all that this control node has heard of.
+// nextEpoch returns an epoch above every one that this control node knows of.
 func (v *Replica) nextEpoch() int64 {
 	return max(v.witness.reg.Promised, v.seen.Epoch, v.state.Epoch, v.tried) + 1
 }
@@ -215,11 +219,11 @@
 	return out
 }
 
-// observe notes a view, if it is newer than those heard of.
+// observe records a view if it is newer than those known.
 func (v *Replica) observe(view View) {
 	if view.Epoch == v.seen.Epoch && view.Epoch > 0 {
 		v.k.Invariants.Check(view.Primary == v.seen.Primary, invariant.OnePrimary,
-			"epoch %d is led by %v and by %v", view.Epoch, v.seen.Primary, view.Primary)
+			"epoch %d has two primaries: %v and %v", view.Epoch, v.seen.Primary, view.Primary)
 	}
 	if view.Epoch > v.seen.Epoch || len(v.seen.Witnesses) == 0 {
 		if v.active && view.Epoch > v.seen.Epoch {
@@ -231,8 +235,8 @@
 	}
 }
 
-// tell passes the newest view on to its members: one whose acceptance they
-// missed only they can succeed.
+// announceView sends the newest view to its members. If they missed its acceptance, nobody else
+// can succeed it, since only members may campaign.
 func (v *Replica) announceView(ctx context.Context) {
 	v.mu.Lock()
 	view := v.seen
@@ -273,7 +277,7 @@
 func (v *Replica) onAccept(ctx context.Context, q acceptRequest) (any, error) {
 	if q.Disk != v.self.Disk {
 		v.k.Counters.Add("controlstate.other_disk_refused", 1)
-		return nil, errors.New("promised on another disk")
+		return nil, errors.New("the promise was made on another disk")
 	}
 	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
 	defer cancel()
@@ -286,7 +290,7 @@
 	if err := v.saveRegister(ctx); err != nil {
 		return nil, err
 	}
-	if !q.View.Primary.same(v.self) { // its own is in force once a majority has it
+	if !q.View.Primary.same(v.self) { // its own view takes effect once a majority has accepted it
 		v.mu.Lock()
 		v.notePrimaryAlive(v.k.Clock.Now(), q.View)
 		v.mu.Unlock()
@@ -319,12 +323,12 @@
 	return a, nil
 }
 
-// hear notes that the view's primary is at work.
+// notePrimaryAlive records that the view's primary is active.
 func (v *Replica) notePrimaryAlive(now kernel.Micros, view View) {
 	v.observe(view)
 	if view.Epoch == v.seen.Epoch && !v.active {
 		if now >= v.primaryAliveUntil {
-			v.changed.Ring() // there is somebody to send callers to
+			v.changed.Ring() // callers can be referred to a primary again
 		}
 		v.primaryAliveUntil = now + v.lease
 		v.takeoverAt = max(v.takeoverAt, v.members.takeoverTime(view, now))
@@ -368,7 +372,8 @@
 	return struct{}{}, nil
 }
 
-// onSucceed: the primary leaves in order and has given up its lease.
+// onSucceed handles the request of a primary that handed over and released its lease: this backup
+// campaigns at once.
 func (v *Replica) onSucceed(_ context.Context, q epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -379,7 +384,8 @@
 	return struct{}{}, nil
 }
 
-// onVoid: the primary's address is served by another life.
+// onVoidLease handles the notice that the primary's address is served by another incarnation with
+// an empty disk, so that the lease of that view is held by nobody.
 func (v *Replica) onVoidLease(_ context.Context, q epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -391,14 +397,14 @@
 	return struct{}{}, nil
 }
 
-// leaveAnswer tells a control node that is about to end which view there is, and
-// whether it may go.
+// leaveResponse tells a control node that is shutting down the newest view and whether it may
+// stop.
 type leaveResponse struct {
 	View    View `json:"view"`
 	MayStop bool `json:"go"`
 }
 
-// onLeaving has a backup that is about to end replaced.
+// onLeaving handles the notice that a control node is shutting down; a leaving backup is replaced.
 func (v *Replica) onLeaving(_ context.Context, m Member) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/controlstate/membership.go
+++ b/internal/controlstate/membership.go
@@ -7,64 +7,60 @@
 	"indigowalk/internal/kernel"
 )
 
-// membership is what a primary knows of who takes part, and what it concludes:
-// which witnesses and backups the next view should have, and whether the
-// present one bears the losses that are to be borne. It asks nobody and changes
-// nothing but its notes. docs/hardening.md names the invariants that rest on it.
+// memberPolicy records which control nodes take part and decides on that basis which witnesses and
+// backups the next view should have, and whether the current one tolerates the required failures.
+// It does no I/O and changes nothing but its own records. docs/hardening.md names the invariants
+// that depend on it.
 type memberPolicy struct {
 	self             Member
-	tolerated        int // control nodes that may be lost at once, with their disks
+	tolerated        int // control nodes that may be lost at once, together with their disks
 	lease            kernel.Micros
-	witnessTimeout   kernel.Micros            // a witness that is silent for longer is exchanged
-	catchupTimeout   kernel.Micros            // how long to wait for the control nodes that losses asks for
+	witnessTimeout   kernel.Micros            // a witness unresponsive for longer than this is replaced
+	catchupTimeout   kernel.Micros            // how long to wait for as many control nodes as the tolerated failures require
 	primarySince     kernel.Micros            // when this control node became the primary; 0 while it is not
-	lastHeard        map[string]kernel.Micros // control nodes by when they last took part
-	excludedUntil    map[string]kernel.Micros // control nodes that failed as backups or leave, until when
-	leaveNoticeAt    map[string]kernel.Micros // control nodes that said that they are about to end, when
-	copyFailingSince map[string]kernel.Micros // control nodes that fail to take copies, since when
+	lastHeard        map[string]kernel.Micros // when each control node last granted a renewal
+	excluded         map[string]kernel.Micros // control nodes excluded as backups, because they failed or are leaving, and until when
+	leaveNoticeAt    map[string]kernel.Micros // when control nodes last announced that they are shutting down
+	copyFailingSince map[string]kernel.Micros // since when control nodes have failed to take a copy of the state
 }
 
 func newMemberPolicy(self Member, cfg Config) memberPolicy {
 	return memberPolicy{
 		self: self, tolerated: cfg.Losses, lease: cfg.Lease, witnessTimeout: min(cfg.WitnessTimeout, max(cfg.Lease, cfg.CatchupTimeout-2*cfg.Lease)), catchupTimeout: cfg.CatchupTimeout,
-		lastHeard: map[string]kernel.Micros{}, excludedUntil: map[string]kernel.Micros{}, leaveNoticeAt: map[string]kernel.Micros{}, copyFailingSince: map[string]kernel.Micros{},
+		lastHeard: map[string]kernel.Micros{}, excluded: map[string]kernel.Micros{}, leaveNoticeAt: map[string]kernel.Micros{}, copyFailingSince: map[string]kernel.Micros{},
 	}
 }
 
-// shunFor is how long a control node that failed is no backup, if there is another.
-const exclusionPeriod = 2 * kernel.Second
+// excludeFor is how long a failed control node is not used as a backup if there is another.
+const excludeFor = 2 * kernel.Second
 
-// shun keeps a control node from being a backup for a while, if there is another.
-func (m *memberPolicy) shun(addr string, now kernel.Micros) {
-	m.excludedUntil[addr] = now + exclusionPeriod
-}
+// shun excludes a control node from being a backup for a while, if there is another.
+func (m *memberPolicy) shun(addr string, now kernel.Micros) { m.excluded[addr] = now + excludeFor }
 
-func (m *memberPolicy) isExcluded(addr string, now kernel.Micros) bool {
-	return now < m.excludedUntil[addr]
-}
+func (m *memberPolicy) isExcluded(addr string, now kernel.Micros) bool { return now < m.excluded[addr] }
 
-// fresh tells whether the control node took part within the last lease.
+// isLive reports whether the control node granted a renewal within the last lease period.
 func (m *memberPolicy) isLive(addr string, now kernel.Micros) bool {
 	at, ok := m.lastHeard[addr]
 	return ok && now-at < m.lease
 }
 
-// away tells whether a witness has been silent for so long that another should
-// have its place. That is less than catchup by the time that a take-over needs:
-// when its successor counts as back, the exchange is done, even if the primary
-// was lost just before it would have made it.
+// isUnresponsive reports whether a witness has been unresponsive for so long that it should be
+// replaced. That time is shorter than catchupTimeout by the duration of a takeover: by the time the
+// replacement counts as caught up, the witness has been replaced, even if the primary was lost just
+// before it would have done so.
 func (m *memberPolicy) isUnresponsive(addr string, now kernel.Micros) bool {
 	return now-max(m.lastHeard[addr], m.primarySince) > m.witnessTimeout
 }
 
-// unheard tells whether a witness was not among those that voted, and has
-// answered nothing since the take-over for a call's time: it may have been lost
-// with the last primary, or before.
+// unheardSinceTakeover reports whether a witness was not among the voters of the takeover and has
+// not answered since, for the duration of a call: it may have been lost with the previous primary,
+// or before.
 func (m *memberPolicy) unheardSinceTakeover(addr string, now kernel.Micros) bool {
 	return m.lastHeard[addr] < m.primarySince && now-m.primarySince >= m.lease/4
 }
 
-// spares are the control nodes that take part and are not in the set.
+// spares returns the live control nodes that are not in the set and not excluded.
 func (m *memberPolicy) spares(set []string, now kernel.Micros) []string {
 	var out []string
 	for addr := range m.lastHeard {
@@ -76,9 +72,9 @@
 	return out
 }
 
-// wantedWitnesses is the set that there should be in place of one: large enough
-// for the losses to be borne, without witnesses that stay away while a spare
-// control node is there or the others are enough.
+// desiredWitnesses returns the set of witnesses that should replace the given one: large enough for
+// the tolerated failures, and without unresponsive witnesses where a spare control node is
+// available or the others suffice.
 func (m *memberPolicy) desiredWitnesses(set []string, now kernel.Micros) []string {
 	set = slices.Clone(set)
 	if m.primarySince == 0 {
@@ -91,8 +87,8 @@
 		case (unresponsive || m.unheardSinceTakeover(addr, now)) && len(spares) > 0:
 			set[i], spares = spares[0], spares[1:]
 		case unresponsive && len(set) > max(3, 2*m.tolerated):
-			// Without it the losses can be borne just as well; with it, gone for
-			// good, the losses of others would leave too few registers.
+			// Without it the set tolerates as many failures. If it stays in the set and is
+			// gone permanently, failures of others would leave too few registers.
 			return slices.Delete(set, i, i+1)
 		}
 	}
@@ -102,20 +98,21 @@
 		case notLive < 0:
 			set = append(set, spares[0])
 		case now-m.primarySince >= m.lease/4:
-			// Beside one that is gone for good it would bear no more losses than before.
+			// Added next to a permanently lost witness, the spare would not raise the
+			// number of failures tolerated; so it replaces that witness.
 			set[notLive] = spares[0]
 		default:
-			return set // it may not have been asked yet since the take-over
+			return set // it may not have been contacted yet since the takeover
 		}
 		spares = spares[1:]
 	}
 	return set
 }
 
-// largeEnough tells whether the witnesses can bear the losses: what is left of
-// each set must include one of any majority. A set before a change that can't is
-// let go by the next view, which is formed at once. A control node that is there and
-// not yet a witness is waited for; one that there is not, for a while.
+// largeEnough reports whether the witnesses tolerate the required failures: the survivors of each
+// set must include one of any majority. A previous set that is too small is dropped by the next
+// view, which is formed at once. A live control node that is not yet a witness is waited for
+// without limit, control nodes that do not exist only for catchupTimeout.
 func (m *memberPolicy) largeEnough(view View, now kernel.Micros) bool {
 	if len(view.Prior) > 0 && len(view.Prior) < 2*m.tolerated {
 		return false
@@ -123,20 +120,20 @@
 	return len(view.Witnesses) >= 2*m.tolerated || now-m.primarySince >= m.catchupTimeout && len(m.spares(view.Witnesses, now)) == 0
 }
 
-// leaves notes that a control node is about to end.
+// noteLeaving records that a control node is shutting down.
 func (m *memberPolicy) noteLeaving(addr string, now kernel.Micros) {
 	m.leaveNoticeAt[addr] = now
 	m.shun(addr, now)
 }
 
-// isLeaving tells whether the control node said within the last lease that it is
-// about to end: it says so again and again.
+// isLeaving reports whether the control node announced within the last lease period that it is
+// shutting down. It repeats the announcement until it may stop.
 func (m *memberPolicy) isLeaving(addr string, now kernel.Micros) bool {
 	at, ok := m.leaveNoticeAt[addr]
 	return ok && now-at < m.lease
 }
 
-// failed notes that a control node did not take a copy, took that it did.
+// failed records that a control node did not take a copy of the state.
 func (m *memberPolicy) failed(addr string, now kernel.Micros) {
 	if _, ok := m.copyFailingSince[addr]; !ok {
 		m.copyFailingSince[addr] = now
@@ -144,15 +141,15 @@
 	m.shun(addr, now)
 }
 
+// took records that a control node took a copy of the state.
 func (m *memberPolicy) took(addr string) {
 	delete(m.copyFailingSince, addr)
-	delete(m.excludedUntil, addr)
+	delete(m.excluded, addr)
 }
 
-// enoughCopies tells whether a view may rest on these backups: where there are
-// fewer than may be lost, no other control node takes part. One that does is not lost,
-// though it failed to take a copy, until it has failed for a lease; one that
-// leaves is as good as lost.
+// enoughCopies reports whether these backups suffice for a view. There may be fewer of them than
+// failures are tolerated only if no other control node is live. A live node that fails to take a
+// copy does not count as lost until it has failed for a lease period; one that is leaving does.
 func (m *memberPolicy) enoughCopies(backups, others []string, isLive func(addr string) bool, now kernel.Micros) bool {
 	return len(backups) >= m.tolerated || !slices.ContainsFunc(others, func(addr string) bool {
 		since, fails := m.copyFailingSince[addr]
@@ -160,17 +157,17 @@
 	})
 }
 
-// enoughBackups tells whether a change may rest on the view's backups: none of
-// them failed or is about to leave, and there are enough.
+// enoughBackups reports whether the view's backups suffice for a change: none of them has failed or
+// is leaving, and there are enough of them.
 func (m *memberPolicy) enoughBackups(view View, now kernel.Micros) bool {
 	addrs := backupAddrs(view)
 	return !slices.ContainsFunc(addrs, func(addr string) bool { return m.isExcluded(addr, now) }) &&
 		m.enoughCopies(addrs, slices.Collect(maps.Keys(m.lastHeard)), func(addr string) bool { return m.isLive(addr, now) }, now)
 }
 
-// wantsAnother tells whether the primary should form another view: because a
-// backup failed or leaves, one more could be had, the set of witnesses is to
-// change, or has changed and its predecessor can be let go.
+// wantsNewView reports whether the primary should form another view: because a backup failed or is
+// leaving, a missing backup could be added, the set of witnesses is to change, or it has changed
+// and the previous set can be dropped.
 func (m *memberPolicy) wantsNewView(view View, now kernel.Micros) bool {
 	addrs := backupAddrs(view)
 	return view.inTransition() ||
@@ -179,9 +176,9 @@
 		!slices.Equal(m.desiredWitnesses(view.Witnesses, now), view.Witnesses)
 }
 
-// proposal is the next view, still without backups, and the sets of witnesses
-// each of which must agree to it. A change of the set names both; only once that
-// view is in force may one follow that lets the set before it go.
+// proposal returns the next view, still without backups, and the sets of witnesses of which a
+// majority each must agree to it. A change of witnesses contains both sets (a joint configuration);
+// only once that view is in effect may a view follow that drops the previous set.
 func (m *memberPolicy) proposal(known View, active bool, epoch int64, now kernel.Micros) (view View, sets [][]string) {
 	view = View{Epoch: epoch, Primary: m.self, Witnesses: known.Witnesses}
 	sets = known.quorumSets()
@@ -195,8 +192,8 @@
 	return view, sets
 }
 
-// mayStand: only a member of the highest view, with that same disk; at the
-// very first start, while there is no view, a witness.
+// mayCampaign reports whether this control node may campaign: only as a member of the newest view
+// with the same disk or, at the first start while there is no view, as a witness.
 func (m *memberPolicy) mayCampaign(view View, firstStart bool) bool {
 	if view.Epoch == 0 {
 		return firstStart && slices.Contains(view.Witnesses, m.self.Addr)
@@ -204,10 +201,10 @@
 	return view.Has(m.self)
 }
 
-// takeover is when this control node, hearing nothing more, may stand: the primary
-// of the view that has just started again at once, since its lease was its
-// own; a backup after the lease, one after another; at the very first start
-// the witnesses in turn.
+// takeoverTime returns when this control node may campaign if it hears nothing more. The view's own
+// primary, restarted, may do so at once, since the lease was its own. Backups may after the lease
+// period, staggered by their position. At the first start the witnesses campaign staggered by their
+// position.
 func (m *memberPolicy) takeoverTime(view View, now kernel.Micros) kernel.Micros {
 	if i := slices.Index(view.Witnesses, m.self.Addr); view.Epoch == 0 && i >= 0 {
 		return now + kernel.Micros(i)*kernel.Second/2
@@ -218,18 +215,17 @@
 	return now + m.lease + kernel.Micros(max(0, slices.IndexFunc(view.Backups, m.self.same)))*m.lease/4
 }
 
-// dispensable tells whether a control node may end without harm: the view does not
-// keep the state on its disk, and a majority of the witnesses takes part without
-// it.
+// safeToRemove reports whether a control node may stop safely: the view does not rely on the state on
+// its disk, and a majority of the witnesses is live without it.
 func (m *memberPolicy) safeToRemove(view View, leaver Member, now kernel.Micros) bool {
 	return !view.Has(leaver) && majorityOfEach(view.quorumSets(), func(addr string) bool {
 		return addr != leaver.Addr && (addr == m.self.Addr || m.isLive(addr, now))
 	})
 }
 
-// candidates lists the control nodes that a copy is offered to, in turn: those that
-// kept the state in the last view come first, then others that take part, then
-// those that are silent; shunned ones last.
+// candidates returns the control nodes to which a copy of the state is offered, in order of
+// preference: the backups of the last view, then other live nodes, then unresponsive ones; excluded
+// ones come last.
 func (m *memberPolicy) candidates(last View, live []string, responded func(addr string) bool, now kernel.Micros) []string {
 	lastBackups := backupAddrs(last)
 	rank := func(addr string) int {
@@ -251,5 +247,5 @@
 	return order
 }
 
-// copies is how many backups there should be.
+// copies returns the desired number of backups.
 func (m *memberPolicy) copies() int { return max(1, m.tolerated) }
--- a/internal/controlstate/membership_model_test.go
+++ b/internal/controlstate/membership_model_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// unheard has the primary form a view of which some control nodes hear nothing, and
+// formViewUnheardBy has the primary form a view of which some control nodes hear nothing, and
 // acknowledge a change in it.
 func (w *model) formViewUnheardBy(p *node, deaf ...*node) {
 	for _, n := range deaf {
--- a/internal/controlstate/model_test.go
+++ b/internal/controlstate/model_test.go
@@ -57,7 +57,7 @@
 	predecessor                       *node // whose successor this is
 }
 
-// writing is a change under way to the backups.
+// pendingWrite is a change under way to the backups.
 type pendingWrite struct {
 	view    View
 	bit     uint64
@@ -78,7 +78,7 @@
 	}
 }
 
-// vain notes an attempt that failed, if it is among the first in a row.
+// logFailedAttempt notes an attempt that failed, if it is among the first in a row.
 func (w *model) logFailedAttempt(format string, args ...any) {
 	if n := len(w.trace); n < 4 || !strings.Contains(w.trace[n-4], "in vain") {
 		w.logf(format, args...)
@@ -112,7 +112,7 @@
 	return w
 }
 
-// calm lets time go by without trouble.
+// runQuietly lets time go by without trouble.
 func (w *model) runQuietly(ticks int) {
 	for range ticks {
 		w.tick(true)
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// reach returns the control node that a call from n is answered by.
+// reachable returns the control node that a call from n is answered by.
 func (w *model) reachable(n *node, addr string) *node {
 	if o := w.at(addr); o != nil && o.up && o.partitioned == n.partitioned {
 		return o
@@ -324,7 +324,7 @@
 	}
 }
 
-// recover reads the others' registers.
+// recoverRegister reads the others' registers.
 func (n *node) recoverRegister(w *model) {
 	for view, hop := n.newestView, 0; hop < 8; hop++ {
 		responses := map[string]registerResponse{}
@@ -376,7 +376,7 @@
 	n.countedLost = true
 }
 
-// busy lists the control nodes that have a call to make.
+// nodesWithPendingStep lists the control nodes that have a call to make.
 func (w *model) nodesWithPendingStep() (out []*node) {
 	for _, n := range w.nodes {
 		if n.up && (n.attempt != nil || n.pendingWrite != nil) {
@@ -394,7 +394,7 @@
 	}
 }
 
-// settleSteps carries out all calls that are due.
+// runPendingSteps carries out all calls that are due.
 func (w *model) runPendingSteps() {
 	for range 500 {
 		busy := w.nodesWithPendingStep()
--- a/internal/controlstate/model_troubles_test.go
+++ b/internal/controlstate/model_troubles_test.go
@@ -16,7 +16,7 @@
 	return n
 }
 
-// leaving counts those that are about to end, and not lost yet.
+// leavingCount counts those that are about to end, and not lost yet.
 func (w *model) leavingCount() (n int) {
 	for _, o := range w.nodes {
 		if o.up && o.leaving && !o.countedLost {
@@ -26,7 +26,7 @@
 	return n
 }
 
-// fault has the environment do something that it may do now.
+// randomFault has the environment do something that it may do now.
 func (w *model) randomFault() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if m := w.members(); len(m) > 0 && w.rng.IntN(2) == 0 {
@@ -37,10 +37,10 @@
 	}
 }
 
-// trouble is what the environment may do to a control node.
+// faultKind is what the environment may do to a control node.
 type faultKind int
 
-// do has the environment do something, if it may now; it tells whether it did.
+// inject has the environment do something, if it may now; it tells whether it did.
 func (w *model) inject(n *node, what faultKind) bool {
 	if n.retired || w.hasSuccessor(n) {
 		return false
@@ -93,7 +93,7 @@
 	n.disk, n.reg, n.epoch, n.content = fmt.Sprint("disk", w.disks), register{}, 0, 0
 }
 
-// count has those that are back for catchup count no more, if what the primary
+// clearRecovered has those that are back for catchup count no more, if what the primary
 // wants to repair is repaired: that it is by then, the simulations show.
 func (w *model) clearRecovered() {
 	if w.overBudget = w.overBudget && w.lostCount() > 0; !slices.ContainsFunc(w.nodes, w.repaired) {
@@ -121,7 +121,7 @@
 	return true
 }
 
-// check looks at what must hold at every moment.
+// checkInvariants looks at what must hold at every moment.
 func (w *model) checkInvariants() {
 	held := slices.ContainsFunc(w.nodes, func(n *node) bool { return n.content&w.acked == w.acked })
 	if !held {
@@ -138,7 +138,7 @@
 	}
 }
 
-// remains checks that the control nodes go on by themselves: those that run now, if
+// checkMajorityRemains checks that the control nodes go on by themselves: those that run now, if
 // they are more than half, or all after those that are lost are back.
 func (w *model) checkMajorityRemains(back bool) {
 	if (w.overBudget || w.lostCount()+w.leavingCount() > w.f) && !back || w.violation != "" {
@@ -184,7 +184,7 @@
 	w.violate("MajorityRemains", "%d of %d run, and no change is taken", up, all)
 }
 
-// unplaced counts the control nodes that have come back, and whose place among the witnesses
+// returnedWithoutSeat counts the control nodes that have come back, and whose place among the witnesses
 // a newcomer has, rather than that of the one that is gone for good.
 func (w *model) returnedWithoutSeat() (n int) {
 	var newest View
@@ -207,7 +207,7 @@
 	c.leaders, c.trace, c.nodes = maps.Clone(w.leaders), slices.Clone(w.trace), nil
 	for _, n := range w.nodes {
 		o := *n
-		o.missedRenewals, o.members.lastHeard, o.members.excludedUntil, o.members.leaveNoticeAt = maps.Clone(n.missedRenewals), maps.Clone(n.members.lastHeard), maps.Clone(n.members.excludedUntil), maps.Clone(n.members.leaveNoticeAt)
+		o.missedRenewals, o.members.lastHeard, o.members.excluded, o.members.leaveNoticeAt = maps.Clone(n.missedRenewals), maps.Clone(n.members.lastHeard), maps.Clone(n.members.excluded), maps.Clone(n.members.leaveNoticeAt)
 		o.members.copyFailingSince = maps.Clone(n.members.copyFailingSince)
 		if n.attempt != nil {
 			s := *n.attempt
@@ -228,7 +228,7 @@
 	return &c
 }
 
-// walk plays one random history and returns the model.
+// randomHistory plays one random history and returns the model.
 func randomHistory(seed uint64, f, controlNodes int, without string) *model {
 	w := newModel(seed, f, controlNodes, without).boot()
 	w.randomSteps(160)
@@ -245,7 +245,7 @@
 	return w
 }
 
-// wander plays so many random steps, or fewer if an invariant breaks.
+// randomSteps plays so many random steps, or fewer if an invariant breaks.
 func (w *model) randomSteps(steps int) {
 	for range steps {
 		busy := w.nodesWithPendingStep()
@@ -281,7 +281,7 @@
 	}
 }
 
-// power has all that run begin another life at once, with what is on disk. All
+// powerCycle has all that run begin another life at once, with what is on disk. All
 // count as lost then.
 func (w *model) powerCycle() {
 	w.logf("power")
@@ -294,7 +294,7 @@
 	}
 }
 
-// close has as many lose their disks as still may be lost, those first that
+// loseRemaining has as many lose their disks as still may be lost, those first that
 // keep the newest view's state.
 func (w *model) loseRemaining() {
 	for _, n := range w.members() {
--- a/internal/controlstate/model_votes_test.go
+++ b/internal/controlstate/model_votes_test.go
@@ -7,7 +7,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// standing is an attempt to become primary, or to form another view, under way.
+// attempt is an attempt to become primary, or to form another view, under way.
 type attempt struct {
 	known          View
 	view           View
@@ -22,7 +22,7 @@
 	start          kernel.Micros
 }
 
-// stand begins an attempt.
+// campaign begins an attempt.
 func (n *node) campaign(w *model) {
 	epoch := max(n.witness.reg.Promised, n.newestView.Epoch, n.epoch, n.highestEpochTried) + 1
 	s := &attempt{known: n.newestView, wasActive: n.active, disks: map[string]string{}, responses: map[string]promiseResponse{}, granted: map[string]bool{}}
--- a/internal/controlstate/recovery.go
+++ b/internal/controlstate/recovery.go
@@ -9,16 +9,16 @@
 	"indigowalk/internal/kernel"
 )
 
-// registerAnswer is a witness's register, as it tells another.
+// registerResponse is the register of a witness, sent to another witness that recovers its own.
 type registerResponse struct {
 	Register register `json:"register"`
 	Abstains bool     `json:"abstains"`
 }
 
-// recoverWitness fills the register of a witness that lost its disk. First
-// every call that was under way when the disk was lost has ended, and every
-// lease that it may have granted. Then it reads so many intact registers that
-// no vote can be missed, of the newest set of witnesses that any of them knows.
+// recoverWitness rebuilds the register of a witness that lost its disk. It first waits for one lease
+// period, after which every call that was in progress when the disk was lost has ended, and every
+// lease that this witness may have granted has expired. Then it reads enough intact registers of
+// the newest known set of witnesses that no vote can be missed.
 func (v *Replica) recoverWitness(ctx context.Context) {
 	go v.voidPreviousLease(ctx)
 	kernel.Sleep(ctx, v.lease)
@@ -26,7 +26,7 @@
 	for ; ctx.Err() == nil; kernel.Sleep(ctx, 300*kernel.Millisecond) {
 		reg, err := v.rebuildRegister(ctx)
 		if err == nil {
-			v.fetchRegisters(ctx, without(reg.NewTo, v.self.Addr), awaitAll) // to have met whoever is there
+			v.fetchRegisters(ctx, without(reg.NewTo, v.self.Addr), awaitAll) // record contact with every node that is reachable
 			v.mu.Lock()
 			v.observe(reg.Accepted)
 			v.witness.reg = v.witness.restoredRegister(v.self.Addr, reg)
@@ -46,8 +46,8 @@
 	}
 }
 
-// giveUpLease tells the backups of the newest view, if its primary was this
-// control node with the disk that it lost, that nobody holds that lease any more.
+// voidPreviousLease handles the case that the primary of the newest view was this control node with
+// the disk that it lost: it notifies one of the backups that nobody holds that lease any more.
 func (v *Replica) voidPreviousLease(ctx context.Context) {
 	for end := v.k.Clock.Now() + v.lease; v.k.Clock.Now() < end && ctx.Err() == nil; kernel.Sleep(ctx, 50*kernel.Millisecond) {
 		from := without(union(v.cfg.ControlNodes(), v.cfg.Seeds()), v.self.Addr)
@@ -63,14 +63,15 @@
 		}
 		for _, b := range newest.Backups {
 			if v.endpoint.Call(ctx, b.Addr, "controlstate.void", epochRequest{newest.Epoch}, nil, callWait) == nil {
-				v.k.Log.Info("lease of the life before given up", "epoch", newest.Epoch)
+				v.k.Log.Info("gave up the lease held before the disk was lost", "epoch", newest.Epoch)
 				return
 			}
 		}
 	}
 }
 
-// registers asks control nodes for their registers until there are enough.
+// fetchRegisters requests the registers of control nodes until enough reports true, and records
+// contact with the nodes that responded.
 func (v *Replica) fetchRegisters(ctx context.Context, from []string, enough func(got map[string]registerResponse) bool) map[string]registerResponse {
 	responses := ask(ctx, v, from, "controlstate.register", func(string) any { return struct{}{} }, enough)
 	v.mu.Lock()
@@ -79,9 +80,11 @@
 	return responses
 }
 
-// everyone waits for all that answer.
+// awaitAll never reports enough, so that the responses of all reachable nodes are awaited.
 func awaitAll(map[string]registerResponse) bool { return false }
 
+// rebuildRegister reads the registers of other control nodes and returns the one that this witness
+// may adopt. If they know a newer view it reads again from that view's witnesses, up to 8 times.
 func (v *Replica) rebuildRegister(ctx context.Context) (register, error) {
 	v.mu.Lock()
 	view := v.seen
@@ -99,17 +102,18 @@
 		}
 		view = newest
 	}
-	return register{}, errors.New("the witnesses change too often")
+	return register{}, errors.New("the set of witnesses changed too often")
 }
 
-// registerFrom is what a witness that lost its disk may put in its register,
-// given the others' answers, if no vote can be missed. They may know of a view
-// newer than the one whose witnesses were asked; then those are to be asked.
+// registerFromPeers returns the register that a witness which lost its disk may adopt, given the
+// responses of the others, or an error if a vote could be missed. The others may know a newer view
+// than the one whose witnesses were asked; then reg is empty and the witnesses of newest are to be
+// asked.
 func registerFromPeers(view View, responses map[string]registerResponse) (reg register, newest View, err error) {
 	newest = view
 	for _, a := range responses {
 		reg.Promised = max(reg.Promised, a.Register.Promised)
-		// One that lost its own disk too may still know whom to ask.
+		// A node that lost its disk too may still know which witnesses to ask.
 		if a.Register.Accepted.Epoch > newest.Epoch || len(newest.Witnesses) == 0 {
 			newest = a.Register.Accepted
 		}
@@ -117,7 +121,7 @@
 	intact := func(addr string) bool { a, ok := responses[addr]; return ok && !a.Abstains }
 	switch {
 	case len(newest.Witnesses) == 0:
-		return register{}, newest, errors.New("nobody knows the witnesses")
+		return register{}, newest, errors.New("no control node knows the witnesses")
 	case newest.Epoch > view.Epoch || len(view.Witnesses) == 0:
 		return register{}, newest, nil
 	case !coversPossibleQuorums(view, intact):
@@ -126,10 +130,10 @@
 	return register{Promised: max(reg.Promised, view.Epoch), Accepted: view, NewTo: view.establishedWitnesses()}, view, nil
 }
 
-// readEnough tells whether the intact registers that were read must include one of any
-// quorum that may have voted since the view was proposed. Where newcomers stand by a half of
-// the witnesses, that whole half does: whoever voted without it rests on the other half, of
-// which one is gone.
+// coversPossibleQuorums reports whether the intact registers that were read include one of any quorum
+// that may have voted since the view was proposed. Where newcomers voted with the surviving half of
+// the witnesses, every unanimous voter of the previous set must have been read: any quorum without
+// that half would depend on the other half, of which at least one witness is gone.
 func coversPossibleQuorums(view View, read func(addr string) bool) bool {
 	if len(view.Unanimous) == 0 || len(view.Prior) == 0 {
 		return intersectsEveryMajority(view.quorumSets(), read)
--- a/internal/controlstate/succession.go
+++ b/internal/controlstate/succession.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// halfLeft tells whether a majority voted, or just half where the set is no larger than
-// twice the losses to be borne, of each set of witnesses, and the others of it are silent:
-// more of them may never be back. One that has promised a later epoch will vote when it is
-// asked again; one that waits for a lease to end may be lost before: that lease is over if
-// those that are left say so, since one of them granted it too.
+// halfSurvives reports whether, of each set of witnesses, either a majority voted, or exactly half
+// where the set has twice as many witnesses as failures are tolerated, and the others of that set
+// did not respond. Those may never return. A witness that refused because it has promised a later
+// epoch counts as alive: it will vote when asked again. A witness that waits for a lease to expire
+// may be lost before it does; that lease has expired if the surviving ones say so, since at least
+// one of them granted it too.
 func (m *memberPolicy) halfSurvives(known View, responses map[string]promiseResponse) bool {
 	if len(known.Unanimous) > 0 && len(known.Prior) == 0 {
 		return false
 	}
 	granted := grantedBy(responses)
 	for _, set := range known.witnessSets() {
-		refused := slices.ContainsFunc(set, func(addr string) bool { return !granted(addr) && responses[addr].refusedForAnother() })
+		refused := slices.ContainsFunc(set, func(addr string) bool { return !granted(addr) && responses[addr].refused() })
 		if !majorityOfEach([][]string{set}, granted) && (refused || !m.exactlyHalfVoted(set, granted)) {
 			return false
 		}
@@ -24,16 +25,19 @@
 	return true
 }
 
+// exactlyHalfVoted reports whether the set has twice as many witnesses as failures are tolerated, and
+// half of them voted.
 func (m *memberPolicy) exactlyHalfVoted(set []string, voted func(addr string) bool) bool {
 	return len(set) == 2*m.tolerated && len(votersOf(set, voted)) == m.tolerated
 }
 
-// succession is the view in which newcomers stand by a half of the witnesses that is left:
-// control nodes that came with empty disks after that set was formed. As many of them as
-// losses are to be borne will do: while they are none of its witnesses no more of them can
-// be there than were lost, so they can't stand by both halves of a set that was merely cut.
-// Fewer will do where one of the silent half is gone for good, since that half can then not
-// stand at all. Each of those that vote for the view has to accept it.
+// succession returns the view in which newcomers vote together with the surviving half of the
+// witnesses; false if they may not. Newcomers are control nodes that joined with empty disks after
+// that set was formed. As many newcomers as failures are tolerated suffice: as long as they are not
+// among its witnesses, there can be no more of them than witnesses were lost, so they can't vote
+// with both halves of a set that was merely partitioned. Fewer suffice where one of the
+// unresponsive half is permanently gone, since that half can then not form a view at all. Every
+// node that votes for the view has to accept it.
 func (m *memberPolicy) succession(known, view View, responses map[string]promiseResponse, unreachable []string) (View, bool) {
 	granted := grantedBy(responses)
 	if !m.halfSurvives(known, responses) {
@@ -62,22 +66,23 @@
 	return view, true
 }
 
-// intersection lists those of a set that are among others.
+// intersection returns the elements of a set that are among others.
 func intersection(set, others []string) []string {
 	return slices.DeleteFunc(slices.Clone(set), func(addr string) bool { return !slices.Contains(others, addr) })
 }
 
-// silentOf lists those of a set that have not voted: first those that are not gone, then
-// those that were heard last.
+// nonVotersOf returns the elements of a set that have not voted: those that may be reachable before
+// the unreachable ones, and within each group those heard from most recently first.
 func (m *memberPolicy) nonVotersOf(set []string, voted func(addr string) bool, unreachable []string) []string {
 	silent := slices.DeleteFunc(slices.Clone(set), voted)
 	slices.SortStableFunc(silent, func(a, b string) int { return cmp.Compare(m.lastHeard[b], m.lastHeard[a]) })
 	return append(difference(silent, unreachable), intersection(silent, unreachable)...)
 }
 
-// suspects are the silent ones of a half set of which it matters whether they are gone: too
-// few newcomers stand by the other half, and one of these has never heard of them. It came
-// after them, then, and not while the set was merely cut.
+// suspects returns the unresponsive witnesses for which it must be established whether they are
+// permanently gone: too few newcomers vote with the other half of their set, and at least one
+// newcomer has never had contact with them. It therefore joined after they were lost, and not
+// while the set was merely partitioned.
 func (m *memberPolicy) suspects(known View, responses map[string]promiseResponse) (suspects []string) {
 	granted := grantedBy(responses)
 	for _, set := range known.witnessSets() {
@@ -92,8 +97,9 @@
 	return suspects
 }
 
-// newcomersTo are those that have promised and are new to a set of a view's witnesses. Whoever
-// is new to the set before a change, and not in the one after it, is new to both.
+// newcomersTo returns the nodes that have promised and joined after a view's set of witnesses was
+// formed. During a change of the set, a node that is new to the previous set and not in the next
+// one is new to both.
 func newcomersTo(known View, set []string, responses map[string]promiseResponse) (newcomers []string) {
 	for addr, a := range responses {
 		isNew := slices.ContainsFunc(known.witnessSets(), func(to []string) bool { return slices.Equal(a.NewTo, to) })
--- a/internal/controlstate/term.go
+++ b/internal/controlstate/term.go
@@ -6,10 +6,11 @@
 	"indigowalk/internal/kernel"
 )
 
+// leads reports whether this control node is the primary and its lease has not expired.
 func (v *Replica) leads(now kernel.Micros) bool { return v.active && now < v.leaseEnd }
 
-// Lease returns how long the lease runs yet; nothing may be answered or done
-// as primary at or past its end.
+// Lease returns the epoch and the remaining time of the lease, or zeros if this control node does
+// not hold it. Nothing may be answered or done as primary at or after its expiry.
 func (v *Replica) Lease() (epoch int64, remaining kernel.Micros) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -24,18 +25,17 @@
 	return v.seen.Epoch, v.leaseEnd - now
 }
 
-// Term is a time in which this control node is the primary and nobody else was
-// between: it lasts through later views of its own. What was read or decided
-// in a term may leave the process only while that term is valid. That this
-// control node leads is not enough: it may have lost the term, while it was frozen,
-// and won another.
+// Term is an uninterrupted period in which this control node is the primary; it continues
+// through later views of the same primary. What was read or decided in a term may leave the
+// process only while that term is valid. It is not enough that this control node is primary now:
+// while the process was frozen it may have lost the term and won another.
 type Term struct {
 	v     *Replica
-	began int64 // epoch of its first view
+	began int64 // epoch of the first view of the term
 	ctx   context.Context
 }
 
-// Term returns the term that runs.
+// Term returns the current term, or ErrNotPrimary if this control node does not hold the lease.
 func (v *Replica) Term() (*Term, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -47,28 +47,28 @@
 
 type termKey struct{}
 
-// TermOf returns the term whose context ctx is, or derives from; if there is
-// none, nil, which is a term that is over.
+// TermOf returns the term whose context ctx is or derives from. Without one it returns nil, which
+// behaves as a term that has ended.
 func TermOf(ctx context.Context) *Term {
 	t, _ := ctx.Value(termKey{}).(*Term)
 	return t
 }
 
-// begin starts a term. The caller holds the lock.
+// beginTerm starts a term. The caller holds v.mu.
 func (v *Replica) beginTerm(epoch int64) {
 	v.term = &Term{v: v, began: epoch}
 	v.term.ctx, v.cancelTerm = context.WithCancel(context.WithValue(context.Background(), termKey{}, v.term))
 	v.members.primarySince = v.k.Clock.Now()
 }
 
-// Context ends with the term, at the latest before another one begins.
+// Context returns a context that is cancelled when the term ends, at the latest before the next
+// one begins.
 func (t *Term) Context() context.Context { return t.ctx }
 
-// Began is the epoch in which the term began; terms are known by it.
+// Began returns the epoch in which the term began, which identifies the term.
 func (t *Term) Began() int64 { return t.began }
 
-// Lease returns the epoch and how long the lease runs yet, 0 if the term is
-// over.
+// Lease returns the epoch and the remaining time of the lease, or zeros if the term has ended.
 func (t *Term) Lease() (epoch int64, remaining kernel.Micros) {
 	if t == nil {
 		return 0, 0
@@ -81,14 +81,14 @@
 	return t.v.leaseRemaining()
 }
 
-// Valid tells whether the term runs.
+// Valid reports whether the term is current and its lease has not expired.
 func (t *Term) Valid() bool {
 	_, remaining := t.Lease()
 	return remaining > 0
 }
 
-// resign ends this control node's time as primary, and returns its last view; false
-// if it was none.
+// stepDown ends this control node's term as primary and returns its last view, or false if it was
+// not the primary.
 func (v *Replica) stepDown(reason string) (View, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -97,19 +97,20 @@
 	}
 	v.active, v.members.primarySince = false, 0
 	v.cancelTerm()
-	v.k.Log.Info("no longer primary", "epoch", v.seen.Epoch, "why", reason)
+	v.k.Log.Info("stepped down as primary", "epoch", v.seen.Epoch, "why", reason)
 	v.standAt = v.k.Clock.Now() + v.lease
 	v.changed.Ring()
 	return v.seen, true
 }
 
-// handOver gives the lease up before it ends and has the backups stand.
+// handOver releases the lease before it expires and asks the backups in turn to campaign until one
+// acknowledges.
 func (v *Replica) handOver(reason string) {
 	view, wasPrimary := v.stepDown(reason)
 	if !wasPrimary {
 		return
 	}
-	ctx := context.Background() // each call is bounded
+	ctx := context.Background() // each call has its own timeout
 	ask(ctx, v, union(view.quorumSets()...), "controlstate.release", func(string) any { return epochRequest{view.Epoch} },
 		func(got map[string]struct{}) bool { return majorityOfEach(view.quorumSets(), has(got)) })
 	for _, b := range view.Backups {
--- a/internal/controlstate/view.go
+++ b/internal/controlstate/view.go
@@ -2,37 +2,40 @@
 
 import "slices"
 
-// Member is a control node with a given disk: the same control node with another disk
-// is another member.
+// Member is a control node together with its disk: the same control node with another disk is
+// another member.
 type Member struct {
 	Name string `json:"name"`
 	Addr string `json:"addr"`
 	Disk string `json:"disk"`
 }
 
+// same reports whether both are the same control node with the same known disk.
 func (m Member) same(o Member) bool { return m.Addr == o.Addr && m.Disk == o.Disk && m.Disk != "" }
 
-// View says who keeps the control state in an epoch, and who elects.
+// View is the configuration of an epoch: the members that store the control state and the
+// witnesses that vote.
 type View struct {
 	Epoch     int64    `json:"epoch"`
 	Primary   Member   `json:"primary"`
 	Backups   []Member `json:"backups"`
-	Witnesses []string `json:"witnesses"` // inner addresses
-	// Prior is the set of witnesses before a change of the set. While it is
-	// named, a majority of it must agree too.
+	Witnesses []string `json:"witnesses"` // internal addresses
+	// Prior is the previous set of witnesses while the set is being changed. As long as it is
+	// present, a majority of it must agree too.
 	Prior []string `json:"prior,omitempty"`
-	// Unanimous are control nodes of which each must agree while they are named, in place of
-	// a majority of Prior: the half that was left of the witnesses before, and the newcomers
-	// that stood by them (see succession).
+	// Unanimous lists control nodes of which every one must agree as long as they are present,
+	// in place of a majority of Prior: the surviving half of the previous witnesses and the
+	// newcomers that voted with it (see succession).
 	Unanimous []string `json:"unanimous,omitempty"`
 }
 
-// Has reports whether m, with its disk, keeps the state.
+// Has reports whether m, with its disk, stores the state in this view.
 func (v View) Has(m Member) bool { return m.same(v.Primary) || slices.ContainsFunc(v.Backups, m.same) }
 
+// sameAs reports whether both views have the same epoch and primary.
 func (v View) sameAs(o View) bool { return v.Epoch == o.Epoch && v.Primary == o.Primary }
 
-// sets are the sets of witnesses of each of which a majority is needed.
+// quorumSets returns the sets of witnesses of which a majority each is required.
 func (v View) quorumSets() [][]string {
 	if len(v.Unanimous) == 0 {
 		return v.witnessSets()
@@ -44,8 +47,8 @@
 	return sets
 }
 
-// chain are the view's witnesses and, during a change, those before it: whoever votes in
-// some later election is of these.
+// witnessSets returns the view's witnesses and, during a change, the previous ones: every voter in
+// a later election belongs to one of them.
 func (v View) witnessSets() [][]string {
 	if len(v.Prior) == 0 {
 		return [][]string{v.Witnesses}
@@ -53,8 +56,8 @@
 	return [][]string{v.Witnesses, v.Prior}
 }
 
-// standing are the witnesses that a majority of stands for as long as the view is not
-// followed: those before a change that may not be done.
+// establishedWitnesses returns the witnesses whose majority is decisive until the view is
+// superseded: during a change that may not complete, the previous ones.
 func (v View) establishedWitnesses() []string {
 	if len(v.Prior) > 0 {
 		return v.Prior
@@ -62,11 +65,11 @@
 	return v.Witnesses
 }
 
-// inChange tells whether the view names more than its witnesses, and is to be followed by
-// one that does not.
+// inTransition reports whether the view requires more votes than those of its witnesses, and is to
+// be followed by a view that does not.
 func (v View) inTransition() bool { return len(v.Prior) > 0 || len(v.Unanimous) > 0 }
 
-// union lists the members of all sets once.
+// union returns the elements of all sets, each once.
 func union(sets ...[]string) []string {
 	var out []string
 	for _, set := range sets {
@@ -79,7 +82,7 @@
 	return out
 }
 
-// majorities tells whether the voters are a majority of each set.
+// majorityOfEach reports whether a majority of each set voted.
 func majorityOfEach(sets [][]string, voted func(addr string) bool) bool {
 	for _, set := range sets {
 		if 2*len(votersOf(set, voted)) <= len(set) {
@@ -89,8 +92,8 @@
 	return true
 }
 
-// overlap tells whether the intact registers that were read must include one
-// of any majority that may have voted.
+// intersectsEveryMajority reports whether the intact registers that were read include, in each
+// set, at least one of any majority that may have voted.
 func intersectsEveryMajority(sets [][]string, read func(addr string) bool) bool {
 	for _, set := range sets {
 		if majority := len(set)/2 + 1; len(votersOf(set, read)) <= len(set)-majority {
@@ -100,12 +103,12 @@
 	return true
 }
 
-// votersOf lists those of a set that voted.
+// votersOf returns the elements of a set that voted.
 func votersOf(set []string, voted func(addr string) bool) []string {
 	return slices.DeleteFunc(slices.Clone(set), func(addr string) bool { return !voted(addr) })
 }
 
-// except lists the addresses that are not among others; nil if there are none.
+// difference returns the addresses that are not among others, or nil if there are none.
 func difference(addrs, others []string) (out []string) {
 	for _, addr := range addrs {
 		if !slices.Contains(others, addr) {
@@ -115,7 +118,7 @@
 	return out
 }
 
-// without lists the addresses but one.
+// without returns the addresses except one.
 func without(addrs []string, addr string) []string {
 	return slices.DeleteFunc(slices.Clone(addrs), func(other string) bool { return other == addr })
 }
