--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-func TestTornLastWriteIsCutOff(t *testing.T) {
+func TestTornLastWriteIsTruncated(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
 	disk := s.Disk
@@ -45,7 +45,7 @@
 	}
 	last := whole[len(before):]
 	holed := bytes.Clone(last)
-	clear(holed[len(holed)/2 : len(holed)/2+16]) // a block that never reached the disk
+	clear(holed[len(holed)/2 : len(holed)/2+16]) // a block that was never written to disk
 	for cut := 0; cut < len(last); cut += 7 {
 		check := func(tail []byte) {
 			if err := os.WriteFile(path, slices.Concat(before, tail), 0o644); err != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Damage is told apart from a torn last write: it names file and record, and
-// nothing that was synced is dropped for it.
+// Damage is distinguished from a torn last write: it is reported with the file and the record, and
+// no synced record is discarded because of it.
 func TestDamagedStoreIsReported(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, StoreFile)
@@ -116,7 +116,7 @@
 	return out
 }
 
-// storeOfOtherFormat is the file of a store whose identity was written as mere text.
+// storeOfOtherFormat returns the file of a store whose identity was written as a plain string.
 func storeOfOtherFormat(t *testing.T) []byte {
 	dir := t.TempDir()
 	s := open(t, dir)
@@ -130,9 +130,9 @@
 	return raw
 }
 
-// The store stays small while it is in use, and a loss of power at any step of
-// its rewriting leaves either file.
-func TestStoreIsRewritten(t *testing.T) {
+// The store stays small while it is in use, and a power loss at any step of its compaction leaves
+// either the old or the new file.
+func TestStoreCompaction(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, StoreFile)
 	s := open(t, dir)
@@ -150,9 +150,9 @@
 	}
 	s.Close()
 	if fi, err := os.Stat(path); err != nil || fi.Size() > 3*compactAbove {
-		t.Errorf("after 6 MB of changes the store has %d bytes", fi.Size())
+		t.Errorf("after 6 MB of changes the size of the store is %d bytes", fi.Size())
 	}
-	// Power went before the new file had the name: it is left half written.
+	// Power was lost before the new file was renamed: it is left behind, incomplete.
 	if err := os.WriteFile(path+".next", []byte("*3\r\n$3\r\nse"), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -161,21 +161,21 @@
 	if reg, found, rerr := s.loadRegister(); err != nil || rerr != nil || !found || reg.Promised != 5 || st.Seq != 100 || len(st.Entries["a"]) != len(text) {
 		t.Errorf("read back %d entries at %d, %+v %v %v", len(st.Entries), st.Seq, reg, err, rerr)
 	}
-	s.unsure = true // as after a sync that failed: the next write rewrites first
+	s.unsure = true // as after a failed sync: the next write compacts the store first
 	if err := s.Append(Change{4, 101, map[string]json.RawMessage{"a": nil}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.SaveState(State{Epoch: 6, Seq: 101}); err != nil {
 		t.Fatal(err)
 	}
-	// A change of an epoch before, left behind by a write nobody acknowledged.
+	// A change of an earlier epoch, left behind by a write that was not acknowledged.
 	if err := s.Append(Change{4, 102, map[string]json.RawMessage{"b": text}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	s = open(t, dir)
 	if st, err = s.LoadState(); err != nil || st.Seq != 101 || st.Epoch != 6 || len(st.Entries) != 0 {
-		t.Errorf("after a rewrite: %+v %v", st, err)
+		t.Errorf("after a compaction: %+v %v", st, err)
 	}
 }
 
@@ -202,18 +202,18 @@
 		return r.Granted
 	}
 	if !promise(1, a) || promise(1, b) {
-		t.Fatal("epoch 1 was promised to nobody, or twice")
+		t.Fatal("epoch 1 was not promised, or promised twice")
 	}
 	v1 := View{Epoch: 1, Primary: a, Backups: []Member{b}}
 	if !accept(v1) {
 		t.Fatal("the promised view was refused")
 	}
 	if promise(2, b) {
-		t.Error("promised while a lease runs")
+		t.Error("promised while a lease is unexpired")
 	}
 	now += lease
 	if !promise(2, b) {
-		t.Error("not promised after the lease")
+		t.Error("not promised after the lease expired")
 	}
 	if accept(v1) {
 		t.Error("accepted a view of an old epoch")
@@ -223,31 +223,31 @@
 	}
 	v2 := View{Epoch: 2, Primary: b, Backups: []Member{a}}
 	if r, changed := e.renew(now, v2); !r.Granted || !changed || !e.reg.Accepted.sameAs(v2) {
-		t.Error("a renewal did not make up for a missed acceptance")
+		t.Error("a renewal did not replace a missed acceptance")
 	}
 	if !promise(3, b) {
-		t.Error("the lease's own holder may form another view")
+		t.Error("the holder of the lease was not allowed to form another view")
 	}
 	e.release(1)
 	if now+1 > e.leaseUntil {
-		t.Error("an old epoch's release ended the lease")
+		t.Error("the release of an old epoch ended the lease")
 	}
-	// After a restart a lease may still run that was granted before.
+	// After a restart, a lease granted before it may still be unexpired.
 	again := &witness{reg: e.reg, lease: lease, priorLeaseUntil: now + lease}
 	if p, _ := again.promise(now, promiseRequest{9, a, 0}); p.Granted || p.LeaseRemaining != lease {
-		t.Error("a restarted witness promised before a lease could have run out")
+		t.Error("a restarted witness promised before an earlier lease must have expired")
 	}
 	if p, _ := again.promise(now, promiseRequest{8, a, 1}); p.Granted {
-		t.Error("the word that another view's lease is void was taken")
+		t.Error("promised though the voided lease is that of another view")
 	}
 	if p, _ := again.promise(now, promiseRequest{8, a, 2}); !p.Granted {
-		t.Error("not promised though the lease is void")
+		t.Error("not promised though the lease was voided")
 	}
 	if p, _ := again.promise(now, promiseRequest{8, a, 2}); !p.Granted {
-		t.Error("asked again by the same candidate, the promise was not repeated")
+		t.Error("the promise was not repeated to the same candidate")
 	}
 	if p, _ := again.promise(now, promiseRequest{9, b, 0}); !p.Granted {
-		t.Error("the holder of that lease, started again itself, was refused")
+		t.Error("the restarted holder of that lease was refused")
 	}
 	if v2.Has(Member{"a", "a:1", "another disk"}) {
 		t.Error("a member with another disk counts as the member")
@@ -264,7 +264,7 @@
 		sets     [][]string
 		voted    string
 		majority bool
-		overlap  bool // with every majority that may have voted
+		overlap  bool // intersects every majority that may have voted
 	}{
 		{[][]string{three}, "ab", true, true},
 		{[][]string{three}, "a", false, false},
@@ -283,8 +283,8 @@
 	}
 }
 
-// A view binds a candidate if it may have a majority, now or later.
-func TestHighestInForce(t *testing.T) {
+// A view binds a candidate if it may be accepted by a majority, now or later.
+func TestHighestBindingView(t *testing.T) {
 	set := []string{"a", "b", "c", "d"}
 	old, next := View{Epoch: 7, Witnesses: set}, View{Epoch: 8, Witnesses: set}
 	promised := func(v View) promiseResponse { return promiseResponse{Granted: true, Accepted: v} }
--- a/internal/controlstate/export_test.go
+++ b/internal/controlstate/export_test.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// StallDisk has the disk answer nothing until the returned function is called.
+// StallDisk blocks all use of the disk until the returned function is called.
 func (v *Replica) StallDisk() (release func()) {
 	v.store.lock()
 	return sync.OnceFunc(v.store.unlock)
 }
 
-// TryCampaign stands as a step would that looked before.
+// TryCampaign makes one attempt at a new view without the checks that precede it in Serve.
 func (v *Replica) TryCampaign(ctx context.Context) error { return v.tryStand(ctx) }
--- a/internal/controlstate/membership_model_test.go
+++ b/internal/controlstate/membership_model_test.go
@@ -8,30 +8,30 @@
 	"indigowalk/internal/kernel"
 )
 
-// sizes are the deployments that are played: with fewer than 2f control nodes no
-// majority outlasts the losses.
+// sizes are the simulated deployments. With fewer than 2f control nodes no majority survives the
+// tolerated failures.
 var sizes = []struct{ f, controlNodes int }{{1, 3}, {1, 4}, {1, 5}, {1, 7}, {2, 4}, {2, 5}, {2, 6}, {2, 7}, {3, 6}}
 
 func TestMembershipModel(t *testing.T) {
-	taken := 0
+	newcomerViews := 0
 	for _, c := range sizes {
 		for seed := range uint64(200) {
 			w := randomHistory(seed, c.f, c.controlNodes, "")
-			if taken += w.newcomerViews; w.violation != "" {
+			if newcomerViews += w.newcomerViews; w.violation != "" {
 				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.violation, strings.Join(w.trace, "\n"))
 				break
 			}
 		}
 	}
-	if taken == 0 {
+	if newcomerViews == 0 {
 		t.Error("newcomers never took the places of lost witnesses")
 	}
 }
 
-// MajorityRemains, in walks that once broke it: newcomers stood by a half of the witnesses of
-// which one only refused, or lost one of their own before the view was followed; a set of
-// five kept one that was gone for good.
-func TestMembershipModelOfWalksThatBroke(t *testing.T) {
+// Regression test with seeds that once violated MajorityRemains: newcomers voted with a half of the
+// witnesses of which one had merely refused, or lost one of their own before the next view was
+// formed; a set of five witnesses retained one that was permanently lost.
+func TestMembershipModelRegressionSeeds(t *testing.T) {
 	for _, c := range []struct {
 		f, controlNodes int
 		seeds           []uint64
@@ -47,39 +47,39 @@
 	}
 }
 
-// Whatever is cut off or down, with no more disks lost than may be, there is one primary, and
-// what was acknowledged is there.
-func TestMembershipModelOfAnyCuts(t *testing.T) {
-	taken := 0
+// Whichever nodes are partitioned or down, as long as no more disks are lost than tolerated, there is
+// one primary, and acknowledged changes survive.
+func TestMembershipModelWithAnyPartitions(t *testing.T) {
+	newcomerViews := 0
 	for _, c := range append(sizes, struct{ f, controlNodes int }{2, 8}) {
 		for seed := range uint64(200) {
 			w := newModel(seed, c.f, c.controlNodes, "").boot()
-			w.anyCuts = true
+			w.anyPartitions = true
 			w.randomSteps(200)
-			if taken += w.newcomerViews; w.violation != "" {
+			if newcomerViews += w.newcomerViews; w.violation != "" {
 				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.violation, strings.Join(w.trace, "\n"))
 				break
 			}
 		}
 	}
-	if taken == 0 {
+	if newcomerViews == 0 {
 		t.Error("newcomers never took the places of lost witnesses")
 	}
 }
 
-// AcknowledgedSurvives, open: where more control nodes are away than may be lost, their disks
-// whole, a change is acknowledged on fewer disks than may be lost.
+// Open fault, violates AcknowledgedSurvives: while more control nodes are unreachable than failures
+// are tolerated, with their disks intact, a change is acknowledged on fewer disks than may be lost.
 func TestAcknowledgedOutlastsAnyCuts(t *testing.T) {
 	w := newModel(3532, 2, 4, "").boot()
-	w.anyCuts = true
+	w.anyPartitions = true
 	if w.randomSteps(200); w.violation != "" {
 		t.Errorf("%s\n%s", w.violation, strings.Join(w.trace, "\n"))
 	}
 }
 
-// explore tries each row of troubles that may come, with up to 40 steps between
-// and after them, and at the end the losses and the restart that may come then.
-func explore(w *model, faults, every int) (found *model, histories int) {
+// explore tries each sequence of that many faults, with up to 40 steps between and after them, and at
+// the end the losses that are still tolerated and a restart of all nodes.
+func explore(w *model, faults, stride int) (found *model, histories int) {
 	if faults == 0 {
 		w.loseRemaining()
 		w.powerCycle()
@@ -91,14 +91,14 @@
 		return nil, 1
 	}
 	for i := range w.nodes {
-		for what := wiped; what <= returned; what++ {
+		for kind := wiped; kind <= returned; kind++ {
 			c := w.clone()
-			if !c.inject(c.nodes[i], what) {
+			if !c.inject(c.nodes[i], kind) {
 				continue
 			}
 			for step := range 40 {
-				if step%every == 0 {
-					next, n := explore(c.clone(), faults-1, every)
+				if step%stride == 0 {
+					next, n := explore(c.clone(), faults-1, stride)
 					if histories += n; next != nil {
 						return next, histories
 					}
@@ -112,7 +112,7 @@
 	return nil, histories
 }
 
-// advance goes on by one call, or a tick when none is due, after a change.
+// advance carries out one pending call or, if there is none, a tick and the start of a change.
 func (w *model) advance() {
 	if busy := w.nodesWithPendingStep(); len(busy) > 0 {
 		busy[0].step(w)
@@ -126,7 +126,7 @@
 	w.checkInvariants()
 }
 
-func TestMembershipModelOfAllTwoTroubles(t *testing.T) {
+func TestMembershipModelAllPairsOfFaults(t *testing.T) {
 	for _, c := range []struct{ f, controlNodes, every int }{{1, 3, 2}, {1, 4, 2}, {2, 5, 8}} {
 		w := newModel(1, c.f, c.controlNodes, "").boot()
 		w.write()
@@ -137,7 +137,7 @@
 	}
 }
 
-// leader is the primary, if there is one.
+// leader returns the primary, or nil if there is none.
 func (w *model) leader() *node {
 	for _, n := range w.nodes {
 		if n.up && n.holdsLease(w.now) {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// write has the primary write, and tells whether it acknowledged.
+// write has the primary write a change and reports whether it was acknowledged.
 func (w *model) write() bool {
 	before, n := w.acked, w.leader()
 	if n != nil && n.write(w) {
@@ -163,29 +163,29 @@
 	}
 }
 
-// formViewUnheardBy has the primary form a view of which some control nodes hear nothing, and
+// formViewUnheardBy has the primary form a view while some control nodes are partitioned, and
 // acknowledge a change in it.
-func (w *model) formViewUnheardBy(p *node, deaf ...*node) {
-	for _, n := range deaf {
+func (w *model) formViewUnheardBy(primary *node, isolated ...*node) {
+	for _, n := range isolated {
 		n.partitioned = true
 	}
-	p.campaign(w)
+	primary.campaign(w)
 	w.runPendingSteps()
 	w.write()
-	for _, n := range deaf {
+	for _, n := range isolated {
 		n.partitioned = false
 	}
 }
 
-// Each guard is taken out of a short history, which then breaks an invariant
-// that it does not break with the guard in.
-func TestMembershipModelFindsFaults(t *testing.T) {
+// For each guard there is a history that violates an invariant with the guard removed, and does not
+// with the guard in place.
+func TestMembershipModelDetectsRemovedGuards(t *testing.T) {
 	for guard, c := range map[string]struct {
 		f, controlNodes int
 		breaks          string
 		play            func(w *model)
 	}{
-		// A backup comes back with an empty disk before it is missed.
+		// A backup restarts with an empty disk before its absence is noticed.
 		"RenewalNamesDisk": {1, 4, "AcknowledgedSurvives", func(w *model) {
 			w.write()
 			b := w.members()[1]
@@ -194,10 +194,10 @@
 			w.runQuietly(11)
 			w.lose(w.leader(), true)
 		}},
-		// The primary is lost while its backup leaves for good.
+		// The primary is lost while its backup is shutting down permanently.
 		"LeaveWaits":    {1, 4, "AcknowledgedSurvives", lastHolderLeaves},
 		"LeavingStands": {1, 4, "AcknowledgedSurvives", lastHolderLeaves},
-		// A member of the view before the last wins the vote of an empty disk.
+		// A member of an older view wins the vote of a witness with an empty disk.
 		"EmptyAbstains": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
 			m[0].members.shun(m[1].addr, w.now)
@@ -206,7 +206,7 @@
 			w.powerCycle()
 			w.runQuietly(20)
 		}},
-		// The same, where the empty one can read one register only.
+		// The same, where the witness with the empty disk can read only one register.
 		"IntactOverlap": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
 			w.formViewUnheardBy(m[0], m[1])
@@ -216,8 +216,8 @@
 			w.at(other).stop()
 			w.runQuietly(20)
 		}},
-		// The set is changed without the old one's majority, and that is what
-		// comes back first.
+		// The set of witnesses is changed without a majority of the old set, and that
+		// majority is what returns first.
 		"BothSetsAgree": {1, 4, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
 			p, b, c := m[0], m[1], w.at("c")
@@ -238,7 +238,7 @@
 			}
 			w.runQuietly(20)
 		}},
-		// Three control nodes are silent as the view is formed, and there again.
+		// Three control nodes are unreachable while the view is formed, and return afterwards.
 		"EnoughBackups": {2, 5, "AcknowledgedSurvives", func(w *model) {
 			m := w.members()
 			p := m[0]
@@ -261,10 +261,10 @@
 			w.lose(w.at(b), true)
 			w.lose(p, true)
 		}},
-		// Two of the first three witnesses are lost, though five are there.
+		// Two of the initial three witnesses are lost, although five control nodes exist.
 		"LargeEnough": {2, 5, "MajorityRemains", func(w *model) {
 			if w.runQuietly(4); !w.write() {
-				return // none was acknowledged
+				return // no change was acknowledged
 			}
 			m := w.members()
 			w.lose(m[0], true)
@@ -273,8 +273,8 @@
 				n.countedLost = !n.up
 			}
 		}},
-		// Two control nodes are about to be replaced, the new ones being there first, and
-		// the others are cut in halves with one of those each.
+		// Two replacements have joined before the nodes they replace are stopped; then the
+		// others are partitioned into halves, with one of the replacements each.
 		"GoneIsShown": {2, 4, "OldStateNeverLeads", func(w *model) {
 			w.write()
 			var newcomers []*node
@@ -304,12 +304,12 @@
 		"MembersStand":   {1, 3, "OldStateNeverLeads", nil},
 		"RefusalsHeeded": {2, 5, "MajorityRemains", nil},
 	} {
-		broke := func(without string) map[string]string {
+		violations := func(disabledGuard string) map[string]string {
 			out := map[string]string{}
 			for seed := range uint64(40) {
-				w := newModel(seed, c.f, c.controlNodes, without)
+				w := newModel(seed, c.f, c.controlNodes, disabledGuard)
 				if c.play == nil {
-					w = randomHistory(seed, c.f, c.controlNodes, without)
+					w = randomHistory(seed, c.f, c.controlNodes, disabledGuard)
 				} else {
 					if guard != "LargeEnough" {
 						w.boot()
@@ -324,11 +324,11 @@
 			}
 			return out
 		}
-		for _, how := range broke("") {
-			t.Errorf("with %s: %s", guard, how)
+		for _, how := range violations("") {
+			t.Errorf("with guard %s: %s", guard, how)
 		}
-		if out := broke(guard); out[c.breaks] == "" {
-			t.Errorf("without %s breaks %v, not %s", guard, out, c.breaks)
+		if out := violations(guard); out[c.breaks] == "" {
+			t.Errorf("without guard %s violations are %v, not of %s", guard, out, c.breaks)
 		}
 	}
 }
@@ -338,7 +338,7 @@
 	m := w.members()
 	m[1].leaving = true
 	w.lose(m[0], true)
-	w.runQuietly(14) // the grace
+	w.runQuietly(14) // the grace period
 	if m[1].up {
 		m[1].end(w)
 	}
--- a/internal/controlstate/model_test.go
+++ b/internal/controlstate/model_test.go
@@ -9,12 +9,11 @@
 	"indigowalk/internal/kernel"
 )
 
-// The model plays control nodes that stand, copy, vote, write and fail, one step at a
-// time and in any order, on the functions that the daemon decides with: witness,
-// membership, registerFrom. What it adds is only what carries them out. It never
-// lets more than f control nodes be lost at once; one that is back counts as lost
-// until catchup has gone by, one that is replaced until its successor has had
-// that time.
+// model simulates control nodes that campaign, copy the state, vote, write and fail, one step at a
+// time and in any order. Decisions are made by the functions of the daemon itself: witness,
+// memberPolicy and registerFromPeers; the model only adds what carries them out. It never loses more
+// than f control nodes at once. A node that returns counts as lost until the catch-up time has
+// passed, a replaced one until its successor has been up for that time.
 type model struct {
 	rng           *rand.Rand
 	now           kernel.Micros
@@ -22,13 +21,13 @@
 	nodes         []*node
 	disks         int
 	writes        int
-	acked         uint64           // changes that were acknowledged, one bit each
-	leaders       map[int64]string // by epoch
-	disabledGuard string           // the guard that is taken out
-	overBudget    bool             // more than f are lost, since one left as another was
-	newcomerViews int              // views in which newcomers took the places of half of the witnesses
-	anyCuts       bool             // any number may be cut off, or down with their disks whole
-	violation     string           // the invariant that was broken, and how
+	acked         uint64           // acknowledged changes, one bit each
+	leaders       map[int64]string // disk of the primary, by epoch
+	disabledGuard string           // the guard that is removed
+	overBudget    bool             // more than f are lost, because one left while another was lost
+	newcomerViews int              // views in which newcomers replaced half of the witnesses
+	anyPartitions bool             // any number may be partitioned, or down with their disks intact
+	violation     string           // the violated invariant, and how it was violated
 	trace         []string
 }
 
@@ -37,12 +36,12 @@
 	// On disk.
 	disk    string
 	reg     register
-	epoch   int64  // of the state
-	content uint64 // changes in the state
+	epoch   int64  // of the stored state
+	content uint64 // changes contained in the stored state
 	// In memory.
-	up, partitioned, leaving, retired bool // far: cut off, or frozen, with others that are; gone: replaced for good
-	countedLost                       bool // as lost
-	backAt                            kernel.Micros
+	up, partitioned, leaving, retired bool // partitioned: cut off or frozen, together with all others that are; retired: replaced permanently
+	countedLost                       bool // counts as lost
+	upSince                           kernel.Micros
 	witness                           witness
 	newestView                        View
 	takeoverAt, nextCampaignAt        kernel.Micros
@@ -54,18 +53,20 @@
 	missedRenewals                    map[string]int
 	attempt                           *attempt
 	pendingWrite                      *pendingWrite
-	predecessor                       *node // whose successor this is
+	predecessor                       *node // the node that this one replaces
 }
 
-// pendingWrite is a change under way to the backups.
+// pendingWrite is a change that is being sent to the backups.
 type pendingWrite struct {
 	view    View
 	bit     uint64
 	pending []string
 }
 
+// guardHolds returns ok, or true if that guard is removed.
 func (w *model) guardHolds(guard string, ok bool) bool { return ok || w.disabledGuard == guard }
 
+// violate records the first violation of an invariant.
 func (w *model) violate(invariant, how string, args ...any) {
 	if w.violation == "" {
 		w.violation = invariant + ": " + fmt.Sprintf(how, args...)
@@ -78,15 +79,15 @@
 	}
 }
 
-// logFailedAttempt notes an attempt that failed, if it is among the first in a row.
+// logFailedAttempt adds a failed attempt to the trace, if it is among the first few in a row.
 func (w *model) logFailedAttempt(format string, args ...any) {
-	if n := len(w.trace); n < 4 || !strings.Contains(w.trace[n-4], "in vain") {
+	if n := len(w.trace); n < 4 || !strings.Contains(w.trace[n-4], "attempt failed") {
 		w.logf(format, args...)
 	}
 }
 
-func newModel(seed uint64, f, controlNodes int, without string) *model {
-	w := &model{rng: rand.New(rand.NewPCG(seed, 3)), now: kernel.Second, f: f, leaders: map[int64]string{}, disabledGuard: without}
+func newModel(seed uint64, f, controlNodes int, disabledGuard string) *model {
+	w := &model{rng: rand.New(rand.NewPCG(seed, 3)), now: kernel.Second, f: f, leaders: map[int64]string{}, disabledGuard: disabledGuard}
 	for range controlNodes {
 		w.addNode()
 	}
@@ -103,7 +104,7 @@
 	return w
 }
 
-// boot lets the first start go by.
+// boot runs the first start until it is complete.
 func (w *model) boot() *model {
 	w.runQuietly(40)
 	for _, n := range w.nodes {
@@ -112,7 +113,7 @@
 	return w
 }
 
-// runQuietly lets time go by without trouble.
+// runQuietly advances the clock without injecting faults.
 func (w *model) runQuietly(ticks int) {
 	for range ticks {
 		w.tick(true)
@@ -126,10 +127,10 @@
 	return n
 }
 
-// start begins a life on what is on disk.
+// start begins an incarnation with what is on disk.
 func (n *node) start(w *model) {
 	n.attempt, n.pendingWrite = nil, nil
-	n.up, n.leaving, n.partitioned, n.backAt = true, false, false, w.now
+	n.up, n.leaving, n.partitioned, n.upSince = true, false, false, w.now
 	n.witness = witness{lease: modelLease, reg: n.reg, priorLeaseUntil: w.now + modelLease}
 	if n.reg.Promised == 0 && len(n.reg.Accepted.Witnesses) == 0 {
 		n.witness.abstains = w.disabledGuard != "EmptyAbstains"
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// reachable returns the control node that a call from n is answered by.
+// reachable returns the control node that answers a call from n to addr, or nil.
 func (w *model) reachable(n *node, addr string) *node {
 	if o := w.at(addr); o != nil && o.up && o.partitioned == n.partitioned {
 		return o
@@ -209,7 +210,7 @@
 	}
 }
 
-// write begins a change, if one may be taken now.
+// write begins a change, if one is accepted now, and reports whether it did.
 func (n *node) write(w *model) bool {
 	if n.attempt != nil || n.pendingWrite != nil || !n.holdsLease(w.now) || n.epoch != n.newestView.Epoch || w.writes == 60 {
 		return false
@@ -243,15 +244,15 @@
 	}
 }
 
-// tick lets the time of a renewal go by, with all that is done by the clock; in
-// calm, each carries out the calls that are due before the next has its turn.
-func (w *model) tick(calm bool) {
+// tick advances the clock by one renewal period and performs all timed actions. If quiet, each node
+// completes the pending calls before the next one acts.
+func (w *model) tick(quiet bool) {
 	w.now += tick
 	for _, n := range w.nodes {
 		if n.up {
 			n.tick(w)
 		}
-		if calm {
+		if quiet {
 			w.runPendingSteps()
 		}
 	}
@@ -264,7 +265,7 @@
 	if n.witness.abstains {
 		n.witness.noteContact(w.reachablePeers(n)...)
 	}
-	if n.witness.abstains && w.now-n.backAt >= modelLease {
+	if n.witness.abstains && w.now-n.upSince >= modelLease {
 		n.recoverRegister(w)
 	}
 	if n.active {
@@ -324,7 +325,7 @@
 	}
 }
 
-// recoverRegister reads the others' registers.
+// recoverRegister rebuilds the register from those of the other nodes, as Replica.recoverWitness does.
 func (n *node) recoverRegister(w *model) {
 	for view, hop := n.newestView, 0; hop < 8; hop++ {
 		responses := map[string]registerResponse{}
@@ -349,7 +350,7 @@
 	}
 }
 
-// leave does what Control state.Leave does at a time, and tells whether n has ended.
+// leave performs one step of Replica.Leave and reports whether n has stopped.
 func (n *node) leave(w *model) bool {
 	switch {
 	case n.attempt != nil || n.pendingWrite != nil:
@@ -371,12 +372,12 @@
 }
 
 func (n *node) end(w *model) {
-	w.logf("%s ends", n.addr)
+	w.logf("%s stopped", n.addr)
 	n.stop()
 	n.countedLost = true
 }
 
-// nodesWithPendingStep lists the control nodes that have a call to make.
+// nodesWithPendingStep returns the control nodes that have a call to make.
 func (w *model) nodesWithPendingStep() (out []*node) {
 	for _, n := range w.nodes {
 		if n.up && (n.attempt != nil || n.pendingWrite != nil) {
@@ -394,7 +395,7 @@
 	}
 }
 
-// runPendingSteps carries out all calls that are due.
+// runPendingSteps carries out all pending calls.
 func (w *model) runPendingSteps() {
 	for range 500 {
 		busy := w.nodesWithPendingStep()
@@ -406,7 +407,7 @@
 }
 
 const (
-	tick       = 400 * kernel.Millisecond // a renewal each
+	tick       = 400 * kernel.Millisecond // one renewal period
 	modelLease = 3 * tick
 	modelAway  = 3 * kernel.Second
 	modelCatch = 4 * kernel.Second
--- a/internal/controlstate/model_troubles_test.go
+++ b/internal/controlstate/model_troubles_test.go
@@ -7,6 +7,7 @@
 	"slices"
 )
 
+// lostCount returns the number of nodes that count as lost.
 func (w *model) lostCount() (n int) {
 	for _, o := range w.nodes {
 		if o.countedLost && !o.retired {
@@ -16,7 +17,7 @@
 	return n
 }
 
-// leavingCount counts those that are about to end, and not lost yet.
+// leavingCount returns the number of nodes that are shutting down and do not count as lost yet.
 func (w *model) leavingCount() (n int) {
 	for _, o := range w.nodes {
 		if o.up && o.leaving && !o.countedLost {
@@ -26,7 +27,7 @@
 	return n
 }
 
-// randomFault has the environment do something that it may do now.
+// randomFault injects a random fault, if it is allowed now.
 func (w *model) randomFault() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if m := w.members(); len(m) > 0 && w.rng.IntN(2) == 0 {
@@ -37,44 +38,44 @@
 	}
 }
 
-// faultKind is what the environment may do to a control node.
+// faultKind is a kind of fault, or of operator action, that affects a control node.
 type faultKind int
 
-// inject has the environment do something, if it may now; it tells whether it did.
-func (w *model) inject(n *node, what faultKind) bool {
+// inject applies a fault to a node if it is allowed now, and reports whether it did.
+func (w *model) inject(n *node, kind faultKind) bool {
 	if n.retired || w.hasSuccessor(n) {
 		return false
 	}
 	lost, leaving := w.lostCount(), w.leavingCount()
-	w.overBudget = w.overBudget || lost > w.f // one left while another was lost: no more, till they are back
+	w.overBudget = w.overBudget || lost > w.f // one left while another was lost: lose no more until all are back
 	mayLose := (lost+max(0, leaving-1) < w.f || n.countedLost && lost == w.f) && !w.overBudget
 	switch {
-	case what <= killed && n.up && mayLose:
+	case kind <= killed && n.up && mayLose:
 		n.countedLost = true
-		if n.stop(); what == wiped {
+		if n.stop(); kind == wiped {
 			n.wipe(w)
 		}
-		w.logf("%s lost, wiped %v", n.addr, what == wiped)
-	case what == cutOff && n.up && !n.partitioned && (mayLose || w.anyCuts):
-		w.logf("%s cut off", n.addr)
-		n.countedLost, n.partitioned = n.countedLost || !w.anyCuts, true
-	case what == killed && n.up && w.anyCuts:
+		w.logf("%s lost, disk wiped: %v", n.addr, kind == wiped)
+	case kind == cutOff && n.up && !n.partitioned && (mayLose || w.anyPartitions):
+		w.logf("%s partitioned", n.addr)
+		n.countedLost, n.partitioned = n.countedLost || !w.anyPartitions, true
+	case kind == killed && n.up && w.anyPartitions:
 		w.logf("%s down", n.addr)
 		n.stop()
-	case what == toldToLeave && n.up && !n.leaving && !n.partitioned && lost+leaving < w.f && !w.overBudget:
+	case kind == toldToLeave && n.up && !n.leaving && !n.partitioned && lost+leaving < w.f && !w.overBudget:
 		w.logf("%s leaves", n.addr)
 		n.leaving = true
-	case what == replaced && !n.up && mayLose && len(w.nodes) < 12:
+	case kind == replaced && !n.up && mayLose && len(w.nodes) < 12:
 		w.logf("%s replaced by %c", n.addr, rune('a'+len(w.nodes)))
 		n.countedLost, n.epoch, n.content, n.reg = true, 0, 0, register{}
 		s := w.addNode()
 		s.predecessor = n
-		s.countedLost = false // its predecessor is, until it has caught up
+		s.countedLost = false // its predecessor counts until this one has caught up
 		s.start(w)
-	case what == returned && n.partitioned:
-		w.logf("%s joined again", n.addr)
-		n.partitioned, n.backAt = false, w.now
-	case what == returned && !n.up:
+	case kind == returned && n.partitioned:
+		w.logf("%s reconnected", n.addr)
+		n.partitioned, n.upSince = false, w.now
+	case kind == returned && !n.up:
 		w.logf("%s back", n.addr)
 		n.start(w)
 	default:
@@ -93,14 +94,14 @@
 	n.disk, n.reg, n.epoch, n.content = fmt.Sprint("disk", w.disks), register{}, 0, 0
 }
 
-// clearRecovered has those that are back for catchup count no more, if what the primary
-// wants to repair is repaired: that it is by then, the simulations show.
+// clearRecovered stops counting nodes as lost once they have been up for the catch-up time, provided
+// that the primary has completed its repairs. That it has by then is verified by the simulations.
 func (w *model) clearRecovered() {
 	if w.overBudget = w.overBudget && w.lostCount() > 0; !slices.ContainsFunc(w.nodes, w.repaired) {
 		return
 	}
 	for _, n := range w.nodes {
-		if n.up && !n.partitioned && !n.leaving && w.now-n.backAt >= modelCatch {
+		if n.up && !n.partitioned && !n.leaving && w.now-n.upSince >= modelCatch {
 			if n.countedLost = false; n.predecessor != nil {
 				n.predecessor.retired, n.predecessor = true, nil
 			}
@@ -108,7 +109,7 @@
 	}
 }
 
-// repaired tells whether n is the primary, and wants nothing more.
+// repaired reports whether n is the primary and has no repair left to do.
 func (w *model) repaired(n *node) bool {
 	if !n.up || n.partitioned || n.leaving || !n.holdsLease(w.now) || max(n.highestEpochTried, n.epoch) > n.newestView.Epoch || n.members.wantsNewView(n.newestView, w.now) || w.now-n.members.primarySince < 2*tick {
 		return false
@@ -121,11 +122,11 @@
 	return true
 }
 
-// checkInvariants looks at what must hold at every moment.
+// checkInvariants checks what must hold at all times.
 func (w *model) checkInvariants() {
 	held := slices.ContainsFunc(w.nodes, func(n *node) bool { return n.content&w.acked == w.acked })
 	if !held {
-		w.violate("AcknowledgedSurvives", "%b is on no disk", w.acked)
+		w.violate("AcknowledgedSurvives", "no disk holds all of %b", w.acked)
 	}
 	holders := ""
 	for _, n := range w.nodes {
@@ -134,14 +135,14 @@
 		}
 	}
 	if len(holders) > 1 {
-		w.violate("OneLease", "%s hold one", holders)
+		w.violate("OneLease", "%s hold a lease at once", holders)
 	}
 }
 
-// checkMajorityRemains checks that the control nodes go on by themselves: those that run now, if
-// they are more than half, or all after those that are lost are back.
-func (w *model) checkMajorityRemains(back bool) {
-	if (w.overBudget || w.lostCount()+w.leavingCount() > w.f) && !back || w.violation != "" {
+// checkMajorityRemains checks that changes are accepted again without intervention: by the nodes
+// running now, if they are more than half, or by all nodes after the lost ones have returned.
+func (w *model) checkMajorityRemains(restartAll bool) {
+	if (w.overBudget || w.lostCount()+w.leavingCount() > w.f) && !restartAll || w.violation != "" {
 		return
 	}
 	c := w.clone()
@@ -150,18 +151,18 @@
 		if n.retired || c.hasSuccessor(n) {
 			continue
 		}
-		if all++; back && n.partitioned {
+		if all++; restartAll && n.partitioned {
 			n.partitioned = false
 		}
-		if back && !n.up {
+		if restartAll && !n.up {
 			n.start(c)
 		}
 		if n.leaving = false; n.up && !n.partitioned {
 			up++
 		}
 	}
-	if all <= 2*w.f && !back {
-		up -= c.returnedWithoutSeat() // they are taken in once another is back
+	if all <= 2*w.f && !restartAll {
+		up -= c.returnedWithoutSeat() // they become witnesses again once another node is back
 	}
 	if 2*up <= all {
 		return
@@ -181,11 +182,11 @@
 		}
 	}
 	w.trace = c.trace
-	w.violate("MajorityRemains", "%d of %d run, and no change is taken", up, all)
+	w.violate("MajorityRemains", "%d of %d are running, and no change is accepted", up, all)
 }
 
-// returnedWithoutSeat counts the control nodes that have come back, and whose place among the witnesses
-// a newcomer has, rather than that of the one that is gone for good.
+// returnedWithoutSeat returns the number of nodes that have returned but whose place among the
+// witnesses was given to a newcomer, instead of the place of a permanently lost node.
 func (w *model) returnedWithoutSeat() (n int) {
 	var newest View
 	for _, o := range w.nodes {
@@ -228,9 +229,9 @@
 	return &c
 }
 
-// randomHistory plays one random history and returns the model.
-func randomHistory(seed uint64, f, controlNodes int, without string) *model {
-	w := newModel(seed, f, controlNodes, without).boot()
+// randomHistory runs one random history and returns the model.
+func randomHistory(seed uint64, f, controlNodes int, disabledGuard string) *model {
+	w := newModel(seed, f, controlNodes, disabledGuard).boot()
 	w.randomSteps(160)
 	if w.violation != "" {
 		return w
@@ -245,14 +246,14 @@
 	return w
 }
 
-// randomSteps plays so many random steps, or fewer if an invariant breaks.
+// randomSteps runs that many random steps, or fewer if an invariant is violated.
 func (w *model) randomSteps(steps int) {
 	for range steps {
 		busy := w.nodesWithPendingStep()
 		switch r := w.rng.IntN(100); {
 		case r < 12:
 			w.randomFault()
-			for w.rng.IntN(2) == 0 { // troubles come together
+			for w.rng.IntN(2) == 0 { // faults tend to coincide
 				w.randomFault()
 			}
 		case r == 12 && w.rng.IntN(4) == 0:
@@ -275,14 +276,14 @@
 		if w.violation != "" {
 			return
 		}
-		if !w.anyCuts && w.rng.IntN(40) == 0 {
+		if !w.anyPartitions && w.rng.IntN(40) == 0 {
 			w.checkMajorityRemains(w.rng.IntN(2) == 0)
 		}
 	}
 }
 
-// powerCycle has all that run begin another life at once, with what is on disk. All
-// count as lost then.
+// powerCycle restarts all running nodes at once with what is on their disks. All of them count as
+// lost then.
 func (w *model) powerCycle() {
 	w.logf("power")
 	for _, n := range w.nodes {
@@ -294,8 +295,8 @@
 	}
 }
 
-// loseRemaining has as many lose their disks as still may be lost, those first that
-// keep the newest view's state.
+// loseRemaining wipes as many nodes as may still be lost, starting with the members of the newest
+// view.
 func (w *model) loseRemaining() {
 	for _, n := range w.members() {
 		if n.up && (n.countedLost || w.lostCount()+max(0, w.leavingCount()-1) < w.f) && !w.overBudget {
@@ -307,7 +308,7 @@
 	}
 }
 
-// members are those that keep the state in the newest view that any knows.
+// members returns the members of the newest view that any running node knows, primary first.
 func (w *model) members() (out []*node) {
 	var view View
 	for _, n := range w.nodes {
@@ -324,10 +325,10 @@
 }
 
 const (
-	wiped faultKind = iota // lost with its disk
+	wiped faultKind = iota // lost together with its disk
 	killed
 	cutOff
-	toldToLeave // told to end
+	toldToLeave // asked to shut down
 	replaced
 	returned
 )
--- a/internal/controlstate/model_votes_test.go
+++ b/internal/controlstate/model_votes_test.go
@@ -7,22 +7,22 @@
 	"indigowalk/internal/kernel"
 )
 
-// attempt is an attempt to become primary, or to form another view, under way.
+// attempt is an ongoing attempt to become primary or, as primary, to form another view.
 type attempt struct {
 	known          View
 	view           View
 	sets           [][]string
-	wasActive      bool // primary already
+	wasActive      bool // already the primary when it began
 	pending        []string
 	phase          int  // 0 promises, 1 copies, 2 acceptances
-	askedNewcomers bool // newcomers were asked too
+	askedNewcomers bool // newcomers have been asked as well
 	disks          map[string]string
 	responses      map[string]promiseResponse
 	granted        map[string]bool
 	start          kernel.Micros
 }
 
-// campaign begins an attempt.
+// campaign begins an attempt at a new view.
 func (n *node) campaign(w *model) {
 	epoch := max(n.witness.reg.Promised, n.newestView.Epoch, n.epoch, n.highestEpochTried) + 1
 	s := &attempt{known: n.newestView, wasActive: n.active, disks: map[string]string{}, responses: map[string]promiseResponse{}, granted: map[string]bool{}}
@@ -39,12 +39,12 @@
 }
 
 func (n *node) fail(w *model) {
-	w.logFailedAttempt("%s stands for %d in vain in phase %d: promised %v accepted %v", n.addr, n.attempt.view.Epoch, n.attempt.phase, n.attempt.disks, n.attempt.granted)
+	w.logFailedAttempt("%s attempt failed for epoch %d in phase %d: promised %v accepted %v", n.addr, n.attempt.view.Epoch, n.attempt.phase, n.attempt.disks, n.attempt.granted)
 	n.attempt = nil
 	n.nextCampaignAt = w.now + modelLease/24 + kernel.Micros(w.rng.IntN(int(modelLease/12)))
 }
 
-// step carries an attempt on by one call.
+// step advances an attempt by one call.
 func (s *attempt) step(w *model, n *node) {
 	if s.wasActive && !n.active {
 		n.fail(w)
@@ -156,15 +156,15 @@
 	n.active, n.newestView, n.leaseEnd = true, s.view, s.start+modelLease
 	n.takeoverAt = n.leaseEnd
 	clear(n.missedRenewals)
-	w.logf("%s leads %d with %v of %v %v %v", n.addr, s.view.Epoch, backupAddrs(s.view), s.view.Witnesses, s.view.Prior, s.view.Unanimous)
+	w.logf("%s is primary of epoch %d, backups %v, witnesses %v, prior %v, unanimous %v", n.addr, s.view.Epoch, backupAddrs(s.view), s.view.Witnesses, s.view.Prior, s.view.Unanimous)
 	if len(s.view.Unanimous) > 0 {
 		w.newcomerViews++
 	}
 	if n.holdsLease(w.now) && n.content&w.acked != w.acked {
-		w.violate("OldStateNeverLeads", "%s leads epoch %d with %b of %b", n.addr, s.view.Epoch, n.content, w.acked)
+		w.violate("OldStateNeverLeads", "%s is primary of epoch %d with changes %b, acknowledged are %b", n.addr, s.view.Epoch, n.content, w.acked)
 	}
 	if other := w.leaders[s.view.Epoch]; other != "" && other != n.disk {
-		w.violate("OnePrimaryPerEpoch", "%s and %s in epoch %d", other, n.disk, s.view.Epoch)
+		w.violate("OnePrimaryPerEpoch", "disks %s and %s in epoch %d", other, n.disk, s.view.Epoch)
 	}
 	w.leaders[s.view.Epoch] = n.disk
 	if s.view.inTransition() && w.disabledGuard != "PriorLetGoAtOnce" {
--- a/internal/controlstate/term_test.go
+++ b/internal/controlstate/term_test.go
@@ -11,11 +11,10 @@
 	"indigowalk/internal/simulation"
 )
 
-// OnlyAMemberStands: a control node that the newest view does not name asks for no
-// promise, whenever it comes to stand: what it has is not for sure the state.
-// One that knows no primary refers callers to another member, not to itself nor
-// to the primary that fell silent.
-func TestOnlyAMemberStands(t *testing.T) {
+// A control node that is not a member of the newest view never campaigns, because the state it holds
+// may be outdated. Without a known primary it refers callers to another member, neither to itself
+// nor to the unresponsive primary.
+func TestOnlyMembersCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulation.NewWorld(t, 1, 4)
 		defer w.Close()
@@ -31,16 +30,16 @@
 				continue
 			}
 			if addr, known := at(z).Known(); !known || at(z).Referral() != addr || addr != view.Primary.Addr {
-				t.Errorf("the primary that is heard is not who is referred to: %q", addr)
+				t.Errorf("callers are not referred to the known primary: %q", addr)
 			}
 			w.Isolate(z, true)
 			time.Sleep(3 * time.Second)
 			if err := at(z).TryCampaign(t.Context()); !errors.Is(err, controlstate.ErrNotPrimary) {
-				t.Errorf("a control node that is no member stood: %v", err)
+				t.Errorf("a control node that is not a member campaigned: %v", err)
 			}
 			for range 20 {
 				if to := at(z).Referral(); to == "" || to == at(z).Self().Addr || to == view.Primary.Addr {
-					t.Errorf("refers to %q", to)
+					t.Errorf("callers are referred to %q", to)
 				}
 			}
 			w.Isolate(z, false)
