--- a/internal/controlstate/candidacy.go
+++ b/internal/controlstate/candidacy.go
@@ -74,21 +74,21 @@
 func (v *Replica) elect(ctx context.Context, c *candidacy) map[string]promiseResponse {
 	voters := union(slices.Concat(c.sets, c.known.witnessSets())...)
 	responses := v.collectPromises(ctx, c.epoch, voters, firstRoundTimeout, c.decided)
-	silent := difference(voters, respondents(responses))
-	mayStillGrant := func(addr string) bool { return responses[addr].Granted || slices.Contains(silent, addr) }
+	unresponsive := difference(voters, respondents(responses))
+	mayStillGrant := func(addr string) bool { return responses[addr].Granted || slices.Contains(unresponsive, addr) }
 	halfSurvives := v.halfSurvives(c.known, responses)
 	if majorityOfEach(c.sets, grantedBy(responses)) || !halfSurvives && !majorityOfEach(c.sets, mayStillGrant) {
 		return responses
 	}
-	secondRound := silent
+	secondRound := unresponsive
 	if halfSurvives {
-		secondRound = union(silent, v.cfg.ControlNodes())
+		secondRound = union(unresponsive, v.cfg.ControlNodes())
 		secondRound = difference(secondRound, respondents(responses))
 	}
 	unreachable := make(chan []string, 1)
 	go func() {
 		if halfSurvives {
-			unreachable <- v.findUnreachable(ctx, silent)
+			unreachable <- v.findUnreachable(ctx, unresponsive)
 		}
 		close(unreachable)
 	}()
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -251,15 +251,15 @@
 // ask calls several control nodes concurrently, each with its own request, and returns the
 // responses received once enough reports true, or once all calls have succeeded or failed.
 func ask[A any](ctx context.Context, v *Replica, addrs []string, op string, request func(addr string) any, enough func(map[string]A) bool) map[string]A {
-	type result struct {
+	type callResult struct {
 		addr   string
 		answer A
 		err    error
 	}
-	ch := make(chan result, len(addrs))
+	ch := make(chan callResult, len(addrs))
 	for _, addr := range addrs {
 		go func() {
-			result := result{addr: addr}
+			result := callResult{addr: addr}
 			result.err = v.endpoint.Call(ctx, addr, op, request(addr), &result.answer, callWait)
 			ch <- result
 		}()
--- a/internal/controlstate/election.go
+++ b/internal/controlstate/election.go
@@ -106,6 +106,7 @@
 	return response
 }
 
+// backupAddrs returns the addresses of the view's backups.
 func backupAddrs(view View) []string {
 	out := make([]string, 0, len(view.Backups))
 	for _, b := range view.Backups {
@@ -142,7 +143,7 @@
 // reports that the responses suffice. It returns the response of each; that of a node which did
 // not answer is the zero value.
 func (v *Replica) collectPromises(ctx context.Context, epoch int64, voters []string, timeout kernel.Micros, done func(responses map[string]promiseResponse) bool) map[string]promiseResponse {
-	type result struct {
+	type promiseResult struct {
 		addr   string
 		answer *promiseResponse
 	}
@@ -151,9 +152,9 @@
 	v.mu.Lock()
 	request := promiseRequest{epoch, v.self, v.voidedEpoch}
 	v.mu.Unlock()
-	ch := make(chan result, len(voters))
+	ch := make(chan promiseResult, len(voters))
 	for _, addr := range voters {
-		go func() { ch <- result{addr, v.requestPromise(ctx, addr, request)} }()
+		go func() { ch <- promiseResult{addr, v.requestPromise(ctx, addr, request)} }()
 	}
 	responses := map[string]promiseResponse{}
 	for range voters {
@@ -248,6 +249,7 @@
 	}
 }
 
+// onAnnounce handles a view sent by announceView.
 func (v *Replica) onAnnounce(_ context.Context, view View) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -255,6 +257,7 @@
 	return struct{}{}, nil
 }
 
+// onPromise handles a candidate's request for a promise; a granted one is answered once it is on disk.
 func (v *Replica) onPromise(ctx context.Context, q promiseRequest) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
 	defer cancel()
@@ -274,6 +277,7 @@
 	return a, nil
 }
 
+// onAccept handles the request to accept a view; a granted one is answered once it is on disk.
 func (v *Replica) onAccept(ctx context.Context, q acceptRequest) (any, error) {
 	if q.Disk != v.self.Disk {
 		v.k.Counters.Add("controlstate.other_disk_refused", 1)
@@ -299,6 +303,7 @@
 	return a, nil
 }
 
+// onRenew handles the primary's renewal of its lease.
 func (v *Replica) onRenew(ctx context.Context, q renewRequest) (any, error) {
 	v.mu.Lock()
 	now := v.k.Clock.Now()
@@ -350,6 +355,8 @@
 
 var errOldEpoch = errors.New("old epoch")
 
+// onWrite handles a change sent by the primary to a backup: the backup applies it on disk and in
+// memory if it directly follows its state in the same epoch.
 func (v *Replica) onWrite(ctx context.Context, c Change) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
 	defer cancel()
--- a/internal/controlstate/membership.go
+++ b/internal/controlstate/membership.go
@@ -18,7 +18,7 @@
 	witnessTimeout   kernel.Micros            // a witness unresponsive for longer than this is replaced
 	catchupTimeout   kernel.Micros            // how long to wait for as many control nodes as the tolerated failures require
 	primarySince     kernel.Micros            // when this control node became the primary; 0 while it is not
-	lastHeard        map[string]kernel.Micros // when each control node last granted a renewal
+	lastHeard        map[string]kernel.Micros // when each control node last granted a renewal, or voted for the takeover
 	excluded         map[string]kernel.Micros // control nodes excluded as backups, because they failed or are leaving, and until when
 	leaveNoticeAt    map[string]kernel.Micros // when control nodes last announced that they are shutting down
 	copyFailingSince map[string]kernel.Micros // since when control nodes have failed to take a copy of the state
--- a/internal/controlstate/succession.go
+++ b/internal/controlstate/succession.go
@@ -74,9 +74,9 @@
 // nonVotersOf returns the elements of a set that have not voted: those that may be reachable before
 // the unreachable ones, and within each group those heard from most recently first.
 func (m *memberPolicy) nonVotersOf(set []string, voted func(addr string) bool, unreachable []string) []string {
-	silent := slices.DeleteFunc(slices.Clone(set), voted)
-	slices.SortStableFunc(silent, func(a, b string) int { return cmp.Compare(m.lastHeard[b], m.lastHeard[a]) })
-	return append(difference(silent, unreachable), intersection(silent, unreachable)...)
+	nonVoters := slices.DeleteFunc(slices.Clone(set), voted)
+	slices.SortStableFunc(nonVoters, func(a, b string) int { return cmp.Compare(m.lastHeard[b], m.lastHeard[a]) })
+	return append(difference(nonVoters, unreachable), intersection(nonVoters, unreachable)...)
 }
 
 // suspects returns the unresponsive witnesses for which it must be established whether they are
