--- a/internal/controlstate/model_troubles_test.go
+++ b/internal/controlstate/model_faults_test.go
@@ -101,7 +101,7 @@
 		return
 	}
 	for _, n := range w.nodes {
-		if n.up && !n.partitioned && !n.leaving && w.now-n.upSince >= modelCatch {
+		if n.up && !n.partitioned && !n.leaving && w.now-n.upSince >= modelCatchupTimeout {
 			if n.countedLost = false; n.predecessor != nil {
 				n.predecessor.retired, n.predecessor = true, nil
 			}
--- a/internal/controlstate/model_test.go
+++ b/internal/controlstate/model_test.go
@@ -135,7 +135,7 @@
 	if n.reg.Promised == 0 && len(n.reg.Accepted.Witnesses) == 0 {
 		n.witness.abstains = w.disabledGuard != "EmptyAbstains"
 	}
-	n.members = newMemberPolicy(Member{n.addr, n.addr, n.disk}, Config{Losses: w.f, Lease: modelLease, WitnessTimeout: modelAway, CatchupTimeout: modelCatch})
+	n.members = newMemberPolicy(Member{n.addr, n.addr, n.disk}, Config{Losses: w.f, Lease: modelLease, WitnessTimeout: modelWitnessTimeout, CatchupTimeout: modelCatchupTimeout})
 	n.newestView = n.reg.Accepted
 	n.active, n.leaseEnd, n.highestEpochTried, n.nextCampaignAt, n.lastProposed, n.missedRenewals = false, 0, 0, 0, View{}, map[string]int{}
 	n.takeoverAt = n.members.takeoverTime(n.newestView, w.now)
@@ -407,8 +407,8 @@
 }
 
 const (
-	tick       = 400 * kernel.Millisecond // one renewal period
-	modelLease = 3 * tick
-	modelAway  = 3 * kernel.Second
-	modelCatch = 4 * kernel.Second
+	tick                = 400 * kernel.Millisecond // one renewal period
+	modelLease          = 3 * tick
+	modelWitnessTimeout = 3 * kernel.Second
+	modelCatchupTimeout = 4 * kernel.Second
 )
--- a/internal/controlstate/plugin.go
+++ b/internal/controlstate/plugin.go
@@ -11,15 +11,15 @@
 	kernel.Register(kernel.Plugin{
 		Name: "controlstate", Rank: 20, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
-			book := kernel.Need[*settings.Live](k)
-			s := book.Now()
+			liveSettings := kernel.Need[*settings.Live](k)
+			s := liveSettings.Now()
 			if s.DataDir == "" {
 				return &settings.Error{Key: "data_dir", Reason: "a control node needs a disk"}
 			}
 			ring := kernel.Need[*membership.Ring](k)
 			v, err := Open(k, kernel.Need[*rpc.Endpoint](k), Config{
 				Name: s.NodeName, Dir: s.DataDir, Bootstrap: s.Bootstrap,
-				Seeds:             func() []string { return book.Now().SeedPeers() },
+				Seeds:             func() []string { return liveSettings.Now().SeedPeers() },
 				Lease:             settings.Span(s.ControlLeaseMs),
 				WitnessTimeout:    settings.Span(s.WitnessAwayMs),
 				CatchupTimeout:    kernel.Micros(s.CatchupS) * kernel.Second,
