--- a/internal/controlstate/candidacy.go
+++ b/internal/controlstate/candidacy.go
@@ -11,168 +11,171 @@
 	"indigowalk/internal/kernel"
 )
 
-// tryStand has the witnesses elect this for a new view, and puts the state on the view's
-// backups before that is accepted.
+// tryStand makes one attempt at a new view: it collects promises from the witnesses, copies the
+// state to the view's backups, and then has the witnesses accept the view.
 func (v *Replica) tryStand(ctx context.Context) error {
-	c, err := v.candidacy()
+	c, err := v.newCandidacy()
 	if err != nil {
 		return err
 	}
-	answers := v.elect(ctx, &c)
-	state, err := v.promised(c, answers)
+	responses := v.elect(ctx, &c)
+	state, err := v.concludePromises(c, responses)
 	if err != nil {
 		return err
 	}
-	disks := disksOf(answers)
-	if c.view.Backups, err = v.spread(ctx, state, c, disks); err != nil {
+	disks := disksOf(responses)
+	if c.view.Backups, err = v.replicateState(ctx, state, c, disks); err != nil {
 		return err
 	}
 	start := v.k.Clock.Now()
 	voters := slices.Collect(maps.Keys(disks))
-	accepted := func(got map[string]renewAnswer) bool {
-		return majorities(c.sets, func(addr string) bool { return got[addr].Granted })
+	accepted := func(got map[string]renewResponse) bool {
+		return majorityOfEach(c.sets, func(addr string) bool { return got[addr].Granted })
 	}
 	v.mu.Lock()
-	v.tentative = c.view
+	v.lastProposed = c.view
 	v.mu.Unlock()
-	if !accepted(ask(ctx, v, voters, "controlstate.accept", func(addr string) any { return acceptAsk{c.view, disks[addr]} }, accepted)) {
-		return errors.New("no majority accepted")
+	if !accepted(ask(ctx, v, voters, "controlstate.accept", func(addr string) any { return acceptRequest{c.view, disks[addr]} }, accepted)) {
+		return errors.New("no majority accepted the view")
 	}
 	return v.lead(c, state, start, voters)
 }
 
-// candidacy is an attempt at a view.
+// candidacy is one attempt to form a view.
 type candidacy struct {
 	epoch     int64
-	known     View // the newest that was known when it began
-	view      View // the one that is proposed
-	sets      [][]string
-	wasActive bool // it was the primary already
+	known     View       // the newest view known when the attempt began
+	view      View       // the proposed view
+	sets      [][]string // a majority of each must promise and accept
+	wasActive bool       // already the primary when the attempt began
 }
 
-// candidacy begins one.
-func (v *Replica) candidacy() (c candidacy, err error) {
+// newCandidacy prepares an attempt, unless this control node may not campaign.
+func (v *Replica) newCandidacy() (c candidacy, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
-	if v.active && !v.leads(now) || !v.mayStand() {
-		// Its term ended since the caller looked: others may have led meanwhile,
-		// and what it has is not for sure the state.
+	if v.active && !v.leads(now) || !v.mayCampaign() {
+		// The term ended since the caller checked: another node may have been primary
+		// meanwhile, so the state held here may be outdated.
 		return c, ErrNotPrimary
 	}
 	c = candidacy{epoch: v.nextEpoch(), known: v.seen, wasActive: v.active}
-	if v.tentative.Epoch > c.known.Epoch {
-		c.known = v.tentative
+	if v.lastProposed.Epoch > c.known.Epoch {
+		c.known = v.lastProposed
 	}
 	c.view, c.sets = v.members.proposal(c.known, c.wasActive, c.epoch, now)
 	return c, nil
 }
 
-// elect asks the witnesses for their promises. Those that are silent are asked once more,
-// and newcomers too where only half of a set of witnesses is left; with their help the view
-// has others in the places of those that are lost.
-func (v *Replica) elect(ctx context.Context, c *candidacy) map[string]promiseAnswer {
-	voters := union(slices.Concat(c.sets, c.known.chain())...)
-	answers := v.promises(ctx, c.epoch, voters, promiseFirst, c.decided)
-	silent := except(voters, answeredIn(answers))
-	hoped := func(addr string) bool { return answers[addr].Granted || slices.Contains(silent, addr) }
-	half := v.halfLeft(c.known, answers)
-	if majorities(c.sets, grantedIn(answers)) || !half && !majorities(c.sets, hoped) {
-		return answers
-	}
-	asked := silent
-	if half {
-		asked = union(silent, v.cfg.ControlNodes())
-		asked = except(asked, answeredIn(answers))
-	}
-	unreached := make(chan []string, 1)
+// elect collects promises from the witnesses. Those that do not respond are asked in a second
+// round. Where only half of a set of witnesses survives, newcomers are asked as well; with their
+// votes the view replaces the lost witnesses.
+func (v *Replica) elect(ctx context.Context, c *candidacy) map[string]promiseResponse {
+	voters := union(slices.Concat(c.sets, c.known.witnessSets())...)
+	responses := v.collectPromises(ctx, c.epoch, voters, firstRoundTimeout, c.decided)
+	unresponsive := difference(voters, respondents(responses))
+	mayStillGrant := func(addr string) bool { return responses[addr].Granted || slices.Contains(unresponsive, addr) }
+	halfSurvives := v.halfSurvives(c.known, responses)
+	if majorityOfEach(c.sets, grantedBy(responses)) || !halfSurvives && !majorityOfEach(c.sets, mayStillGrant) {
+		return responses
+	}
+	secondRound := unresponsive
+	if halfSurvives {
+		secondRound = union(unresponsive, v.cfg.ControlNodes())
+		secondRound = difference(secondRound, respondents(responses))
+	}
+	unreachable := make(chan []string, 1)
 	go func() {
-		if half {
-			unreached <- v.unreachable(ctx, silent)
+		if halfSurvives {
+			unreachable <- v.findUnreachable(ctx, unresponsive)
 		}
-		close(unreached)
+		close(unreachable)
 	}()
-	again := v.promises(ctx, c.epoch, asked, promiseWait, func(got map[string]promiseAnswer) bool {
-		return majorities(c.sets, func(addr string) bool { return answers[addr].Granted || got[addr].Granted })
+	secondResponses := v.collectPromises(ctx, c.epoch, secondRound, secondRoundTimeout, func(got map[string]promiseResponse) bool {
+		return majorityOfEach(c.sets, func(addr string) bool { return responses[addr].Granted || got[addr].Granted })
 	})
-	maps.Copy(answers, again)
-	if majorities(c.sets, grantedIn(answers)) {
-		return answers
+	maps.Copy(responses, secondResponses)
+	if majorityOfEach(c.sets, grantedBy(responses)) {
+		return responses
 	}
-	v.succeed(c, answers, <-unreached)
-	return answers
+	v.adoptNewcomers(c, responses, <-unreachable)
+	return responses
 }
 
-// decided tells whether the witnesses have promised, or can't any more in this round.
-func (c *candidacy) decided(got map[string]promiseAnswer) bool {
+// decided reports whether the witnesses have granted the promise, or can no longer do so in this
+// round.
+func (c *candidacy) decided(responses map[string]promiseResponse) bool {
 	possible := func(addr string) bool {
-		a, ok := got[addr]
+		a, ok := responses[addr]
 		return !ok || a.Granted
 	}
-	return majorities(c.sets, grantedIn(got)) || !majorities(c.sets, possible)
+	return majorityOfEach(c.sets, grantedBy(responses)) || !majorityOfEach(c.sets, possible)
 }
 
-// succeed has newcomers that have promised take the places of witnesses that are lost, if
-// they may.
-func (v *Replica) succeed(c *candidacy, answers map[string]promiseAnswer, unreached []string) {
+// adoptNewcomers replaces lost witnesses in the proposed view by newcomers that have promised, if
+// the membership policy allows it.
+func (v *Replica) adoptNewcomers(c *candidacy, responses map[string]promiseResponse, unreached []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	gone := intersection(unreached, v.members.suspects(c.known, answers))
-	view, ok := v.members.succession(c.known, c.view, answers, gone)
+	unreachable := intersection(unreached, v.members.suspects(c.known, responses))
+	view, ok := v.members.succession(c.known, c.view, responses, unreachable)
 	if !ok {
 		return
 	}
 	v.k.Counters.Add("controlstate.half_succeeded", 1)
-	v.k.Log.Warn("half of the witnesses are lost, newcomers take their places", "epoch", c.epoch, "witnesses", view.Witnesses, "gone", gone)
-	c.view, c.sets = view, view.sets()
+	v.k.Log.Warn("half of the witnesses are lost, replacing them by newcomers", "epoch", c.epoch, "witnesses", view.Witnesses, "gone", unreachable)
+	c.view, c.sets = view, view.quorumSets()
 }
 
-// answeredIn lists who has answered, and will say no other in a moment.
-func answeredIn(answers map[string]promiseAnswer) (answered []string) {
-	for addr, a := range answers {
+// respondents returns the nodes whose response is final: retrying in this attempt would not change
+// it.
+func respondents(responses map[string]promiseResponse) (addrs []string) {
+	for addr, a := range responses {
 		if a.Granted || a.refused() {
-			answered = append(answered, addr)
+			addrs = append(addrs, addr)
 		}
 	}
-	return answered
+	return addrs
 }
 
-// reachWait is how long a control node may take to answer others that probe it.
-const reachWait = promiseWait
+// probeTimeout is how long a control node may take to respond to probes by others.
+const probeTimeout = secondRoundTimeout
 
-// unreachable lists those control nodes that nobody who is asked can reach.
-func (v *Replica) unreachable(ctx context.Context, addrs []string) (gone []string) {
-	ctx, cancel := context.WithTimeout(ctx, reachWait.Duration())
+// findUnreachable returns those control nodes that none of the probing nodes can reach.
+func (v *Replica) findUnreachable(ctx context.Context, addrs []string) (unreachable []string) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	reached := make([]bool, len(addrs))
-	var all sync.WaitGroup
+	var probes sync.WaitGroup
 	for i, addr := range addrs {
-		all.Go(func() { reached[i] = v.cfg.Reachable(ctx, addr) })
+		probes.Go(func() { reached[i] = v.cfg.Reachable(ctx, addr) })
 	}
-	all.Wait()
+	probes.Wait()
 	for i, addr := range addrs {
 		if !reached[i] {
-			gone = append(gone, addr)
+			unreachable = append(unreachable, addr)
 		}
 	}
-	return gone
+	return unreachable
 }
 
-func (v *Replica) halfLeft(known View, answers map[string]promiseAnswer) bool {
+// halfSurvives is memberPolicy.halfSurvives under the lock.
+func (v *Replica) halfSurvives(known View, responses map[string]promiseResponse) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.members.halfLeft(known, answers)
+	return v.members.halfSurvives(known, responses)
 }
 
-// grantedIn tells who has promised.
-func grantedIn(answers map[string]promiseAnswer) func(addr string) bool {
-	return func(addr string) bool { return answers[addr].Granted }
+// grantedBy returns a predicate that reports whether an address has promised.
+func grantedBy(responses map[string]promiseResponse) func(addr string) bool {
+	return func(addr string) bool { return responses[addr].Granted }
 }
 
-// disksOf are the disks of those that have promised.
-func disksOf(answers map[string]promiseAnswer) map[string]string {
+// disksOf returns the disks of the nodes that have promised, by address.
+func disksOf(responses map[string]promiseResponse) map[string]string {
 	disks := map[string]string{}
-	for addr, a := range answers {
+	for addr, a := range responses {
 		if a.Granted {
 			disks[addr] = a.Disk
 		}
@@ -180,44 +183,44 @@
 	return disks
 }
 
-// promised takes in what the witnesses answered, and returns the state under the new
-// epoch if they promised.
-func (v *Replica) promised(c candidacy, answers map[string]promiseAnswer) (State, error) {
+// concludePromises evaluates the responses of the witnesses. If they promised, it moves the state
+// to the new epoch and returns it.
+func (v *Replica) concludePromises(c candidacy, responses map[string]promiseResponse) (State, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	won, highest := majorities(c.sets, grantedIn(answers)), highestInForce(c.epoch, answers)
-	if wait := leaseOf(c.sets, answers); !won && !v.active && wait > 0 {
-		v.seenTill = max(v.seenTill, v.k.Clock.Now()+wait)
+	won, highest := majorityOfEach(c.sets, grantedBy(responses)), highestBindingView(c.epoch, responses)
+	if wait := remainingLease(c.sets, responses); !won && !v.active && wait > 0 {
+		v.takeoverAt = max(v.takeoverAt, v.k.Clock.Now()+wait)
 	}
 	switch {
 	case highest.Epoch > c.known.Epoch:
 		v.observe(highest)
-		return State{}, errors.New("a newer view is there")
+		return State{}, errors.New("a newer view exists")
 	case !won:
-		return State{}, errors.New("no majority promised")
+		return State{}, errors.New("no majority promised the epoch")
 	case c.wasActive && !v.active:
 		return State{}, errors.New("no longer primary")
 	}
-	v.state.Epoch = c.epoch // writes of older epochs are refused from here on
+	v.state.Epoch = c.epoch // from here on writes of older epochs are rejected
 	return v.state, nil
 }
 
-// spread puts the state on the own disk and on backups, side by side: the lease before
-// can't be renewed now.
-func (v *Replica) spread(ctx context.Context, state State, c candidacy, disks map[string]string) ([]Member, error) {
+// replicateState saves the state on the local disk and copies it to backups concurrently, because
+// the previous lease can't be renewed meanwhile.
+func (v *Replica) replicateState(ctx context.Context, state State, c candidacy, disks map[string]string) ([]Member, error) {
 	saved := make(chan error, 1)
 	go func() { saved <- v.onDisk(ctx, func() error { return v.store.SaveState(state) }) }()
 	backups, err := v.copyToBackups(ctx, state, c.known, disks)
 	if err := <-saved; err != nil {
 		if c.wasActive {
-			go v.handOver("own disk fails")
+			go v.handOver("local disk failed")
 		}
 		return nil, err
 	}
 	return backups, err
 }
 
-// lead makes this the primary of a view that was accepted.
+// lead makes this control node the primary of an accepted view.
 func (v *Replica) lead(c candidacy, state State, start kernel.Micros, voters []string) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -225,23 +228,23 @@
 		return errors.New("no longer primary")
 	}
 	v.k.Invariants.Check(state.Seq >= v.durable, invariant.StateKept,
-		"primary of epoch %d with change %d, though change %d was durable", c.epoch, state.Seq, v.durable)
+		"primary of epoch %d has state up to change %d, but change %d was already durable", c.epoch, state.Seq, v.durable)
 	v.leaseEnd, v.renewAt = start+v.lease, start+v.lease/3
 	if !v.active {
-		v.begin(c.epoch)
+		v.beginTerm(c.epoch)
 		for _, addr := range voters {
-			v.members.heard[addr] = v.members.since
+			v.members.lastHeard[addr] = v.members.primarySince
 		}
-		v.renewAt = v.members.since // to learn who else takes part
+		v.renewAt = v.members.primarySince // renew at once, to learn which other control nodes take part
 	}
 	v.active, v.state, v.seen = true, state, c.view
-	v.seenTill = v.leaseEnd
+	v.takeoverAt = v.leaseEnd
 	clear(v.missed)
-	if c.view.inChange() {
-		v.poke() // the set before is to be let go
+	if c.view.inTransition() {
+		v.poke() // form the next view, which drops the previous set of witnesses
 	}
 	v.k.Counters.Add("controlstate.epochs", 1)
-	v.k.Log.Info("primary", "epoch", c.epoch, "backups", names(c.view.Backups), "witnesses", len(c.view.Witnesses), "prior", len(c.view.Prior))
+	v.k.Log.Info("primary", "epoch", c.epoch, "backups", memberNames(c.view.Backups), "witnesses", len(c.view.Witnesses), "prior", len(c.view.Prior))
 	v.changed.Ring()
 	return nil
 }
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-func TestTornLastWriteIsCutOff(t *testing.T) {
+func TestTornLastWriteIsTruncated(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
 	disk := s.Disk
@@ -45,7 +45,7 @@
 	}
 	last := whole[len(before):]
 	holed := bytes.Clone(last)
-	clear(holed[len(holed)/2 : len(holed)/2+16]) // a block that never reached the disk
+	clear(holed[len(holed)/2 : len(holed)/2+16]) // a block that was never written to disk
 	for cut := 0; cut < len(last); cut += 7 {
 		check := func(tail []byte) {
 			if err := os.WriteFile(path, slices.Concat(before, tail), 0o644); err != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Damage is told apart from a torn last write: it names file and record, and
-// nothing that was synced is dropped for it.
+// Damage is distinguished from a torn last write: it is reported with the file and the record, and
+// no synced record is discarded because of it.
 func TestDamagedStoreIsReported(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, StoreFile)
@@ -92,7 +92,7 @@
 		"a hole before a whole record":       {slices.Concat(good[:state], make([]byte, 9), good[state+9:]), ErrDamaged},
 		"another program's file":             {[]byte("not a store at all"), ErrDamaged},
 		"the format before":                  {[]byte("*3\r\n$3\r\nset\r\n$4\r\ndisk\r\n$14\r\ne5a0a1a \"ABCD\"\r\n"), ErrDamaged},
-		"another format":                     {other(t), ErrFormat},
+		"another format":                     {storeOfOtherFormat(t), ErrFormat},
 	} {
 		if err := os.WriteFile(path, c.raw, 0o644); err != nil {
 			t.Fatal(err)
@@ -116,8 +116,8 @@
 	return out
 }
 
-// other is the file of a store whose identity was written as mere text.
-func other(t *testing.T) []byte {
+// storeOfOtherFormat returns the file of a store whose identity was written as a plain string.
+func storeOfOtherFormat(t *testing.T) []byte {
 	dir := t.TempDir()
 	s := open(t, dir)
 	if err := s.Save(diskKey, "ABCD"); err != nil {
@@ -130,9 +130,9 @@
 	return raw
 }
 
-// The store stays small while it is in use, and a loss of power at any step of
-// its rewriting leaves either file.
-func TestStoreIsRewritten(t *testing.T) {
+// The store stays small while it is in use, and a power loss at any step of its compaction leaves
+// either the old or the new file.
+func TestStoreCompaction(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, StoreFile)
 	s := open(t, dir)
@@ -150,9 +150,9 @@
 	}
 	s.Close()
 	if fi, err := os.Stat(path); err != nil || fi.Size() > 3*compactAbove {
-		t.Errorf("after 6 MB of changes the store has %d bytes", fi.Size())
+		t.Errorf("after 6 MB of changes the size of the store is %d bytes", fi.Size())
 	}
-	// Power went before the new file had the name: it is left half written.
+	// Power was lost before the new file was renamed: it is left behind, incomplete.
 	if err := os.WriteFile(path+".next", []byte("*3\r\n$3\r\nse"), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -161,21 +161,21 @@
 	if reg, found, rerr := s.loadRegister(); err != nil || rerr != nil || !found || reg.Promised != 5 || st.Seq != 100 || len(st.Entries["a"]) != len(text) {
 		t.Errorf("read back %d entries at %d, %+v %v %v", len(st.Entries), st.Seq, reg, err, rerr)
 	}
-	s.unsure = true // as after a sync that failed: the next write rewrites first
+	s.unsure = true // as after a failed sync: the next write compacts the store first
 	if err := s.Append(Change{4, 101, map[string]json.RawMessage{"a": nil}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.SaveState(State{Epoch: 6, Seq: 101}); err != nil {
 		t.Fatal(err)
 	}
-	// A change of an epoch before, left behind by a write nobody acknowledged.
+	// A change of an earlier epoch, left behind by a write that was not acknowledged.
 	if err := s.Append(Change{4, 102, map[string]json.RawMessage{"b": text}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	s = open(t, dir)
 	if st, err = s.LoadState(); err != nil || st.Seq != 101 || st.Epoch != 6 || len(st.Entries) != 0 {
-		t.Errorf("after a rewrite: %+v %v", st, err)
+		t.Errorf("after a compaction: %+v %v", st, err)
 	}
 }
 
@@ -187,7 +187,7 @@
 	now := 10 * kernel.Second
 	promise := func(epoch int64, m Member) bool {
 		t.Helper()
-		p, err := e.promise(now, promiseAsk{epoch, m, 0})
+		p, err := e.promise(now, promiseRequest{epoch, m, 0})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -202,18 +202,18 @@
 		return r.Granted
 	}
 	if !promise(1, a) || promise(1, b) {
-		t.Fatal("epoch 1 was promised to nobody, or twice")
+		t.Fatal("epoch 1 was not promised, or promised twice")
 	}
 	v1 := View{Epoch: 1, Primary: a, Backups: []Member{b}}
 	if !accept(v1) {
 		t.Fatal("the promised view was refused")
 	}
 	if promise(2, b) {
-		t.Error("promised while a lease runs")
+		t.Error("promised while a lease is unexpired")
 	}
 	now += lease
 	if !promise(2, b) {
-		t.Error("not promised after the lease")
+		t.Error("not promised after the lease expired")
 	}
 	if accept(v1) {
 		t.Error("accepted a view of an old epoch")
@@ -222,32 +222,32 @@
 		t.Error("a replayed renewal of an old epoch was granted")
 	}
 	v2 := View{Epoch: 2, Primary: b, Backups: []Member{a}}
-	if r, changed := e.renew(now, v2); !r.Granted || !changed || !e.reg.Accepted.is(v2) {
-		t.Error("a renewal did not make up for a missed acceptance")
+	if r, changed := e.renew(now, v2); !r.Granted || !changed || !e.reg.Accepted.sameAs(v2) {
+		t.Error("a renewal did not replace a missed acceptance")
 	}
 	if !promise(3, b) {
-		t.Error("the lease's own holder may form another view")
+		t.Error("the holder of the lease was not allowed to form another view")
 	}
 	e.release(1)
-	if now+1 > e.until {
-		t.Error("an old epoch's release ended the lease")
+	if now+1 > e.leaseUntil {
+		t.Error("the release of an old epoch ended the lease")
 	}
-	// After a restart a lease may still run that was granted before.
-	again := &witness{reg: e.reg, lease: lease, quietTill: now + lease}
-	if p, _ := again.promise(now, promiseAsk{9, a, 0}); p.Granted || p.Wait != lease {
-		t.Error("a restarted witness promised before a lease could have run out")
+	// After a restart, a lease granted before it may still be unexpired.
+	again := &witness{reg: e.reg, lease: lease, priorLeaseUntil: now + lease}
+	if p, _ := again.promise(now, promiseRequest{9, a, 0}); p.Granted || p.LeaseRemaining != lease {
+		t.Error("a restarted witness promised before an earlier lease must have expired")
 	}
-	if p, _ := again.promise(now, promiseAsk{8, a, 1}); p.Granted {
-		t.Error("the word that another view's lease is void was taken")
+	if p, _ := again.promise(now, promiseRequest{8, a, 1}); p.Granted {
+		t.Error("promised though the voided lease is that of another view")
 	}
-	if p, _ := again.promise(now, promiseAsk{8, a, 2}); !p.Granted {
-		t.Error("not promised though the lease is void")
+	if p, _ := again.promise(now, promiseRequest{8, a, 2}); !p.Granted {
+		t.Error("not promised though the lease was voided")
 	}
-	if p, _ := again.promise(now, promiseAsk{8, a, 2}); !p.Granted {
-		t.Error("asked again by the same candidate, the promise was not repeated")
+	if p, _ := again.promise(now, promiseRequest{8, a, 2}); !p.Granted {
+		t.Error("the promise was not repeated to the same candidate")
 	}
-	if p, _ := again.promise(now, promiseAsk{9, b, 0}); !p.Granted {
-		t.Error("the holder of that lease, started again itself, was refused")
+	if p, _ := again.promise(now, promiseRequest{9, b, 0}); !p.Granted {
+		t.Error("the restarted holder of that lease was refused")
 	}
 	if v2.Has(Member{"a", "a:1", "another disk"}) {
 		t.Error("a member with another disk counts as the member")
@@ -264,41 +264,41 @@
 		sets     [][]string
 		voted    string
 		majority bool
-		overlap  bool // with every majority that may have voted
+		overlap  bool // intersects every majority that may have voted
 	}{
 		{[][]string{three}, "ab", true, true},
 		{[][]string{three}, "a", false, false},
 		{[][]string{four}, "ab", false, true},
 		{[][]string{four}, "abc", true, true},
-		{changing.sets(), "cd", false, false},
-		{changing.sets(), "bc", true, true},
-		{changing.sets(), "acd", true, true},
+		{changing.quorumSets(), "cd", false, false},
+		{changing.quorumSets(), "bc", true, true},
+		{changing.quorumSets(), "acd", true, true},
 	} {
-		if got := majorities(c.sets, of(c.voted)); got != c.majority {
+		if got := majorityOfEach(c.sets, of(c.voted)); got != c.majority {
 			t.Errorf("%s of %v: majority %v", c.voted, c.sets, got)
 		}
-		if got := overlap(c.sets, of(c.voted)); got != c.overlap {
+		if got := intersectsEveryMajority(c.sets, of(c.voted)); got != c.overlap {
 			t.Errorf("%s of %v: overlap %v", c.voted, c.sets, got)
 		}
 	}
 }
 
-// A view binds a candidate if it may have a majority, now or later.
-func TestHighestInForce(t *testing.T) {
+// A view binds a candidate if it may be accepted by a majority, now or later.
+func TestHighestBindingView(t *testing.T) {
 	set := []string{"a", "b", "c", "d"}
 	old, next := View{Epoch: 7, Witnesses: set}, View{Epoch: 8, Witnesses: set}
-	promised := func(v View) promiseAnswer { return promiseAnswer{Granted: true, Accepted: v} }
+	promised := func(v View) promiseResponse { return promiseResponse{Granted: true, Accepted: v} }
 	for name, c := range map[string]struct {
 		epoch   int64
-		answers map[string]promiseAnswer
+		answers map[string]promiseResponse
 		want    int64
 	}{
-		"one accepted it, one is silent":       {9, map[string]promiseAnswer{"a": promised(next), "b": promised(old), "c": promised(old)}, 7},
-		"one accepted it, two are silent":      {9, map[string]promiseAnswer{"a": promised(next), "b": promised(old)}, 8},
-		"one that promised nothing may accept": {9, map[string]promiseAnswer{"a": promised(next), "b": promised(old), "c": {Accepted: old}}, 8},
-		"it is of a later epoch":               {6, map[string]promiseAnswer{"a": {Accepted: next}, "b": promised(old), "c": promised(old)}, 8},
+		"one accepted it, one is silent":       {9, map[string]promiseResponse{"a": promised(next), "b": promised(old), "c": promised(old)}, 7},
+		"one accepted it, two are silent":      {9, map[string]promiseResponse{"a": promised(next), "b": promised(old)}, 8},
+		"one that promised nothing may accept": {9, map[string]promiseResponse{"a": promised(next), "b": promised(old), "c": {Accepted: old}}, 8},
+		"it is of a later epoch":               {6, map[string]promiseResponse{"a": {Accepted: next}, "b": promised(old), "c": promised(old)}, 8},
 	} {
-		if got := highestInForce(c.epoch, c.answers); got.Epoch != c.want {
+		if got := highestBindingView(c.epoch, c.answers); got.Epoch != c.want {
 			t.Errorf("%s: %d, want %d", name, got.Epoch, c.want)
 		}
 	}
--- a/internal/controlstate/membership_model_test.go
+++ b/internal/controlstate/membership_model_test.go
@@ -8,30 +8,30 @@
 	"indigowalk/internal/kernel"
 )
 
-// sizes are the deployments that are played: with fewer than 2f control nodes no
-// majority outlasts the losses.
+// sizes are the simulated deployments. With fewer than 2f control nodes no majority survives the
+// tolerated failures.
 var sizes = []struct{ f, controlNodes int }{{1, 3}, {1, 4}, {1, 5}, {1, 7}, {2, 4}, {2, 5}, {2, 6}, {2, 7}, {3, 6}}
 
 func TestMembershipModel(t *testing.T) {
-	taken := 0
+	newcomerViews := 0
 	for _, c := range sizes {
 		for seed := range uint64(200) {
-			w := walk(seed, c.f, c.controlNodes, "")
-			if taken += w.taken; w.broken != "" {
-				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.broken, strings.Join(w.trace, "\n"))
+			w := randomHistory(seed, c.f, c.controlNodes, "")
+			if newcomerViews += w.newcomerViews; w.violation != "" {
+				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.violation, strings.Join(w.trace, "\n"))
 				break
 			}
 		}
 	}
-	if taken == 0 {
+	if newcomerViews == 0 {
 		t.Error("newcomers never took the places of lost witnesses")
 	}
 }
 
-// MajorityRemains, in walks that once broke it: newcomers stood by a half of the witnesses of
-// which one only refused, or lost one of their own before the view was followed; a set of
-// five kept one that was gone for good.
-func TestMembershipModelOfWalksThatBroke(t *testing.T) {
+// Regression test with seeds that once violated MajorityRemains: newcomers voted with a half of the
+// witnesses of which one had merely refused, or lost one of their own before the next view was
+// formed; a set of five witnesses retained one that was permanently lost.
+func TestMembershipModelRegressionSeeds(t *testing.T) {
 	for _, c := range []struct {
 		f, controlNodes int
 		seeds           []uint64
@@ -40,70 +40,70 @@
 		{3, 6, []uint64{4595, 6131, 19191}},
 	} {
 		for _, seed := range c.seeds {
-			if w := walk(seed, c.f, c.controlNodes, ""); w.broken != "" {
-				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.broken, strings.Join(w.trace, "\n"))
+			if w := randomHistory(seed, c.f, c.controlNodes, ""); w.violation != "" {
+				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.violation, strings.Join(w.trace, "\n"))
 			}
 		}
 	}
 }
 
-// Whatever is cut off or down, with no more disks lost than may be, there is one primary, and
-// what was acknowledged is there.
-func TestMembershipModelOfAnyCuts(t *testing.T) {
-	taken := 0
+// Whichever nodes are partitioned or down, as long as no more disks are lost than tolerated, there is
+// one primary, and acknowledged changes survive.
+func TestMembershipModelWithAnyPartitions(t *testing.T) {
+	newcomerViews := 0
 	for _, c := range append(sizes, struct{ f, controlNodes int }{2, 8}) {
 		for seed := range uint64(200) {
 			w := newModel(seed, c.f, c.controlNodes, "").boot()
-			w.cuts = true
-			w.wander(200)
-			if taken += w.taken; w.broken != "" {
-				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.broken, strings.Join(w.trace, "\n"))
+			w.anyPartitions = true
+			w.randomSteps(200)
+			if newcomerViews += w.newcomerViews; w.violation != "" {
+				t.Errorf("f %d, %d control nodes, seed %d: %s\n%s", c.f, c.controlNodes, seed, w.violation, strings.Join(w.trace, "\n"))
 				break
 			}
 		}
 	}
-	if taken == 0 {
+	if newcomerViews == 0 {
 		t.Error("newcomers never took the places of lost witnesses")
 	}
 }
 
-// AcknowledgedSurvives, open: where more control nodes are away than may be lost, their disks
-// whole, a change is acknowledged on fewer disks than may be lost.
+// Open fault, violates AcknowledgedSurvives: while more control nodes are unreachable than failures
+// are tolerated, with their disks intact, a change is acknowledged on fewer disks than may be lost.
 func TestAcknowledgedOutlastsAnyCuts(t *testing.T) {
 	w := newModel(3532, 2, 4, "").boot()
-	w.cuts = true
-	if w.wander(200); w.broken != "" {
-		t.Errorf("%s\n%s", w.broken, strings.Join(w.trace, "\n"))
+	w.anyPartitions = true
+	if w.randomSteps(200); w.violation != "" {
+		t.Errorf("%s\n%s", w.violation, strings.Join(w.trace, "\n"))
 	}
 }
 
-// explore tries each row of troubles that may come, with up to 40 steps between
-// and after them, and at the end the losses and the restart that may come then.
-func explore(w *model, troubles, every int) (found *model, histories int) {
-	if troubles == 0 {
-		w.close()
-		w.power()
-		w.check()
-		w.remains(true)
-		if w.broken != "" {
+// explore tries each sequence of that many faults, with up to 40 steps between and after them, and at
+// the end the losses that are still tolerated and a restart of all nodes.
+func explore(w *model, faults, stride int) (found *model, histories int) {
+	if faults == 0 {
+		w.loseRemaining()
+		w.powerCycle()
+		w.checkInvariants()
+		w.checkMajorityRemains(true)
+		if w.violation != "" {
 			return w, 1
 		}
 		return nil, 1
 	}
 	for i := range w.nodes {
-		for what := wiped; what <= back; what++ {
+		for kind := wiped; kind <= returned; kind++ {
 			c := w.clone()
-			if !c.do(c.nodes[i], what) {
+			if !c.inject(c.nodes[i], kind) {
 				continue
 			}
 			for step := range 40 {
-				if step%every == 0 {
-					next, n := explore(c.clone(), troubles-1, every)
+				if step%stride == 0 {
+					next, n := explore(c.clone(), faults-1, stride)
 					if histories += n; next != nil {
 						return next, histories
 					}
 				}
-				if c.advance(); c.broken != "" {
+				if c.advance(); c.violation != "" {
 					return c, histories
 				}
 			}
@@ -112,112 +112,112 @@
 	return nil, histories
 }
 
-// advance goes on by one call, or a tick when none is due, after a change.
+// advance carries out one pending call or, if there is none, a tick and the start of a change.
 func (w *model) advance() {
-	if busy := w.busy(); len(busy) > 0 {
+	if busy := w.nodesWithPendingStep(); len(busy) > 0 {
 		busy[0].step(w)
 	} else {
 		w.tick(false)
-		w.count()
+		w.clearRecovered()
 		if n := w.leader(); n != nil {
 			n.write(w)
 		}
 	}
-	w.check()
+	w.checkInvariants()
 }
 
-func TestMembershipModelOfAllTwoTroubles(t *testing.T) {
+func TestMembershipModelAllPairsOfFaults(t *testing.T) {
 	for _, c := range []struct{ f, controlNodes, every int }{{1, 3, 2}, {1, 4, 2}, {2, 5, 8}} {
 		w := newModel(1, c.f, c.controlNodes, "").boot()
 		w.write()
 		broken, n := explore(w, 2, c.every)
 		if t.Logf("f %d, %d control nodes: %d histories", c.f, c.controlNodes, n); broken != nil {
-			t.Errorf("%s\n%s", broken.broken, strings.Join(broken.trace, "\n"))
+			t.Errorf("%s\n%s", broken.violation, strings.Join(broken.trace, "\n"))
 		}
 	}
 }
 
-// leader is the primary, if there is one.
+// leader returns the primary, or nil if there is none.
 func (w *model) leader() *node {
 	for _, n := range w.nodes {
-		if n.up && n.leads(w.now) {
+		if n.up && n.holdsLease(w.now) {
 			return n
 		}
 	}
 	return nil
 }
 
-// write has the primary write, and tells whether it acknowledged.
+// write has the primary write a change and reports whether it was acknowledged.
 func (w *model) write() bool {
 	before, n := w.acked, w.leader()
 	if n != nil && n.write(w) {
-		w.settleSteps()
+		w.runPendingSteps()
 	}
 	return w.acked != before
 }
 
 func (w *model) lose(n *node, wipe bool) {
-	n.counted = true
+	n.countedLost = true
 	if n.stop(); wipe {
 		n.wipe(w)
 	}
 }
 
-// unheard has the primary form a view of which some control nodes hear nothing, and
+// formViewUnheardBy has the primary form a view while some control nodes are partitioned, and
 // acknowledge a change in it.
-func (w *model) unheard(p *node, deaf ...*node) {
-	for _, n := range deaf {
-		n.far = true
+func (w *model) formViewUnheardBy(primary *node, isolated ...*node) {
+	for _, n := range isolated {
+		n.partitioned = true
 	}
-	p.stand(w)
-	w.settleSteps()
+	primary.campaign(w)
+	w.runPendingSteps()
 	w.write()
-	for _, n := range deaf {
-		n.far = false
+	for _, n := range isolated {
+		n.partitioned = false
 	}
 }
 
-// Each guard is taken out of a short history, which then breaks an invariant
-// that it does not break with the guard in.
-func TestMembershipModelFindsFaults(t *testing.T) {
+// For each guard there is a history that violates an invariant with the guard removed, and does not
+// with the guard in place.
+func TestMembershipModelDetectsRemovedGuards(t *testing.T) {
 	for guard, c := range map[string]struct {
 		f, controlNodes int
 		breaks          string
 		play            func(w *model)
 	}{
-		// A backup comes back with an empty disk before it is missed.
+		// A backup restarts with an empty disk before its absence is noticed.
 		"RenewalNamesDisk": {1, 4, "AcknowledgedSurvives", func(w *model) {
 			w.write()
 			b := w.members()[1]
 			w.lose(b, true)
 			b.start(w)
-			w.calm(11)
+			w.runQuietly(11)
 			w.lose(w.leader(), true)
 		}},
-		// The primary is lost while its backup leaves for good.
+		// The primary is lost while its backup is shutting down permanently.
 		"LeaveWaits":    {1, 4, "AcknowledgedSurvives", lastHolderLeaves},
 		"LeavingStands": {1, 4, "AcknowledgedSurvives", lastHolderLeaves},
-		// A member of the view before the last wins the vote of an empty disk.
+		// A member of an older view wins the vote of a witness with an empty disk.
 		"EmptyAbstains": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
 			m[0].members.shun(m[1].addr, w.now)
-			w.unheard(m[0], m[1])
+			w.formViewUnheardBy(m[0], m[1])
 			m[0].wipe(w)
-			w.power()
-			w.calm(20)
+			w.powerCycle()
+			w.runQuietly(20)
 		}},
-		// The same, where the empty one can read one register only.
+		// The same, where the witness with the empty disk can read only one register.
 		"IntactOverlap": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
-			w.unheard(m[0], m[1])
-			other := w.leader().seen.Backups[0].Addr
+			w.formViewUnheardBy(m[0], m[1])
+			other := w.leader().newestView.Backups[0].Addr
 			m[0].wipe(w)
-			w.power()
+			w.powerCycle()
 			w.at(other).stop()
-			w.calm(20)
+			w.runQuietly(20)
 		}},
-		// The set is changed without the old one's majority, and that is what
-		// comes back first.
+		// The set of witnesses is changed without a majority of the old set, and that
+		// majority is what returns first.
 		"BothSetsAgree": {1, 4, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
 			p, b, c := m[0], m[1], w.at("c")
@@ -226,60 +226,60 @@
 			}
 			w.lose(c, false)
 			for range 20 {
-				p.members.heard[c.addr] = w.now - 10*kernel.Second
+				p.members.lastHeard[c.addr] = w.now - 10*kernel.Second
 			}
-			w.unheard(p, b)
+			w.formViewUnheardBy(p, b)
 			c.start(w)
-			w.power()
+			w.powerCycle()
 			for _, n := range w.nodes {
 				if n != b && n != c {
 					n.stop()
 				}
 			}
-			w.calm(20)
+			w.runQuietly(20)
 		}},
-		// Three control nodes are silent as the view is formed, and there again.
+		// Three control nodes are unreachable while the view is formed, and return afterwards.
 		"EnoughBackups": {2, 5, "AcknowledgedSurvives", func(w *model) {
 			m := w.members()
 			p := m[0]
-			p.stand(w)
-			for p.standing != nil && len(p.standing.view.Backups) == 0 {
+			p.campaign(w)
+			for p.attempt != nil && len(p.attempt.view.Backups) == 0 {
 				p.step(w)
 			}
-			b := p.standing.view.Backups[0].Addr
+			b := p.attempt.view.Backups[0].Addr
 			for _, n := range w.nodes {
-				n.far = n != p && n.addr != b && p.standing.phase == 1
+				n.partitioned = n != p && n.addr != b && p.attempt.phase == 1
 			}
-			for p.standing != nil && p.standing.phase == 1 {
+			for p.attempt != nil && p.attempt.phase == 1 {
 				p.step(w)
 			}
 			for _, n := range w.nodes {
-				n.far = false
+				n.partitioned = false
 			}
-			w.settleSteps()
+			w.runPendingSteps()
 			w.write()
 			w.lose(w.at(b), true)
 			w.lose(p, true)
 		}},
-		// Two of the first three witnesses are lost, though five are there.
+		// Two of the initial three witnesses are lost, although five control nodes exist.
 		"LargeEnough": {2, 5, "MajorityRemains", func(w *model) {
-			if w.calm(4); !w.write() {
-				return // none was acknowledged
+			if w.runQuietly(4); !w.write() {
+				return // no change was acknowledged
 			}
 			m := w.members()
 			w.lose(m[0], true)
 			w.lose(m[1], true)
 			for _, n := range w.nodes {
-				n.counted = !n.up
+				n.countedLost = !n.up
 			}
 		}},
-		// Two control nodes are about to be replaced, the new ones being there first, and
-		// the others are cut in halves with one of those each.
+		// Two replacements have joined before the nodes they replace are stopped; then the
+		// others are partitioned into halves, with one of the replacements each.
 		"GoneIsShown": {2, 4, "OldStateNeverLeads", func(w *model) {
 			w.write()
 			var newcomers []*node
 			for range 2 {
-				n := w.add()
+				n := w.addNode()
 				n.start(w)
 				newcomers = append(newcomers, n)
 			}
@@ -288,47 +288,47 @@
 			}
 			m := w.members()
 			for _, n := range []*node{m[0], m[1], newcomers[0]} {
-				n.far = true
+				n.partitioned = true
 			}
 			for range 20 {
-				w.calm(1)
-				w.check()
+				w.runQuietly(1)
+				w.checkInvariants()
 				w.write()
 			}
 			for _, n := range w.nodes {
-				n.far = false
+				n.partitioned = false
 			}
-			w.calm(20)
+			w.runQuietly(20)
 		}},
 		"NewerViewStops": {2, 7, "OldStateNeverLeads", nil},
 		"MembersStand":   {1, 3, "OldStateNeverLeads", nil},
 		"RefusalsHeeded": {2, 5, "MajorityRemains", nil},
 	} {
-		broke := func(without string) map[string]string {
+		violations := func(disabledGuard string) map[string]string {
 			out := map[string]string{}
 			for seed := range uint64(40) {
-				w := newModel(seed, c.f, c.controlNodes, without)
+				w := newModel(seed, c.f, c.controlNodes, disabledGuard)
 				if c.play == nil {
-					w = walk(seed, c.f, c.controlNodes, without)
+					w = randomHistory(seed, c.f, c.controlNodes, disabledGuard)
 				} else {
 					if guard != "LargeEnough" {
 						w.boot()
 					}
 					c.play(w)
-					w.check()
-					w.remains(true)
+					w.checkInvariants()
+					w.checkMajorityRemains(true)
 				}
-				if invariant, _, found := strings.Cut(w.broken, ":"); found {
-					out[invariant] = fmt.Sprintf("%s (seed %d)\n%s", w.broken, seed, strings.Join(w.trace, "\n"))
+				if invariant, _, found := strings.Cut(w.violation, ":"); found {
+					out[invariant] = fmt.Sprintf("%s (seed %d)\n%s", w.violation, seed, strings.Join(w.trace, "\n"))
 				}
 			}
 			return out
 		}
-		for _, how := range broke("") {
-			t.Errorf("with %s: %s", guard, how)
+		for _, how := range violations("") {
+			t.Errorf("with guard %s: %s", guard, how)
 		}
-		if out := broke(guard); out[c.breaks] == "" {
-			t.Errorf("without %s breaks %v, not %s", guard, out, c.breaks)
+		if out := violations(guard); out[c.breaks] == "" {
+			t.Errorf("without guard %s violations are %v, not of %s", guard, out, c.breaks)
 		}
 	}
 }
@@ -338,7 +338,7 @@
 	m := w.members()
 	m[1].leaving = true
 	w.lose(m[0], true)
-	w.calm(14) // the grace
+	w.runQuietly(14) // the grace period
 	if m[1].up {
 		m[1].end(w)
 	}
--- a/internal/controlstate/term.go
+++ b/internal/controlstate/term.go
@@ -6,17 +6,18 @@
 	"indigowalk/internal/kernel"
 )
 
+// leads reports whether this control node is the primary and its lease has not expired.
 func (v *Replica) leads(now kernel.Micros) bool { return v.active && now < v.leaseEnd }
 
-// Lease returns how long the lease runs yet; nothing may be answered or done
-// as primary at or past its end.
-func (v *Replica) Lease() (epoch int64, left kernel.Micros) {
+// Lease returns the epoch and the remaining time of the lease, or zeros if this control node does
+// not hold it. Nothing may be answered or done as primary at or after its expiry.
+func (v *Replica) Lease() (epoch int64, remaining kernel.Micros) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.leaseLeft()
+	return v.leaseRemaining()
 }
 
-func (v *Replica) leaseLeft() (epoch int64, left kernel.Micros) {
+func (v *Replica) leaseRemaining() (epoch int64, remaining kernel.Micros) {
 	now := v.k.Clock.Now()
 	if !v.leads(now) {
 		return 0, 0
@@ -24,18 +25,17 @@
 	return v.seen.Epoch, v.leaseEnd - now
 }
 
-// Term is a time in which this control node is the primary and nobody else was
-// between: it lasts through later views of its own. What was read or decided
-// in a term may leave the process only while that term is valid. That this
-// control node leads is not enough: it may have lost the term, while it was frozen,
-// and won another.
+// Term is an uninterrupted period in which this control node is the primary; it continues
+// through later views of the same primary. What was read or decided in a term may leave the
+// process only while that term is valid. It is not enough that this control node is primary now:
+// while the process was frozen it may have lost the term and won another.
 type Term struct {
 	v     *Replica
-	began int64 // epoch of its first view
+	began int64 // epoch of the first view of the term
 	ctx   context.Context
 }
 
-// Term returns the term that runs.
+// Term returns the current term, or ErrNotPrimary if this control node does not hold the lease.
 func (v *Replica) Term() (*Term, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -47,29 +47,29 @@
 
 type termKey struct{}
 
-// TermOf returns the term whose context ctx is, or derives from; if there is
-// none, nil, which is a term that is over.
+// TermOf returns the term whose context ctx is or derives from. Without one it returns nil, which
+// behaves as a term that has ended.
 func TermOf(ctx context.Context) *Term {
 	t, _ := ctx.Value(termKey{}).(*Term)
 	return t
 }
 
-// begin starts a term. The caller holds the lock.
-func (v *Replica) begin(epoch int64) {
+// beginTerm starts a term. The caller holds v.mu.
+func (v *Replica) beginTerm(epoch int64) {
 	v.term = &Term{v: v, began: epoch}
-	v.term.ctx, v.endTerm = context.WithCancel(context.WithValue(context.Background(), termKey{}, v.term))
-	v.members.since = v.k.Clock.Now()
+	v.term.ctx, v.cancelTerm = context.WithCancel(context.WithValue(context.Background(), termKey{}, v.term))
+	v.members.primarySince = v.k.Clock.Now()
 }
 
-// Context ends with the term, at the latest before another one begins.
+// Context returns a context that is cancelled when the term ends, at the latest before the next
+// one begins.
 func (t *Term) Context() context.Context { return t.ctx }
 
-// Began is the epoch in which the term began; terms are known by it.
+// Began returns the epoch in which the term began, which identifies the term.
 func (t *Term) Began() int64 { return t.began }
 
-// Lease returns the epoch and how long the lease runs yet, 0 if the term is
-// over.
-func (t *Term) Lease() (epoch int64, left kernel.Micros) {
+// Lease returns the epoch and the remaining time of the lease, or zeros if the term has ended.
+func (t *Term) Lease() (epoch int64, remaining kernel.Micros) {
 	if t == nil {
 		return 0, 0
 	}
@@ -78,42 +78,43 @@
 	if t.v.term != t {
 		return 0, 0
 	}
-	return t.v.leaseLeft()
+	return t.v.leaseRemaining()
 }
 
-// Valid tells whether the term runs.
+// Valid reports whether the term is current and its lease has not expired.
 func (t *Term) Valid() bool {
-	_, left := t.Lease()
-	return left > 0
+	_, remaining := t.Lease()
+	return remaining > 0
 }
 
-// resign ends this control node's time as primary, and returns its last view; false
-// if it was none.
-func (v *Replica) resign(why string) (View, bool) {
+// stepDown ends this control node's term as primary and returns its last view, or false if it was
+// not the primary.
+func (v *Replica) stepDown(reason string) (View, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.active {
 		return View{}, false
 	}
-	v.active, v.members.since = false, 0
-	v.endTerm()
-	v.k.Log.Info("no longer primary", "epoch", v.seen.Epoch, "why", why)
+	v.active, v.members.primarySince = false, 0
+	v.cancelTerm()
+	v.k.Log.Info("stepped down as primary", "epoch", v.seen.Epoch, "why", reason)
 	v.standAt = v.k.Clock.Now() + v.lease
 	v.changed.Ring()
 	return v.seen, true
 }
 
-// handOver gives the lease up before it ends and has the backups stand.
-func (v *Replica) handOver(why string) {
-	view, was := v.resign(why)
-	if !was {
+// handOver releases the lease before it expires and asks the backups in turn to campaign until one
+// acknowledges.
+func (v *Replica) handOver(reason string) {
+	view, wasPrimary := v.stepDown(reason)
+	if !wasPrimary {
 		return
 	}
-	ctx := context.Background() // each call is bounded
-	ask(ctx, v, union(view.sets()...), "controlstate.release", func(string) any { return epochAsk{view.Epoch} },
-		func(got map[string]struct{}) bool { return majorities(view.sets(), has(got)) })
+	ctx := context.Background() // each call has its own timeout
+	ask(ctx, v, union(view.quorumSets()...), "controlstate.release", func(string) any { return epochRequest{view.Epoch} },
+		func(got map[string]struct{}) bool { return majorityOfEach(view.quorumSets(), has(got)) })
 	for _, b := range view.Backups {
-		if v.endpoint.Call(ctx, b.Addr, "controlstate.succeed", epochAsk{view.Epoch}, nil, callWait) == nil {
+		if v.endpoint.Call(ctx, b.Addr, "controlstate.succeed", epochRequest{view.Epoch}, nil, callWait) == nil {
 			return
 		}
 	}
