--- a/internal/controlstate/crash_test.go
+++ b/internal/controlstate/crash_test.go
@@ -14,11 +14,11 @@
 	"testing"
 )
 
-// volatile follows what of a store's folder is sure to outlast a loss of power,
+// powerLossDisk follows what of a store's folder is sure to outlast a loss of power,
 // and tries whatever else may: each name made, changed or removed since its
 // folder was synced is kept or lost by itself, and what was written to a file
 // since that was synced is kept, lost or torn.
-type volatile struct {
+type powerLossDisk struct {
 	t      *testing.T
 	dir    string // the folder
 	images string // where folders are made as they would be after a loss of power
@@ -31,22 +31,22 @@
 	cuts   int // of each unsynced write
 
 	// What was acknowledged, and what is being written.
-	acked, tried contents
+	acked, tried storeContents
 	tested       map[string]bool
 }
 
-// contents is what a store holds.
-type contents struct {
+// storeContents is what a store holds.
+type storeContents struct {
 	disk  string
 	state State
 	reg   register
 }
 
-type endOfLife struct{}
+type processKilled struct{}
 
-func newVolatile(t *testing.T, killAt, cuts int) *volatile {
+func newPowerLossDisk(t *testing.T, killAt, cuts int) *powerLossDisk {
 	base := memoryDir(t)
-	return &volatile{
+	return &powerLossDisk{
 		t: t, dir: filepath.Join(base, "a", "data"), images: filepath.Join(base, "images"), killAt: killAt, cuts: cuts,
 		names: map[string]uint64{}, synced: map[uint64][]byte{}, files: map[uint64]*os.File{}, tested: map[string]bool{},
 	}
@@ -64,10 +64,10 @@
 }
 
 // sync stands in for the real one.
-func (d *volatile) sync(f *os.File) error {
+func (d *powerLossDisk) sync(f *os.File) error {
 	d.tryAll()
 	if d.syncs++; d.syncs == d.killAt {
-		panic(endOfLife{})
+		panic(processKilled{})
 	}
 	fi, err := f.Stat()
 	if err != nil {
@@ -86,7 +86,7 @@
 }
 
 // number is that of a file, which is held from then on.
-func (d *volatile) number(path string, fi os.FileInfo) uint64 {
+func (d *powerLossDisk) number(path string, fi os.FileInfo) uint64 {
 	n := fi.Sys().(*syscall.Stat_t).Ino
 	if d.files[n] == nil {
 		f, err := os.Open(path)
@@ -99,7 +99,7 @@
 	return n
 }
 
-func (d *volatile) content(n uint64) []byte {
+func (d *powerLossDisk) content(n uint64) []byte {
 	raw, err := io.ReadAll(io.NewSectionReader(d.files[n], 0, 1<<30))
 	if err != nil {
 		d.t.Fatal(err)
@@ -108,7 +108,7 @@
 }
 
 // listed is the folder as a running process sees it.
-func (d *volatile) listed() map[string]uint64 {
+func (d *powerLossDisk) listed() map[string]uint64 {
 	out := map[string]uint64{}
 	entries, err := os.ReadDir(d.dir)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -125,13 +125,13 @@
 }
 
 // tryAll opens the store in every folder that a loss of power now may leave.
-func (d *volatile) tryAll() {
+func (d *powerLossDisk) tryAll() {
 	now := d.listed()
 	if !d.made {
 		d.try(map[string][]byte{})
 	}
 	folders := []map[string]uint64{{}}
-	for _, name := range slices.Sorted(maps.Keys(merged(now, d.names))) {
+	for _, name := range slices.Sorted(maps.Keys(mergedMaps(now, d.names))) {
 		var more []map[string]uint64
 		for _, f := range folders {
 			for _, from := range []map[string]uint64{d.names, now} {
@@ -160,14 +160,14 @@
 	}
 }
 
-func merged(a, b map[string]uint64) map[string]uint64 {
+func mergedMaps(a, b map[string]uint64) map[string]uint64 {
 	out := maps.Clone(a)
 	maps.Copy(out, b)
 	return out
 }
 
 // left is what may be left of a file.
-func (d *volatile) left(n uint64) [][]byte {
+func (d *powerLossDisk) left(n uint64) [][]byte {
 	was, is := d.synced[n], d.content(n)
 	out := [][]byte{was, is}
 	if extra, grown := bytes.CutPrefix(is, was); grown && len(extra) > 1 {
@@ -183,7 +183,7 @@
 
 // try opens a folder as it is after a loss of power: it must open, and hold what
 // was acknowledged, or that and all of what was being written.
-func (d *volatile) try(image map[string][]byte) {
+func (d *powerLossDisk) try(image map[string][]byte) {
 	d.t.Helper()
 	key := fmt.Sprint(d.acked, d.tried)
 	for _, name := range slices.Sorted(maps.Keys(image)) {
@@ -206,32 +206,32 @@
 		d.t.Fatalf("before sync %d, %v left: %v %q", d.syncs+1, slices.Sorted(maps.Keys(image)), err, image[StoreFile])
 	}
 	defer s.Close()
-	got := held(d.t, s)
-	if got.disk != d.acked.disk && d.acked.disk != "" || !got.state.is(d.acked.state) && !got.state.is(d.tried.state) ||
+	got := readContents(d.t, s)
+	if got.disk != d.acked.disk && d.acked.disk != "" || !got.state.equal(d.acked.state) && !got.state.equal(d.tried.state) ||
 		got.reg.Promised != d.acked.reg.Promised && got.reg.Promised != d.tried.reg.Promised {
 		d.t.Fatalf("before sync %d, %v left: holds %+v, acknowledged was %+v, being written %+v", d.syncs+1, slices.Sorted(maps.Keys(image)), got, d.acked, d.tried)
 	}
 }
 
-func (s State) is(o State) bool {
-	return s.Epoch == o.Epoch && s.Seq == o.Seq && maps.EqualFunc(s.Entries, o.Entries, same)
+func (s State) equal(o State) bool {
+	return s.Epoch == o.Epoch && s.Seq == o.Seq && maps.EqualFunc(s.Entries, o.Entries, equalJSON)
 }
 
-func held(t *testing.T, s *Store) contents {
+func readContents(t *testing.T, s *Store) storeContents {
 	state, err := s.LoadState()
 	reg, _, rerr := s.loadRegister()
 	if err != nil || rerr != nil {
 		t.Fatal(err, rerr)
 	}
-	return contents{s.Disk, state, reg}
+	return storeContents{s.Disk, state, reg}
 }
 
 // life opens the store, writes and closes it, unless it is killed before.
-func (d *volatile) life() (ended bool) {
+func (d *powerLossDisk) life() (ended bool) {
 	var s *Store
 	defer func() {
 		if r := recover(); r != nil {
-			if _, ok := r.(endOfLife); !ok {
+			if _, ok := r.(processKilled); !ok {
 				panic(r)
 			}
 			if s != nil {
@@ -245,11 +245,11 @@
 		d.t.Fatal(err)
 	}
 	// What this life has read it may speak of.
-	d.acked = held(d.t, s)
+	d.acked = readContents(d.t, s)
 	d.tried = d.acked
 	d.tryAll()
 	now := d.acked
-	write := func(next contents, f func() error) {
+	write := func(next storeContents, f func() error) {
 		d.tried = next
 		if err := f(); err != nil {
 			d.t.Fatal(err)
@@ -276,7 +276,7 @@
 	whole()
 	change(map[string]json.RawMessage{"a": json.RawMessage(`"some text"`), "b": json.RawMessage(`1`)})
 	change(map[string]json.RawMessage{"a": nil, "c": json.RawMessage(`{"x":[1,2]}`)})
-	s.size, s.least = compactAbove+1, 1 // so that it is rewritten
+	s.size, s.compactedSize = compactAbove+1, 1 // so that it is rewritten
 	change(map[string]json.RawMessage{"b": json.RawMessage(`2`)})
 	change(map[string]json.RawMessage{"b": json.RawMessage(`3`)})
 	whole()
@@ -289,7 +289,7 @@
 }
 
 // crash leaves the last write of a killed process half done, as a kill may.
-func (d *volatile) crash() {
+func (d *powerLossDisk) crash() {
 	n, there := d.listed()[StoreFile]
 	if !there {
 		return
@@ -305,14 +305,14 @@
 // and of a second life after the first was killed at any point: the store opens
 // with all that was acknowledged and with no part of a write.
 func TestPowerLostAtEveryPoint(t *testing.T) {
-	whole := newVolatile(t, 0, 16)
+	whole := newPowerLossDisk(t, 0, 16)
 	if !whole.life() {
 		t.Fatal("killed by nobody")
 	}
 	points, tried := whole.syncs, len(whole.tested)
 	for kill := 1; kill <= whole.syncs; kill++ {
 		for _, tear := range []bool{false, true} {
-			d := newVolatile(t, kill, 2)
+			d := newPowerLossDisk(t, kill, 2)
 			d.life()
 			if tear {
 				d.crash()
--- a/internal/controlstate/decoded_test.go
+++ b/internal/controlstate/decoded_test.go
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-// counting counts how often one is decoded.
-type counting struct{ N int }
+// countingValue counts how often one is decoded.
+type countingValue struct{ N int }
 
-var decodings int
+var decodeCount int
 
-func (c *counting) UnmarshalJSON(raw []byte) error {
-	decodings++
+func (c *countingValue) UnmarshalJSON(raw []byte) error {
+	decodeCount++
 	return json.Unmarshal(raw, &c.N)
 }
 
 func TestOnlyChangesAreDecoded(t *testing.T) {
-	d := NewDecoded[counting]("a/")
+	d := NewDecoded[countingValue]("a/")
 	entries := map[string]json.RawMessage{"a/1": json.RawMessage("1"), "a/2": json.RawMessage("2"), "b/1": json.RawMessage("7")}
-	of := func(want, cost int) map[string]counting {
+	of := func(want, cost int) map[string]countingValue {
 		t.Helper()
-		before := decodings
+		before := decodeCount
 		got, err := d.Of(entries)
-		if err != nil || len(got) != want || decodings-before != cost {
-			t.Errorf("%v %v after %d decodings, want %d entries after %d", got, err, decodings-before, want, cost)
+		if err != nil || len(got) != want || decodeCount-before != cost {
+			t.Errorf("%v %v after %d decodings, want %d entries after %d", got, err, decodeCount-before, want, cost)
 		}
 		return got
 	}
--- a/internal/controlstate/disk.go
+++ b/internal/controlstate/disk.go
@@ -15,11 +15,11 @@
 		return err
 	}
 	defer v.stating.Leave()
-	return v.noteDisk(write())
+	return v.recordDiskResult(write())
 }
 
-// noteDisk counts what the disk refuses.
-func (v *Replica) noteDisk(err error) error {
+// recordDiskResult counts what the disk refuses.
+func (v *Replica) recordDiskResult(err error) error {
 	if err != nil && !errors.Is(err, errOldEpoch) {
 		v.k.Counters.Add("controlstate.disk_refused", 1)
 		if !v.refusing.Swap(true) {
@@ -31,12 +31,12 @@
 	return err
 }
 
-// diskWait is how long the disk may take for a small write before it counts as
+// diskTimeout is how long the disk may take for a small write before it counts as
 // stalled. What it costs is a hand-over.
-const diskWait = 400 * kernel.Millisecond
+const diskTimeout = 400 * kernel.Millisecond
 
-// aliveKey is the record that is written to see whether the disk answers.
-const aliveKey = "alive"
+// probeKey is the record that is written to see whether the disk answers.
+const probeKey = "alive"
 
 // watchDisk writes a few bytes now and then, so that a disk that stalls or
 // refuses is noticed before a change needs it: a primary then hands over, and
@@ -44,25 +44,25 @@
 func (v *Replica) watchDisk(ctx context.Context) {
 	for n := 0; kernel.Sleep(ctx, v.lease); n++ {
 		done := make(chan error, 1)
-		go func() { done <- v.noteDisk(v.store.Save(aliveKey, n)) }()
-		t := time.NewTimer(diskWait.Duration())
+		go func() { done <- v.recordDiskResult(v.store.Save(probeKey, n)) }()
+		t := time.NewTimer(diskTimeout.Duration())
 		var err error
 		select {
 		case err = <-done:
 			t.Stop()
 		case <-t.C:
-			v.stall(errStalled)
+			v.setDiskStalled(errStalled)
 			err = <-done
 		}
-		v.stall(err)
+		v.setDiskStalled(err)
 	}
 }
 
 var errStalled = errors.New("does not answer")
 
-// stall notes whether the disk serves; a primary whose disk does not hands
+// setDiskStalled notes whether the disk serves; a primary whose disk does not hands
 // over.
-func (v *Replica) stall(err error) {
+func (v *Replica) setDiskStalled(err error) {
 	if v.stalled.Swap(err != nil) == (err != nil) {
 		return
 	}
@@ -87,5 +87,5 @@
 	v.mu.Lock()
 	reg := v.witness.reg
 	v.mu.Unlock()
-	return v.noteDisk(v.store.Save(registerKey, reg))
+	return v.recordDiskResult(v.store.Save(registerKey, reg))
 }
--- a/internal/controlstate/fulldisk_test.go
+++ b/internal/controlstate/fulldisk_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// full runs f while no file can grow beyond so many bytes.
-func full(t *testing.T, size int64, f func()) {
+// withFileSizeLimit runs f while no file can grow beyond so many bytes.
+func withFileSizeLimit(t *testing.T, size int64, f func()) {
 	t.Helper()
 	signal.Ignore(syscall.SIGXFSZ)
 	defer signal.Reset(syscall.SIGXFSZ)
@@ -63,15 +63,15 @@
 			if what == "a rewriting" {
 				limit = room
 			}
-			full(t, limit, func() {
+			withFileSizeLimit(t, limit, func() {
 				if err := try(s, st); !errors.Is(err, syscall.EFBIG) {
 					t.Errorf("%s with %d bytes left: %v", what, room, err)
 				}
 			})
-			if got, err := s.LoadState(); err != nil || !got.is(st) {
+			if got, err := s.LoadState(); err != nil || !got.equal(st) {
 				t.Errorf("%s with %d bytes left: holds epoch %d seq %d, %v", what, room, got.Epoch, got.Seq, err)
 			}
-			if _, err := os.Stat(filepath.Join(dir, StoreFile+nextSuffix)); err == nil {
+			if _, err := os.Stat(filepath.Join(dir, StoreFile+rewriteSuffix)); err == nil {
 				t.Errorf("%s with %d bytes left: half a file is left", what, room)
 			}
 			next := Change{st.Epoch, st.Seq + 1, map[string]json.RawMessage{"c": text}}
@@ -83,7 +83,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, err := s.LoadState(); err != nil || !got.is(st.With(next.Entries)) {
+			if got, err := s.LoadState(); err != nil || !got.equal(st.With(next.Entries)) {
 				t.Errorf("%s, after a restart: seq %d, %v", what, got.Seq, err)
 			}
 			s.Close()
@@ -136,7 +136,7 @@
 				want = i + 1
 			}
 		}
-		if got, err := s.LoadState(); err != nil || !got.is(states[want]) || (s.Disk == id) != (cut >= disk) || s.Fresh != (cut < disk) {
+		if got, err := s.LoadState(); err != nil || !got.equal(states[want]) || (s.Disk == id) != (cut >= disk) || s.Fresh != (cut < disk) {
 			t.Fatalf("cut at byte %d: seq %d of disk %s, %v", cut, got.Seq, s.Disk, err)
 		}
 		s.Close()
--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// seal is how a record is written: its checksum, a blank and its JSON.
-func seal(v any) (string, error) {
+// encodeRecord is how a record is written: its checksum, a blank and its JSON.
+func encodeRecord(v any) (string, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return "", fmt.Errorf("controlstate: %w", err)
@@ -21,8 +21,8 @@
 
 var errChecksum = errors.New("fails its checksum")
 
-// sealed returns what a record holds.
-func sealed(text string) (string, error) {
+// recordPayload returns what a record holds.
+func recordPayload(text string) (string, error) {
 	sum, raw, _ := strings.Cut(text, " ")
 	want, err := strconv.ParseUint(sum, 16, 32)
 	if err != nil || uint32(want) != crc32.ChecksumIEEE([]byte(raw)) {
@@ -31,8 +31,8 @@
 	return raw, nil
 }
 
-func unseal(text string, v any) error {
-	raw, err := sealed(text)
+func decodeRecord(text string, v any) error {
+	raw, err := recordPayload(text)
 	if err != nil {
 		return err
 	}
@@ -45,8 +45,8 @@
 	delCommand = "*2\r\n$3\r\ndel\r\n"
 )
 
-// counted reads one counted string; rest is nil if it is not there in full.
-func counted(raw []byte) (text, rest []byte) {
+// readBulkString reads one readBulkString string; rest is nil if it is not there in full.
+func readBulkString(raw []byte) (text, rest []byte) {
 	head, after, ok := bytes.Cut(raw, []byte("\r\n"))
 	if !ok || len(head) < 2 || head[0] != '$' {
 		return nil, nil
@@ -58,25 +58,25 @@
 	return after[:n], after[n+2:]
 }
 
-// command reads one command off raw. It returns nil if none is there in full,
+// readCommand reads one readCommand off raw. It returns nil if none is there in full,
 // and errChecksum if one is whose record is not what was written.
-func command(raw []byte) (rest []byte, err error) {
+func readCommand(raw []byte) (rest []byte, err error) {
 	if after, ok := bytes.CutPrefix(raw, []byte(delCommand)); ok {
-		_, rest = counted(after)
+		_, rest = readBulkString(after)
 		return rest, nil
 	}
 	after, ok := bytes.CutPrefix(raw, []byte(setCommand))
 	if !ok {
 		return nil, nil
 	}
-	if _, after = counted(after); after == nil {
+	if _, after = readBulkString(after); after == nil {
 		return nil, nil
 	}
-	text, rest := counted(after)
+	text, rest := readBulkString(after)
 	if rest == nil {
 		return nil, nil
 	}
-	if _, err := sealed(string(text)); err != nil {
+	if _, err := recordPayload(string(text)); err != nil {
 		if bytes.IndexByte(text, 0) >= 0 {
 			return nil, nil // blocks of it were never written
 		}
@@ -85,16 +85,16 @@
 	return rest, nil
 }
 
-// firstRecord is what the first record of a store takes at most.
-const firstRecord = 256
+// maxFirstRecord is what the first record of a store takes at most.
+const maxFirstRecord = 256
 
-// lastWhole returns how much of a store's file is whole records. What follows
+// validPrefix returns how much of a store's file is whole records. What follows
 // may be one unfinished write; anything else is damage: every write is synced
 // before the next, so a whole record can't stand behind one that is not.
-func lastWhole(raw []byte) (int, error) {
+func validPrefix(raw []byte) (int, error) {
 	at := 0
 	for at < len(raw) {
-		rest, err := command(raw[at:])
+		rest, err := readCommand(raw[at:])
 		if err != nil {
 			return 0, fmt.Errorf("the record at byte %d %v", at, err)
 		}
@@ -103,7 +103,7 @@
 		}
 		at = len(raw) - len(rest)
 	}
-	neverWritten := len(raw) <= firstRecord && bytes.IndexByte(raw, 0) >= 0 // power went before the first sync
+	neverWritten := len(raw) <= maxFirstRecord && bytes.IndexByte(raw, 0) >= 0 // power went before the first sync
 	if at == 0 && !neverWritten && !strings.HasPrefix(setCommand, string(raw[:min(len(raw), len(setCommand))])) {
 		return 0, errors.New("is not a store of a control node")
 	}
@@ -113,7 +113,7 @@
 			break
 		}
 		if next += i; next < len(raw) {
-			if rest, err := command(raw[next:]); err == nil && rest != nil {
+			if rest, err := readCommand(raw[next:]); err == nil && rest != nil {
 				return 0, fmt.Errorf("unreadable from byte %d, and a whole record follows at byte %d", at, next)
 			}
 		}
--- a/internal/controlstate/revisions.go
+++ b/internal/controlstate/revisions.go
@@ -2,19 +2,19 @@
 
 import "bytes"
 
-// keepRevisions is how many of the newest changes are known at least; twice as
+// minRevisions is how many of the newest changes are known at least; twice as
 // many at most.
-const keepRevisions = 4096
+const minRevisions = 4096
 
 // revisions is what a member knows of when the entries of its state last changed. It
 // is not written to disk by itself: whoever opens a store, or is a backup for a
 // while, has seen the changes. What it costs to add a change does not grow with
 // those before it.
 type revisions struct {
-	from   int64     // changes after this sequence are known
-	newest *revision // of the changes that are known
-	known  int       // how many those are
-	lo, hi int64     // but not what happened from lo on before hi
+	completeAfter  int64     // changes after this sequence are known
+	newest         *revision // of the changes that are known
+	count          int       // how many those are
+	gapFrom, gapTo int64     // but not what happened from lo on before hi
 }
 
 // revision is one change of the state: the entries that changed, or went. States
@@ -27,13 +27,13 @@
 
 // WithoutRevisions is the state where nothing is known of before.
 func (s State) WithoutRevisions() State {
-	s.revisions = revisions{from: s.Seq}
+	s.revisions = revisions{completeAfter: s.Seq}
 	return s
 }
 
 // Knows tells whether all that changed after a sequence is known.
 func (s State) Knows(seq int64) bool {
-	return seq >= s.revisions.from && (seq < s.revisions.lo || seq >= s.revisions.hi)
+	return seq >= s.revisions.completeAfter && (seq < s.revisions.gapFrom || seq >= s.revisions.gapTo)
 }
 
 // Since lists the entries that changed, or went, after a sequence that is known.
@@ -50,13 +50,13 @@
 	return keys
 }
 
-// changed is the revisions after a change of these entries that makes sequence seq.
-func (p revisions) changed(keys []string, seq int64) revisions {
-	p.newest, p.known = &revision{seq, keys, p.newest}, p.known+1
-	if p.known <= 2*keepRevisions {
+// withChange is the revisions after a change of these entries that makes sequence seq.
+func (p revisions) withChange(keys []string, seq int64) revisions {
+	p.newest, p.count = &revision{seq, keys, p.newest}, p.count+1
+	if p.count <= 2*minRevisions {
 		return p
 	}
-	kept := make([]revision, keepRevisions)
+	kept := make([]revision, minRevisions)
 	r := p.newest
 	for i := range kept {
 		kept[i] = revision{seq: r.seq, keys: r.keys}
@@ -65,16 +65,16 @@
 		}
 		r = r.prev
 	}
-	p.from, p.newest, p.known = max(p.from, r.seq), &kept[0], keepRevisions
+	p.completeAfter, p.newest, p.count = max(p.completeAfter, r.seq), &kept[0], minRevisions
 	return p
 }
 
-// follows returns the state with what this member knows of its past from the
+// withHistoryOf returns the state with what this member knows of its past from the
 // one that it had. Of that, all but the last change is surely part of the past
 // of every state that comes after it: a primary has one change under way at a
 // time. So whatever differs counts as changed now, and nothing is known of the
 // states from its last change on.
-func (s State) follows(old State) State {
+func (s State) withHistoryOf(old State) State {
 	if old.Epoch == 0 || s.Seq < old.Seq {
 		return s.WithoutRevisions()
 	}
@@ -89,12 +89,12 @@
 			differ = append(differ, key)
 		}
 	}
-	s.revisions = old.revisions.changed(differ, s.Seq)
+	s.revisions = old.revisions.withChange(differ, s.Seq)
 	if s.Seq > old.Seq {
-		if s.revisions.hi == 0 {
-			s.revisions.lo = old.Seq
+		if s.revisions.gapTo == 0 {
+			s.revisions.gapFrom = old.Seq
 		}
-		s.revisions.lo, s.revisions.hi = min(s.revisions.lo, old.Seq), s.Seq
+		s.revisions.gapFrom, s.revisions.gapTo = min(s.revisions.gapFrom, old.Seq), s.Seq
 	}
 	return s
 }
--- a/internal/controlstate/revisions_test.go
+++ b/internal/controlstate/revisions_test.go
@@ -46,7 +46,7 @@
 				durable = members[lead]
 				for i := range members {
 					if i != lead && rnd.IntN(2) == 0 {
-						members[i] = State{Epoch: durable.Epoch, Seq: durable.Seq, Entries: durable.Entries}.follows(members[i])
+						members[i] = State{Epoch: durable.Epoch, Seq: durable.Seq, Entries: durable.Entries}.withHistoryOf(members[i])
 					}
 				}
 				history[durable.Seq] = durable.Entries
@@ -66,7 +66,7 @@
 				history[durable.Seq] = durable.Entries
 			}
 			for _, m := range members {
-				if m.Seq != durable.Seq || !maps.EqualFunc(m.Entries, durable.Entries, same) {
+				if m.Seq != durable.Seq || !maps.EqualFunc(m.Entries, durable.Entries, equalJSON) {
 					continue
 				}
 				for seq, then := range history {
@@ -89,4 +89,4 @@
 	}
 }
 
-func same(a, b json.RawMessage) bool { return string(a) == string(b) }
+func equalJSON(a, b json.RawMessage) bool { return string(a) == string(b) }
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlstate/snapshot.go
@@ -22,19 +22,19 @@
 const (
 	// chunkBytes bounds a chunk; a state of that size takes one call. A chunk
 	// passes a link of 2 Mbit/s within chunkWait.
-	chunkBytes = 64 << 10
-	chunkWait  = 900 * kernel.Millisecond
-	// chunkTries is how many calls in a row may go wrong.
-	chunkTries = 3
-	// stageAbove is how much may be copied while a view is being formed: the
+	chunkBytes   = 64 << 10
+	chunkTimeout = 900 * kernel.Millisecond
+	// chunkAttempts is how many calls in a row may go wrong.
+	chunkAttempts = 3
+	// stageThreshold is how much may be copied while a view is being formed: the
 	// witnesses have promised the next epoch, and the lease of the one before
 	// can't be renewed. What is larger is staged before.
-	stageAbove = 1 << 20
-	// diskRate is what a disk writes in a microsecond at least, in bytes.
-	diskRate = 10
-	// transferIdle is when an unfinished transfer that nobody goes on with gives
+	stageThreshold = 1 << 20
+	// minDiskRate is what a disk writes in a microsecond at least, in bytes.
+	minDiskRate = 10
+	// transferIdleTimeout is when an unfinished transfer that nobody goes on with gives
 	// way to any other.
-	transferIdle = kernel.Second
+	transferIdleTimeout = kernel.Second
 )
 
 // encodeEntries writes entries in the order of their keys: the sizes of key and
@@ -99,74 +99,74 @@
 // snapshotID names a snapshot by whom it is for and by what it holds, so that
 // chunks of two never mix.
 type snapshotID struct {
-	Epoch int64  `json:"epoch"` // the state will be that of this epoch
-	Seq   int64  `json:"seq"`
-	Sum   string `json:"sum"`             // digest of all entries
-	Since int64  `json:"since,omitempty"` // sequence of the state that it is a difference from; a whole one if 0
-	Stage bool   `json:"stage,omitempty"` // it is only to be kept for a copy that follows
+	Epoch  int64  `json:"epoch"` // the state will be that of this epoch
+	Seq    int64  `json:"seq"`
+	Digest string `json:"sum"`             // digest of all entries
+	Since  int64  `json:"since,omitempty"` // sequence of the state that it is a difference from; a whole one if 0
+	Stage  bool   `json:"stage,omitempty"` // it is only to be kept for a copy that follows
 }
 
 // chunk is one part of a snapshot.
 type chunk struct {
 	snapshotID
-	Index int    `json:"index"`
-	Count int    `json:"count"` // of chunks
-	Check uint32 `json:"check"` // CRC-32 of the data
-	Data  []byte `json:"data"`
+	Index    int    `json:"index"`
+	Count    int    `json:"count"` // of chunks
+	Checksum uint32 `json:"check"` // CRC-32 of the data
+	Data     []byte `json:"data"`
 }
 
-type copyAnswer struct {
+type copyResponse struct {
 	Member Member `json:"member"` // once the state is on this disk
 	Next   int    `json:"next"`   // the chunk that is to come; their number, if none is
 }
 
-// offerAnswer is what a control node has to which a snapshot is offered.
-type offerAnswer struct {
-	Epoch int64    `json:"epoch"` // that its own state is of
-	Seq   int64    `json:"seq"`   // of the state that a difference may build on
-	Sum   string   `json:"sum"`
-	Last  []string `json:"last,omitempty"` // entries that its last change touched: nobody may have acknowledged it
-	Next  int      `json:"next"`           // of the snapshot's chunks
+// offerResponse is what a control node has to which a snapshot is offered.
+type offerResponse struct {
+	Epoch       int64    `json:"epoch"` // that its own state is of
+	Seq         int64    `json:"seq"`   // of the state that a difference may build on
+	Sum         string   `json:"sum"`
+	LastChanged []string `json:"last,omitempty"` // entries that its last change touched: nobody may have acknowledged it
+	Next        int      `json:"next"`           // of the snapshot's chunks
 }
 
 // Errors of the receiving side.
 var (
-	errChunk    = errors.New("a chunk fails its checksum, or its bounds")
-	errTransfer = errors.New("a chunk of another transfer, or out of order")
-	errDiffers  = errors.New("the snapshot does not fit the state here, or its checksum")
+	errChunk          = errors.New("a chunk fails its checksum, or its bounds")
+	errTransfer       = errors.New("a chunk of another transfer, or out of order")
+	errDigestMismatch = errors.New("the snapshot does not fit the state here, or its checksum")
 )
 
 // intake is the receiving side: one snapshot at a time. Whoever holds its gate
 // uses it.
 type intake struct {
-	gate  kernel.Gate
-	id    snapshotID
-	count int // of chunks
-	next  int // the chunk that is to come
-	data  []byte
-	at    kernel.Micros // of the last chunk
-	done  snapshotID    // the last that was put in place
+	gate          kernel.Gate
+	id            snapshotID
+	count         int // of chunks
+	next          int // the chunk that is to come
+	data          []byte
+	lastChunkAt   kernel.Micros // of the last chunk
+	lastInstalled snapshotID    // the last that was put in place
 
 	// staged is a state that came whole and was checked, and that no member's
 	// word rests on: a copy that follows may be sent as what differs from it.
-	staged    State
-	stagedSum string
+	staged       State
+	stagedDigest string
 }
 
-// take adds a chunk to the snapshot and tells whether that is whole now.
-func (in *intake) take(p chunk, now kernel.Micros) (whole bool, err error) {
-	if p.Count < 1 || p.Index < 0 || p.Index >= p.Count || len(p.Data) > chunkBytes || crc32.ChecksumIEEE(p.Data) != p.Check {
+// addChunk adds a chunk to the snapshot and tells whether that is whole now.
+func (in *intake) addChunk(p chunk, now kernel.Micros) (whole bool, err error) {
+	if p.Count < 1 || p.Index < 0 || p.Index >= p.Count || len(p.Data) > chunkBytes || crc32.ChecksumIEEE(p.Data) != p.Checksum {
 		return false, errChunk
 	}
 	if in.id != p.snapshotID || in.count != p.Count {
-		unfinished := in.next < in.count && now-in.at < transferIdle
+		unfinished := in.next < in.count && now-in.lastChunkAt < transferIdleTimeout
 		newer := p.Epoch > in.id.Epoch || p.Epoch == in.id.Epoch && (p.Seq > in.id.Seq || in.id.Stage && !p.Stage)
 		if p.Index != 0 || unfinished && !newer {
 			return false, errTransfer
 		}
 		in.id, in.count, in.next, in.data = p.snapshotID, p.Count, 0, nil
 	}
-	in.at = now
+	in.lastChunkAt = now
 	switch {
 	case p.Index > in.next:
 		return false, errTransfer
@@ -177,18 +177,18 @@
 	return in.next == in.count, nil
 }
 
-func (in *intake) clear() { in.id, in.count, in.next, in.data = snapshotID{}, 0, 0, nil }
+func (in *intake) reset() { in.id, in.count, in.next, in.data = snapshotID{}, 0, 0, nil }
 
-// entries puts the state together, from the chunks and one of those that it may
+// assemble puts the state together, from the chunks and one of those that it may
 // be a difference from.
-func (in *intake) entries(own State) (map[string]json.RawMessage, error) {
+func (in *intake) assemble(own State) (map[string]json.RawMessage, error) {
 	parts, err := decodeEntries(in.data)
 	if err != nil {
 		return nil, err
 	}
 	if in.id.Since == 0 {
-		if digest(in.data) != in.id.Sum {
-			return nil, errDiffers
+		if digest(in.data) != in.id.Digest {
+			return nil, errDigestMismatch
 		}
 		return parts, nil
 	}
@@ -200,12 +200,12 @@
 		if entries == nil {
 			entries = map[string]json.RawMessage{}
 		}
-		put(entries, parts)
-		if digest(encodeEntries(entries)) == in.id.Sum {
+		applyChanges(entries, parts)
+		if digest(encodeEntries(entries)) == in.id.Digest {
 			return entries, nil
 		}
 	}
-	return nil, errDiffers
+	return nil, errDigestMismatch
 }
 
 // onOffer tells a sender what this control node lacks of a snapshot.
@@ -220,14 +220,14 @@
 	v.mu.Lock()
 	own := v.state
 	v.mu.Unlock()
-	a := offerAnswer{Epoch: own.Epoch}
+	a := offerResponse{Epoch: own.Epoch}
 	if in.id == id {
 		a.Next = in.next
 	}
 	if in.staged.Epoch > own.Epoch {
-		a.Seq, a.Sum = in.staged.Seq, in.stagedSum
+		a.Seq, a.Sum = in.staged.Seq, in.stagedDigest
 	} else {
-		a.Seq, a.Sum, a.Last = own.Seq, digest(encodeEntries(own.Entries)), own.Since(own.Seq-1)
+		a.Seq, a.Sum, a.LastChanged = own.Seq, digest(encodeEntries(own.Entries)), own.Since(own.Seq-1)
 	}
 	return a, nil
 }
@@ -247,56 +247,56 @@
 	v.mu.Lock()
 	own := v.state
 	v.mu.Unlock()
-	if a := (copyAnswer{Next: p.Count}); p.snapshotID == in.done && p.Stage {
+	if a := (copyResponse{Next: p.Count}); p.snapshotID == in.lastInstalled && p.Stage {
 		return a, nil // the answer was lost
-	} else if p.snapshotID == in.done && own.Epoch == p.Epoch {
+	} else if p.snapshotID == in.lastInstalled && own.Epoch == p.Epoch {
 		a.Member = v.self
 		return a, nil
 	}
-	if v.tooOld(p.Epoch) {
+	if v.rejectsEpoch(p.Epoch) {
 		return nil, v.refused(errOldEpoch)
 	}
-	whole, err := in.take(p, v.k.Clock.Now())
+	whole, err := in.addChunk(p, v.k.Clock.Now())
 	if err != nil {
 		return nil, v.refused(err)
 	}
 	if !whole {
-		return copyAnswer{Next: in.next}, nil
+		return copyResponse{Next: in.next}, nil
 	}
-	if err := v.install(ctx, own); err != nil {
+	if err := v.installSnapshot(ctx, own); err != nil {
 		return nil, v.refused(err)
 	}
-	a := copyAnswer{Next: in.count}
+	a := copyResponse{Next: in.count}
 	if !in.id.Stage {
 		a.Member = v.self
 	}
-	in.done = in.id
-	in.clear()
+	in.lastInstalled = in.id
+	in.reset()
 	return a, nil
 }
 
-// tooOld tells whether a state for that epoch may not replace this control node's.
-func (v *Replica) tooOld(epoch int64) bool {
+// rejectsEpoch tells whether a state for that epoch may not replace this control node's.
+func (v *Replica) rejectsEpoch(epoch int64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return epoch <= v.state.Epoch || v.leads(v.k.Clock.Now()) || v.leaving
 }
 
-// install does with a whole snapshot what it was sent for.
-func (v *Replica) install(ctx context.Context, own State) error {
+// installSnapshot does with a whole snapshot what it was sent for.
+func (v *Replica) installSnapshot(ctx context.Context, own State) error {
 	in := &v.intake
-	entries, err := in.entries(own)
+	entries, err := in.assemble(own)
 	if err != nil {
-		in.clear()
+		in.reset()
 		return err
 	}
 	s := State{Epoch: in.id.Epoch, Seq: in.id.Seq, Entries: entries}
 	if in.id.Stage {
-		in.staged, in.stagedSum = s, in.id.Sum
+		in.staged, in.stagedDigest = s, in.id.Digest
 		return nil
 	}
 	err = v.onDisk(ctx, func() error {
-		if v.tooOld(s.Epoch) {
+		if v.rejectsEpoch(s.Epoch) {
 			return errOldEpoch
 		}
 		if err := v.store.SaveState(s); err != nil {
@@ -305,10 +305,10 @@
 		v.mu.Lock()
 		have := v.state
 		v.mu.Unlock()
-		return v.replace(s.follows(have))
+		return v.replace(s.withHistoryOf(have))
 	})
 	if err == nil {
-		in.staged, in.stagedSum = State{}, ""
+		in.staged, in.stagedDigest = State{}, ""
 	}
 	return err
 }
@@ -330,7 +330,7 @@
 	switch {
 	case errors.Is(err, errOldEpoch):
 		v.k.Counters.Add("controlstate.old_epoch_refused", 1)
-	case errors.Is(err, errChunk), errors.Is(err, errTransfer), errors.Is(err, errEncoding), errors.Is(err, errDiffers):
+	case errors.Is(err, errChunk), errors.Is(err, errTransfer), errors.Is(err, errEncoding), errors.Is(err, errDigestMismatch):
 		v.k.Counters.Add("controlstate.chunk_refused", 1)
 	}
 	return err
--- a/internal/controlstate/snapshot_send.go
+++ b/internal/controlstate/snapshot_send.go
@@ -16,9 +16,9 @@
 
 // snapshot is a state on its way to other control nodes.
 type snapshot struct {
-	state State // of the epoch that it is for
-	whole []byte
-	sum   string
+	state   State // of the epoch that it is for
+	encoded []byte
+	digest  string
 }
 
 func newSnapshot(state State) *snapshot {
@@ -26,11 +26,11 @@
 	return &snapshot{state, whole, digest(whole)}
 }
 
-// lacks is what a control node lacks that has the state which it says; nil if that
+// difference is what a control node difference that has the state which it says; nil if that
 // is not known. The last change there may be one that nobody acknowledged, so
 // what it touched is among it.
-func (s *snapshot) lacks(have offerAnswer) []byte {
-	if have.Sum == s.sum {
+func (s *snapshot) difference(have offerResponse) []byte {
+	if have.Sum == s.digest {
 		return []byte{}
 	}
 	since := have.Seq - 1
@@ -41,22 +41,22 @@
 		return nil
 	}
 	parts := map[string]json.RawMessage{}
-	for _, key := range append(s.state.Since(since), have.Last...) {
+	for _, key := range append(s.state.Since(since), have.LastChanged...) {
 		parts[key] = s.state.Entries[key]
 	}
 	return encodeEntries(parts)
 }
 
-var errLarge = errors.New("too much is to be copied while a view is formed")
+var errTooLarge = errors.New("too much is to be copied while a view is formed")
 
-// send brings a snapshot to a control node: as a difference from what that has, if
+// sendSnapshot brings a snapshot to a control node: as a difference from what that has, if
 // it has something that is known here, and else whole.
-func (v *Replica) send(ctx context.Context, addr string, s *snapshot, stage bool) (Member, error) {
-	id := snapshotID{Epoch: s.state.Epoch, Seq: s.state.Seq, Sum: s.sum, Stage: stage}
-	if len(s.whole) <= chunkBytes {
-		return v.sendChunks(ctx, addr, id, s.whole, len(s.whole))
+func (v *Replica) sendSnapshot(ctx context.Context, addr string, s *snapshot, stage bool) (Member, error) {
+	id := snapshotID{Epoch: s.state.Epoch, Seq: s.state.Seq, Digest: s.digest, Stage: stage}
+	if len(s.encoded) <= chunkBytes {
+		return v.sendChunks(ctx, addr, id, s.encoded, len(s.encoded))
 	}
-	var have offerAnswer
+	var have offerResponse
 	if err := v.endpoint.Call(ctx, addr, "controlstate.offer", id, &have, callWait); err != nil {
 		return Member{}, err
 	}
@@ -66,21 +66,21 @@
 		v.mu.Unlock()
 		return Member{}, errOldEpoch
 	}
-	if less := s.lacks(have); less != nil && have.Seq > 0 && len(less) < len(s.whole)/2 {
+	if less := s.difference(have); less != nil && have.Seq > 0 && len(less) < len(s.encoded)/2 {
 		if stage && len(less) <= chunkBytes {
 			return Member{}, nil // that little need not be there before
 		}
 		id.Since = have.Seq
-		m, err := v.sendChunks(ctx, addr, id, less, len(s.whole))
+		m, err := v.sendChunks(ctx, addr, id, less, len(s.encoded))
 		if err == nil || !errors.As(err, new(*rpc.Refused)) {
 			return m, err
 		}
 		id.Since = 0
 	}
-	if !stage && len(s.whole) > stageAbove {
-		return Member{}, errLarge
+	if !stage && len(s.encoded) > stageThreshold {
+		return Member{}, errTooLarge
 	}
-	return v.sendChunks(ctx, addr, id, s.whole, len(s.whole))
+	return v.sendChunks(ctx, addr, id, s.encoded, len(s.encoded))
 }
 
 // sendChunks sends the chunks one after another. After a call that went wrong
@@ -90,14 +90,14 @@
 	for next, failed := 0, 0; ; {
 		part := data[next*chunkBytes : min(len(data), (next+1)*chunkBytes)]
 		p := chunk{id, next, count, crc32.ChecksumIEEE(part), part}
-		wait, start := chunkWait, v.k.Clock.Now()
+		wait, start := chunkTimeout, v.k.Clock.Now()
 		if count == 1 {
 			wait = callWait
 		}
 		if next == count-1 {
-			wait += kernel.Micros(size) / diskRate // the state goes to the disk there
+			wait += kernel.Micros(size) / minDiskRate // the state goes to the disk there
 		}
-		var a copyAnswer
+		var a copyResponse
 		err := v.endpoint.Call(ctx, addr, "controlstate.copy", p, &a, wait)
 		v.k.Counters.Add("controlstate.copied_bytes", int64(len(part)))
 		switch {
@@ -113,19 +113,19 @@
 			}
 			continue
 		}
-		if failed++; failed == chunkTries || count == 1 {
+		if failed++; failed == chunkAttempts || count == 1 {
 			return Member{}, fmt.Errorf("controlstate: chunk %d of %d was not taken: %w", next, count, errors.Join(err, ctx.Err()))
 		}
-		var have offerAnswer
+		var have offerResponse
 		if v.endpoint.Call(ctx, addr, "controlstate.offer", id, &have, callWait) == nil && have.Next >= 0 && have.Next < count {
 			next = have.Next
 		}
 	}
 }
 
-// backupOrder lists the control nodes that a copy is offered to, in turn; if the
+// backupCandidates lists the control nodes that a copy is offered to, in turn; if the
 // state was staged, those that have it come first.
-func (v *Replica) backupOrder(last View, answered func(addr string) bool) []string {
+func (v *Replica) backupCandidates(last View, answered func(addr string) bool) []string {
 	alive := v.cfg.ControlNodes()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -147,7 +147,7 @@
 // one at least. Control nodes that do not answer count as lost already: if there are
 // too few others, these will do; not so if others answered a moment ago.
 func (v *Replica) copyToBackups(ctx context.Context, state State, last View, disks map[string]string) ([]Member, error) {
-	got := v.sendToSome(ctx, newSnapshot(state), v.backupOrder(last, has(disks)), false)
+	got := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, has(disks)), false)
 	backups := make([]Member, 0, len(got))
 	for _, r := range got {
 		backups = append(backups, r.member)
@@ -161,28 +161,28 @@
 	return backups, nil
 }
 
-// sent is a control node that took a snapshot.
-type sent struct {
+// snapshotRecipient is a control node that took a snapshot.
+type snapshotRecipient struct {
 	addr   string
 	member Member // if it is on its disk
 }
 
-// sendToSome sends a snapshot to the first control nodes that take it, as many as
+// sendToFirst sends a snapshot to the first control nodes that take it, as many as
 // there should be backups.
-func (v *Replica) sendToSome(ctx context.Context, s *snapshot, order []string, stage bool) (got []sent) {
+func (v *Replica) sendToFirst(ctx context.Context, s *snapshot, order []string, stage bool) (got []snapshotRecipient) {
 	want := v.members.copies()
 	for len(order) > 0 && len(got) < want && ctx.Err() == nil {
 		n := min(want-len(got), len(order))
-		took := make([]*sent, n)
+		took := make([]*snapshotRecipient, n)
 		done := make(chan struct{}, n)
 		for i, addr := range order[:n] {
 			go func() {
 				defer func() { done <- struct{}{} }()
-				m, err := v.send(ctx, addr, s, stage)
+				m, err := v.sendSnapshot(ctx, addr, s, stage)
 				if err == nil && (stage || m.Disk != "") {
-					took[i] = &sent{addr, m}
+					took[i] = &snapshotRecipient{addr, m}
 				}
-				v.noteCopy(addr, stage, err)
+				v.recordCopyResult(addr, stage, err)
 			}()
 		}
 		for range n {
@@ -198,15 +198,15 @@
 	return got
 }
 
-// noteCopy has a control node that failed to take a copy come after the others for
+// recordCopyResult has a control node that failed to take a copy come after the others for
 // a while.
-func (v *Replica) noteCopy(addr string, stage bool, err error) {
+func (v *Replica) recordCopyResult(addr string, stage bool, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
 	case err == nil && !stage:
 		v.members.took(addr)
-	case err != nil && !errors.Is(err, errLarge):
+	case err != nil && !errors.Is(err, errTooLarge):
 		v.members.failed(addr, v.k.Clock.Now())
 	}
 }
@@ -217,7 +217,7 @@
 func (v *Replica) staged() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return entriesSize(v.state.Entries) <= stageAbove || v.k.Clock.Now() < v.stagedTill
+	return entriesSize(v.state.Entries) <= stageThreshold || v.k.Clock.Now() < v.stagedTill
 }
 
 // stageSoon has the state brought there, unless that is under way.
@@ -226,17 +226,17 @@
 	defer v.mu.Unlock()
 	if !v.staging {
 		v.staging = true
-		go v.stage(ctx)
+		go v.stageState(ctx)
 	}
 }
 
-func (v *Replica) stage(ctx context.Context) {
+func (v *Replica) stageState(ctx context.Context) {
 	v.mu.Lock()
 	state, last := v.state, v.seen
 	state.Epoch = v.nextEpoch()
 	v.mu.Unlock()
 	v.k.Counters.Add("controlstate.staged", 1)
-	got := v.sendToSome(ctx, newSnapshot(state), v.backupOrder(last, func(string) bool { return false }), true)
+	got := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, func(string) bool { return false }), true)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.staging, v.stagedAt = false, nil
--- a/internal/controlstate/snapshot_test.go
+++ b/internal/controlstate/snapshot_test.go
@@ -14,16 +14,16 @@
 	"indigowalk/internal/kernel"
 )
 
-// receiver is a control state that only takes copies.
-func receiver(t *testing.T) *Replica {
+// newReceiver is a control state that only takes copies.
+func newReceiver(t *testing.T) *Replica {
 	return &Replica{
 		k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), store: open(t, t.TempDir()),
 		self: Member{"a", "a:1", "disk-a"}, stating: kernel.NewGate(), intake: intake{gate: kernel.NewGate()},
 	}
 }
 
-// chunks cuts a snapshot as a sender does.
-func chunks(id snapshotID, data []byte) (out []chunk) {
+// splitChunks cuts a snapshot as a sender does.
+func splitChunks(id snapshotID, data []byte) (out []chunk) {
 	count := max(1, (len(data)+chunkBytes-1)/chunkBytes)
 	for i := range count {
 		part := data[i*chunkBytes : min(len(data), (i+1)*chunkBytes)]
@@ -32,7 +32,7 @@
 	return out
 }
 
-func large(epoch, seq int64) State {
+func largeState(epoch, seq int64) State {
 	entries := map[string]json.RawMessage{"one": json.RawMessage(`"` + strings.Repeat("x", 3*chunkBytes) + `"`)}
 	for i := range 50 {
 		entries[fmt.Sprint("key ", i)] = json.RawMessage(fmt.Sprint(100*i + int(seq)))
@@ -43,22 +43,22 @@
 // A snapshot is taken only if all of it arrives, in order, unharmed and for an
 // epoch above the receiver's own; whatever else arrives is refused and counted.
 func TestSnapshotIsTakenWholeOrNotAtAll(t *testing.T) {
-	v := receiver(t)
-	send := func(c chunk) (copyAnswer, error) {
+	v := newReceiver(t)
+	send := func(c chunk) (copyResponse, error) {
 		a, err := v.onCopy(context.Background(), c)
 		if err != nil {
-			return copyAnswer{}, err
+			return copyResponse{}, err
 		}
-		return a.(copyAnswer), nil
+		return a.(copyResponse), nil
 	}
-	state := large(5, 40)
+	state := largeState(5, 40)
 	s := newSnapshot(state)
-	id := snapshotID{Epoch: 5, Seq: 40, Sum: s.sum}
-	all := chunks(id, s.whole)
+	id := snapshotID{Epoch: 5, Seq: 40, Digest: s.digest}
+	all := splitChunks(id, s.encoded)
 	with := func(c chunk, f func(*chunk)) chunk { f(&c); return c }
-	older := chunks(snapshotID{Epoch: 5, Seq: 39, Sum: "older"}, s.whole)
-	newer := newSnapshot(large(6, 41))
-	again := chunks(snapshotID{Epoch: 6, Seq: 41, Sum: newer.sum}, newer.whole)
+	older := splitChunks(snapshotID{Epoch: 5, Seq: 39, Digest: "older"}, s.encoded)
+	newer := newSnapshot(largeState(6, 41))
+	again := splitChunks(snapshotID{Epoch: 6, Seq: 41, Digest: newer.digest}, newer.encoded)
 	last := len(all) - 1
 	for i, step := range []struct {
 		what string
@@ -70,7 +70,7 @@
 		{"the first", all[0], 1, nil},
 		{"the first again", all[0], 1, nil},
 		{"one left out", all[2], 0, errTransfer},
-		{"a flipped bit", with(all[1], func(c *chunk) { c.Check++ }), 0, errChunk},
+		{"a flipped bit", with(all[1], func(c *chunk) { c.Checksum++ }), 0, errChunk},
 		{"beyond the last", with(all[1], func(c *chunk) { c.Index = c.Count }), 0, errChunk},
 		{"one of another epoch", with(all[1], func(c *chunk) { c.Epoch = 4 }), 0, errTransfer},
 		{"another number of chunks", with(all[1], func(c *chunk) { c.Count++ }), 0, errTransfer},
@@ -102,12 +102,12 @@
 	if _, err := send(all[0]); !errors.Is(err, errOldEpoch) {
 		t.Errorf("a snapshot of an older epoch: %v", err)
 	}
-	if have, err := v.store.LoadState(); err != nil || have.Epoch != 6 || !maps.EqualFunc(have.Entries, large(6, 41).Entries, same) || !maps.EqualFunc(v.state.Entries, have.Entries, same) {
+	if have, err := v.store.LoadState(); err != nil || have.Epoch != 6 || !maps.EqualFunc(have.Entries, largeState(6, 41).Entries, equalJSON) || !maps.EqualFunc(v.state.Entries, have.Entries, equalJSON) {
 		t.Errorf("in place and on disk: epoch %d seq %d, %v", have.Epoch, have.Seq, err)
 	}
-	bad := newSnapshot(large(7, 50))
-	for i, c := range chunks(snapshotID{Epoch: 7, Seq: 50, Sum: "another"}, bad.whole) {
-		if _, err := send(c); (i == last) != errors.Is(err, errDiffers) || v.state.Epoch != 6 {
+	bad := newSnapshot(largeState(7, 50))
+	for i, c := range splitChunks(snapshotID{Epoch: 7, Seq: 50, Digest: "another"}, bad.encoded) {
+		if _, err := send(c); (i == last) != errors.Is(err, errDigestMismatch) || v.state.Epoch != 6 {
 			t.Errorf("chunk %d of a snapshot with another digest: %v", i, err)
 		}
 	}
@@ -127,8 +127,8 @@
 		{"of another", map[string]json.RawMessage{"key 7": json.RawMessage(`"lost"`), "new": json.RawMessage(`1`), "key 8": nil}, true, true},
 		{"of another, not known", map[string]json.RawMessage{"key 7": json.RawMessage(`"lost"`)}, false, false},
 	} {
-		v := receiver(t)
-		common := large(5, 40).WithoutRevisions()
+		v := newReceiver(t)
+		common := largeState(5, 40).WithoutRevisions()
 		v.state = common
 		if c.lost != nil {
 			if v.state = common.With(c.lost); !c.knows {
@@ -141,22 +141,22 @@
 		}
 		mine.Epoch = 6
 		s := newSnapshot(mine)
-		id := snapshotID{Epoch: 6, Seq: mine.Seq, Sum: s.sum}
+		id := snapshotID{Epoch: 6, Seq: mine.Seq, Digest: s.digest}
 		o, err := v.onOffer(context.Background(), id)
 		if err != nil {
 			t.Fatal(err)
 		}
-		have := o.(offerAnswer)
+		have := o.(offerResponse)
 		id.Since = have.Seq
-		less := s.lacks(have)
+		less := s.difference(have)
 		if len(less) > 300 {
 			t.Errorf("%s: %d bytes are sent", c.what, len(less))
 		}
-		a, err := v.onCopy(context.Background(), chunks(id, less)[0])
-		if c.fits && (err != nil || a.(copyAnswer).Member != v.self || !maps.EqualFunc(v.state.Entries, mine.Entries, same)) {
+		a, err := v.onCopy(context.Background(), splitChunks(id, less)[0])
+		if c.fits && (err != nil || a.(copyResponse).Member != v.self || !maps.EqualFunc(v.state.Entries, mine.Entries, equalJSON)) {
 			t.Errorf("%s: %+v %v", c.what, a, err)
 		}
-		if !c.fits && (!errors.Is(err, errDiffers) || v.state.Epoch != 5) {
+		if !c.fits && (!errors.Is(err, errDigestMismatch) || v.state.Epoch != 5) {
 			t.Errorf("%s: %+v %v", c.what, a, err)
 		}
 	}
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -27,18 +27,18 @@
 
 // With is the state after one more change.
 func (s State) With(changes map[string]json.RawMessage) State {
-	n := State{Epoch: s.Epoch, Seq: s.Seq + 1, Entries: maps.Clone(s.Entries), revisions: s.revisions.changed(keysOf(changes), s.Seq+1)}
+	n := State{Epoch: s.Epoch, Seq: s.Seq + 1, Entries: maps.Clone(s.Entries), revisions: s.revisions.withChange(keysOf(changes), s.Seq+1)}
 	if n.Entries == nil {
 		n.Entries = map[string]json.RawMessage{}
 	}
-	put(n.Entries, changes)
+	applyChanges(n.Entries, changes)
 	return n
 }
 
 func keysOf(entries map[string]json.RawMessage) []string { return slices.Collect(maps.Keys(entries)) }
 
-// put carries changes out on entries.
-func put(entries, changes map[string]json.RawMessage) {
+// applyChanges carries changes out on entries.
+func applyChanges(entries, changes map[string]json.RawMessage) {
 	for k, v := range changes {
 		if v == nil || string(v) == "null" {
 			delete(entries, k)
@@ -59,9 +59,9 @@
 type Decoded[T any] struct {
 	prefix string
 
-	mu     sync.Mutex
-	raw    map[string]json.RawMessage // what the values were decoded from
-	values map[string]T
+	mu      sync.Mutex
+	encoded map[string]json.RawMessage // what the values were decoded from
+	values  map[string]T
 }
 
 // NewDecoded returns a keeper of the entries whose keys begin with the prefix.
@@ -79,7 +79,7 @@
 			continue
 		}
 		there++
-		if was, known := d.raw[rest]; known && bytes.Equal(was, raw) {
+		if was, known := d.encoded[rest]; known && bytes.Equal(was, raw) {
 			continue
 		}
 		var v T
@@ -100,6 +100,6 @@
 	for rest, v := range fresh {
 		raw[rest], values[rest] = entries[d.prefix+rest], v
 	}
-	d.raw, d.values = raw, values
+	d.encoded, d.values = raw, values
 	return values, nil
 }
--- a/internal/controlstate/store.go
+++ b/internal/controlstate/store.go
@@ -29,26 +29,26 @@
 // StoreFile is the name of the store in the data folder.
 const StoreFile = "control.db"
 
-// nextSuffix ends the name of the file that a rewritten store is made in. It is
+// rewriteSuffix ends the name of the file that a rewritten store is made in. It is
 // never read under that name.
-const nextSuffix = ".next"
+const rewriteSuffix = ".next"
 
 // storeFormat is the version of the records written here.
 const storeFormat = 3
 
 // Keys of the records. Changes of the state follow it, by their sequence.
 const (
-	diskKey     = "disk"
-	registerKey = "register"
-	stateKey    = "state"
-	changeKey   = "change/"
+	diskKey      = "disk"
+	registerKey  = "register"
+	stateKey     = "state"
+	changePrefix = "change/"
 )
 
 // The store is rewritten once it is this large, and this many times as large
 // as after it was last rewritten.
 const (
-	compactAbove = 1 << 20
-	compactTimes = 4
+	compactAbove  = 1 << 20
+	compactFactor = 4
 )
 
 // diskRecord is the first record of every store.
@@ -65,22 +65,22 @@
 	Fresh bool   // the store was made by this opening
 	torn  int64  // bytes of an unfinished last write that were cut off
 
-	turn   chan struct{} // held while the store is used; a disk may stall meanwhile
-	db     *buntdb.DB
-	file   *os.File // for syncing: buntdb keeps the result of its own to itself
-	sync   kernel.Sync
-	size   int64 // of the file
-	least  int64 // that a rewritten file would have had when it was opened, or has had
-	unsure bool  // a sync failed: only a rewritten file is known to be whole
-	closed bool
+	sem           chan struct{} // held while the store is used; a disk may stall meanwhile
+	db            *buntdb.DB
+	file          *os.File // for syncing: buntdb keeps the result of its own to itself
+	sync          kernel.Sync
+	size          int64 // of the file
+	compactedSize int64 // that a rewritten file would have had when it was opened, or has had
+	unsure        bool  // a sync failed: only a rewritten file is known to be whole
+	closed        bool
 }
 
 func newStore(path string, sync kernel.Sync) *Store {
-	return &Store{path: path, turn: make(chan struct{}, 1), sync: sync}
+	return &Store{path: path, sem: make(chan struct{}, 1), sync: sync}
 }
 
-func (s *Store) lock()   { s.turn <- struct{}{} }
-func (s *Store) unlock() { <-s.turn }
+func (s *Store) lock()   { s.sem <- struct{}{} }
+func (s *Store) unlock() { <-s.sem }
 
 // OpenStore opens or makes the store in dir. What it holds is on disk, under
 // its name, when this returns: the life before may have ended between a write
@@ -88,7 +88,7 @@
 func OpenStore(dir string) (*Store, error) { return openStore(dir, (*os.File).Sync) }
 
 func openStore(dir string, sync kernel.Sync) (*Store, error) {
-	if err := makeDir(dir, sync); err != nil {
+	if err := createDir(dir, sync); err != nil {
 		return nil, fmt.Errorf("controlstate: %w", err)
 	}
 	s := newStore(filepath.Join(dir, StoreFile), sync)
@@ -96,24 +96,24 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("controlstate: %w", err)
 	}
-	whole, err := lastWhole(raw)
+	whole, err := validPrefix(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %v", ErrDamaged, s.path, err)
 	}
 	if s.torn = int64(len(raw) - whole); s.torn > 0 {
-		if err := cutTail(s.path, raw, int64(whole)); err != nil {
+		if err := truncateTornTail(s.path, raw, int64(whole)); err != nil {
 			return nil, fmt.Errorf("controlstate: %w", err)
 		}
 	}
 	// Power, or the process, went while the store was rewritten.
-	if err := os.Remove(s.path + nextSuffix); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(s.path + rewriteSuffix); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("controlstate: %w", err)
 	}
 	if err := s.open(s.path); err != nil {
 		return nil, err
 	}
 	s.size = int64(whole)
-	if err := s.identify(); err != nil {
+	if err := s.loadDiskID(); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -124,8 +124,8 @@
 	return s, nil
 }
 
-// identify reads the identity of the disk, or draws one for a new store.
-func (s *Store) identify() error {
+// loadDiskID reads the identity of the disk, or draws one for a new store.
+func (s *Store) loadDiskID() error {
 	var d diskRecord
 	found, err := s.Load(diskKey, &d)
 	switch {
@@ -135,15 +135,15 @@
 		return fmt.Errorf("%w (%s)", err, s.path)
 	case found:
 		s.Disk = d.ID
-		s.least, err = s.live()
+		s.compactedSize, err = s.liveSize()
 		return err
 	}
 	s.Fresh, s.Disk = true, rand.Text()[:12]
 	return s.Save(diskKey, diskRecord{storeFormat, s.Disk})
 }
 
-// live is about how large a rewritten file would be.
-func (s *Store) live() (size int64, err error) {
+// liveSize is about how large a rewritten file would be.
+func (s *Store) liveSize() (size int64, err error) {
 	err = s.db.View(func(tx *buntdb.Tx) error {
 		for _, key := range []string{diskKey, registerKey, stateKey} {
 			text, err := tx.Get(key, true)
@@ -160,12 +160,12 @@
 	return size, nil
 }
 
-// makeDir makes the folder, and has its name last, and those of the folders
+// createDir makes the folder, and has its name last, and those of the folders
 // above it that had to be made too.
-func makeDir(dir string, sync kernel.Sync) error {
+func createDir(dir string, sync kernel.Sync) error {
 	above := filepath.Dir(dir)
 	if _, err := os.Stat(above); errors.Is(err, os.ErrNotExist) && above != dir {
-		if err := makeDir(above, sync); err != nil {
+		if err := createDir(above, sync); err != nil {
 			return err
 		}
 	}
@@ -208,9 +208,9 @@
 	return sync(d)
 }
 
-// cutTail shortens the file to its whole records and keeps what was cut off
+// truncateTornTail shortens the file to its whole records and keeps what was cut off
 // beside it, if there is room. The caller syncs the file.
-func cutTail(path string, raw []byte, whole int64) error {
+func truncateTornTail(path string, raw []byte, whole int64) error {
 	if os.WriteFile(path+".torn", raw[whole:], 0o644) != nil {
 		os.Remove(path + ".torn")
 	}
@@ -224,33 +224,33 @@
 
 // Save writes one record and returns once it is on disk.
 func (s *Store) Save(key string, v any) error {
-	text, err := seal(v)
+	text, err := encodeRecord(v)
 	if err != nil {
 		return err
 	}
 	s.lock()
 	defer s.unlock()
-	return s.write(key, text)
+	return s.writeRecord(key, text)
 }
 
-// write puts a record in the file and syncs it. The caller holds the lock.
-func (s *Store) write(key, text string) error {
+// writeRecord puts a record in the file and syncs it. The caller holds the lock.
+func (s *Store) writeRecord(key, text string) error {
 	if s.closed {
 		return fmt.Errorf("controlstate: %w", os.ErrClosed)
 	}
-	if s.unsure || s.size > compactAbove && s.size > compactTimes*s.least {
+	if s.unsure || s.size > compactAbove && s.size > compactFactor*s.compactedSize {
 		if err := s.compact(); err != nil {
 			return err
 		}
 	}
-	return s.update(func(tx *buntdb.Tx) error {
+	return s.commitTx(func(tx *buntdb.Tx) error {
 		_, _, err := tx.Set(key, text, nil)
 		return err
 	})
 }
 
-// update carries one transaction out and syncs the file.
-func (s *Store) update(change func(*buntdb.Tx) error) error {
+// commitTx carries one transaction out and syncs the file.
+func (s *Store) commitTx(change func(*buntdb.Tx) error) error {
 	if err := s.db.Update(change); err != nil {
 		return fmt.Errorf("controlstate: %w", err)
 	}
@@ -268,25 +268,25 @@
 
 // SaveState writes the whole state, which replaces all changes before it.
 func (s *Store) SaveState(st State) error {
-	text, err := seal(st)
+	text, err := encodeRecord(st)
 	if err != nil {
 		return err
 	}
 	s.lock()
 	defer s.unlock()
-	if err := s.write(stateKey, text); err != nil {
+	if err := s.writeRecord(stateKey, text); err != nil {
 		return err
 	}
 	// The changes before it are not read any more, whether they go or not.
-	if err := s.update(dropChanges); err != nil {
+	if err := s.commitTx(deleteChanges); err != nil {
 		s.unsure = true
 	}
 	return nil
 }
 
-func dropChanges(tx *buntdb.Tx) error {
+func deleteChanges(tx *buntdb.Tx) error {
 	var old []string
-	if err := tx.AscendKeys(changeKey+"*", func(key, _ string) bool {
+	if err := tx.AscendKeys(changePrefix+"*", func(key, _ string) bool {
 		old = append(old, key)
 		return true
 	}); err != nil {
@@ -303,7 +303,7 @@
 // Append writes a change as one unit: after a loss of power it is there in
 // full or not at all.
 func (s *Store) Append(c Change) error {
-	return s.Save(fmt.Sprintf("%s%019d", changeKey, c.Seq), c)
+	return s.Save(fmt.Sprintf("%s%019d", changePrefix, c.Seq), c)
 }
 
 // LoadState reads the state with the changes that follow it in its epoch.
@@ -325,7 +325,7 @@
 	}
 	var texts []string
 	err = s.db.View(func(tx *buntdb.Tx) error {
-		return tx.AscendKeys(changeKey+"*", func(_, text string) bool {
+		return tx.AscendKeys(changePrefix+"*", func(_, text string) bool {
 			texts = append(texts, text)
 			return true
 		})
@@ -335,12 +335,12 @@
 	}
 	for _, text := range texts {
 		var c Change
-		if err := unseal(text, &c); err != nil {
+		if err := decodeRecord(text, &c); err != nil {
 			return st, fmt.Errorf("%w: a change of the state: %v", ErrDamaged, err)
 		}
 		if c.Epoch == st.Epoch && c.Seq == st.Seq+1 {
-			put(st.Entries, c.Entries)
-			st.Seq, st.revisions = c.Seq, st.revisions.changed(keysOf(c.Entries), c.Seq)
+			applyChanges(st.Entries, c.Entries)
+			st.Seq, st.revisions = c.Seq, st.revisions.withChange(keysOf(c.Entries), c.Seq)
 		}
 	}
 	return st, nil
@@ -349,23 +349,23 @@
 // compact rewrites the store: into a new file, synced record by record, which
 // then takes the old one's name. The caller holds the lock.
 func (s *Store) compact() error {
-	d, records, err := s.current()
+	d, records, err := s.liveRecords()
 	if err != nil {
 		return err
 	}
-	next := s.path + nextSuffix
+	next := s.path + rewriteSuffix
 	if err := os.Remove(next); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("controlstate: %w", err)
 	}
 	n := newStore(next, s.sync)
-	n.least = math.MaxInt64 / compactTimes
+	n.compactedSize = math.MaxInt64 / compactFactor
 	if err := n.open(next); err != nil {
 		return err
 	}
-	err = n.write(diskKey, d)
+	err = n.writeRecord(diskKey, d)
 	for key, text := range records {
 		if err == nil {
-			err = n.write(key, text)
+			err = n.writeRecord(key, text)
 		}
 	}
 	if err = errors.Join(err, n.Close()); err != nil {
@@ -386,12 +386,12 @@
 	}
 	oldFile.Close()
 	old.Close()
-	s.size, s.least, s.unsure = n.size, n.size, false
+	s.size, s.compactedSize, s.unsure = n.size, n.size, false
 	return nil
 }
 
-// current returns the disk's mark, and the records that a file begins with.
-func (s *Store) current() (disk string, records map[string]string, err error) {
+// liveRecords returns the disk's mark, and the records that a file begins with.
+func (s *Store) liveRecords() (disk string, records map[string]string, err error) {
 	records = map[string]string{}
 	err = s.db.View(func(tx *buntdb.Tx) (err error) {
 		if disk, err = tx.Get(diskKey); err != nil {
@@ -409,7 +409,7 @@
 	}
 	st, err := s.loadState()
 	if err == nil && st.Epoch > 0 {
-		records[stateKey], err = seal(st)
+		records[stateKey], err = encodeRecord(st)
 	}
 	return disk, records, err
 }
@@ -433,7 +433,7 @@
 	if err != nil {
 		return false, fmt.Errorf("controlstate: %w", err)
 	}
-	if err := unseal(text, v); err != nil {
+	if err := decodeRecord(text, v); err != nil {
 		return false, fmt.Errorf("%w: record %q: %w", ErrDamaged, key, err)
 	}
 	return true, nil
--- a/internal/controlstate/write.go
+++ b/internal/controlstate/write.go
@@ -47,16 +47,16 @@
 	// One caller writes for others: it goes on even if its own call is over.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), (3 * callWait).Duration())
 	defer cancel()
-	v.commit(ctx, batch)
+	v.commitBatch(ctx, batch)
 	return <-u.done
 }
 
-// commit writes a batch, a second time if a backup had to be replaced.
-func (v *Replica) commit(ctx context.Context, batch []*update) {
+// commitBatch writes a batch, a second time if a backup had to be replaced.
+func (v *Replica) commitBatch(ctx context.Context, batch []*update) {
 	own := make([]error, len(batch))
-	err := v.write(ctx, batch, own)
-	if errors.Is(err, errBackup) && v.staged() && v.tryStand(ctx) == nil {
-		err = v.write(ctx, batch, own)
+	err := v.writeBatch(ctx, batch, own)
+	if errors.Is(err, errBackupsFailed) && v.staged() && v.tryStand(ctx) == nil {
+		err = v.writeBatch(ctx, batch, own)
 	}
 	for i, u := range batch {
 		if err != nil {
@@ -66,25 +66,25 @@
 	}
 }
 
-// errBackup says that the view's backups do not keep a write, or not enough of
+// errBackupsFailed says that the view's backups do not keep a write, or not enough of
 // them.
-var errBackup = fmt.Errorf("%w: too few backups take it", ErrUnavailable)
+var errBackupsFailed = fmt.Errorf("%w: too few backups take it", ErrUnavailable)
 
-// write writes a batch of changes in one step; own is what became of each.
-func (v *Replica) write(ctx context.Context, batch []*update, own []error) error {
-	old, view, err := v.mayWrite()
+// writeBatch writes a batch of changes in one step; own is what became of each.
+func (v *Replica) writeBatch(ctx context.Context, batch []*update, own []error) error {
+	old, view, err := v.checkWritable()
 	if err != nil {
 		return err
 	}
-	next, changes := old.after(batch, own, view.Epoch)
+	next, changes := old.applyBatch(batch, own, view.Epoch)
 	if len(changes) == 0 {
 		return nil
 	}
 	local := make(chan error, 1)
 	c := Change{view.Epoch, next.Seq, changes}
 	go func() { local <- v.onDisk(ctx, func() error { return v.store.Append(c) }) }()
-	taken := v.toBackups(ctx, view, c)
-	if err := awaitDisk(local); err != nil {
+	taken := v.replicateToBackups(ctx, view, c)
+	if err := awaitLocalWrite(local); err != nil {
 		v.k.Counters.Add("controlstate.save_failed", 1)
 		go v.handOver("own disk fails")
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
@@ -95,15 +95,15 @@
 	case !v.leads(v.k.Clock.Now()) || v.seen.Epoch != view.Epoch:
 		return ErrNotPrimary
 	case !taken:
-		return errBackup
+		return errBackupsFailed
 	}
 	v.state = next
 	v.changed.Ring()
 	return nil
 }
 
-// mayWrite returns the state on which a change may build now, and the view in which.
-func (v *Replica) mayWrite() (State, View, error) {
+// checkWritable returns the state on which a change may build now, and the view in which.
+func (v *Replica) checkWritable() (State, View, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
@@ -112,9 +112,9 @@
 		return State{}, View{}, ErrNotPrimary
 	case v.state.Epoch != v.seen.Epoch:
 		// It stood for another epoch in vain: what is on disk belongs to that.
-		return State{}, View{}, errBackup
+		return State{}, View{}, errBackupsFailed
 	case !v.members.enoughBackups(v.seen, now):
-		return State{}, View{}, errBackup
+		return State{}, View{}, errBackupsFailed
 	case !v.members.largeEnough(v.seen, now):
 		v.k.Counters.Add("controlstate.too_few_witnesses", 1)
 		return State{}, View{}, fmt.Errorf("%w: the witnesses can't bear the losses yet", ErrUnavailable)
@@ -126,9 +126,9 @@
 	return v.state, v.seen, nil
 }
 
-// after is the state after a batch of changes, of which some may refuse, and what
+// applyBatch is the state applyBatch a batch of changes, of which some may refuse, and what
 // differs then.
-func (s State) after(batch []*update, own []error, epoch int64) (next State, changes map[string]json.RawMessage) {
+func (s State) applyBatch(batch []*update, own []error, epoch int64) (next State, changes map[string]json.RawMessage) {
 	next = State{Epoch: epoch, Seq: s.Seq + 1, Entries: maps.Clone(s.Entries)}
 	if next.Entries == nil {
 		next.Entries = map[string]json.RawMessage{}
@@ -137,17 +137,17 @@
 	for i, u := range batch {
 		var c map[string]json.RawMessage
 		if c, own[i] = u.change(next.Entries); own[i] == nil {
-			put(next.Entries, c)
+			applyChanges(next.Entries, c)
 			maps.Copy(changes, c)
 		}
 	}
-	next.revisions = s.revisions.changed(keysOf(changes), next.Seq)
+	next.revisions = s.revisions.withChange(keysOf(changes), next.Seq)
 	return next, changes
 }
 
-// awaitDisk waits for the own disk, as long as that may take.
-func awaitDisk(local <-chan error) error {
-	t := time.NewTimer(diskWait.Duration())
+// awaitLocalWrite waits for the own disk, as long as that may take.
+func awaitLocalWrite(local <-chan error) error {
+	t := time.NewTimer(diskTimeout.Duration())
 	defer t.Stop()
 	select {
 	case err := <-local:
@@ -157,9 +157,9 @@
 	}
 }
 
-// toBackups hands a change to all backups; those that do not take it are
+// replicateToBackups hands a change to all backups; those that do not take it are
 // shunned.
-func (v *Replica) toBackups(ctx context.Context, view View, c Change) bool {
+func (v *Replica) replicateToBackups(ctx context.Context, view View, c Change) bool {
 	addrs := make([]string, 0, len(view.Backups))
 	for _, b := range view.Backups {
 		addrs = append(addrs, b.Addr)
