--- a/internal/controlstate/disk.go
+++ b/internal/controlstate/disk.go
@@ -8,8 +8,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// onDisk runs one write of the state to the disk, alone. A disk that stalls
-// holds up this write and no other work of the control node.
+// onDisk runs a write of the state to the disk; these writes run one at a time. A stalled
+// disk blocks only this write and no other work of the control node.
 func (v *Replica) onDisk(ctx context.Context, write func() error) error {
 	if err := v.stating.Enter(ctx); err != nil {
 		return err
@@ -18,29 +18,29 @@
 	return v.recordDiskResult(write())
 }
 
-// recordDiskResult counts what the disk refuses.
+// recordDiskResult counts failed disk writes, logs when they begin and end, and returns err.
 func (v *Replica) recordDiskResult(err error) error {
 	if err != nil && !errors.Is(err, errOldEpoch) {
 		v.k.Counters.Add("controlstate.disk_refused", 1)
 		if !v.refusing.Swap(true) {
-			v.k.Log.Warn("disk refuses writes", "error", err)
+			v.k.Log.Warn("disk writes fail", "error", err)
 		}
 	} else if v.refusing.Swap(false) {
-		v.k.Log.Info("disk takes writes again")
+		v.k.Log.Info("disk writes succeed again")
 	}
 	return err
 }
 
 // diskTimeout is how long the disk may take for a small write before it counts as
-// stalled. What it costs is a hand-over.
+// stalled. A needless time-out costs a hand-over to another primary.
 const diskTimeout = 400 * kernel.Millisecond
 
-// probeKey is the record that is written to see whether the disk answers.
+// probeKey is the key of the record that is written to check that the disk responds.
 const probeKey = "alive"
 
-// watchDisk writes a few bytes now and then, so that a disk that stalls or
-// refuses is noticed before a change needs it: a primary then hands over, and
-// a backup is replaced.
+// watchDisk writes a small record once per lease duration, so that a disk that stalls or
+// fails is detected before a change needs it: a primary then hands over, and a backup is
+// replaced.
 func (v *Replica) watchDisk(ctx context.Context) {
 	for n := 0; kernel.Sleep(ctx, v.lease); n++ {
 		done := make(chan error, 1)
@@ -60,25 +60,25 @@
 
 var errStalled = errors.New("does not answer")
 
-// setDiskStalled notes whether the disk serves; a primary whose disk does not hands
-// over.
+// setDiskStalled records whether the disk is usable: err is nil if it is. A primary whose
+// disk becomes unusable hands over.
 func (v *Replica) setDiskStalled(err error) {
 	if v.stalled.Swap(err != nil) == (err != nil) {
 		return
 	}
 	if err == nil {
-		v.k.Log.Info("disk serves again")
+		v.k.Log.Info("disk is usable again")
 		return
 	}
 	v.k.Counters.Add("controlstate.disk_stalled", 1)
-	v.k.Log.Warn("disk does not serve", "why", err.Error())
+	v.k.Log.Warn("disk is stalled or fails", "why", err.Error())
 	if _, leads := v.Primary(); leads {
-		v.handOver("own disk does not serve")
+		v.handOver("local disk is stalled or fails")
 	}
 }
 
-// saveRegister puts the register, as it is now, on disk; a vote counts only
-// after that.
+// saveRegister writes the witness's current register to disk; a vote counts only after
+// that.
 func (v *Replica) saveRegister(ctx context.Context) error {
 	if err := v.voting.Enter(ctx); err != nil {
 		return err
--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// encodeRecord is how a record is written: its checksum, a blank and its JSON.
+// encodeRecord encodes a record: its CRC-32 checksum in hexadecimal, a space and its JSON.
 func encodeRecord(v any) (string, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -19,9 +19,9 @@
 	return strconv.FormatUint(uint64(crc32.ChecksumIEEE(raw)), 16) + " " + string(raw), nil
 }
 
-var errChecksum = errors.New("fails its checksum")
+var errChecksum = errors.New("checksum mismatch")
 
-// recordPayload returns what a record holds.
+// recordPayload verifies the checksum of an encoded record and returns its JSON.
 func recordPayload(text string) (string, error) {
 	sum, raw, _ := strings.Cut(text, " ")
 	want, err := strconv.ParseUint(sum, 16, 32)
@@ -31,6 +31,7 @@
 	return raw, nil
 }
 
+// decodeRecord verifies an encoded record and decodes it into v.
 func decodeRecord(text string, v any) error {
 	raw, err := recordPayload(text)
 	if err != nil {
@@ -39,27 +40,29 @@
 	return json.Unmarshal([]byte(raw), v)
 }
 
-// A buntdb file is a row of commands, each an array of counted strings.
+// A buntdb file is a sequence of commands in the Redis protocol, each an array of bulk
+// strings.
 const (
 	setCommand = "*3\r\n$3\r\nset\r\n"
 	delCommand = "*2\r\n$3\r\ndel\r\n"
 )
 
-// readBulkString reads one readBulkString string; rest is nil if it is not there in full.
+// readBulkString reads one length-prefixed string; rest is nil if it is incomplete.
 func readBulkString(raw []byte) (text, rest []byte) {
-	head, after, ok := bytes.Cut(raw, []byte("\r\n"))
-	if !ok || len(head) < 2 || head[0] != '$' {
+	header, after, ok := bytes.Cut(raw, []byte("\r\n"))
+	if !ok || len(header) < 2 || header[0] != '$' {
 		return nil, nil
 	}
-	n, err := strconv.Atoi(string(head[1:]))
+	n, err := strconv.Atoi(string(header[1:]))
 	if err != nil || n < 0 || len(after) < n+2 || after[n] != '\r' || after[n+1] != '\n' {
 		return nil, nil
 	}
 	return after[:n], after[n+2:]
 }
 
-// readCommand reads one readCommand off raw. It returns nil if none is there in full,
-// and errChecksum if one is whose record is not what was written.
+// readCommand reads one command and returns what follows it. It returns nil if the command
+// is incomplete, and errChecksum if it is complete but its record differs from what was
+// written.
 func readCommand(raw []byte) (rest []byte, err error) {
 	if after, ok := bytes.CutPrefix(raw, []byte(delCommand)); ok {
 		_, rest = readBulkString(after)
@@ -78,34 +81,35 @@
 	}
 	if _, err := recordPayload(string(text)); err != nil {
 		if bytes.IndexByte(text, 0) >= 0 {
-			return nil, nil // blocks of it were never written
+			return nil, nil // some of its blocks never reached the disk
 		}
 		return nil, err
 	}
 	return rest, nil
 }
 
-// maxFirstRecord is what the first record of a store takes at most.
+// maxFirstRecord is the maximum size of the first record of a store, in bytes.
 const maxFirstRecord = 256
 
-// validPrefix returns how much of a store's file is whole records. What follows
-// may be one unfinished write; anything else is damage: every write is synced
-// before the next, so a whole record can't stand behind one that is not.
+// validPrefix returns the length of the leading part of a store's file that consists of
+// complete records. What follows may be one incomplete write; anything else is damage:
+// every write is synced before the next, so a complete record can't follow an incomplete
+// one.
 func validPrefix(raw []byte) (int, error) {
 	at := 0
 	for at < len(raw) {
 		rest, err := readCommand(raw[at:])
 		if err != nil {
-			return 0, fmt.Errorf("the record at byte %d %v", at, err)
+			return 0, fmt.Errorf("record at byte %d: %v", at, err)
 		}
 		if rest == nil {
 			break
 		}
 		at = len(raw) - len(rest)
 	}
-	neverWritten := len(raw) <= maxFirstRecord && bytes.IndexByte(raw, 0) >= 0 // power went before the first sync
+	neverWritten := len(raw) <= maxFirstRecord && bytes.IndexByte(raw, 0) >= 0 // power was lost before the first sync
 	if at == 0 && !neverWritten && !strings.HasPrefix(setCommand, string(raw[:min(len(raw), len(setCommand))])) {
-		return 0, errors.New("is not a store of a control node")
+		return 0, errors.New("not a control node's store")
 	}
 	for next := at + 1; next < len(raw); next++ {
 		i := bytes.Index(raw[next:], []byte(setCommand))
@@ -114,7 +118,7 @@
 		}
 		if next += i; next < len(raw) {
 			if rest, err := readCommand(raw[next:]); err == nil && rest != nil {
-				return 0, fmt.Errorf("unreadable from byte %d, and a whole record follows at byte %d", at, next)
+				return 0, fmt.Errorf("unreadable record at byte %d, but a complete record follows at byte %d", at, next)
 			}
 		}
 	}
--- a/internal/controlstate/revisions.go
+++ b/internal/controlstate/revisions.go
@@ -2,41 +2,42 @@
 
 import "bytes"
 
-// minRevisions is how many of the newest changes are known at least; twice as
-// many at most.
+// minRevisions is the minimum number of the newest changes that are kept; the maximum is
+// twice as many.
 const minRevisions = 4096
 
-// revisions is what a member knows of when the entries of its state last changed. It
-// is not written to disk by itself: whoever opens a store, or is a backup for a
-// while, has seen the changes. What it costs to add a change does not grow with
-// those before it.
+// revisions is a member's record of which entries of its state recently changed, and when.
+// It is not written to disk: a member rebuilds it from the changes that it reads when it
+// opens its store or receives as a backup. The cost of adding a change does not grow with
+// the number of earlier ones.
 type revisions struct {
-	completeAfter  int64     // changes after this sequence are known
-	newest         *revision // of the changes that are known
-	count          int       // how many those are
-	gapFrom, gapTo int64     // but not what happened from lo on before hi
+	completeAfter  int64     // all changes after this sequence number are known
+	newest         *revision // most recent known change; older ones are linked by prev
+	count          int       // number of known changes
+	gapFrom, gapTo int64     // except after sequence numbers in [gapFrom, gapTo)
 }
 
-// revision is one change of the state: the entries that changed, or went. States
-// share the older ones, so none is ever modified.
+// revision is one change of the state: the keys of the entries that it modified or deleted.
+// States share older revisions, so a revision is never modified.
 type revision struct {
 	seq  int64
 	keys []string
-	prev *revision // with the same sequence or an older one
+	prev *revision // has the same sequence number or a lower one
 }
 
-// WithoutRevisions is the state where nothing is known of before.
+// WithoutRevisions returns the state without any record of earlier changes.
 func (s State) WithoutRevisions() State {
 	s.revisions = revisions{completeAfter: s.Seq}
 	return s
 }
 
-// Knows tells whether all that changed after a sequence is known.
+// Knows reports whether all changes after a sequence number are known.
 func (s State) Knows(seq int64) bool {
 	return seq >= s.revisions.completeAfter && (seq < s.revisions.gapFrom || seq >= s.revisions.gapTo)
 }
 
-// Since lists the entries that changed, or went, after a sequence that is known.
+// Since lists the keys of the entries that were modified or deleted after a sequence number
+// for which Knows holds.
 func (s State) Since(seq int64) (keys []string) {
 	listed := map[string]bool{}
 	for r := s.revisions.newest; r != nil && r.seq > seq; r = r.prev {
@@ -50,7 +51,8 @@
 	return keys
 }
 
-// withChange is the revisions after a change of these entries that makes sequence seq.
+// withChange returns the revisions after a change of the entries with these keys that leads
+// to sequence number seq.
 func (p revisions) withChange(keys []string, seq int64) revisions {
 	p.newest, p.count = &revision{seq, keys, p.newest}, p.count+1
 	if p.count <= 2*minRevisions {
@@ -69,27 +71,27 @@
 	return p
 }
 
-// withHistoryOf returns the state with what this member knows of its past from the
-// one that it had. Of that, all but the last change is surely part of the past
-// of every state that comes after it: a primary has one change under way at a
-// time. So whatever differs counts as changed now, and nothing is known of the
-// states from its last change on.
+// withHistoryOf returns the state, received as a copy, with the revisions that this member
+// knows from its previous state. All but the last change of the previous state are certainly
+// part of the history of every later state, since a primary has only one change in progress
+// at a time. So every entry that differs counts as changed now, and nothing is known about
+// the states from the last change of the previous one up to this one.
 func (s State) withHistoryOf(old State) State {
 	if old.Epoch == 0 || s.Seq < old.Seq {
 		return s.WithoutRevisions()
 	}
-	var differ []string
+	var differing []string
 	for key, raw := range s.Entries {
-		if was, there := old.Entries[key]; !there || !bytes.Equal(was, raw) {
-			differ = append(differ, key)
+		if previous, exists := old.Entries[key]; !exists || !bytes.Equal(previous, raw) {
+			differing = append(differing, key)
 		}
 	}
 	for key := range old.Entries {
-		if _, there := s.Entries[key]; !there {
-			differ = append(differ, key)
+		if _, exists := s.Entries[key]; !exists {
+			differing = append(differing, key)
 		}
 	}
-	s.revisions = old.revisions.withChange(differ, s.Seq)
+	s.revisions = old.revisions.withChange(differing, s.Seq)
 	if s.Seq > old.Seq {
 		if s.revisions.gapTo == 0 {
 			s.revisions.gapFrom = old.Seq
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlstate/snapshot.go
@@ -15,30 +15,32 @@
 	"indigowalk/internal/kernel"
 )
 
-// A whole state travels as a snapshot: its entries, or those in which it
-// differs from the state that the receiver has, encoded once and cut into
-// chunks. Both ends know the digest of all entries, so whatever the receiver
-// puts together is the sender's state or is not taken.
+// A whole state is transferred as a snapshot: all its entries, or only those that differ
+// from the state that the receiver has, encoded once and split into chunks. Both ends know
+// the digest of all entries, so what the receiver assembles either equals the sender's state
+// or is rejected.
 const (
-	// chunkBytes bounds a chunk; a state of that size takes one call. A chunk
-	// passes a link of 2 Mbit/s within chunkWait.
+	// chunkBytes is the maximum size of a chunk; a state up to that size takes one call. A
+	// link of 2 Mbit/s transfers a chunk within chunkTimeout.
 	chunkBytes   = 64 << 10
 	chunkTimeout = 900 * kernel.Millisecond
-	// chunkAttempts is how many calls in a row may go wrong.
+	// chunkAttempts is the number of consecutive failed calls after which a transfer is
+	// abandoned.
 	chunkAttempts = 3
-	// stageThreshold is how much may be copied while a view is being formed: the
-	// witnesses have promised the next epoch, and the lease of the one before
-	// can't be renewed. What is larger is staged before.
+	// stageThreshold is the maximum number of bytes to copy while a view is being formed:
+	// the witnesses have then promised the next epoch, so the lease of the previous one
+	// can't be renewed. A larger state is staged in advance.
 	stageThreshold = 1 << 20
-	// minDiskRate is what a disk writes in a microsecond at least, in bytes.
+	// minDiskRate is the minimum write rate that is assumed of a disk, in bytes per
+	// microsecond.
 	minDiskRate = 10
-	// transferIdleTimeout is when an unfinished transfer that nobody goes on with gives
-	// way to any other.
+	// transferIdleTimeout is how long after its last chunk an unfinished transfer may be
+	// replaced by any other.
 	transferIdleTimeout = kernel.Second
 )
 
-// encodeEntries writes entries in the order of their keys: the sizes of key and
-// value, and both. A value of size -1 is an entry that is no more.
+// encodeEntries encodes entries in the order of their keys, each as the sizes of key and
+// value followed by key and value. A value of size -1 marks a deleted entry.
 func encodeEntries(entries map[string]json.RawMessage) []byte {
 	size := 0
 	for key, raw := range entries {
@@ -58,13 +60,14 @@
 	return out
 }
 
-var errEncoding = errors.New("unreadable snapshot")
+var errEncoding = errors.New("malformed snapshot")
 
+// decodeEntries is the inverse of encodeEntries. It rejects values that are not valid JSON.
 func decodeEntries(raw []byte) (map[string]json.RawMessage, error) {
 	entries := map[string]json.RawMessage{}
 	for len(raw) > 0 {
-		head, rest, _ := bytes.Cut(raw, []byte("\n"))
-		key, value, _ := bytes.Cut(head, []byte(" "))
+		header, rest, _ := bytes.Cut(raw, []byte("\n"))
+		key, value, _ := bytes.Cut(header, []byte(" "))
 		k, err := strconv.Atoi(string(key))
 		n, verr := strconv.Atoi(string(value))
 		if err != nil || verr != nil || k < 0 || n < -1 || k > len(rest) || n > len(rest)-k {
@@ -83,12 +86,13 @@
 	return entries, nil
 }
 
+// digest returns the first 16 bytes of the SHA-256 sum of encoded entries, in hexadecimal.
 func digest(encoded []byte) string {
 	sum := sha256.Sum256(encoded)
 	return hex.EncodeToString(sum[:16])
 }
 
-// entriesSize is about what the entries are when encoded.
+// entriesSize returns the approximate encoded size of entries, in bytes.
 func entriesSize(entries map[string]json.RawMessage) (size int) {
 	for key, raw := range entries {
 		size += len(key) + len(raw)
@@ -96,65 +100,65 @@
 	return size
 }
 
-// snapshotID names a snapshot by whom it is for and by what it holds, so that
-// chunks of two never mix.
+// snapshotID identifies a snapshot by its purpose and its content, so that chunks of
+// different snapshots are never mixed.
 type snapshotID struct {
-	Epoch  int64  `json:"epoch"` // the state will be that of this epoch
+	Epoch  int64  `json:"epoch"` // epoch that the state will belong to
 	Seq    int64  `json:"seq"`
 	Digest string `json:"sum"`             // digest of all entries
-	Since  int64  `json:"since,omitempty"` // sequence of the state that it is a difference from; a whole one if 0
-	Stage  bool   `json:"stage,omitempty"` // it is only to be kept for a copy that follows
+	Since  int64  `json:"since,omitempty"` // sequence number of the base state of a difference; 0 for a whole state
+	Stage  bool   `json:"stage,omitempty"` // only staged, as the base for a copy that follows
 }
 
 // chunk is one part of a snapshot.
 type chunk struct {
 	snapshotID
 	Index    int    `json:"index"`
-	Count    int    `json:"count"` // of chunks
+	Count    int    `json:"count"` // number of chunks
 	Checksum uint32 `json:"check"` // CRC-32 of the data
 	Data     []byte `json:"data"`
 }
 
+// copyResponse is the response to a chunk.
 type copyResponse struct {
-	Member Member `json:"member"` // once the state is on this disk
-	Next   int    `json:"next"`   // the chunk that is to come; their number, if none is
+	Member Member `json:"member"` // set once the state is on the disk of this member
+	Next   int    `json:"next"`   // index of the next chunk expected; the number of chunks if complete
 }
 
-// offerResponse is what a control node has to which a snapshot is offered.
+// offerResponse describes the state of a control node to which a snapshot is offered.
 type offerResponse struct {
-	Epoch       int64    `json:"epoch"` // that its own state is of
-	Seq         int64    `json:"seq"`   // of the state that a difference may build on
-	Sum         string   `json:"sum"`
-	LastChanged []string `json:"last,omitempty"` // entries that its last change touched: nobody may have acknowledged it
-	Next        int      `json:"next"`           // of the snapshot's chunks
+	Epoch       int64    `json:"epoch"`          // epoch of its current state
+	Seq         int64    `json:"seq"`            // sequence number of the state that a difference may be based on
+	Sum         string   `json:"sum"`            // digest of that state
+	LastChanged []string `json:"last,omitempty"` // keys of the entries in its last change, which may be unacknowledged
+	Next        int      `json:"next"`           // index of the next chunk of the offered snapshot
 }
 
 // Errors of the receiving side.
 var (
-	errChunk          = errors.New("a chunk fails its checksum, or its bounds")
-	errTransfer       = errors.New("a chunk of another transfer, or out of order")
-	errDigestMismatch = errors.New("the snapshot does not fit the state here, or its checksum")
+	errChunk          = errors.New("chunk with an invalid checksum, index or size")
+	errTransfer       = errors.New("chunk of another transfer or out of order")
+	errDigestMismatch = errors.New("snapshot does not match its digest or the local base state")
 )
 
-// intake is the receiving side: one snapshot at a time. Whoever holds its gate
-// uses it.
+// intake receives snapshots, one at a time. Its gate must be held to use it.
 type intake struct {
 	gate          kernel.Gate
 	id            snapshotID
-	count         int // of chunks
-	next          int // the chunk that is to come
+	count         int // number of chunks
+	next          int // index of the next chunk expected
 	data          []byte
-	lastChunkAt   kernel.Micros // of the last chunk
-	lastInstalled snapshotID    // the last that was put in place
+	lastChunkAt   kernel.Micros // when the last chunk arrived
+	lastInstalled snapshotID    // the last snapshot that was installed or staged
 
-	// staged is a state that came whole and was checked, and that no member's
-	// word rests on: a copy that follows may be sent as what differs from it.
+	// staged is a state that arrived complete and was verified, but was not acknowledged
+	// as stored: a copy that follows may be sent as the difference from it.
 	staged       State
 	stagedDigest string
 }
 
-// addChunk adds a chunk to the snapshot and tells whether that is whole now.
-func (in *intake) addChunk(p chunk, now kernel.Micros) (whole bool, err error) {
+// addChunk adds a chunk to the snapshot and reports whether the snapshot is complete.
+func (in *intake) addChunk(p chunk, now kernel.Micros) (complete bool, err error) {
 	if p.Count < 1 || p.Index < 0 || p.Index >= p.Count || len(p.Data) > chunkBytes || crc32.ChecksumIEEE(p.Data) != p.Checksum {
 		return false, errChunk
 	}
@@ -179,8 +183,8 @@
 
 func (in *intake) reset() { in.id, in.count, in.next, in.data = snapshotID{}, 0, 0, nil }
 
-// assemble puts the state together, from the chunks and one of those that it may
-// be a difference from.
+// assemble returns the entries of the snapshot's state, built from the chunks and, for a
+// difference, from its base: the staged state or this control node's current one.
 func (in *intake) assemble(own State) (map[string]json.RawMessage, error) {
 	parts, err := decodeEntries(in.data)
 	if err != nil {
@@ -208,7 +212,8 @@
 	return nil, errDigestMismatch
 }
 
-// onOffer tells a sender what this control node lacks of a snapshot.
+// onOffer tells a sender which state this control node has and which chunk of the offered
+// snapshot it expects next.
 func (v *Replica) onOffer(ctx context.Context, id snapshotID) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
 	defer cancel()
@@ -232,10 +237,9 @@
 	return a, nil
 }
 
-// onCopy takes a chunk of a state from a candidate, or from a primary that needs
-// another backup. The state is put in place, and this control node's word given, only
-// when all of it is there and on disk; one of an epoch that is not above this
-// control node's own is refused.
+// onCopy receives a chunk of a state from a candidate, or from a primary that needs another
+// backup. The state is installed and acknowledged only once it is complete and on disk; a
+// state whose epoch is not above that of this control node's current one is rejected.
 func (v *Replica) onCopy(ctx context.Context, p chunk) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
 	defer cancel()
@@ -248,7 +252,7 @@
 	own := v.state
 	v.mu.Unlock()
 	if a := (copyResponse{Next: p.Count}); p.snapshotID == in.lastInstalled && p.Stage {
-		return a, nil // the answer was lost
+		return a, nil // the previous response was lost
 	} else if p.snapshotID == in.lastInstalled && own.Epoch == p.Epoch {
 		a.Member = v.self
 		return a, nil
@@ -256,11 +260,11 @@
 	if v.rejectsEpoch(p.Epoch) {
 		return nil, v.refused(errOldEpoch)
 	}
-	whole, err := in.addChunk(p, v.k.Clock.Now())
+	complete, err := in.addChunk(p, v.k.Clock.Now())
 	if err != nil {
 		return nil, v.refused(err)
 	}
-	if !whole {
+	if !complete {
 		return copyResponse{Next: in.next}, nil
 	}
 	if err := v.installSnapshot(ctx, own); err != nil {
@@ -275,14 +279,16 @@
 	return a, nil
 }
 
-// rejectsEpoch tells whether a state for that epoch may not replace this control node's.
+// rejectsEpoch reports whether a state of that epoch must not replace this control node's
+// current one: its epoch is not higher, or this control node is the primary or is leaving.
 func (v *Replica) rejectsEpoch(epoch int64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return epoch <= v.state.Epoch || v.leads(v.k.Clock.Now()) || v.leaving
 }
 
-// installSnapshot does with a whole snapshot what it was sent for.
+// installSnapshot stages a complete snapshot, or makes it the current state, on disk and in
+// memory.
 func (v *Replica) installSnapshot(ctx context.Context, own State) error {
 	in := &v.intake
 	entries, err := in.assemble(own)
@@ -303,9 +309,9 @@
 			return err
 		}
 		v.mu.Lock()
-		have := v.state
+		current := v.state
 		v.mu.Unlock()
-		return v.replace(s.withHistoryOf(have))
+		return v.replace(s.withHistoryOf(current))
 	})
 	if err == nil {
 		in.staged, in.stagedDigest = State{}, ""
@@ -313,8 +319,8 @@
 	return err
 }
 
-// replace puts a state that is on disk in place, unless this control node has
-// meanwhile begun to stand for a later epoch.
+// replace makes a state that is on disk the current one, unless this control node has
+// meanwhile begun to campaign for a later epoch.
 func (v *Replica) replace(s State) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -325,7 +331,7 @@
 	return nil
 }
 
-// refused counts what is refused as not fitting.
+// refused counts rejected changes and chunks by their cause, and returns err.
 func (v *Replica) refused(err error) error {
 	switch {
 	case errors.Is(err, errOldEpoch):
--- a/internal/controlstate/snapshot_send.go
+++ b/internal/controlstate/snapshot_send.go
@@ -14,9 +14,9 @@
 	"indigowalk/internal/rpc"
 )
 
-// snapshot is a state on its way to other control nodes.
+// snapshot is a state that is being sent to other control nodes.
 type snapshot struct {
-	state   State // of the epoch that it is for
+	state   State // its Epoch is the one that the receivers will store it under
 	encoded []byte
 	digest  string
 }
@@ -26,9 +26,9 @@
 	return &snapshot{state, whole, digest(whole)}
 }
 
-// difference is what a control node difference that has the state which it says; nil if that
-// is not known. The last change there may be one that nobody acknowledged, so
-// what it touched is among it.
+// difference returns the encoded difference from the state that a control node reports to
+// have; nil if that is not known. The last change of that state may be unacknowledged, so
+// the entries of that change are always included.
 func (s *snapshot) difference(have offerResponse) []byte {
 	if have.Sum == s.digest {
 		return []byte{}
@@ -40,17 +40,17 @@
 	if have.Seq == 0 || !s.state.Knows(since) {
 		return nil
 	}
-	parts := map[string]json.RawMessage{}
+	differing := map[string]json.RawMessage{}
 	for _, key := range append(s.state.Since(since), have.LastChanged...) {
-		parts[key] = s.state.Entries[key]
+		differing[key] = s.state.Entries[key]
 	}
-	return encodeEntries(parts)
+	return encodeEntries(differing)
 }
 
-var errTooLarge = errors.New("too much is to be copied while a view is formed")
+var errTooLarge = errors.New("state too large to copy while a view is being formed")
 
-// sendSnapshot brings a snapshot to a control node: as a difference from what that has, if
-// it has something that is known here, and else whole.
+// sendSnapshot sends a snapshot to a control node: as a difference from the state that the
+// control node has, if that one is known here, and whole otherwise.
 func (v *Replica) sendSnapshot(ctx context.Context, addr string, s *snapshot, stage bool) (Member, error) {
 	id := snapshotID{Epoch: s.state.Epoch, Seq: s.state.Seq, Digest: s.digest, Stage: stage}
 	if len(s.encoded) <= chunkBytes {
@@ -66,12 +66,12 @@
 		v.mu.Unlock()
 		return Member{}, errOldEpoch
 	}
-	if less := s.difference(have); less != nil && have.Seq > 0 && len(less) < len(s.encoded)/2 {
-		if stage && len(less) <= chunkBytes {
-			return Member{}, nil // that little need not be there before
+	if diff := s.difference(have); diff != nil && have.Seq > 0 && len(diff) < len(s.encoded)/2 {
+		if stage && len(diff) <= chunkBytes {
+			return Member{}, nil // small enough to be sent when the view is formed
 		}
 		id.Since = have.Seq
-		m, err := v.sendChunks(ctx, addr, id, less, len(s.encoded))
+		m, err := v.sendChunks(ctx, addr, id, diff, len(s.encoded))
 		if err == nil || !errors.As(err, new(*rpc.Refused)) {
 			return m, err
 		}
@@ -83,8 +83,8 @@
 	return v.sendChunks(ctx, addr, id, s.encoded, len(s.encoded))
 }
 
-// sendChunks sends the chunks one after another. After a call that went wrong
-// it asks which chunk is wanted.
+// sendChunks sends the chunks one after another. After a failed call it asks the receiver
+// which chunk it expects next.
 func (v *Replica) sendChunks(ctx context.Context, addr string, id snapshotID, data []byte, size int) (Member, error) {
 	count := max(1, (len(data)+chunkBytes-1)/chunkBytes)
 	for next, failed := 0, 0; ; {
@@ -95,7 +95,7 @@
 			wait = callWait
 		}
 		if next == count-1 {
-			wait += kernel.Micros(size) / minDiskRate // the state goes to the disk there
+			wait += kernel.Micros(size) / minDiskRate // the receiver writes the state to its disk
 		}
 		var a copyResponse
 		err := v.endpoint.Call(ctx, addr, "controlstate.copy", p, &a, wait)
@@ -108,13 +108,13 @@
 		case err == nil && a.Next == next+1 && a.Next < count:
 			next, failed = a.Next, 0
 			if id.Stage {
-				// Other calls on the link come between.
+				// Leaves room on the link for other calls.
 				kernel.Sleep(ctx, (v.k.Clock.Now()-start)/4)
 			}
 			continue
 		}
 		if failed++; failed == chunkAttempts || count == 1 {
-			return Member{}, fmt.Errorf("controlstate: chunk %d of %d was not taken: %w", next, count, errors.Join(err, ctx.Err()))
+			return Member{}, fmt.Errorf("controlstate: chunk %d of %d was not accepted: %w", next, count, errors.Join(err, ctx.Err()))
 		}
 		var have offerResponse
 		if v.endpoint.Call(ctx, addr, "controlstate.offer", id, &have, callWait) == nil && have.Next >= 0 && have.Next < count {
@@ -123,8 +123,8 @@
 	}
 }
 
-// backupCandidates lists the control nodes that a copy is offered to, in turn; if the
-// state was staged, those that have it come first.
+// backupCandidates lists the control nodes that a copy is offered to, in order of preference;
+// if the state was staged, those that have it come first.
 func (v *Replica) backupCandidates(last View, answered func(addr string) bool) []string {
 	alive := v.cfg.ControlNodes()
 	v.mu.Lock()
@@ -143,44 +143,44 @@
 	return order
 }
 
-// copyToBackups hands the whole state to as many control nodes as may be lost, and
-// one at least. Control nodes that do not answer count as lost already: if there are
-// too few others, these will do; not so if others answered a moment ago.
+// copyToBackups copies the whole state to as many control nodes as there are failures to
+// tolerate, and to one at least. Control nodes that do not respond count as failed already:
+// if too few others are left, those are enough, but not if more responded a moment ago.
 func (v *Replica) copyToBackups(ctx context.Context, state State, last View, disks map[string]string) ([]Member, error) {
-	got := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, has(disks)), false)
-	backups := make([]Member, 0, len(got))
-	for _, r := range got {
+	recipients := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, has(disks)), false)
+	backups := make([]Member, 0, len(recipients))
+	for _, r := range recipients {
 		backups = append(backups, r.member)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(backups) == 0 || !v.members.enoughCopies(backupAddrs(View{Backups: backups}), slices.Collect(maps.Keys(disks)), has(disks), v.k.Clock.Now()) {
-		v.stagedTill = 0 // what was staged does not do
-		return nil, errors.New("too few control nodes took the copy")
+		v.stagedTill = 0 // the staged copies were not sufficient
+		return nil, errors.New("too few control nodes accepted the copy")
 	}
 	return backups, nil
 }
 
-// snapshotRecipient is a control node that took a snapshot.
+// snapshotRecipient is a control node that accepted a snapshot.
 type snapshotRecipient struct {
 	addr   string
-	member Member // if it is on its disk
+	member Member // set if the snapshot is on its disk
 }
 
-// sendToFirst sends a snapshot to the first control nodes that take it, as many as
-// there should be backups.
-func (v *Replica) sendToFirst(ctx context.Context, s *snapshot, order []string, stage bool) (got []snapshotRecipient) {
+// sendToFirst sends a snapshot to the control nodes in the given order until as many as there
+// should be backups have accepted it.
+func (v *Replica) sendToFirst(ctx context.Context, s *snapshot, order []string, stage bool) (recipients []snapshotRecipient) {
 	want := v.members.copies()
-	for len(order) > 0 && len(got) < want && ctx.Err() == nil {
-		n := min(want-len(got), len(order))
-		took := make([]*snapshotRecipient, n)
+	for len(order) > 0 && len(recipients) < want && ctx.Err() == nil {
+		n := min(want-len(recipients), len(order))
+		accepted := make([]*snapshotRecipient, n)
 		done := make(chan struct{}, n)
 		for i, addr := range order[:n] {
 			go func() {
 				defer func() { done <- struct{}{} }()
 				m, err := v.sendSnapshot(ctx, addr, s, stage)
 				if err == nil && (stage || m.Disk != "") {
-					took[i] = &snapshotRecipient{addr, m}
+					accepted[i] = &snapshotRecipient{addr, m}
 				}
 				v.recordCopyResult(addr, stage, err)
 			}()
@@ -188,18 +188,18 @@
 		for range n {
 			<-done
 		}
-		for _, r := range took {
+		for _, r := range accepted {
 			if r != nil {
-				got = append(got, *r)
+				recipients = append(recipients, *r)
 			}
 		}
 		order = order[n:]
 	}
-	return got
+	return recipients
 }
 
-// recordCopyResult has a control node that failed to take a copy come after the others for
-// a while.
+// recordCopyResult records whether a control node accepted a copy. One that failed to is
+// ranked after the others for a while.
 func (v *Replica) recordCopyResult(addr string, stage bool, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -211,16 +211,16 @@
 	}
 }
 
-// staged tells whether a view can be formed without copying much meanwhile. If
-// not, the state is brought to those who shall be backups first: the lease runs
-// and is renewed, reads and changes go on, and nobody has promised anything.
+// staged reports whether a view can be formed without copying much while it is being formed.
+// If not, the state is first staged on the future backups: meanwhile the lease is still
+// renewed, reads and changes continue, and no witness has promised the next epoch.
 func (v *Replica) staged() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return entriesSize(v.state.Entries) <= stageThreshold || v.k.Clock.Now() < v.stagedTill
 }
 
-// stageSoon has the state brought there, unless that is under way.
+// stageSoon starts staging the state in the background, unless that is in progress.
 func (v *Replica) stageSoon(ctx context.Context) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -230,22 +230,23 @@
 	}
 }
 
+// stageState stages the current state, under the next epoch, on the future backups.
 func (v *Replica) stageState(ctx context.Context) {
 	v.mu.Lock()
 	state, last := v.state, v.seen
 	state.Epoch = v.nextEpoch()
 	v.mu.Unlock()
 	v.k.Counters.Add("controlstate.staged", 1)
-	got := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, func(string) bool { return false }), true)
+	recipients := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, func(string) bool { return false }), true)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.staging, v.stagedAt = false, nil
-	if len(got) == 0 {
+	if len(recipients) == 0 {
 		v.k.Counters.Add("controlstate.staged_in_vain", 1)
 		v.standAt = v.k.Clock.Now() + v.lease/24 + rand.N(v.lease/12)
 		return
 	}
-	for _, r := range got {
+	for _, r := range recipients {
 		v.stagedAt = append(v.stagedAt, r.addr)
 	}
 	v.stagedTill = v.k.Clock.Now() + 2*v.lease
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// State is the whole control state as it lies on a member's disk.
+// State is the whole control state, as it is stored on the disk of a member.
 type State struct {
 	Epoch     int64                      `json:"epoch"`
 	Seq       int64                      `json:"seq"`
@@ -18,14 +18,14 @@
 	revisions revisions
 }
 
-// Change is one step of the state; an entry that is null is removed.
+// Change is one change of the state; an entry whose value is null is deleted.
 type Change struct {
 	Epoch   int64                      `json:"epoch"`
 	Seq     int64                      `json:"seq"`
 	Entries map[string]json.RawMessage `json:"entries"`
 }
 
-// With is the state after one more change.
+// With returns the state after one more change.
 func (s State) With(changes map[string]json.RawMessage) State {
 	n := State{Epoch: s.Epoch, Seq: s.Seq + 1, Entries: maps.Clone(s.Entries), revisions: s.revisions.withChange(keysOf(changes), s.Seq+1)}
 	if n.Entries == nil {
@@ -35,9 +35,10 @@
 	return n
 }
 
+// keysOf returns the keys of the entries, in no particular order.
 func keysOf(entries map[string]json.RawMessage) []string { return slices.Collect(maps.Keys(entries)) }
 
-// applyChanges carries changes out on entries.
+// applyChanges applies changes to entries in place; a nil or null value deletes the entry.
 func applyChanges(entries, changes map[string]json.RawMessage) {
 	for k, v := range changes {
 		if v == nil || string(v) == "null" {
@@ -48,56 +49,56 @@
 	}
 }
 
-// Pick decodes the entries whose keys begin with the prefix, by the rest of
-// their keys.
+// Pick decodes the entries whose keys begin with the prefix. The result is keyed by the
+// rest of their keys.
 func Pick[T any](entries map[string]json.RawMessage, prefix string) (map[string]T, error) {
 	return NewDecoded[T](prefix).Of(entries)
 }
 
-// Decoded keeps the entries of one kind decoded: of a state that changed, only
-// what changed is decoded again.
+// Decoded is a cache of the decoded entries of one kind: when the state changes, only the
+// entries that differ are decoded again.
 type Decoded[T any] struct {
 	prefix string
 
 	mu      sync.Mutex
-	encoded map[string]json.RawMessage // what the values were decoded from
+	encoded map[string]json.RawMessage // the encoded entries that values was decoded from
 	values  map[string]T
 }
 
-// NewDecoded returns a keeper of the entries whose keys begin with the prefix.
+// NewDecoded returns an empty cache for the entries whose keys begin with the prefix.
 func NewDecoded[T any](prefix string) *Decoded[T] { return &Decoded[T]{prefix: prefix} }
 
-// Of decodes the entries, by the rest of their keys. The map is shared and not
-// to be changed.
+// Of returns the decoded entries, keyed by the rest of their keys. The map is shared and
+// must not be modified.
 func (d *Decoded[T]) Of(entries map[string]json.RawMessage) (map[string]T, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fresh, there := map[string]T{}, 0
+	decoded, matching := map[string]T{}, 0
 	for key, raw := range entries {
 		rest, ok := strings.CutPrefix(key, d.prefix)
 		if !ok {
 			continue
 		}
-		there++
-		if was, known := d.encoded[rest]; known && bytes.Equal(was, raw) {
+		matching++
+		if previous, cached := d.encoded[rest]; cached && bytes.Equal(previous, raw) {
 			continue
 		}
 		var v T
 		if err := json.Unmarshal(raw, &v); err != nil {
 			return nil, fmt.Errorf("controlstate: entry %s: %w", key, err)
 		}
-		fresh[rest] = v
+		decoded[rest] = v
 	}
-	if d.values != nil && len(fresh) == 0 && there == len(d.values) {
+	if d.values != nil && len(decoded) == 0 && matching == len(d.values) {
 		return d.values, nil
 	}
-	raw, values := make(map[string]json.RawMessage, there), make(map[string]T, there)
+	raw, values := make(map[string]json.RawMessage, matching), make(map[string]T, matching)
 	for rest, v := range d.values {
-		if still, ok := entries[d.prefix+rest]; ok {
-			raw[rest], values[rest] = still, v
+		if current, ok := entries[d.prefix+rest]; ok {
+			raw[rest], values[rest] = current, v
 		}
 	}
-	for rest, v := range fresh {
+	for rest, v := range decoded {
 		raw[rest], values[rest] = entries[d.prefix+rest], v
 	}
 	d.encoded, d.values = raw, values
--- a/internal/controlstate/store.go
+++ b/internal/controlstate/store.go
@@ -1,6 +1,6 @@
-// Package controlstate keeps the control state: a primary control node writes to its
-// backups before it answers, and witnesses that hold only epochs and views
-// decide who takes over.
+// Package controlstate implements the replicated control state. A primary control node
+// replicates each change to its backups before it acknowledges it; witnesses, which store
+// only epochs and views, elect the primary.
 package controlstate
 
 import (
@@ -19,24 +19,25 @@
 
 // Errors of the store.
 var (
-	// ErrDamaged says that the store on disk holds something that was never
-	// written as such. It is reported and never read as an empty store.
+	// ErrDamaged means that the store on disk holds data that was never written in that
+	// form. Such a store is reported as damaged and never treated as an empty one.
 	ErrDamaged = errors.New("controlstate: store damaged")
-	// ErrFormat says that the store was written by another version.
-	ErrFormat = errors.New("controlstate: store of another format")
+	// ErrFormat means that the store was written in the format of another version.
+	ErrFormat = errors.New("controlstate: unsupported store format")
 )
 
-// StoreFile is the name of the store in the data folder.
+// StoreFile is the name of the store file in the data directory.
 const StoreFile = "control.db"
 
-// rewriteSuffix ends the name of the file that a rewritten store is made in. It is
-// never read under that name.
+// rewriteSuffix is the suffix of the temporary file that a compacted store is written to.
+// A file with this suffix is never read.
 const rewriteSuffix = ".next"
 
-// storeFormat is the version of the records written here.
+// storeFormat is the version of the record format that this package writes.
 const storeFormat = 3
 
-// Keys of the records. Changes of the state follow it, by their sequence.
+// Keys of the records. Each change that follows the stored state has a record of its own:
+// changePrefix and its sequence number.
 const (
 	diskKey      = "disk"
 	registerKey  = "register"
@@ -44,34 +45,34 @@
 	changePrefix = "change/"
 )
 
-// The store is rewritten once it is this large, and this many times as large
-// as after it was last rewritten.
+// The store is compacted once it is larger than compactAbove bytes and compactFactor times
+// as large as it was after the last compaction.
 const (
 	compactAbove  = 1 << 20
 	compactFactor = 4
 )
 
-// diskRecord is the first record of every store.
+// diskRecord is the first record of every store: its format and the identity of the disk.
 type diskRecord struct {
 	Format int    `json:"format"`
 	ID     string `json:"id"`
 }
 
-// Store is the synced store of one control node. Each record is a single buntdb
-// entry with a checksum, so a torn write loses the record as a whole.
+// Store is the durable store of one control node; every write is synced. Each record is a
+// single buntdb entry with a checksum, so a torn write loses the record as a whole.
 type Store struct {
 	path  string
-	Disk  string // identity of this disk, drawn when the store was made
-	Fresh bool   // the store was made by this opening
-	torn  int64  // bytes of an unfinished last write that were cut off
+	Disk  string // identity of this disk, generated when the store was created
+	Fresh bool   // the store was created by this call of OpenStore
+	torn  int64  // bytes of an incomplete last write that were truncated
 
-	sem           chan struct{} // held while the store is used; a disk may stall meanwhile
+	sem           chan struct{} // held while the store is in use; the disk may stall meanwhile
 	db            *buntdb.DB
-	file          *os.File // for syncing: buntdb keeps the result of its own to itself
+	file          *os.File // for syncing: buntdb does not report the result of its own syncs
 	sync          kernel.Sync
-	size          int64 // of the file
-	compactedSize int64 // that a rewritten file would have had when it was opened, or has had
-	unsure        bool  // a sync failed: only a rewritten file is known to be whole
+	size          int64 // of the file, in bytes
+	compactedSize int64 // size after the last compaction, or what it would have been at opening
+	unsure        bool  // a sync failed: only a compacted file is known to be intact
 	closed        bool
 }
 
@@ -82,9 +83,9 @@
 func (s *Store) lock()   { s.sem <- struct{}{} }
 func (s *Store) unlock() { <-s.sem }
 
-// OpenStore opens or makes the store in dir. What it holds is on disk, under
-// its name, when this returns: the life before may have ended between a write
-// and its sync.
+// OpenStore opens the store in dir, or creates it. When it returns, the content of the
+// store and its directory entry are synced: the previous process may have ended between a
+// write and its sync.
 func OpenStore(dir string) (*Store, error) { return openStore(dir, (*os.File).Sync) }
 
 func openStore(dir string, sync kernel.Sync) (*Store, error) {
@@ -96,23 +97,23 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("controlstate: %w", err)
 	}
-	whole, err := validPrefix(raw)
+	intact, err := validPrefix(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %v", ErrDamaged, s.path, err)
 	}
-	if s.torn = int64(len(raw) - whole); s.torn > 0 {
-		if err := truncateTornTail(s.path, raw, int64(whole)); err != nil {
+	if s.torn = int64(len(raw) - intact); s.torn > 0 {
+		if err := truncateTornTail(s.path, raw, int64(intact)); err != nil {
 			return nil, fmt.Errorf("controlstate: %w", err)
 		}
 	}
-	// Power, or the process, went while the store was rewritten.
+	// A compaction that was interrupted by a loss of power or the end of the process.
 	if err := os.Remove(s.path + rewriteSuffix); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("controlstate: %w", err)
 	}
 	if err := s.open(s.path); err != nil {
 		return nil, err
 	}
-	s.size = int64(whole)
+	s.size = int64(intact)
 	if err := s.loadDiskID(); err != nil {
 		s.Close()
 		return nil, err
@@ -124,13 +125,13 @@
 	return s, nil
 }
 
-// loadDiskID reads the identity of the disk, or draws one for a new store.
+// loadDiskID reads the identity of the disk, or generates one for a new store.
 func (s *Store) loadDiskID() error {
 	var d diskRecord
 	found, err := s.Load(diskKey, &d)
 	switch {
 	case errors.As(err, new(*json.UnmarshalTypeError)) || found && d.Format != storeFormat:
-		return fmt.Errorf("%w: %s; this program reads format %d", ErrFormat, s.path, storeFormat)
+		return fmt.Errorf("%w: %s; this version reads format %d", ErrFormat, s.path, storeFormat)
 	case err != nil:
 		return fmt.Errorf("%w (%s)", err, s.path)
 	case found:
@@ -142,7 +143,7 @@
 	return s.Save(diskKey, diskRecord{storeFormat, s.Disk})
 }
 
-// liveSize is about how large a rewritten file would be.
+// liveSize returns approximately the size that the file would have after a compaction.
 func (s *Store) liveSize() (size int64, err error) {
 	err = s.db.View(func(tx *buntdb.Tx) error {
 		for _, key := range []string{diskKey, registerKey, stateKey} {
@@ -160,27 +161,27 @@
 	return size, nil
 }
 
-// createDir makes the folder, and has its name last, and those of the folders
-// above it that had to be made too.
+// createDir creates the directory and any missing parents, and syncs the parent of each so
+// that the new directory entries are durable.
 func createDir(dir string, sync kernel.Sync) error {
-	above := filepath.Dir(dir)
-	if _, err := os.Stat(above); errors.Is(err, os.ErrNotExist) && above != dir {
-		if err := createDir(above, sync); err != nil {
+	parent := filepath.Dir(dir)
+	if _, err := os.Stat(parent); errors.Is(err, os.ErrNotExist) && parent != dir {
+		if err := createDir(parent, sync); err != nil {
 			return err
 		}
 	}
 	if err := os.Mkdir(dir, 0o755); err != nil && !errors.Is(err, os.ErrExist) {
 		return err
 	}
-	// A life before may have made it and ended here. A folder above that this
-	// process may not read was there before it.
-	if err := syncDir(above, sync); err != nil && !errors.Is(err, os.ErrPermission) {
+	// A previous process may have created the directory and ended before this sync. A
+	// parent that this process may not read existed before the directory did.
+	if err := syncDir(parent, sync); err != nil && !errors.Is(err, os.ErrPermission) {
 		return err
 	}
 	return nil
 }
 
-// open opens the database at path; syncing is done here, not by buntdb.
+// open opens the database at path. The Store syncs the file itself instead of buntdb.
 func (s *Store) open(path string) error {
 	db, err := buntdb.Open(path)
 	if err != nil {
@@ -208,10 +209,10 @@
 	return sync(d)
 }
 
-// truncateTornTail shortens the file to its whole records and keeps what was cut off
-// beside it, if there is room. The caller syncs the file.
-func truncateTornTail(path string, raw []byte, whole int64) error {
-	if os.WriteFile(path+".torn", raw[whole:], 0o644) != nil {
+// truncateTornTail truncates the file to its intact records and keeps the bytes that it
+// removes in a .torn file beside it, if there is room. The caller syncs the file.
+func truncateTornTail(path string, raw []byte, intact int64) error {
+	if os.WriteFile(path+".torn", raw[intact:], 0o644) != nil {
 		os.Remove(path + ".torn")
 	}
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
@@ -219,10 +220,10 @@
 		return err
 	}
 	defer f.Close()
-	return f.Truncate(whole)
+	return f.Truncate(intact)
 }
 
-// Save writes one record and returns once it is on disk.
+// Save writes one record and returns once it is synced to disk.
 func (s *Store) Save(key string, v any) error {
 	text, err := encodeRecord(v)
 	if err != nil {
@@ -233,7 +234,8 @@
 	return s.writeRecord(key, text)
 }
 
-// writeRecord puts a record in the file and syncs it. The caller holds the lock.
+// writeRecord writes an encoded record and syncs the file, which it compacts first if that
+// is due. The caller holds the lock.
 func (s *Store) writeRecord(key, text string) error {
 	if s.closed {
 		return fmt.Errorf("controlstate: %w", os.ErrClosed)
@@ -249,7 +251,7 @@
 	})
 }
 
-// commitTx carries one transaction out and syncs the file.
+// commitTx runs one transaction and syncs the file.
 func (s *Store) commitTx(change func(*buntdb.Tx) error) error {
 	if err := s.db.Update(change); err != nil {
 		return fmt.Errorf("controlstate: %w", err)
@@ -266,7 +268,8 @@
 	return fmt.Errorf("controlstate: %w", err)
 }
 
-// SaveState writes the whole state, which replaces all changes before it.
+// SaveState writes the whole state, which replaces the stored state and all changes that
+// follow it.
 func (s *Store) SaveState(st State) error {
 	text, err := encodeRecord(st)
 	if err != nil {
@@ -277,13 +280,14 @@
 	if err := s.writeRecord(stateKey, text); err != nil {
 		return err
 	}
-	// The changes before it are not read any more, whether they go or not.
+	// The earlier changes are ignored from now on, whether or not they are deleted.
 	if err := s.commitTx(deleteChanges); err != nil {
 		s.unsure = true
 	}
 	return nil
 }
 
+// deleteChanges deletes the records of all changes.
 func deleteChanges(tx *buntdb.Tx) error {
 	var old []string
 	if err := tx.AscendKeys(changePrefix+"*", func(key, _ string) bool {
@@ -300,13 +304,13 @@
 	return nil
 }
 
-// Append writes a change as one unit: after a loss of power it is there in
-// full or not at all.
+// Append writes a change atomically: after a loss of power it is stored completely or not
+// at all.
 func (s *Store) Append(c Change) error {
 	return s.Save(fmt.Sprintf("%s%019d", changePrefix, c.Seq), c)
 }
 
-// LoadState reads the state with the changes that follow it in its epoch.
+// LoadState reads the stored state and applies the changes of its epoch that follow it.
 func (s *Store) LoadState() (State, error) {
 	s.lock()
 	defer s.unlock()
@@ -336,7 +340,7 @@
 	for _, text := range texts {
 		var c Change
 		if err := decodeRecord(text, &c); err != nil {
-			return st, fmt.Errorf("%w: a change of the state: %v", ErrDamaged, err)
+			return st, fmt.Errorf("%w: change record: %v", ErrDamaged, err)
 		}
 		if c.Epoch == st.Epoch && c.Seq == st.Seq+1 {
 			applyChanges(st.Entries, c.Entries)
@@ -346,8 +350,8 @@
 	return st, nil
 }
 
-// compact rewrites the store: into a new file, synced record by record, which
-// then takes the old one's name. The caller holds the lock.
+// compact writes the live records to a new file, synced record by record, and renames it
+// over the old one. The caller holds the lock.
 func (s *Store) compact() error {
 	d, records, err := s.liveRecords()
 	if err != nil {
@@ -369,14 +373,14 @@
 		}
 	}
 	if err = errors.Join(err, n.Close()); err != nil {
-		os.Remove(next) // a full disk needs the room
+		os.Remove(next) // frees the space on a full disk
 		return err
 	}
 	if err := os.Rename(next, s.path); err != nil {
 		return fmt.Errorf("controlstate: %w", err)
 	}
 	if err := syncDir(filepath.Dir(s.path), s.sync); err != nil {
-		s.unsure = true // which of the two files has the name is not known
+		s.unsure = true // it is unknown which of the two files has the name
 		return fmt.Errorf("controlstate: %w", err)
 	}
 	old, oldFile := s.db, s.file
@@ -390,7 +394,8 @@
 	return nil
 }
 
-// liveRecords returns the disk's mark, and the records that a file begins with.
+// liveRecords returns the record with the identity of the disk, and the other records that
+// a compacted file begins with.
 func (s *Store) liveRecords() (disk string, records map[string]string, err error) {
 	records = map[string]string{}
 	err = s.db.View(func(tx *buntdb.Tx) (err error) {
@@ -414,7 +419,7 @@
 	return disk, records, err
 }
 
-// Load reads a record into v and tells whether there is one.
+// Load reads a record into v and reports whether it exists.
 func (s *Store) Load(key string, v any) (bool, error) {
 	s.lock()
 	defer s.unlock()
@@ -439,22 +444,22 @@
 	return true, nil
 }
 
-// loadRegister reads the witness's register; one that contradicts itself was
-// never written as such.
+// loadRegister reads the witness's register. A register that accepted a higher epoch than
+// it promised was never written in that form and is reported as damaged.
 func (s *Store) loadRegister() (reg register, found bool, err error) {
 	if found, err = s.Load(registerKey, &reg); err == nil && reg.Promised < reg.Accepted.Epoch {
-		err = fmt.Errorf("%w: record %q: epoch %d is accepted, and only %d promised", ErrDamaged, registerKey, reg.Accepted.Epoch, reg.Promised)
+		err = fmt.Errorf("%w: record %q: accepted epoch %d is above promised epoch %d", ErrDamaged, registerKey, reg.Accepted.Epoch, reg.Promised)
 	}
 	return reg, found, err
 }
 
-// CheckRegister tells what is wrong with the witness's register, if anything.
+// CheckRegister returns an error if the witness's register is damaged.
 func (s *Store) CheckRegister() error {
 	_, _, err := s.loadRegister()
 	return err
 }
 
-// Close closes the store; later calls do nothing.
+// Close closes the store; further calls have no effect.
 func (s *Store) Close() error {
 	s.lock()
 	defer s.unlock()
--- a/internal/controlstate/write.go
+++ b/internal/controlstate/write.go
@@ -10,19 +10,20 @@
 	"time"
 )
 
-// ChangeFunc sees the entries and returns those to replace (nil removes one).
+// ChangeFunc returns the entries to replace, given the current ones; a nil value deletes an
+// entry.
 type ChangeFunc func(map[string]json.RawMessage) (map[string]json.RawMessage, error)
 
-// update is a change that waits to be written.
+// update is a queued change that waits to be written.
 type update struct {
 	change ChangeFunc
 	done   chan error
 }
 
-// Update carries a change out. It returns nil only once the change is on the
-// disks of the primary and all its backups and the lease still runs. Changes
-// that come while another is being written go out together. An error other
-// than change's own leaves open whether the change lasts.
+// Update applies a change. It returns nil only once the change is on the disks of the
+// primary and all its backups and the lease is still valid. Changes that arrive while
+// another one is being written are written together as a batch. After an error that change
+// itself did not return, it is unknown whether the change is durable.
 func (v *Replica) Update(ctx context.Context, change ChangeFunc) error {
 	u := &update{change, make(chan error, 1)}
 	v.mu.Lock()
@@ -44,49 +45,51 @@
 	batch := v.queue
 	v.queue = nil
 	v.mu.Unlock()
-	// One caller writes for others: it goes on even if its own call is over.
+	// One caller writes the batch for the others, so it continues even if its own context ends.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), (3 * callWait).Duration())
 	defer cancel()
 	v.commitBatch(ctx, batch)
 	return <-u.done
 }
 
-// commitBatch writes a batch, a second time if a backup had to be replaced.
+// commitBatch writes a batch and reports the result to each update. If a backup fails, it
+// replaces the backup and writes the batch once more.
 func (v *Replica) commitBatch(ctx context.Context, batch []*update) {
-	own := make([]error, len(batch))
-	err := v.writeBatch(ctx, batch, own)
+	results := make([]error, len(batch))
+	err := v.writeBatch(ctx, batch, results)
 	if errors.Is(err, errBackupsFailed) && v.staged() && v.tryStand(ctx) == nil {
-		err = v.writeBatch(ctx, batch, own)
+		err = v.writeBatch(ctx, batch, results)
 	}
 	for i, u := range batch {
 		if err != nil {
-			own[i] = err
+			results[i] = err
 		}
-		u.done <- own[i]
+		u.done <- results[i]
 	}
 }
 
-// errBackupsFailed says that the view's backups do not keep a write, or not enough of
-// them.
+// errBackupsFailed means that too few of the view's backups stored a write, or that the view
+// has too few backups.
 var errBackupsFailed = fmt.Errorf("%w: too few backups take it", ErrUnavailable)
 
-// writeBatch writes a batch of changes in one step; own is what became of each.
-func (v *Replica) writeBatch(ctx context.Context, batch []*update, own []error) error {
+// writeBatch writes a batch of updates as one change of the state. It sets results[i] to the
+// error of the i-th update's own ChangeFunc.
+func (v *Replica) writeBatch(ctx context.Context, batch []*update, results []error) error {
 	old, view, err := v.checkWritable()
 	if err != nil {
 		return err
 	}
-	next, changes := old.applyBatch(batch, own, view.Epoch)
+	next, changes := old.applyBatch(batch, results, view.Epoch)
 	if len(changes) == 0 {
 		return nil
 	}
 	local := make(chan error, 1)
 	c := Change{view.Epoch, next.Seq, changes}
 	go func() { local <- v.onDisk(ctx, func() error { return v.store.Append(c) }) }()
-	taken := v.replicateToBackups(ctx, view, c)
+	replicated := v.replicateToBackups(ctx, view, c)
 	if err := awaitLocalWrite(local); err != nil {
 		v.k.Counters.Add("controlstate.save_failed", 1)
-		go v.handOver("own disk fails")
+		go v.handOver("local disk failed")
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	v.mu.Lock()
@@ -94,7 +97,7 @@
 	switch {
 	case !v.leads(v.k.Clock.Now()) || v.seen.Epoch != view.Epoch:
 		return ErrNotPrimary
-	case !taken:
+	case !replicated:
 		return errBackupsFailed
 	}
 	v.state = next
@@ -102,7 +105,8 @@
 	return nil
 }
 
-// checkWritable returns the state on which a change may build now, and the view in which.
+// checkWritable returns the state that the next change is based on and the current view, or
+// an error if no change can be written now.
 func (v *Replica) checkWritable() (State, View, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -111,7 +115,8 @@
 	case !v.leads(now):
 		return State{}, View{}, ErrNotPrimary
 	case v.state.Epoch != v.seen.Epoch:
-		// It stood for another epoch in vain: what is on disk belongs to that.
+		// It campaigned for another epoch without success; the state on disk already
+		// belongs to that epoch.
 		return State{}, View{}, errBackupsFailed
 	case !v.members.enoughBackups(v.seen, now):
 		return State{}, View{}, errBackupsFailed
@@ -121,14 +126,14 @@
 	}
 	if n := len(v.seen.Witnesses); n < 2*v.cfg.Losses && !v.small {
 		v.small = true
-		v.k.Log.Warn("fewer control nodes than the losses to be borne ask for", "witnesses", n, "tolerate", v.cfg.Losses)
+		v.k.Log.Warn("fewer control nodes than needed for the number of failures to tolerate", "witnesses", n, "tolerate", v.cfg.Losses)
 	}
 	return v.state, v.seen, nil
 }
 
-// applyBatch is the state applyBatch a batch of changes, of which some may refuse, and what
-// differs then.
-func (s State) applyBatch(batch []*update, own []error, epoch int64) (next State, changes map[string]json.RawMessage) {
+// applyBatch returns the state after a batch of updates, and the entries that differ. An
+// update whose ChangeFunc fails is skipped.
+func (s State) applyBatch(batch []*update, results []error, epoch int64) (next State, changes map[string]json.RawMessage) {
 	next = State{Epoch: epoch, Seq: s.Seq + 1, Entries: maps.Clone(s.Entries)}
 	if next.Entries == nil {
 		next.Entries = map[string]json.RawMessage{}
@@ -136,7 +141,7 @@
 	changes = map[string]json.RawMessage{}
 	for i, u := range batch {
 		var c map[string]json.RawMessage
-		if c, own[i] = u.change(next.Entries); own[i] == nil {
+		if c, results[i] = u.change(next.Entries); results[i] == nil {
 			applyChanges(next.Entries, c)
 			maps.Copy(changes, c)
 		}
@@ -145,7 +150,7 @@
 	return next, changes
 }
 
-// awaitLocalWrite waits for the own disk, as long as that may take.
+// awaitLocalWrite waits for the write to the local disk, for diskTimeout at most.
 func awaitLocalWrite(local <-chan error) error {
 	t := time.NewTimer(diskTimeout.Duration())
 	defer t.Stop()
@@ -157,29 +162,29 @@
 	}
 }
 
-// replicateToBackups hands a change to all backups; those that do not take it are
-// shunned.
+// replicateToBackups sends a change to all backups and reports whether all stored it. Those
+// that did not are excluded.
 func (v *Replica) replicateToBackups(ctx context.Context, view View, c Change) bool {
 	addrs := make([]string, 0, len(view.Backups))
 	for _, b := range view.Backups {
 		addrs = append(addrs, b.Addr)
 	}
-	took := ask(ctx, v, addrs, "controlstate.write", func(string) any { return c }, func(got map[string]struct{}) bool { return len(got) == len(addrs) })
-	if len(took) == len(addrs) {
+	acknowledged := ask(ctx, v, addrs, "controlstate.write", func(string) any { return c }, func(got map[string]struct{}) bool { return len(got) == len(addrs) })
+	if len(acknowledged) == len(addrs) {
 		return true
 	}
 	v.k.Counters.Add("controlstate.backup_failed", 1)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, addr := range addrs {
-		if _, ok := took[addr]; !ok {
+		if _, ok := acknowledged[addr]; !ok {
 			v.shun(addr)
 		}
 	}
 	return false
 }
 
-// shun has a backup replaced.
+// shun excludes a backup for a while, so that it is replaced.
 func (v *Replica) shun(addr string) {
 	v.members.shun(addr, v.k.Clock.Now())
 	v.poke()
