--- a/internal/controlstate/crash_test.go
+++ b/internal/controlstate/crash_test.go
@@ -14,46 +14,47 @@
 	"testing"
 )
 
-// powerLossDisk follows what of a store's folder is sure to outlast a loss of power,
-// and tries whatever else may: each name made, changed or removed since its
-// folder was synced is kept or lost by itself, and what was written to a file
-// since that was synced is kept, lost or torn.
+// powerLossDisk tracks which content of a store's directory is certain to survive a loss of
+// power, and checks every possible outcome for the rest: each directory entry created,
+// changed or removed since the directory was synced is kept or lost independently, and what
+// was written to a file since its last sync is kept, lost or torn.
 type powerLossDisk struct {
-	t      *testing.T
-	dir    string // the folder
-	images string // where folders are made as they would be after a loss of power
-	made   bool   // the folder's own name lasts
-	names  map[string]uint64
-	synced map[uint64][]byte
-	files  map[uint64]*os.File // held open, so that no number is used twice
-	syncs  int
-	killAt int // the process ends before that sync
-	cuts   int // of each unsynced write
+	t             *testing.T
+	dir           string // the directory of the store
+	images        string // where directories are reconstructed as they may be after a loss of power
+	dirDurable    bool   // the directory's own entry in its parent is durable
+	syncedNames   map[string]uint64
+	syncedContent map[uint64][]byte
+	files         map[uint64]*os.File // kept open, so that no inode number is reused
+	syncs         int
+	killAt        int // the process is killed before this sync
+	cuts          int // into how many parts each unsynced write is cut to tear it
 
-	// What was acknowledged, and what is being written.
-	acked, tried storeContents
-	tested       map[string]bool
+	// The contents last acknowledged, and those being written.
+	acked, pending storeContents
+	checked        map[string]bool
 }
 
-// storeContents is what a store holds.
+// storeContents is the content of a store.
 type storeContents struct {
 	disk  string
 	state State
 	reg   register
 }
 
+// processKilled is the panic value that ends a simulated process.
 type processKilled struct{}
 
 func newPowerLossDisk(t *testing.T, killAt, cuts int) *powerLossDisk {
 	base := memoryDir(t)
 	return &powerLossDisk{
 		t: t, dir: filepath.Join(base, "a", "data"), images: filepath.Join(base, "images"), killAt: killAt, cuts: cuts,
-		names: map[string]uint64{}, synced: map[uint64][]byte{}, files: map[uint64]*os.File{}, tested: map[string]bool{},
+		syncedNames: map[string]uint64{}, syncedContent: map[uint64][]byte{}, files: map[uint64]*os.File{}, checked: map[string]bool{},
 	}
 }
 
-// memoryDir is a folder where syncs cost nothing, if there is such a one: a
-// thousand stores are opened there.
+// memoryDir returns a temporary directory in memory, where syncs are cheap, if there is one:
+// a thousand stores are opened there.
 func memoryDir(t testing.TB) string {
 	dir, err := os.MkdirTemp("/dev/shm", "indigowalk")
 	if err != nil {
@@ -63,9 +64,9 @@
 	return dir
 }
 
-// sync stands in for the real one.
+// sync replaces the real sync. It first checks every outcome of a loss of power at this point.
 func (d *powerLossDisk) sync(f *os.File) error {
-	d.tryAll()
+	d.checkAllOutcomes()
 	if d.syncs++; d.syncs == d.killAt {
 		panic(processKilled{})
 	}
@@ -75,18 +76,18 @@
 	}
 	switch {
 	case !fi.IsDir():
-		n := d.number(f.Name(), fi)
-		d.synced[n] = d.content(n)
+		n := d.inode(f.Name(), fi)
+		d.syncedContent[n] = d.content(n)
 	case f.Name() == d.dir:
-		d.names = d.listed()
+		d.syncedNames = d.readDir()
 	case f.Name() == filepath.Dir(d.dir):
-		d.made = true
+		d.dirDurable = true
 	}
 	return nil
 }
 
-// number is that of a file, which is held from then on.
-func (d *powerLossDisk) number(path string, fi os.FileInfo) uint64 {
+// inode returns the inode number of a file and keeps the file open from then on.
+func (d *powerLossDisk) inode(path string, fi os.FileInfo) uint64 {
 	n := fi.Sys().(*syscall.Stat_t).Ino
 	if d.files[n] == nil {
 		f, err := os.Open(path)
@@ -107,8 +108,8 @@
 	return raw
 }
 
-// listed is the folder as a running process sees it.
-func (d *powerLossDisk) listed() map[string]uint64 {
+// readDir returns the directory as a running process sees it: inode numbers by name.
+func (d *powerLossDisk) readDir() map[string]uint64 {
 	out := map[string]uint64{}
 	entries, err := os.ReadDir(d.dir)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -119,22 +120,22 @@
 		if err != nil {
 			d.t.Fatal(err)
 		}
-		out[e.Name()] = d.number(filepath.Join(d.dir, e.Name()), fi)
+		out[e.Name()] = d.inode(filepath.Join(d.dir, e.Name()), fi)
 	}
 	return out
 }
 
-// tryAll opens the store in every folder that a loss of power now may leave.
-func (d *powerLossDisk) tryAll() {
-	now := d.listed()
-	if !d.made {
-		d.try(map[string][]byte{})
+// checkAllOutcomes checks the store in every directory that a loss of power at this point may leave.
+func (d *powerLossDisk) checkAllOutcomes() {
+	now := d.readDir()
+	if !d.dirDurable {
+		d.checkOutcome(map[string][]byte{})
 	}
-	folders := []map[string]uint64{{}}
-	for _, name := range slices.Sorted(maps.Keys(mergedMaps(now, d.names))) {
+	layouts := []map[string]uint64{{}}
+	for _, name := range slices.Sorted(maps.Keys(mergedMaps(now, d.syncedNames))) {
 		var more []map[string]uint64
-		for _, f := range folders {
-			for _, from := range []map[string]uint64{d.names, now} {
+		for _, f := range layouts {
+			for _, from := range []map[string]uint64{d.syncedNames, now} {
 				g := maps.Clone(f)
 				if n, there := from[name]; there {
 					g[name] = n
@@ -142,20 +143,20 @@
 				more = append(more, g)
 			}
 		}
-		folders = more
+		layouts = more
 	}
-	for _, f := range folders {
+	for _, f := range layouts {
 		image := map[string][]byte{}
 		for name, n := range f {
 			image[name] = d.content(n)
 		}
 		if n, there := f[StoreFile]; there {
-			for _, raw := range d.left(n) {
+			for _, raw := range d.possibleContents(n) {
 				image[StoreFile] = raw
-				d.try(image)
+				d.checkOutcome(image)
 			}
 		} else {
-			d.try(image)
+			d.checkOutcome(image)
 		}
 	}
 }
@@ -166,33 +167,33 @@
 	return out
 }
 
-// left is what may be left of a file.
-func (d *powerLossDisk) left(n uint64) [][]byte {
-	was, is := d.synced[n], d.content(n)
-	out := [][]byte{was, is}
-	if extra, grown := bytes.CutPrefix(is, was); grown && len(extra) > 1 {
+// possibleContents returns every content of a file that a loss of power may leave.
+func (d *powerLossDisk) possibleContents(n uint64) [][]byte {
+	synced, current := d.syncedContent[n], d.content(n)
+	out := [][]byte{synced, current}
+	if extra, grown := bytes.CutPrefix(current, synced); grown && len(extra) > 1 {
 		holed := bytes.Clone(extra)
 		clear(holed[len(extra)/3 : len(extra)/2])
-		out = append(out, slices.Concat(was, make([]byte, len(extra))), slices.Concat(was, holed))
+		out = append(out, slices.Concat(synced, make([]byte, len(extra))), slices.Concat(synced, holed))
 		for i := 1; i < d.cuts; i++ {
-			out = append(out, slices.Concat(was, extra[:len(extra)*i/d.cuts]))
+			out = append(out, slices.Concat(synced, extra[:len(extra)*i/d.cuts]))
 		}
 	}
 	return out
 }
 
-// try opens a folder as it is after a loss of power: it must open, and hold what
-// was acknowledged, or that and all of what was being written.
-func (d *powerLossDisk) try(image map[string][]byte) {
+// checkOutcome opens the store in a directory as it is after a loss of power. The store must open,
+// and contain what was acknowledged, or that and all of what was being written.
+func (d *powerLossDisk) checkOutcome(image map[string][]byte) {
 	d.t.Helper()
-	key := fmt.Sprint(d.acked, d.tried)
+	key := fmt.Sprint(d.acked, d.pending)
 	for _, name := range slices.Sorted(maps.Keys(image)) {
 		key += "\x00" + name + "\x00" + string(image[name])
 	}
-	if d.tested[key] {
+	if d.checked[key] {
 		return
 	}
-	d.tested[key] = true
+	d.checked[key] = true
 	if err := errors.Join(os.RemoveAll(d.images), os.Mkdir(d.images, 0o755)); err != nil {
 		d.t.Fatal(err)
 	}
@@ -203,13 +204,13 @@
 	}
 	s, err := openStore(d.images, func(*os.File) error { return nil })
 	if err != nil {
-		d.t.Fatalf("before sync %d, %v left: %v %q", d.syncs+1, slices.Sorted(maps.Keys(image)), err, image[StoreFile])
+		d.t.Fatalf("loss of power before sync %d, leaving files %v: %v %q", d.syncs+1, slices.Sorted(maps.Keys(image)), err, image[StoreFile])
 	}
 	defer s.Close()
 	got := readContents(d.t, s)
-	if got.disk != d.acked.disk && d.acked.disk != "" || !got.state.equal(d.acked.state) && !got.state.equal(d.tried.state) ||
-		got.reg.Promised != d.acked.reg.Promised && got.reg.Promised != d.tried.reg.Promised {
-		d.t.Fatalf("before sync %d, %v left: holds %+v, acknowledged was %+v, being written %+v", d.syncs+1, slices.Sorted(maps.Keys(image)), got, d.acked, d.tried)
+	if got.disk != d.acked.disk && d.acked.disk != "" || !got.state.equal(d.acked.state) && !got.state.equal(d.pending.state) ||
+		got.reg.Promised != d.acked.reg.Promised && got.reg.Promised != d.pending.reg.Promised {
+		d.t.Fatalf("loss of power before sync %d, leaving files %v: store contains %+v, acknowledged was %+v, being written was %+v", d.syncs+1, slices.Sorted(maps.Keys(image)), got, d.acked, d.pending)
 	}
 }
 
@@ -226,8 +227,9 @@
 	return storeContents{s.Disk, state, reg}
 }
 
-// life opens the store, writes and closes it, unless it is killed before.
-func (d *powerLossDisk) life() (ended bool) {
+// runProcess simulates one process that opens the store, writes and closes it; it returns false if
+// the process was killed before the end.
+func (d *powerLossDisk) runProcess() (completed bool) {
 	var s *Store
 	defer func() {
 		if r := recover(); r != nil {
@@ -244,18 +246,18 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	// What this life has read it may speak of.
+	// This process may report what it has read, so that counts as acknowledged.
 	d.acked = readContents(d.t, s)
-	d.tried = d.acked
-	d.tryAll()
+	d.pending = d.acked
+	d.checkAllOutcomes()
 	now := d.acked
 	write := func(next storeContents, f func() error) {
-		d.tried = next
+		d.pending = next
 		if err := f(); err != nil {
 			d.t.Fatal(err)
 		}
 		now, d.acked = next, next
-		d.tryAll()
+		d.checkAllOutcomes()
 	}
 	register := func() {
 		next := now
@@ -276,11 +278,11 @@
 	whole()
 	change(map[string]json.RawMessage{"a": json.RawMessage(`"some text"`), "b": json.RawMessage(`1`)})
 	change(map[string]json.RawMessage{"a": nil, "c": json.RawMessage(`{"x":[1,2]}`)})
-	s.size, s.compactedSize = compactAbove+1, 1 // so that it is rewritten
+	s.size, s.compactedSize = compactAbove+1, 1 // so that it is compacted
 	change(map[string]json.RawMessage{"b": json.RawMessage(`2`)})
 	change(map[string]json.RawMessage{"b": json.RawMessage(`3`)})
 	whole()
-	s.unsure = true // as after a sync that failed
+	s.unsure = true // as after a failed sync
 	change(map[string]json.RawMessage{"b": json.RawMessage(`4`)})
 	if err := s.Close(); err != nil {
 		d.t.Fatal(err)
@@ -288,40 +290,40 @@
 	return true
 }
 
-// crash leaves the last write of a killed process half done, as a kill may.
-func (d *powerLossDisk) crash() {
-	n, there := d.listed()[StoreFile]
+// tearLastWrite truncates the last write of a killed process to half, as a kill may.
+func (d *powerLossDisk) tearLastWrite() {
+	n, there := d.readDir()[StoreFile]
 	if !there {
 		return
 	}
-	if was, is := d.synced[n], d.content(n); len(is) > len(was)+1 {
-		if err := os.Truncate(filepath.Join(d.dir, StoreFile), int64(len(was)+(len(is)-len(was))/2)); err != nil {
+	if synced, current := d.syncedContent[n], d.content(n); len(current) > len(synced)+1 {
+		if err := os.Truncate(filepath.Join(d.dir, StoreFile), int64(len(synced)+(len(current)-len(synced))/2)); err != nil {
 			d.t.Fatal(err)
 		}
 	}
 }
 
-// Power may go at any point of making, opening, writing and rewriting the store,
-// and of a second life after the first was killed at any point: the store opens
-// with all that was acknowledged and with no part of a write.
-func TestPowerLostAtEveryPoint(t *testing.T) {
+// Power may be lost at any point while the store is created, opened, written or compacted,
+// also in a second process after the first was killed at any point. The store must open
+// with everything that was acknowledged and without any partial write.
+func TestStoreSurvivesPowerLossAtEveryPoint(t *testing.T) {
 	whole := newPowerLossDisk(t, 0, 16)
-	if !whole.life() {
-		t.Fatal("killed by nobody")
+	if !whole.runProcess() {
+		t.Fatal("the process did not complete, although it was not killed")
 	}
-	points, tried := whole.syncs, len(whole.tested)
+	points, outcomes := whole.syncs, len(whole.checked)
 	for kill := 1; kill <= whole.syncs; kill++ {
-		for _, tear := range []bool{false, true} {
+		for _, torn := range []bool{false, true} {
 			d := newPowerLossDisk(t, kill, 2)
-			d.life()
-			if tear {
-				d.crash()
+			d.runProcess()
+			if torn {
+				d.tearLastWrite()
 			}
-			if !d.life() {
-				t.Fatal("killed twice")
+			if !d.runProcess() {
+				t.Fatal("the restarted process did not complete")
 			}
-			points, tried = points+d.syncs, tried+len(d.tested)
+			points, outcomes = points+d.syncs, outcomes+len(d.checked)
 		}
 	}
-	t.Logf("%d points, %d folders", points, tried)
+	t.Logf("%d sync points, %d directories checked", points, outcomes)
 }
--- a/internal/controlstate/fulldisk_test.go
+++ b/internal/controlstate/fulldisk_test.go
@@ -11,33 +11,33 @@
 	"testing"
 )
 
-// withFileSizeLimit runs f while no file can grow beyond so many bytes.
+// withFileSizeLimit runs f while no file can grow beyond size bytes.
 func withFileSizeLimit(t *testing.T, size int64, f func()) {
 	t.Helper()
 	signal.Ignore(syscall.SIGXFSZ)
 	defer signal.Reset(syscall.SIGXFSZ)
-	var was syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &was); err != nil {
+	var previous syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &previous); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: uint64(size), Max: was.Max}); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: uint64(size), Max: previous.Max}); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was); err != nil {
+		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &previous); err != nil {
 			t.Fatal(err)
 		}
 	}()
 	f()
 }
 
-// A disk that is full, at any byte of a change, of a whole state or of a
-// rewriting, refuses it, keeps what it has and takes the next write once there
-// is room, without a restart.
+// The disk becomes full at some byte of a change, of a whole state or of a compaction. The
+// write must fail, the stored state must stay intact, and the next write must succeed once
+// there is room, without a restart.
 func TestFullDiskRefusesAndServesAgain(t *testing.T) {
 	text := json.RawMessage(`"` + strings.Repeat("x", 300) + `"`)
 	for _, room := range []int64{0, 1, 40, 200, 380} {
-		for what, try := range map[string]func(s *Store, st State) error{
+		for operation, write := range map[string]func(s *Store, st State) error{
 			"a change": func(s *Store, st State) error {
 				return s.Append(Change{st.Epoch, st.Seq + 1, map[string]json.RawMessage{"b": text}})
 			},
@@ -45,7 +45,7 @@
 				st.Epoch++
 				return s.SaveState(st.With(map[string]json.RawMessage{"b": text}))
 			},
-			"a rewriting": func(s *Store, st State) error {
+			"a compaction": func(s *Store, st State) error {
 				s.unsure = true
 				return s.Append(Change{st.Epoch, st.Seq + 1, map[string]json.RawMessage{"b": text}})
 			},
@@ -60,23 +60,23 @@
 				t.Fatal(err)
 			}
 			limit := s.size + room
-			if what == "a rewriting" {
+			if operation == "a compaction" {
 				limit = room
 			}
 			withFileSizeLimit(t, limit, func() {
-				if err := try(s, st); !errors.Is(err, syscall.EFBIG) {
-					t.Errorf("%s with %d bytes left: %v", what, room, err)
+				if err := write(s, st); !errors.Is(err, syscall.EFBIG) {
+					t.Errorf("%s with %d bytes left: %v", operation, room, err)
 				}
 			})
 			if got, err := s.LoadState(); err != nil || !got.equal(st) {
-				t.Errorf("%s with %d bytes left: holds epoch %d seq %d, %v", what, room, got.Epoch, got.Seq, err)
+				t.Errorf("%s with %d bytes left: store contains epoch %d seq %d, %v", operation, room, got.Epoch, got.Seq, err)
 			}
 			if _, err := os.Stat(filepath.Join(dir, StoreFile+rewriteSuffix)); err == nil {
-				t.Errorf("%s with %d bytes left: half a file is left", what, room)
+				t.Errorf("%s with %d bytes left: the incomplete new file is not removed", operation, room)
 			}
 			next := Change{st.Epoch, st.Seq + 1, map[string]json.RawMessage{"c": text}}
 			if err := s.Append(next); err != nil {
-				t.Errorf("%s, then with room: %v", what, err)
+				t.Errorf("%s, then with free space: %v", operation, err)
 			}
 			s.Close()
 			s, err = openStore(dir, func(*os.File) error { return nil })
@@ -84,37 +84,37 @@
 				t.Fatal(err)
 			}
 			if got, err := s.LoadState(); err != nil || !got.equal(st.With(next.Entries)) {
-				t.Errorf("%s, after a restart: seq %d, %v", what, got.Seq, err)
+				t.Errorf("%s, after a restart: seq %d, %v", operation, got.Seq, err)
 			}
 			s.Close()
 		}
 	}
 }
 
-// A store that is cut off at any byte opens with whole records up to there, in
-// their order, or is reported; it never holds anything else.
-func TestStoreCutAtEachByte(t *testing.T) {
-	dir, nothing := memoryDir(t), func(*os.File) error { return nil }
-	s, err := openStore(dir, nothing)
+// A store that is truncated at any byte opens with the complete records before that byte and
+// nothing else.
+func TestStoreTruncatedAtEachByte(t *testing.T) {
+	dir, noSync := memoryDir(t), func(*os.File) error { return nil }
+	s, err := openStore(dir, noSync)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, StoreFile)
-	var ends []int64 // of the file after each write
+	var ends []int64 // size of the file after each write
 	states := []State{{}}
-	note := func(st State, err error) {
+	record := func(st State, err error) {
 		if err != nil {
 			t.Fatal(err)
 		}
 		states, ends = append(states, st), append(ends, s.size)
 	}
-	disk := s.size
+	diskRecordEnd := s.size
 	st := State{Epoch: 3, Seq: 4, Entries: map[string]json.RawMessage{"a": json.RawMessage(`1`)}}
-	note(st, s.SaveState(st))
+	record(st, s.SaveState(st))
 	for range 2 {
 		c := map[string]json.RawMessage{"a": json.RawMessage(`"two"`), "b": json.RawMessage(`{}`)}
 		st = st.With(c)
-		note(st, s.Append(Change{st.Epoch, st.Seq, c}))
+		record(st, s.Append(Change{st.Epoch, st.Seq, c}))
 	}
 	id := s.Disk
 	s.Close()
@@ -126,9 +126,9 @@
 		if err := os.WriteFile(path, whole[:cut], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		s, err := openStore(dir, nothing)
+		s, err := openStore(dir, noSync)
 		if err != nil {
-			t.Fatalf("cut at byte %d: %v", cut, err)
+			t.Fatalf("truncated at byte %d: %v", cut, err)
 		}
 		want := 0
 		for i, end := range ends {
@@ -136,8 +136,8 @@
 				want = i + 1
 			}
 		}
-		if got, err := s.LoadState(); err != nil || !got.equal(states[want]) || (s.Disk == id) != (cut >= disk) || s.Fresh != (cut < disk) {
-			t.Fatalf("cut at byte %d: seq %d of disk %s, %v", cut, got.Seq, s.Disk, err)
+		if got, err := s.LoadState(); err != nil || !got.equal(states[want]) || (s.Disk == id) != (cut >= diskRecordEnd) || s.Fresh != (cut < diskRecordEnd) {
+			t.Fatalf("truncated at byte %d: seq %d of disk %s, %v", cut, got.Seq, s.Disk, err)
 		}
 		s.Close()
 	}
