--- a/internal/controlstate/growth_test.go
+++ b/internal/controlstate/growth_test.go
@@ -10,8 +10,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// changeWithChurn is the n-th of many changes whose keys come and go: there are never
-// more than a hundred of them.
+// changeWithChurn returns the n-th of many changes, which add and delete keys: never more than
+// a hundred order entries exist at a time.
 func changeWithChurn(n int) map[string]json.RawMessage {
 	return map[string]json.RawMessage{
 		fmt.Sprint("order/", n):               json.RawMessage(`"` + strings.Repeat("x", 200) + `"`),
@@ -21,21 +21,21 @@
 	}
 }
 
-// changeWriter makes changes as a primary does on its own disk, and counts the bytes
-// that a backup is sent and that go to the disk.
+// changeWriter writes changes as a primary does on its own disk, and counts the bytes that
+// are sent to a backup and that are written to the disk.
 type changeWriter struct {
-	s           *Store
-	state       State
-	sent, wrote int64
+	s             *Store
+	state         State
+	sent, written int64
 }
 
 func newChangeWriter(tb testing.TB, sync kernel.Sync) *changeWriter {
-	m := &changeWriter{}
+	w := &changeWriter{}
 	count := func(f *os.File) error {
-		if fi, err := f.Stat(); err == nil && !fi.IsDir() && m.s != nil {
-			m.wrote += fi.Size() - m.s.size
-			if fi.Size() < m.s.size { // another file takes its place
-				m.wrote += m.s.size
+		if fi, err := f.Stat(); err == nil && !fi.IsDir() && w.s != nil {
+			w.written += fi.Size() - w.s.size
+			if fi.Size() < w.s.size { // a compacted file replaces it
+				w.written += w.s.size
 			}
 		}
 		return sync(f)
@@ -45,79 +45,79 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { s.Close() })
-	m.s, m.state = s, State{Epoch: 1}.WithoutRevisions()
-	if err := s.SaveState(m.state); err != nil {
+	w.s, w.state = s, State{Epoch: 1}.WithoutRevisions()
+	if err := s.SaveState(w.state); err != nil {
 		tb.Fatal(err)
 	}
-	return m
+	return w
 }
 
-func (m *changeWriter) change(tb testing.TB, entries map[string]json.RawMessage) {
-	m.state = m.state.With(entries)
-	c := Change{m.state.Epoch, m.state.Seq, entries}
+func (w *changeWriter) change(tb testing.TB, entries map[string]json.RawMessage) {
+	w.state = w.state.With(entries)
+	c := Change{w.state.Epoch, w.state.Seq, entries}
 	raw, err := json.Marshal(c)
 	if err == nil {
-		m.sent += int64(len(raw))
-		err = m.s.Append(c)
+		w.sent += int64(len(raw))
+		err = w.s.Append(c)
 	}
 	if err != nil {
 		tb.Fatal(err)
 	}
 }
 
-// After thousands of changes, and lives, neither the file nor what is known of
-// the past grows any more.
-func TestNothingGrowsWithTheChanges(t *testing.T) {
-	m := newChangeWriter(t, func(*os.File) error { return nil })
-	most := int64(0)
+// After thousands of changes and several restarts, neither the store file nor the record of
+// earlier changes grows without bound.
+func TestStoreAndRevisionsStayBounded(t *testing.T) {
+	w := newChangeWriter(t, func(*os.File) error { return nil })
+	maxSize := int64(0)
 	for n := range 12_000 {
-		m.change(t, changeWithChurn(n))
-		most = max(most, m.s.size)
-		if m.state.revisions.count > 2*minRevisions {
-			t.Fatalf("%d changes are known", m.state.revisions.count)
+		w.change(t, changeWithChurn(n))
+		maxSize = max(maxSize, w.s.size)
+		if w.state.revisions.count > 2*minRevisions {
+			t.Fatalf("%d changes are kept", w.state.revisions.count)
 		}
-		if n%2000 == 1999 { // another life, which is as large when it begins as the one before was
-			if err := m.s.Close(); err != nil {
+		if n%2000 == 1999 { // a restart, at which the file is as large as before it
+			if err := w.s.Close(); err != nil {
 				t.Fatal(err)
 			}
-			s, err := openStore(storeDir(m.s), m.s.sync)
+			s, err := openStore(storeDir(w.s), w.s.sync)
 			if err != nil {
 				t.Fatal(err)
 			}
-			m.s = s
+			w.s = s
 		}
 	}
-	if most > compactAbove+8<<10 {
-		t.Errorf("the store had up to %d bytes", most)
+	if maxSize > compactAbove+8<<10 {
+		t.Errorf("the store grew to %d bytes", maxSize)
 	}
-	if got, err := m.s.LoadState(); err != nil || got.Seq != m.state.Seq || len(got.Entries) > 300 || !got.equal(m.state) {
+	if got, err := w.s.LoadState(); err != nil || got.Seq != w.state.Seq || len(got.Entries) > 300 || !got.equal(w.state) {
 		t.Errorf("after 12000 changes: seq %d with %d entries, %v", got.Seq, len(got.Entries), err)
 	}
-	if seq := m.state.Seq - minRevisions + 1; !m.state.Knows(seq) || len(m.state.Since(m.state.Seq-1)) != 4 {
-		t.Errorf("what changed since %d is not known", seq)
+	if seq := w.state.Seq - minRevisions + 1; !w.state.Knows(seq) || len(w.state.Since(w.state.Seq-1)) != 4 {
+		t.Errorf("the changes since %d are not known", seq)
 	}
 }
 
 func storeDir(s *Store) string { return strings.TrimSuffix(s.path, "/"+StoreFile) }
 
-// BenchmarkChange tells what one change costs after so many: time, bytes to a
-// backup, bytes to the disk, and how large the file is.
+// BenchmarkChange measures the cost of one change after a number of earlier ones: time, bytes
+// to a backup, bytes to the disk, and the size of the file.
 func BenchmarkChange(b *testing.B) {
 	for _, before := range []int{100, 1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(before), func(b *testing.B) {
-			m := newChangeWriter(b, func(*os.File) error { return nil })
+			w := newChangeWriter(b, func(*os.File) error { return nil })
 			for n := range before {
-				m.change(b, changeWithChurn(n))
+				w.change(b, changeWithChurn(n))
 			}
-			m.sent, m.wrote = 0, 0
+			w.sent, w.written = 0, 0
 			n := before
 			for b.Loop() {
-				m.change(b, changeWithChurn(n))
+				w.change(b, changeWithChurn(n))
 				n++
 			}
-			b.ReportMetric(float64(m.sent)/float64(b.N), "sent-B/op")
-			b.ReportMetric(float64(m.wrote)/float64(b.N), "disk-B/op")
-			b.ReportMetric(float64(m.s.size), "file-B")
+			b.ReportMetric(float64(w.sent)/float64(b.N), "sent-B/op")
+			b.ReportMetric(float64(w.written)/float64(b.N), "disk-B/op")
+			b.ReportMetric(float64(w.s.size), "file-B")
 		})
 	}
 }
--- a/internal/controlstate/invariants_test.go
+++ b/internal/controlstate/invariants_test.go
@@ -9,8 +9,9 @@
 	"indigowalk/internal/kernel"
 )
 
-// A primary that lacks what was durable, and a second primary of an epoch, are found.
-func TestInvariantsOfTheControlState(t *testing.T) {
+// The invariant checks detect a primary that lacks a durable change, and two primaries of the
+// same epoch.
+func TestInvariantViolationsAreDetected(t *testing.T) {
 	self := Member{Name: "a", Addr: "10.0.0.1:7440", Disk: "d"}
 	at := func() *Replica {
 		k := kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))
@@ -22,7 +23,7 @@
 		want []invariant.Invariant
 	}{
 		"the newest change":     {func(v *Replica) { v.lead(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 7}, 0, nil) }, nil},
-		"a durable change less": {func(v *Replica) { v.lead(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 6}, 0, nil) }, []invariant.Invariant{invariant.StateKept}},
+		"a durable change lost": {func(v *Replica) { v.lead(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 6}, 0, nil) }, []invariant.Invariant{invariant.StateKept}},
 		"one primary": {func(v *Replica) {
 			v.observe(view)
 			v.observe(view)
--- a/internal/controlstate/revisions.go
+++ b/internal/controlstate/revisions.go
@@ -36,8 +36,8 @@
 	return seq >= s.revisions.completeAfter && (seq < s.revisions.gapFrom || seq >= s.revisions.gapTo)
 }
 
-// Since lists the keys of the entries that were modified or deleted after a sequence number
-// for which Knows holds.
+// Since lists the keys of the entries that were modified or deleted after a known sequence
+// number.
 func (s State) Since(seq int64) (keys []string) {
 	listed := map[string]bool{}
 	for r := s.revisions.newest; r != nil && r.seq > seq; r = r.prev {
--- a/internal/controlstate/revisions_test.go
+++ b/internal/controlstate/revisions_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// Whatever states, writes and copies a member has seen, what it says changed
-// since a sequence that it knows covers every difference between what was in
-// force then and now.
-func TestPastCoversEveryDifference(t *testing.T) {
+// Whatever states, writes and copies a member has seen, the keys that it lists as changed since
+// a sequence number that it knows cover every difference between the durable state then and
+// now.
+func TestRevisionsCoverEveryDifference(t *testing.T) {
 	for seed := range uint64(1500) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		draw := func() map[string]json.RawMessage {
+		randomChange := func() map[string]json.RawMessage {
 			out := map[string]json.RawMessage{}
 			for range 1 {
 				raw := json.RawMessage(strconv.Itoa(rnd.IntN(2)))
@@ -30,30 +30,30 @@
 		history := map[int64]map[string]json.RawMessage{1: nil}
 		members := []State{durable, durable, durable}
 		for range 40 {
-			switch lead := rnd.IntN(len(members)); rnd.IntN(4) {
+			switch primary := rnd.IntN(len(members)); rnd.IntN(4) {
 			case 0:
-				// A change that only one member has seen, and that nobody acknowledges.
-				if members[lead].Epoch == durable.Epoch && members[lead].Seq == durable.Seq {
-					members[lead] = members[lead].With(draw())
+				// A change that only one member has written and that is never acknowledged.
+				if members[primary].Epoch == durable.Epoch && members[primary].Seq == durable.Seq {
+					members[primary] = members[primary].With(randomChange())
 				}
 			case 1:
-				// Another primary: its state, whose last change may have been
-				// unacknowledged, is copied to some.
-				if members[lead].Epoch != durable.Epoch {
+				// A new primary: its state, whose last change may be unacknowledged, is
+				// copied to some members.
+				if members[primary].Epoch != durable.Epoch {
 					continue
 				}
-				members[lead].Epoch++
-				durable = members[lead]
+				members[primary].Epoch++
+				durable = members[primary]
 				for i := range members {
-					if i != lead && rnd.IntN(2) == 0 {
+					if i != primary && rnd.IntN(2) == 0 {
 						members[i] = State{Epoch: durable.Epoch, Seq: durable.Seq, Entries: durable.Entries}.withHistoryOf(members[i])
 					}
 				}
 				history[durable.Seq] = durable.Entries
 			default:
-				// A change that all who follow the primary write. If one of them has
-				// another on its disk, another epoch must come first.
-				c, seq := draw(), durable.Seq
+				// A change that all members of the primary's epoch write. If one of them
+				// has a different change on its disk, a new epoch must come first.
+				c, seq := randomChange(), durable.Seq
 				if slices.ContainsFunc(members, func(m State) bool { return m.Epoch == durable.Epoch && m.Seq != seq }) {
 					continue
 				}
@@ -69,18 +69,18 @@
 				if m.Seq != durable.Seq || !maps.EqualFunc(m.Entries, durable.Entries, equalJSON) {
 					continue
 				}
-				for seq, then := range history {
+				for seq, earlier := range history {
 					if seq > m.Seq || !m.Knows(seq) {
 						continue
 					}
-					told := map[string]bool{}
+					listed := map[string]bool{}
 					for _, key := range m.Since(seq) {
-						told[key] = true
+						listed[key] = true
 					}
 					for k := range 3 {
 						key := strconv.Itoa(k)
-						if string(then[key]) != string(m.Entries[key]) && !told[key] {
-							t.Fatalf("seed %d: entry %s was %s at %d, is %s at %d, and is not told", seed, key, then[key], seq, m.Entries[key], m.Seq)
+						if string(earlier[key]) != string(m.Entries[key]) && !listed[key] {
+							t.Fatalf("seed %d: entry %s was %s at %d, is %s at %d, and is not listed", seed, key, earlier[key], seq, m.Entries[key], m.Seq)
 						}
 					}
 				}
--- a/internal/controlstate/snapshot_test.go
+++ b/internal/controlstate/snapshot_test.go
@@ -14,7 +14,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// newReceiver is a control state that only takes copies.
+// newReceiver returns a Replica that only receives snapshots.
 func newReceiver(t *testing.T) *Replica {
 	return &Replica{
 		k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), store: open(t, t.TempDir()),
@@ -22,7 +22,7 @@
 	}
 }
 
-// splitChunks cuts a snapshot as a sender does.
+// splitChunks splits a snapshot into chunks as a sender does.
 func splitChunks(id snapshotID, data []byte) (out []chunk) {
 	count := max(1, (len(data)+chunkBytes-1)/chunkBytes)
 	for i := range count {
@@ -32,6 +32,7 @@
 	return out
 }
 
+// largeState returns a state that takes several chunks.
 func largeState(epoch, seq int64) State {
 	entries := map[string]json.RawMessage{"one": json.RawMessage(`"` + strings.Repeat("x", 3*chunkBytes) + `"`)}
 	for i := range 50 {
@@ -40,9 +41,9 @@
 	return State{Epoch: epoch, Seq: seq, Entries: entries}
 }
 
-// A snapshot is taken only if all of it arrives, in order, unharmed and for an
-// epoch above the receiver's own; whatever else arrives is refused and counted.
-func TestSnapshotIsTakenWholeOrNotAtAll(t *testing.T) {
+// A snapshot is installed only if all its chunks arrive in order and intact, for an epoch
+// above that of the receiver's state; anything else is rejected and counted.
+func TestSnapshotIsInstalledWholeOrNotAtAll(t *testing.T) {
 	v := newReceiver(t)
 	send := func(c chunk) (copyResponse, error) {
 		a, err := v.onCopy(context.Background(), c)
@@ -56,9 +57,9 @@
 	id := snapshotID{Epoch: 5, Seq: 40, Digest: s.digest}
 	all := splitChunks(id, s.encoded)
 	with := func(c chunk, f func(*chunk)) chunk { f(&c); return c }
-	older := splitChunks(snapshotID{Epoch: 5, Seq: 39, Digest: "older"}, s.encoded)
+	olderChunks := splitChunks(snapshotID{Epoch: 5, Seq: 39, Digest: "older"}, s.encoded)
 	newer := newSnapshot(largeState(6, 41))
-	again := splitChunks(snapshotID{Epoch: 6, Seq: 41, Digest: newer.digest}, newer.encoded)
+	newerChunks := splitChunks(snapshotID{Epoch: 6, Seq: 41, Digest: newer.digest}, newer.encoded)
 	last := len(all) - 1
 	for i, step := range []struct {
 		what string
@@ -69,41 +70,41 @@
 		{"a chunk of an unknown transfer", all[1], 0, errTransfer},
 		{"the first", all[0], 1, nil},
 		{"the first again", all[0], 1, nil},
-		{"one left out", all[2], 0, errTransfer},
+		{"a skipped chunk", all[2], 0, errTransfer},
 		{"a flipped bit", with(all[1], func(c *chunk) { c.Checksum++ }), 0, errChunk},
-		{"beyond the last", with(all[1], func(c *chunk) { c.Index = c.Count }), 0, errChunk},
-		{"one of another epoch", with(all[1], func(c *chunk) { c.Epoch = 4 }), 0, errTransfer},
+		{"an index beyond the last", with(all[1], func(c *chunk) { c.Index = c.Count }), 0, errChunk},
+		{"a chunk of another epoch", with(all[1], func(c *chunk) { c.Epoch = 4 }), 0, errTransfer},
 		{"another number of chunks", with(all[1], func(c *chunk) { c.Count++ }), 0, errTransfer},
-		{"the first of an older transfer", older[0], 0, errTransfer},
+		{"the first of an older transfer", olderChunks[0], 0, errTransfer},
 		{"the second", all[1], 2, nil},
-		{"the first of a newer transfer", again[0], 1, nil},
-		{"the third of the one that it replaced", all[2], 0, errTransfer},
-		{"the one that it replaced, from the first", all[0], 0, errTransfer},
+		{"the first of a newer transfer", newerChunks[0], 1, nil},
+		{"the third of the replaced transfer", all[2], 0, errTransfer},
+		{"the replaced transfer, from the first", all[0], 0, errTransfer},
 	} {
 		if a, err := send(step.c); !errors.Is(err, step.err) || a.Next != step.next || a.Member.Disk != "" {
 			t.Errorf("step %d, %s: %+v %v", i, step.what, a, err)
 		}
 	}
 	if n := v.k.Counters.Snapshot()["controlstate.chunk_refused"]; n != 9 {
-		t.Errorf("%d refusals are counted", n)
+		t.Errorf("%d rejections are counted", n)
 	}
 	if v.state.Seq != 0 {
-		t.Error("an unfinished snapshot is in place")
+		t.Error("an unfinished snapshot is installed")
 	}
-	for i, c := range again[1:] {
+	for i, c := range newerChunks[1:] {
 		a, err := send(c)
 		if err != nil || a.Next != i+2 || (a.Member.Disk != "") != (i+1 == last) {
 			t.Errorf("chunk %d: %+v %v", i+1, a, err)
 		}
 	}
-	if a, err := send(again[last]); err != nil || a.Member != v.self {
+	if a, err := send(newerChunks[last]); err != nil || a.Member != v.self {
 		t.Errorf("the last again: %+v %v", a, err)
 	}
 	if _, err := send(all[0]); !errors.Is(err, errOldEpoch) {
 		t.Errorf("a snapshot of an older epoch: %v", err)
 	}
 	if have, err := v.store.LoadState(); err != nil || have.Epoch != 6 || !maps.EqualFunc(have.Entries, largeState(6, 41).Entries, equalJSON) || !maps.EqualFunc(v.state.Entries, have.Entries, equalJSON) {
-		t.Errorf("in place and on disk: epoch %d seq %d, %v", have.Epoch, have.Seq, err)
+		t.Errorf("in memory and on disk: epoch %d seq %d, %v", have.Epoch, have.Seq, err)
 	}
 	bad := newSnapshot(largeState(7, 50))
 	for i, c := range splitChunks(snapshotID{Epoch: 7, Seq: 50, Digest: "another"}, bad.encoded) {
@@ -113,19 +114,20 @@
 	}
 }
 
-// What a control node lacks is told apart from what it has even if its last change
-// was acknowledged by nobody; if that can't be known, the digest tells.
-func TestDifferenceMakesTheSendersState(t *testing.T) {
+// A difference leads to the sender's state even if the receiver's last change was never
+// acknowledged. If the receiver does not know what that change was, the digest reveals the
+// mismatch.
+func TestDifferenceYieldsSendersState(t *testing.T) {
 	for _, c := range []struct {
 		what  string
 		lost  map[string]json.RawMessage // the receiver's last change, which the sender never saw
-		knows bool                       // the receiver knows what that was
-		fits  bool
+		knows bool                       // the receiver knows which entries it changed
+		fits  bool                       // the difference leads to the sender's state
 	}{
 		{"none", nil, true, true},
-		{"of an entry that the sender changed too", map[string]json.RawMessage{"key 1": json.RawMessage(`"lost"`)}, false, true},
-		{"of another", map[string]json.RawMessage{"key 7": json.RawMessage(`"lost"`), "new": json.RawMessage(`1`), "key 8": nil}, true, true},
-		{"of another, not known", map[string]json.RawMessage{"key 7": json.RawMessage(`"lost"`)}, false, false},
+		{"of an entry that the sender changed as well", map[string]json.RawMessage{"key 1": json.RawMessage(`"lost"`)}, false, true},
+		{"of another entry", map[string]json.RawMessage{"key 7": json.RawMessage(`"lost"`), "new": json.RawMessage(`1`), "key 8": nil}, true, true},
+		{"of another entry, not known", map[string]json.RawMessage{"key 7": json.RawMessage(`"lost"`)}, false, false},
 	} {
 		v := newReceiver(t)
 		common := largeState(5, 40).WithoutRevisions()
@@ -135,25 +137,25 @@
 				v.state = v.state.WithoutRevisions()
 			}
 		}
-		mine := common
+		sender := common
 		for i := range 3 {
-			mine = mine.With(map[string]json.RawMessage{fmt.Sprint("key ", i): json.RawMessage(`"mine"`), fmt.Sprint("key ", 10+i): nil})
+			sender = sender.With(map[string]json.RawMessage{fmt.Sprint("key ", i): json.RawMessage(`"mine"`), fmt.Sprint("key ", 10+i): nil})
 		}
-		mine.Epoch = 6
-		s := newSnapshot(mine)
-		id := snapshotID{Epoch: 6, Seq: mine.Seq, Digest: s.digest}
+		sender.Epoch = 6
+		s := newSnapshot(sender)
+		id := snapshotID{Epoch: 6, Seq: sender.Seq, Digest: s.digest}
 		o, err := v.onOffer(context.Background(), id)
 		if err != nil {
 			t.Fatal(err)
 		}
 		have := o.(offerResponse)
 		id.Since = have.Seq
-		less := s.difference(have)
-		if len(less) > 300 {
-			t.Errorf("%s: %d bytes are sent", c.what, len(less))
+		diff := s.difference(have)
+		if len(diff) > 300 {
+			t.Errorf("%s: %d bytes are sent", c.what, len(diff))
 		}
-		a, err := v.onCopy(context.Background(), splitChunks(id, less)[0])
-		if c.fits && (err != nil || a.(copyResponse).Member != v.self || !maps.EqualFunc(v.state.Entries, mine.Entries, equalJSON)) {
+		a, err := v.onCopy(context.Background(), splitChunks(id, diff)[0])
+		if c.fits && (err != nil || a.(copyResponse).Member != v.self || !maps.EqualFunc(v.state.Entries, sender.Entries, equalJSON)) {
 			t.Errorf("%s: %+v %v", c.what, a, err)
 		}
 		if !c.fits && (!errors.Is(err, errDigestMismatch) || v.state.Epoch != 5) {
