--- a/internal/controlstate/snapshot_send.go
+++ b/internal/controlstate/snapshot_send.go
@@ -212,7 +212,7 @@
 }
 
 // staged reports whether a view can be formed without copying much while it is being formed.
-// If not, the state is first staged on the future backups: meanwhile the lease is still
+// If not, the state is first copied to the future backups: meanwhile the lease is still
 // renewed, reads and changes continue, and no witness has promised the next epoch.
 func (v *Replica) staged() bool {
 	v.mu.Lock()
