--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -1,7 +1,7 @@
-// Package controlapi is the control node's HTTP side: databases send their beats
-// here, the operator the configuration. Whoever is not the control state's primary
-// sends callers there, or to a member who knows more. An answer leaves only in
-// the primary's term in which it was made.
+// Package controlapi is the control node's HTTP API: databases send their heartbeats here, and
+// the operator the configuration. A control node that is not the control state's primary
+// redirects callers to the primary, or to a member that may know it. A response leaves only in
+// the term of the primary in which it was made.
 package controlapi
 
 import (
@@ -27,30 +27,30 @@
 	"indigowalk/internal/settings"
 )
 
-// maxBeat bounds a beat.
-const maxBeat = 16 << 10
+// maxHeartbeat bounds the body of a heartbeat, in bytes.
+const maxHeartbeat = 16 << 10
 
 const (
-	// maxHead bounds the head of a call.
-	maxHead = 64 << 10
-	// bodyCopies is how often a body lies in memory: as it came and as what it says.
+	// maxHeaderBytes bounds the header of a request.
+	maxHeaderBytes = 64 << 10
+	// bodyCopies is how many copies of a body are in memory: the raw bytes and the decoded
+	// value.
 	bodyCopies = 2
 )
 
-// callWait bounds the work on one call: callers give up after a second.
-const callWait = 900 * time.Millisecond
+// callTimeout bounds the processing of one request: callers time out after a second.
+const callTimeout = 900 * time.Millisecond
 
-// lastAnswers is how long the end of the process waits for calls that are being
-// worked on.
-const lastAnswers = 200 * time.Millisecond
+// shutdownGrace is how long shutdown waits for requests in progress.
+const shutdownGrace = 200 * time.Millisecond
 
-// Server serves the control address.
+// Server serves the HTTP API at the control address.
 type Server struct {
-	k    *kernel.Kernel
-	addr string
-	v    *controlstate.Replica
-	acc  *discovery.Registry
-	cat  *routeconfig.Registry
+	k         *kernel.Kernel
+	addr      string
+	replica   *controlstate.Replica
+	databases *discovery.Registry
+	config    *routeconfig.Registry
 
 	failures *failurelog.Log
 	memory   *memorybudget.Budget
@@ -60,44 +60,44 @@
 	kernel.Register(kernel.Plugin{
 		Name: "controlapi", Rank: 80, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
-			s := kernel.Need[*settings.Live](k).Now()
-			if s.ControlAddr == "" {
-				return &settings.Error{Key: "listen.control_addr", Reason: "a control node needs it"}
+			current := kernel.Need[*settings.Live](k).Now()
+			if current.ControlAddr == "" {
+				return &settings.Error{Key: "listen.control_addr", Reason: "required on a control node"}
 			}
-			r := New(k, s.ControlAddr, kernel.Need[*controlstate.Replica](k),
+			server := New(k, current.ControlAddr, kernel.Need[*controlstate.Replica](k),
 				kernel.Need[*discovery.Registry](k), kernel.Need[*routeconfig.Registry](k))
-			r.memory = kernel.Need[*memorybudget.Budget](k)
-			r.failures = kernel.Need[*failurelog.Log](k)
-			k.Supervise("controlapi", r.Serve)
+			server.memory = kernel.Need[*memorybudget.Budget](k)
+			server.failures = kernel.Need[*failurelog.Log](k)
+			k.Supervise("controlapi", server.Serve)
 			return nil
 		},
 	})
 }
 
-// New returns a control API that will listen at addr.
-func New(k *kernel.Kernel, addr string, v *controlstate.Replica, acc *discovery.Registry, cat *routeconfig.Registry) *Server {
-	return &Server{k: k, addr: addr, v: v, acc: acc, cat: cat}
+// New returns a server that will listen at addr.
+func New(k *kernel.Kernel, addr string, replica *controlstate.Replica, databases *discovery.Registry, config *routeconfig.Registry) *Server {
+	return &Server{k: k, addr: addr, replica: replica, databases: databases, config: config}
 }
 
-// Serve answers until ctx ends.
+// Serve serves requests until ctx ends.
 func (r *Server) Serve(ctx context.Context) error {
-	ln, err := r.k.Net.Listen(r.addr)
+	listener, err := r.k.Net.Listen(r.addr)
 	if err != nil {
 		return fmt.Errorf("controlapi: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /Servers.Heartbeat/{id}", r.primary(r.heartbeat))
-	mux.HandleFunc("POST /Servers.Deregister/{id}", r.primary(r.deregister))
-	mux.HandleFunc("POST /Conf.Replace", r.primary(r.change(r.cat.Replace)))
-	mux.HandleFunc("POST /Conf.Update", r.primary(r.change(r.cat.Update)))
-	mux.HandleFunc("GET /Conf.Fetch", r.primary(r.fetch))
-	srv := &http.Server{Handler: r.recordFailures(mux), MaxHeaderBytes: maxHead, ReadHeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second}
+	mux.HandleFunc("POST /Servers.Heartbeat/{id}", r.onPrimary(r.heartbeat))
+	mux.HandleFunc("POST /Servers.Deregister/{id}", r.onPrimary(r.deregister))
+	mux.HandleFunc("POST /Conf.Replace", r.onPrimary(r.changeConfig(r.config.Replace)))
+	mux.HandleFunc("POST /Conf.Update", r.onPrimary(r.changeConfig(r.config.Update)))
+	mux.HandleFunc("GET /Conf.Fetch", r.onPrimary(r.fetch))
+	server := &http.Server{Handler: r.recordFailures(mux), MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second}
 	closed := make(chan struct{})
 	defer context.AfterFunc(ctx, func() {
 		defer close(closed)
-		r.close(srv)
+		r.close(server)
 	})()
-	if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("controlapi: %w", err)
 	}
 	if ctx.Err() != nil {
@@ -106,58 +106,58 @@
 	return nil
 }
 
-// close ends the server once the calls that are being worked on have their answers,
-// within a moment: an order that is cut off is asked for again.
-func (r *Server) close(srv *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+// close shuts the server down once the requests in progress have their responses, or after
+// shutdownGrace: callers retry a change whose connection is closed.
+func (r *Server) close(server *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 	defer cancel()
-	if err := srv.Shutdown(ctx); err != nil {
+	if err := server.Shutdown(ctx); err != nil {
 		r.k.Counters.Add("controlapi.cut_at_end", 1)
-		srv.Close()
+		server.Close()
 	}
 }
 
-// primary lets the call through on the control state's primary, and sends the caller on
-// from elsewhere: a caller may be able to reach what this control node can't.
-func (r *Server) primary(h http.HandlerFunc) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
-		if term, err := r.v.Term(); err == nil {
-			// The answer leaves only in the term in which it was made: a process
-			// that was frozen meanwhile must not speak for one that is over, also
-			// if it has won another since.
-			held := &heldAnswer{status: http.StatusOK, header: http.Header{}}
-			h(held, q)
+// onPrimary calls the handler if this control node is the control state's primary, and redirects
+// the caller otherwise: the caller may be able to reach a node that this one can't.
+func (r *Server) onPrimary(handler http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
+		if term, err := r.replica.Term(); err == nil {
+			// The response leaves only in the term in which it was made: a process
+			// that was frozen in the meantime must not respond for a term that has
+			// ended, even if it has won a later one since.
+			buffered := &bufferedResponse{status: http.StatusOK, header: http.Header{}}
+			handler(buffered, request)
 			if !term.Valid() {
 				r.k.Counters.Add("controlapi.term_ended", 1)
-				r.fail(w, http.StatusServiceUnavailable, "the term ended meanwhile")
+				r.writeError(w, http.StatusServiceUnavailable, "the primary's term ended while the request was processed")
 				return
 			}
-			held.send(w, r.k)
+			buffered.flush(w, r.k)
 			return
 		}
-		to := r.control(r.v.Referral())
-		if to == "" {
-			r.fail(w, http.StatusServiceUnavailable, "no primary is known now")
+		primary := r.controlAddress(r.replica.Referral())
+		if primary == "" {
+			r.writeError(w, http.StatusServiceUnavailable, "no primary is known")
 			return
 		}
 		r.k.Counters.Add("controlapi.redirected", 1)
-		w.Header().Set("Location", "http://"+to+q.URL.RequestURI())
+		w.Header().Set("Location", "http://"+primary+request.URL.RequestURI())
 		w.WriteHeader(http.StatusTemporaryRedirect)
 	}
 }
 
-// heldAnswer is an answer that is not on its way yet.
-type heldAnswer struct {
+// bufferedResponse is a response that has not been sent yet.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   bytes.Buffer
 }
 
-func (a *heldAnswer) Header() http.Header           { return a.header }
-func (a *heldAnswer) WriteHeader(status int)        { a.status = status }
-func (a *heldAnswer) Write(raw []byte) (int, error) { return a.body.Write(raw) }
+func (a *bufferedResponse) Header() http.Header           { return a.header }
+func (a *bufferedResponse) WriteHeader(status int)        { a.status = status }
+func (a *bufferedResponse) Write(raw []byte) (int, error) { return a.body.Write(raw) }
 
-func (a *heldAnswer) send(w http.ResponseWriter, k *kernel.Kernel) {
+func (a *bufferedResponse) flush(w http.ResponseWriter, k *kernel.Kernel) {
 	maps.Copy(w.Header(), a.header)
 	w.WriteHeader(a.status)
 	if _, err := w.Write(a.body.Bytes()); err != nil {
@@ -165,10 +165,10 @@
 	}
 }
 
-// control is the control address of the control node at an inner address: the
-// ports are the same on all machines.
-func (r *Server) control(inner string) string {
-	host, _, err := net.SplitHostPort(inner)
+// controlAddress returns the control address of the control node with the given internal
+// address. The control port is the same on all machines.
+func (r *Server) controlAddress(internal string) string {
+	host, _, err := net.SplitHostPort(internal)
 	if err != nil {
 		return ""
 	}
@@ -179,94 +179,95 @@
 	return net.JoinHostPort(host, port)
 }
 
-type problem struct {
+type errorResponse struct {
 	Err    string   `json:"err"`
 	Fields []string `json:"fields,omitempty"`
 }
 
-func (r *Server) fail(w http.ResponseWriter, status int, reason string, fields ...string) {
+func (r *Server) writeError(w http.ResponseWriter, status int, reason string, fields ...string) {
 	r.k.Counters.Add("controlapi.answered_"+strconv.Itoa(status), 1)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	if err := json.NewEncoder(w).Encode(problem{reason, fields}); err != nil {
+	if err := json.NewEncoder(w).Encode(errorResponse{reason, fields}); err != nil {
 		r.k.Counters.Add("controlapi.unsent", 1)
 	}
 }
 
-// body reads at most limit bytes; it has answered if it returns false. What it has read
-// is held.
-func (r *Server) body(w http.ResponseWriter, q *http.Request, holding *memorybudget.Holding, limit int64) ([]byte, bool) {
-	raw, err := holding.ReadAll(http.MaxBytesReader(w, q.Body, limit), bodyCopies)
-	var long *http.MaxBytesError
+// readBody reads a body of at most limit bytes and charges it to the memory budget. If it
+// returns false, it has written the error response.
+func (r *Server) readBody(w http.ResponseWriter, request *http.Request, holding *memorybudget.Holding, limit int64) ([]byte, bool) {
+	raw, err := holding.ReadAll(http.MaxBytesReader(w, request.Body, limit), bodyCopies)
+	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, memorybudget.ErrFull):
 		r.k.Counters.Add("controlapi.memory_full", 1)
-		r.fail(w, http.StatusServiceUnavailable, err.Error())
+		r.writeError(w, http.StatusServiceUnavailable, err.Error())
 		return nil, false
-	case errors.As(err, &long):
-		r.fail(w, http.StatusRequestEntityTooLarge, "body over "+strconv.FormatInt(limit, 10)+" bytes")
+	case errors.As(err, &tooLarge):
+		r.writeError(w, http.StatusRequestEntityTooLarge, "body over "+strconv.FormatInt(limit, 10)+" bytes")
 		return nil, false
 	case err != nil:
-		// What never arrived says nothing of the order: it may be one that was
-		// taken, so this is no refusal of it.
+		// A body that did not arrive in full says nothing about the change: it may have
+		// been accepted before, so this must not be a status that means rejection.
 		r.k.Counters.Add("controlapi.cut_short", 1)
-		r.fail(w, http.StatusRequestTimeout, "body: is not there in full", "body")
+		r.writeError(w, http.StatusRequestTimeout, "body: incomplete", "body")
 		return nil, false
 	}
 	return raw, true
 }
 
-func (r *Server) heartbeat(w http.ResponseWriter, q *http.Request) {
-	holding := r.memory.Hold(maxBeat * bodyCopies)
+func (r *Server) heartbeat(w http.ResponseWriter, request *http.Request) {
+	holding := r.memory.Hold(maxHeartbeat * bodyCopies)
 	defer holding.Release()
-	raw, ok := r.body(w, q, holding, maxBeat)
+	raw, ok := r.readBody(w, request, holding, maxHeartbeat)
 	if !ok {
 		return
 	}
-	var b discovery.Beat
-	if err := json.Unmarshal(raw, &b); err != nil {
-		r.fail(w, http.StatusBadRequest, "beat: "+err.Error())
+	var beat discovery.Beat
+	if err := json.Unmarshal(raw, &beat); err != nil {
+		r.writeError(w, http.StatusBadRequest, "heartbeat: "+err.Error())
 		return
 	}
-	ctx, cancel := context.WithTimeout(q.Context(), callWait)
+	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
-	err := r.acc.Heartbeat(ctx, q.PathValue("id"), b)
+	err := r.databases.Heartbeat(ctx, request.PathValue("id"), beat)
 	switch {
 	case errors.Is(err, discovery.ErrMalformed):
-		r.fail(w, http.StatusBadRequest, "beat: svc and address are needed")
+		r.writeError(w, http.StatusBadRequest, "heartbeat: svc and address are required")
 	case err != nil:
-		r.fail(w, http.StatusServiceUnavailable, err.Error())
+		r.writeError(w, http.StatusServiceUnavailable, err.Error())
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		io.WriteString(w, `{"beat_addr":"`+r.addr+`"}`)
 	}
 }
 
-func (r *Server) deregister(w http.ResponseWriter, q *http.Request) {
-	ctx, cancel := context.WithTimeout(q.Context(), callWait)
+func (r *Server) deregister(w http.ResponseWriter, request *http.Request) {
+	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
-	if err := r.acc.Deregister(ctx, q.PathValue("id")); err != nil {
-		r.fail(w, http.StatusServiceUnavailable, err.Error())
+	if err := r.databases.Deregister(ctx, request.PathValue("id")); err != nil {
+		r.writeError(w, http.StatusServiceUnavailable, err.Error())
 	}
 }
 
-// change takes a whole configuration, or a change of named items.
-func (r *Server) change(take func(ctx context.Context, base int64, raw []byte) error) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
+// changeConfig returns the handler for a complete configuration or a change of named items,
+// which it passes to apply.
+func (r *Server) changeConfig(apply func(ctx context.Context, base int64, raw []byte) error) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
 		holding := r.memory.Hold(0)
 		defer holding.Release()
-		raw, ok := r.body(w, q, holding, routeconfig.MaxBody)
+		raw, ok := r.readBody(w, request, holding, routeconfig.MaxBody)
 		if !ok {
 			return
 		}
-		base, err := strconv.ParseInt(strings.TrimSpace(q.Header.Get("X-Indigowalk-Base-Version")), 10, 64)
+		base, err := strconv.ParseInt(strings.TrimSpace(request.Header.Get("X-Indigowalk-Base-Version")), 10, 64)
 		if err != nil || base < 0 {
-			r.fail(w, http.StatusBadRequest, "X-Indigowalk-Base-Version is not a version", "X-Indigowalk-Base-Version")
+			r.writeError(w, http.StatusBadRequest, "X-Indigowalk-Base-Version is not a version", "X-Indigowalk-Base-Version")
 			return
 		}
-		ctx, cancel := context.WithTimeout(q.Context(), callWait)
+		ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 		defer cancel()
-		err = take(ctx, base, raw)
+		err = apply(ctx, base, raw)
 		var invalid *routeconfig.Invalid
 		switch {
 		case errors.As(err, &invalid):
@@ -274,22 +275,22 @@
 			for _, f := range invalid.Faults {
 				fields = append(fields, f.Error())
 			}
-			r.fail(w, http.StatusBadRequest, "invalid configuration", fields...)
+			r.writeError(w, http.StatusBadRequest, "invalid configuration", fields...)
 		case errors.Is(err, routeconfig.ErrOtherVersion):
-			r.fail(w, http.StatusPreconditionFailed, err.Error())
+			r.writeError(w, http.StatusPreconditionFailed, err.Error())
 		case err != nil:
-			r.fail(w, http.StatusServiceUnavailable, err.Error())
+			r.writeError(w, http.StatusServiceUnavailable, err.Error())
 		}
 	}
 }
 
 func (r *Server) fetch(w http.ResponseWriter, _ *http.Request) {
-	body, err := r.cat.Fetch()
+	body, err := r.config.Fetch()
 	switch {
 	case err != nil:
-		r.fail(w, http.StatusServiceUnavailable, err.Error())
+		r.writeError(w, http.StatusServiceUnavailable, err.Error())
 	case body == nil:
-		r.fail(w, http.StatusNotFound, "no configuration yet")
+		r.writeError(w, http.StatusNotFound, "no configuration yet")
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		if _, err := w.Write(body); err != nil {
--- a/internal/controlapi/export_test.go
+++ b/internal/controlapi/export_test.go
@@ -2,5 +2,5 @@
 
 import "net/http"
 
-// InTerm has a handler answer as the control address does.
-func (r *Server) InTerm(h http.HandlerFunc) http.HandlerFunc { return r.primary(h) }
+// InTerm wraps a handler the way requests to the control address are handled.
+func (r *Server) InTerm(h http.HandlerFunc) http.HandlerFunc { return r.onPrimary(h) }
--- a/internal/controlapi/failures.go
+++ b/internal/controlapi/failures.go
@@ -8,42 +8,42 @@
 	"indigowalk/internal/failurelog"
 )
 
-// answerWriter passes an answer on and remembers what it was, if it is a refusal.
-type answerWriter struct {
+// responseRecorder forwards a response and records its status and, for errors, its content.
+type responseRecorder struct {
 	http.ResponseWriter
-	status int
-	reason problem
+	status   int
+	response errorResponse
 }
 
-func (a *answerWriter) WriteHeader(status int) {
+func (a *responseRecorder) WriteHeader(status int) {
 	a.status = status
 	a.ResponseWriter.WriteHeader(status)
 }
 
-func (a *answerWriter) Write(raw []byte) (int, error) {
-	if a.status >= http.StatusBadRequest && json.Unmarshal(raw, &a.reason) != nil {
-		a.reason.Err = "unreadable reason"
+func (a *responseRecorder) Write(raw []byte) (int, error) {
+	if a.status >= http.StatusBadRequest && json.Unmarshal(raw, &a.response) != nil {
+		a.response.Err = "unreadable error response"
 	}
 	return a.ResponseWriter.Write(raw)
 }
 
-// recordFailures puts calls that were not carried out into the failure log: the call
-// as its id, and the caller as the route.
+// recordFailures adds requests that failed to the failure log, with the method and path as the
+// id and the caller as the route.
 func (r *Server) recordFailures(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		began := r.k.Clock.Now()
-		answer := &answerWriter{ResponseWriter: w, status: http.StatusOK}
-		next.ServeHTTP(answer, q)
-		if answer.status < http.StatusBadRequest {
+		recorder := &responseRecorder{ResponseWriter: w, status: http.StatusOK}
+		next.ServeHTTP(recorder, request)
+		if recorder.status < http.StatusBadRequest {
 			return
 		}
 		r.failures.Add(failurelog.Failure{
-			ID: q.Method + " " + q.URL.Path, Route: q.RemoteAddr, Answer: strconv.Itoa(answer.status),
-			Cause: callCause(answer.status), Took: r.k.Clock.Now() - began,
-			Attempts: []failurelog.Attempt{{Result: answer.reason.Err}},
+			ID: request.Method + " " + request.URL.Path, Route: request.RemoteAddr, Answer: strconv.Itoa(recorder.status),
+			Cause: failureCause(recorder.status), Took: r.k.Clock.Now() - began,
+			Attempts: []failurelog.Attempt{{Result: recorder.response.Err}},
 		})
 	})
 }
 
-// callCause names a refusal in the counters.
-func callCause(status int) string { return "call_answered_" + strconv.Itoa(status) }
+// failureCause names an error status in the counters.
+func failureCause(status int) string { return "call_answered_" + strconv.Itoa(status) }
--- a/internal/distribution/commits.go
+++ b/internal/distribution/commits.go
@@ -8,31 +8,31 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// commits is what a carrier knows of how far commits reach: those that it
-// acknowledged itself, and, if a control node asks, those that any carrier had
-// acknowledged at a time.
-type commits struct {
-	acked   positions // covers all that this process acknowledged, by service
-	certain positions // that one of those has at least, by service
-	look    *look     // what the last answer asked for
-	since   kernel.Micros
-	at      positions
+// commitTracker tracks the log positions that commits have reached: those of the commits that
+// this proxy acknowledged to clients and, while a control node queries them, those of the
+// commits that any proxy had acknowledged by the time of the query.
+type commitTracker struct {
+	acked     positions      // upper bound for the commits that this process acknowledged, by service
+	certain   positions      // lower bound for the newest of those commits, by service
+	query     *positionQuery // from the last poll response, nil if it had none
+	queriedAt kernel.Micros  // when that response arrived; only statements sent later count
+	observed  positions      // newest positions in primaries' responses since then
 }
 
-// Mark is how things stood at a service's primary when a statement was begun there.
+// Mark is the state of a service's primary at the time a statement was begun there.
 type Mark struct {
-	Term    int64                 // in which it leads
-	Reached lineprotocol.Position // covers what this process had acknowledged
+	Term         int64                 // in which the database is the primary
+	Acknowledged lineprotocol.Position // upper bound for the commits acknowledged by then
 }
 
-// unbounded covers every commit there is.
+// unbounded is a position that covers every possible commit.
 var unbounded = lineprotocol.Position{Term: math.MaxInt64, Number: math.MaxInt64}
 
-// note notes a commit that was begun at a mark and is acknowledged to a client, with the
-// position in its answer.
-func (c *commits) note(service string, begun Mark, position lineprotocol.Position, known bool) {
-	if at := atLeast(begun, position, known); c.certain[service].Less(at) {
-		c.certain.set(service, at)
+// record records a commit that is acknowledged to a client. The commit was begun at the mark;
+// position is the one in the primary's response, if known.
+func (c *commitTracker) record(service string, begun Mark, position lineprotocol.Position, known bool) {
+	if bound := lowerBound(begun, position, known); c.certain[service].Less(bound) {
+		c.certain.set(service, bound)
 	}
 	if !known {
 		position = unbounded
@@ -42,20 +42,21 @@
 	}
 }
 
-// atLeast is a position that a commit has at least, which was begun at a mark: it follows
-// what had been reached, and its answer bears the term in which it was made. The answer's
-// number may lie beyond it, at a commit that no replica has received yet.
-func atLeast(begun Mark, answer lineprotocol.Position, known bool) (at lineprotocol.Position) {
-	if begun.Reached != unbounded {
-		at = begun.Reached.Next()
+// lowerBound returns a lower bound for the position of a commit that was begun at a mark. The
+// commit follows everything that had been acknowledged before, and the response carries the term
+// in which it was made. The number in the response is no lower bound: it may be that of a later
+// commit that no replica has received yet.
+func lowerBound(begun Mark, response lineprotocol.Position, known bool) (bound lineprotocol.Position) {
+	if begun.Acknowledged != unbounded {
+		bound = begun.Acknowledged.Next()
 	}
-	if first := (lineprotocol.Position{Term: answer.Term, Number: 1}); known && at.Less(first) {
-		at = first
+	if first := (lineprotocol.Position{Term: response.Term, Number: 1}); known && bound.Less(first) {
+		bound = first
 	}
-	return at
+	return bound
 }
 
-// set notes the position of a service.
+// set sets the position of a service.
 func (p *positions) set(service string, position lineprotocol.Position) {
 	if *p == nil {
 		*p = positions{}
@@ -63,76 +64,77 @@
 	(*p)[service] = position
 }
 
-// of returns the positions of the services that were left.
-func (p positions) of(left map[string]int64) positions {
+// forServices returns the positions of the given services.
+func (p positions) forServices(services map[string]int64) positions {
 	out := positions{}
-	for service := range left {
-		if position, any := p[service]; any {
+	for service := range services {
+		if position, known := p[service]; known {
 			out[service] = position
 		}
 	}
 	return out
 }
 
-// lookFrom begins what an answer asks for, which came at that time, to a poll
-// that told that. What was seen and is not told yet is told first.
-func (c *commits) lookFrom(l *look, told *saw, now kernel.Micros) {
-	if l != nil && told == nil && len(c.at) > 0 && c.look.Term == l.Term {
+// setQuery installs the query of a poll response that arrived at the given time. reported is
+// what the poll itself reported. Positions that were observed and not reported yet keep the
+// current query alive, so that they are reported first.
+func (c *commitTracker) setQuery(query *positionQuery, reported *positionReport, now kernel.Micros) {
+	if query != nil && reported == nil && len(c.observed) > 0 && c.query.Term == query.Term {
 		return
 	}
-	if l != nil && l.Same && c.look != nil {
-		l.Services = c.look.Services
+	if query != nil && query.Unchanged && c.query != nil {
+		query.Services = c.query.Services
 	}
-	c.look, c.since, c.at = l, now, nil
+	c.query, c.queriedAt, c.observed = query, now, nil
 }
 
-// observe takes in the position in a primary's answer to a statement.
-func (c *commits) observe(service string, sent kernel.Micros, position lineprotocol.Position) {
-	if c.look == nil || sent < c.since || !slices.Contains(c.look.Services, service) {
+// observe records the position in a primary's response to a statement.
+func (c *commitTracker) observe(service string, sent kernel.Micros, position lineprotocol.Position) {
+	if c.query == nil || sent < c.queriedAt || !slices.Contains(c.query.Services, service) {
 		return
 	}
-	if c.at[service].Less(position) {
-		c.at.set(service, position)
+	if c.observed[service].Less(position) {
+		c.observed.set(service, position)
 	}
 }
 
-// seen returns what was asked for, as far as there is any of it.
-func (c *commits) seen() *saw {
-	if c.look == nil || len(c.at) == 0 {
+// report returns the positions observed for the current query, nil if there are none.
+func (c *commitTracker) report() *positionReport {
+	if c.query == nil || len(c.observed) == 0 {
 		return nil
 	}
-	at := make(positions, len(c.at))
-	for service, position := range c.at {
-		at[service] = position
+	observed := make(positions, len(c.observed))
+	for service, position := range c.observed {
+		observed[service] = position
 	}
-	return &saw{Term: c.look.Term, Stamp: c.look.Stamp, At: at}
+	return &positionReport{Term: c.query.Term, Stamp: c.query.Stamp, Positions: observed}
 }
 
-// Acknowledge tells whether a commit that the primary has just acknowledged, with
-// the position in its answer, may be acknowledged to a client, and notes it if so:
-// the database leads as when it was begun, the lease runs and this pooler has not
-// said that it left. Once every pooler has left, or its lease is over, no commit of
-// the old primary counts any more, whatever may still wake the replicas that
-// receive it.
+// Acknowledge reports whether a commit that the primary has just acknowledged, with the position
+// in its response, may be acknowledged to a client, and records the commit if so. It may if the
+// database is still primary in the term in which the commit was begun, the lease is valid, and
+// this proxy has not reported the primary as released. Once every proxy has released the old
+// primary, or its lease has expired, no further commit of that primary is acknowledged to
+// anyone, even if replicas that wake up later still receive it.
 func (c *Subscriber) Acknowledge(service, id string, begun Mark, position string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.leads[service]
-	if l.ID != id || l.Term != begun.Term || l.Moving && c.left[service] >= l.Turn || c.k.Clock.Now()+leaseMargin >= c.leaseEnd {
+	leader := c.leaders[service]
+	if leader.ID != id || leader.Term != begun.Term || leader.Moving && c.released[service] >= leader.Turn || c.k.Clock.Now()+leaseMargin >= c.leaseEnd {
 		return false
 	}
-	reached, known := lineprotocol.ParsePosition(position)
-	c.commits.note(service, begun, reached, known)
+	responsePosition, known := lineprotocol.ParsePosition(position)
+	c.commits.record(service, begun, responsePosition, known)
 	return true
 }
 
-// Observe takes in the position in a primary's answer to a statement that was
-// sent at that time, under the lease.
+// Observe records the position in a primary's response to a statement that was sent at the given
+// time, under the lease.
 func (c *Subscriber) Observe(service string, sent kernel.Micros, position lineprotocol.Position) {
 	c.mu.RLock()
-	asked := c.commits.look != nil
+	queried := c.commits.query != nil
 	c.mu.RUnlock()
-	if !asked {
+	if !queried {
 		return
 	}
 	c.mu.Lock()
--- a/internal/distribution/drain.go
+++ b/internal/distribution/drain.go
@@ -5,79 +5,80 @@
 	"indigowalk/internal/kernel"
 )
 
-// Bounds are the spans of the settings that bound what a carrier may do with what it
-// knows.
+// Bounds are the limits, taken from the settings, on how long a proxy may act on what it knows.
 type Bounds struct {
-	Drain   kernel.Micros // a request may reach it for so long after its leaving was acknowledged
-	Contact kernel.Micros // a process that has run for less is not held to that
-	// Revoke is for how long a key may be served that was taken away, by carriers out
-	// of touch too; 0 if they need not know.
+	// Drain is how long requests may still reach a database after its deregistration was acknowledged.
+	Drain kernel.Micros
+	// Contact is the uptime below which a process is exempt from the drain bound.
+	Contact kernel.Micros
+	// Revoke is how long a revoked API key may still be accepted, also by proxies that are cut
+	// off from the control nodes; 0 if there is no such limit.
 	Revoke kernel.Micros
 }
 
-// drainMargin is kept between the last send and the bound: what is sent has to
-// arrive in time.
+// drainMargin is kept between the last send and the drain bound, because what is sent has to
+// arrive within the bound.
 const drainMargin = 250 * kernel.Millisecond
 
-// drainLimits holds, for each database that leaves, a time at which its leaving
-// had not been acknowledged yet.
-type drainLimits struct {
-	began kernel.Micros // when this process started
-	open  map[string]kernel.Micros
+// drainTracker holds, for each draining database, a time at which its deregistration had not
+// been acknowledged yet.
+type drainTracker struct {
+	startedAt        kernel.Micros            // when this process started
+	unacknowledgedAt map[string]kernel.Micros // by database
 }
 
-// update notes the databases that leave. Those that served in the state before
-// were told to be serving by the answer to a poll that was sent at confirmed, so
-// their leaving was acknowledged later than that. Of any other nothing is known.
-func (l *drainLimits) update(before, now map[string]discovery.Database, confirmed kernel.Micros, bounds Bounds) {
-	open := map[string]kernel.Micros{}
-	for id, d := range now {
+// update takes in the draining databases of a new state. A database that was not draining in the
+// previous state was reported as serving by the response to the poll sent at confirmed, so its
+// deregistration was acknowledged later than that. For any other draining database nothing is
+// known, and only the start of this process bounds the time.
+func (l *drainTracker) update(previous, current map[string]discovery.Database, confirmed kernel.Micros, bounds Bounds) {
+	draining := map[string]kernel.Micros{}
+	for id, d := range current {
 		if !d.Draining {
 			continue
 		}
-		if at, known := l.open[id]; known {
-			open[id] = at
+		if at, known := l.unacknowledgedAt[id]; known {
+			draining[id] = at
 			continue
 		}
-		open[id] = l.began + bounds.Contact - bounds.Drain
-		if was, known := before[id]; known && !was.Draining {
-			open[id] = max(open[id], confirmed)
+		draining[id] = l.startedAt + bounds.Contact - bounds.Drain
+		if old, known := previous[id]; known && !old.Draining {
+			draining[id] = max(draining[id], confirmed)
 		}
 	}
-	l.open = open
+	l.unacknowledgedAt = draining
 }
 
-// passed tells whether nothing may be sent to the database any more.
-func (l *drainLimits) passed(id string, now kernel.Micros, bounds Bounds) bool {
-	at, leaves := l.open[id]
-	return leaves && now >= at+bounds.Drain-drainMargin
+// expired reports whether nothing may be sent to the database any more.
+func (l *drainTracker) expired(id string, now kernel.Micros, bounds Bounds) bool {
+	at, draining := l.unacknowledgedAt[id]
+	return draining && now >= at+bounds.Drain-drainMargin
 }
 
-// serves tells whether a client's request may be sent to a database now: it is
-// known, and if it leaves, the time in which it may be sent any is not over. The
-// caller holds the lock.
-func (c *Subscriber) serves(id string) bool {
+// acceptsRequests reports whether a client's request may be sent to a database now: the database
+// is known and, if it is draining, its drain period has not ended. The caller holds the lock.
+func (c *Subscriber) acceptsRequests(id string) bool {
 	_, known := c.databases[id]
-	return known && !c.drains.passed(id, c.k.Clock.Now(), c.cfg.Bounds())
+	return known && !c.drains.expired(id, c.k.Clock.Now(), c.cfg.Bounds())
 }
 
-// MaySend fails with ErrLeft if no client's request may be sent to a database any
-// more. It is asked right before the sending; of a primary Send asks it too.
+// MaySend fails with ErrLeft if client requests may no longer be sent to a database. It is to be
+// called right before sending; for a primary, Send makes the same check.
 func (c *Subscriber) MaySend(id string) error {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if !c.serves(id) {
+	if !c.acceptsRequests(id) {
 		c.k.Counters.Add("distribution.left_before_sending", 1)
 		return ErrLeft
 	}
 	return nil
 }
 
-// keyMargin is kept to the time at which a key that was taken away must not be served
-// any more.
-const keyMargin = 250 * kernel.Millisecond
+// revokeMargin is kept before the time at which a revoked API key must no longer be accepted.
+const revokeMargin = 250 * kernel.Millisecond
 
-// KeysKnown tells whether this carrier knows which keys hold, as well as it must.
+// KeysKnown reports whether this proxy's knowledge of the valid API keys is recent enough to
+// accept keys.
 func (c *Subscriber) KeysKnown() bool {
 	revoke := c.cfg.Bounds().Revoke
 	if revoke == 0 {
@@ -85,5 +86,5 @@
 	}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.k.Clock.Now() < c.confirmed+revoke-keyMargin
+	return c.k.Clock.Now() < c.confirmed+revoke-revokeMargin
 }
--- a/internal/distribution/observations.go
+++ b/internal/distribution/observations.go
@@ -7,120 +7,121 @@
 	"indigowalk/internal/kernel"
 )
 
-// Seen is what a carrier saw of a database since it last told: how many answers
-// it had, the sum of their times over what is usual, in hundredths, and how many
-// requests failed there.
-type Seen [3]int
+// Observation is what a proxy observed of a database since its last report: the number of
+// responses, the sum of the ratios of their latencies to the usual latency, in hundredths, and
+// the number of failed requests.
+type Observation [3]int
 
-// observations puts together what all carriers see of each database, and tells all of
-// them how many usual answers a request there costs. It is remembered, not kept:
-// another primary begins anew, and what carriers were told fades with them.
+// observations aggregates what all proxies observe of each database, and publishes the relative
+// cost of a request to each database, in usual responses. The aggregate lives in memory only:
+// another primary starts afresh, and the costs that proxies received decay there.
 type observations struct {
 	clock kernel.Clock
 
-	mu   sync.Mutex
-	seq  int64 // of the newest change that is told
-	next kernel.Micros
-	of   map[string]*observed
+	mu          sync.Mutex
+	seq         int64 // of the newest published change
+	nextPublish kernel.Micros
+	byDatabase  map[string]*databaseStats
 }
 
-type observed struct {
-	pace   float64
-	paceAt kernel.Micros
-	ill    float64
-	illAt  kernel.Micros
-	told   int   // hundredths
-	at     int64 // seq at which that was set
+// databaseStats are the aggregated observations of one database.
+type databaseStats struct {
+	latency       float64
+	latencyAt     kernel.Micros
+	failureRate   float64
+	failureRateAt kernel.Micros
+	published     int   // the published cost, in hundredths
+	publishedSeq  int64 // seq at which that was published
 }
 
 const (
-	observeEvery = 300 * kernel.Millisecond
-	// Of one answer, or one failure, so much of what was known is replaced.
-	paceWeight = 0.04
-	illWeight  = 0.2
-	// What was seen fades.
-	paceFades = 30 * kernel.Second
-	illFades  = 3 * kernel.Second
-	// illCosts is what a request costs where all fail.
-	illCosts = 20
-	// A change by so much is told.
-	toldStep = 0.15
-	// mostTallied bounds what is remembered.
-	mostTallied = 10_000
+	publishInterval = 300 * kernel.Millisecond
+	// One response, or one failure, replaces this share of the previous average.
+	latencyWeight = 0.04
+	failureWeight = 0.2
+	// Averages decay to their usual values with these time constants.
+	latencyDecay = 30 * kernel.Second
+	failureDecay = 3 * kernel.Second
+	// failureCost is the added cost of a request to a database where every request fails.
+	failureCost = 20
+	// A cost is published again once it has changed by this share.
+	publishThreshold = 0.15
+	// maxObservedDatabases bounds the memory used.
+	maxObservedDatabases = 10_000
 )
 
 func newObservations(clock kernel.Clock) *observations {
-	return &observations{clock: clock, of: map[string]*observed{}}
+	return &observations{clock: clock, byDatabase: map[string]*databaseStats{}}
 }
 
-// fade is what is left of v, which fades to rest.
-func fade(v, rest float64, span, over kernel.Micros) float64 {
-	return rest + (v-rest)*math.Exp(-float64(span)/float64(over))
+// decay returns v after the elapsed time, decaying exponentially towards the baseline.
+func decay(v, baseline float64, elapsed, timeConstant kernel.Micros) float64 {
+	return baseline + (v-baseline)*math.Exp(-float64(elapsed)/float64(timeConstant))
 }
 
-// add takes in what a carrier saw.
-func (t *observations) add(seen map[string]Seen) {
+// add adds the observations of one proxy.
+func (t *observations) add(reported map[string]Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	for id, s := range seen {
-		if s[0] < 0 || s[1] < 0 || s[2] < 0 {
+	for id, observed := range reported {
+		if observed[0] < 0 || observed[1] < 0 || observed[2] < 0 {
 			continue
 		}
-		e := t.of[id]
-		if e == nil {
-			if len(t.of) >= mostTallied {
+		stats := t.byDatabase[id]
+		if stats == nil {
+			if len(t.byDatabase) >= maxObservedDatabases {
 				continue
 			}
-			e = &observed{pace: 1, paceAt: now, illAt: now, told: 100}
-			t.of[id] = e
+			stats = &databaseStats{latency: 1, latencyAt: now, failureRateAt: now, published: 100}
+			t.byDatabase[id] = stats
 		}
-		if s[0] > 0 {
-			e.pace = fade(e.pace, 1, now-e.paceAt, paceFades)
-			mean := float64(s[1]) / 100 / float64(s[0])
-			e.pace += (1 - math.Pow(1-paceWeight, float64(s[0]))) * (mean - e.pace)
-			e.paceAt = now
+		if observed[0] > 0 {
+			stats.latency = decay(stats.latency, 1, now-stats.latencyAt, latencyDecay)
+			mean := float64(observed[1]) / 100 / float64(observed[0])
+			stats.latency += (1 - math.Pow(1-latencyWeight, float64(observed[0]))) * (mean - stats.latency)
+			stats.latencyAt = now
 		}
-		e.ill = fade(e.ill, 0, now-e.illAt, illFades)
-		e.ill *= math.Pow(1-illWeight, float64(s[0]))
-		e.ill += (1 - math.Pow(1-illWeight, float64(s[2]))) * (1 - e.ill)
-		e.illAt = now
+		stats.failureRate = decay(stats.failureRate, 0, now-stats.failureRateAt, failureDecay)
+		stats.failureRate *= math.Pow(1-failureWeight, float64(observed[0]))
+		stats.failureRate += (1 - math.Pow(1-failureWeight, float64(observed[2]))) * (1 - stats.failureRate)
+		stats.failureRateAt = now
 	}
 }
 
-// since returns what changed since a sequence, and the newest one.
-func (t *observations) since(seq int64) (paces map[string]int, newest int64) {
+// since returns the costs that changed after seq, and the newest seq.
+func (t *observations) since(seq int64) (costs map[string]int, newest int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now := t.clock.Now(); now >= t.next {
-		t.next = now + observeEvery
-		for _, e := range t.of {
-			cost := 100 * (fade(e.pace, 1, now-e.paceAt, paceFades) + illCosts*fade(e.ill, 0, now-e.illAt, illFades))
-			if math.Abs(cost-float64(e.told)) > toldStep*float64(e.told) {
+	if now := t.clock.Now(); now >= t.nextPublish {
+		t.nextPublish = now + publishInterval
+		for _, stats := range t.byDatabase {
+			cost := 100 * (decay(stats.latency, 1, now-stats.latencyAt, latencyDecay) + failureCost*decay(stats.failureRate, 0, now-stats.failureRateAt, failureDecay))
+			if math.Abs(cost-float64(stats.published)) > publishThreshold*float64(stats.published) {
 				t.seq++
-				e.told, e.at = int(cost), t.seq
+				stats.published, stats.publishedSeq = int(cost), t.seq
 			}
 		}
 	}
 	if seq >= t.seq {
 		return nil, t.seq
 	}
-	paces = map[string]int{}
-	for id, e := range t.of {
-		if e.at > seq {
-			paces[id] = e.told
+	costs = map[string]int{}
+	for id, stats := range t.byDatabase {
+		if stats.publishedSeq > seq {
+			costs[id] = stats.published
 		}
 	}
-	return paces, t.seq
+	return costs, t.seq
 }
 
-// keep forgets databases that are no more.
-func (t *observations) keep(there func(id string) bool) {
+// retain removes the databases that no longer exist.
+func (t *observations) retain(exists func(id string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id := range t.of {
-		if !there(id) {
-			delete(t.of, id)
+	for id := range t.byDatabase {
+		if !exists(id) {
+			delete(t.byDatabase, id)
 		}
 	}
 }
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -20,37 +20,37 @@
 	kernel.Register(kernel.Plugin{
 		Name: "distribution-publisher", Rank: 70, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
-			book := kernel.Need[*settings.Live](k)
+			live := kernel.Need[*settings.Live](k)
 			health := kernel.Need[*health.Monitor](k)
 			NewPublisher(k, kernel.Need[*rpc.Endpoint](k), kernel.Need[*controlstate.Replica](k),
-				kernel.Need[*failover.Readers](k), settings.Span(book.Now().ReaderLeaseMs), pollSpan(book), health.Heard, book.Now().NetMbps)
+				kernel.Need[*failover.Readers](k), settings.Span(live.Now().ReaderLeaseMs), longPollTimeout(live), health.Heard, live.Now().NetMbps)
 			return nil
 		},
 	})
 	kernel.Register(kernel.Plugin{
 		Name: "distribution-subscriber", Rank: 70, Roles: []string{"pooler", "gateway", "hollow"},
 		Build: func(k *kernel.Kernel) error {
-			book := kernel.Need[*settings.Live](k)
+			live := kernel.Need[*settings.Live](k)
 			ring := kernel.Need[*membership.Ring](k)
 			cfg := SubscriberConfig{
-				Pooler: book.Now().NodeName,
-				Poll:   pollSpan(book),
+				Pooler: live.Now().NodeName,
+				Poll:   longPollTimeout(live),
 				ControlNodes: func() []string {
 					known := ring.Peers("control")
-					for _, a := range book.Now().SeedPeers() {
-						if !slices.Contains(known, a) {
-							known = append(known, a)
+					for _, address := range live.Now().SeedPeers() {
+						if !slices.Contains(known, address) {
+							known = append(known, address)
 						}
 					}
 					return known
 				},
-				Peers:    func() []string { return ring.Peers(k.Role) },
-				Lease:    settings.Span(book.Now().ReaderLeaseMs),
-				Down:     kernel.Need[*health.Monitor](k).Down,
-				Applied:  kernel.Need[connpool.Updater](k),
-				Observed: func(string, kernel.Micros, lineprotocol.Position) {},
+				Peers:      func() []string { return ring.Peers(k.Role) },
+				Lease:      settings.Span(live.Now().ReaderLeaseMs),
+				Down:       kernel.Need[*health.Monitor](k).Down,
+				Applied:    kernel.Need[connpool.Updater](k),
+				OnPosition: func(string, kernel.Micros, lineprotocol.Position) {},
 				Bounds: func() Bounds {
-					now := book.Now()
+					now := live.Now()
 					bounds := Bounds{Drain: settings.Span(now.DrainMs), Contact: settings.Span(now.ContactMs)}
 					if now.RevokeGlobal {
 						bounds.Revoke = settings.Span(now.RevokeMs)
@@ -60,25 +60,25 @@
 			}
 			switch k.Role {
 			case "pooler":
-				cfg.Observed = kernel.Need[*readrouting.Router](k).Observe
+				cfg.OnPosition = kernel.Need[*readrouting.Router](k).Observe
 			case "gateway":
-				r := kernel.Need[*loadbalance.Balancer](k)
-				cfg.Paces = r.Told
-				cfg.Seen = func() map[string]Seen { return seenOf(r.Seen()) }
+				balancer := kernel.Need[*loadbalance.Balancer](k)
+				cfg.OnCosts = balancer.Told
+				cfg.Observations = func() map[string]Observation { return toObservations(balancer.Seen()) }
 			}
-			c := NewSubscriber(k, kernel.Need[*rpc.Endpoint](k), cfg)
-			kernel.Offer(k, c)
+			subscriber := NewSubscriber(k, kernel.Need[*rpc.Endpoint](k), cfg)
+			kernel.Offer(k, subscriber)
 			kernel.Offer(k, connpool.Share(func(service string) int {
-				return c.share(service, 1+len(ring.Peers(k.Role)))
+				return subscriber.connectionShare(service, 1+len(ring.Peers(k.Role)))
 			}))
-			k.Supervise("distribution", c.Serve)
+			k.Supervise("distribution", subscriber.Serve)
 			return nil
 		},
 	})
 }
 
-// tell has the newest configuration and the lease told with the counters.
-func (c *Subscriber) tell(counters *kernel.Counters) {
+// registerMetrics exports the configuration revision and the remaining lease as metrics.
+func (c *Subscriber) registerMetrics(counters *kernel.Counters) {
 	counters.Observable("distribution.revision", func() int64 {
 		_, _, revision, _ := c.Version()
 		return revision
@@ -89,50 +89,51 @@
 	})
 }
 
-// seenOf is what a load balancer has seen, as it is told.
-func seenOf(seen map[string]loadbalance.Sight) map[string]Seen {
-	if len(seen) == 0 {
+// toObservations converts a load balancer's statistics to the form in which polls report them.
+func toObservations(stats map[string]loadbalance.Sight) map[string]Observation {
+	if len(stats) == 0 {
 		return nil
 	}
-	out := make(map[string]Seen, len(seen))
-	for id, s := range seen {
-		out[id] = Seen{s.Answers, int(100 * s.Paces), s.Failures}
+	out := make(map[string]Observation, len(stats))
+	for id, seen := range stats {
+		out[id] = Observation{seen.Answers, int(100 * seen.Paces), seen.Failures}
 	}
 	return out
 }
 
-func pollSpan(book *settings.Live) func() kernel.Micros {
-	return func() kernel.Micros { return settings.Span(book.Now().PollMs) }
+// longPollTimeout is the setting for how long a control node may hold a poll.
+func longPollTimeout(live *settings.Live) func() kernel.Micros {
+	return func() kernel.Micros { return settings.Span(live.Now().PollMs) }
 }
 
-// reserve is the part of max_conns left to checks, to the failover manager and to
-// poolers that are not known of yet.
-const reserve = 0.1
+// reservedShare is the share of max_conns left for health checks, the failover manager and
+// proxies that are not known yet.
+const reservedShare = 0.1
 
-// unlimited stands in for a max_conns of 0.
-const unlimited = 64
+// unlimitedShare is the share of one proxy where max_conns is 0, that is, unlimited.
+const unlimitedShare = 64
 
-// share splits max_conns of a service's databases over the live poolers: those
-// that this one knows as members or, if they are more, that the control node heard of
-// late. A pooler that has just started, or is cut off, knows few members.
-func (c *Subscriber) share(service string, poolers int) int {
+// connectionShare divides max_conns of a service's databases among the live proxies. It counts
+// the members known to this proxy or, if they are more, the proxies that polled the control node
+// recently: a proxy that has just started, or is cut off, knows few members.
+func (c *Subscriber) connectionShare(service string, proxies int) int {
 	c.mu.RLock()
-	conf := c.conf
-	poolers = max(poolers, c.poolers)
+	config := c.config
+	proxies = max(proxies, c.proxies)
 	c.mu.RUnlock()
-	if conf == nil {
+	if config == nil {
 		return 1
 	}
-	if s := conf.Service(service); s != nil {
-		return Split(s.MaxConns, poolers)
+	if s := config.Service(service); s != nil {
+		return Split(s.MaxConns, proxies)
 	}
-	return unlimited
+	return unlimitedShare
 }
 
-// Split is one pooler's share of a database's connections.
-func Split(maxConns, poolers int) int {
+// Split returns one proxy's share of a database's connections.
+func Split(maxConns, proxies int) int {
 	if maxConns == 0 {
-		return unlimited
+		return unlimitedShare
 	}
-	return max(1, int((1-reserve)*float64(maxConns))/max(1, poolers))
+	return max(1, int((1-reservedShare)*float64(maxConns))/max(1, proxies))
 }
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -1,6 +1,7 @@
-// Package distribution brings the control state from the control node to the
-// poolers. A pooler asks with what it has; the answer comes at the next change, or
-// after a while without one, and carries the pooler's read lease.
+// Package distribution publishes the control state from the control state's primary to the
+// proxies (poolers and gateways). A proxy polls with the sequence number of the state it has;
+// the response comes at the next change, or after a timeout without one, and renews the proxy's
+// read lease.
 package distribution
 
 import (
@@ -23,73 +24,91 @@
 
 const pollOp = "distribution.poll"
 
-type pollAsk struct {
-	Pooler string           `json:"pooler"`
-	Life   int64            `json:"life"`
-	Seq    int64            `json:"seq"`
-	Left   map[string]int64 `json:"left,omitempty"`
-	// Acked bounds, for each service that was left, the commits that clients were
-	// told of.
+// pollRequest reports a proxy's state to the control state's primary and asks for updates.
+type pollRequest struct {
+	Proxy       string `json:"pooler"`
+	Incarnation int64  `json:"life"`
+	Seq         int64  `json:"seq"` // of the state that the proxy has
+	// Released is, by service, the number of the failover for which the proxy released the old
+	// primary.
+	Released map[string]int64 `json:"left,omitempty"`
+	// Acked is, for each released service, an upper bound for the commits that were acknowledged
+	// to clients.
 	Acked positions `json:"acked,omitempty"`
-	// Certain is, for each of them, a position that one of those commits has at least.
-	Certain positions       `json:"certain,omitempty"`
-	Saw     *saw            `json:"saw,omitempty"`
-	Looks   uint32          `json:"looks,omitempty"` // checksum of the services that are looked at
-	Down    []string        `json:"down,omitempty"`  // databases the pooler holds as down
-	Now     bool            `json:"now,omitempty"`   // the pooler's lease can't wait for the next change
-	Seen    map[string]Seen `json:"seen,omitempty"`  // what requests showed of databases
-	Term    int64           `json:"term,omitempty"`  // of the observations that the carrier was told last,
-	Told    int64           `json:"told,omitempty"`  // and up to which change
+	// Certain is, for each of them, a lower bound for the newest of these commits.
+	Certain   positions       `json:"certain,omitempty"`
+	Positions *positionReport `json:"saw,omitempty"` // nil if nothing was observed for the current query
+	// QueryChecksum is the checksum of the services in the current position query.
+	QueryChecksum uint32 `json:"looks,omitempty"`
+	// Down lists the databases that the proxy considers down.
+	Down []string `json:"down,omitempty"`
+	// Immediate says that the proxy's lease can't wait for the next change.
+	Immediate    bool                   `json:"now,omitempty"`
+	Observations map[string]Observation `json:"seen,omitempty"` // what requests to databases showed
+	// CostTerm is the term of the costs that the proxy received last, CostSeq their newest
+	// change.
+	CostTerm int64 `json:"term,omitempty"`
+	CostSeq  int64 `json:"told,omitempty"`
 }
 
-type pollAnswer struct {
-	Elsewhere string          `json:"elsewhere,omitempty"` // the primary, if this control node is not it
-	Newest    int64           `json:"newest,omitempty"`    // a later life of the pooler, if this one is refused
-	Epoch     int64           `json:"epoch,omitempty"`
-	Seq       int64           `json:"seq,omitempty"`
-	Lease     kernel.Micros   `json:"lease_us,omitempty"`
-	Later     kernel.Micros   `json:"later_us,omitempty"` // when the carrier's turn comes to be told: it is to ask again then
-	Poolers   int             `json:"poolers,omitempty"`  // that have been here of late
-	Term      int64           `json:"term,omitempty"`     // of the observations
-	Told      int64           `json:"told,omitempty"`     // the newest change of it
-	Paces     map[string]int  `json:"paces,omitempty"`    // what changed in it
-	News      json.RawMessage `json:"news,omitempty"`     // of type news; none if nothing changed since the pooler's seq
-	Look      *look           `json:"look,omitempty"`
+// pollResponse grants a lease and carries updates, or says where or when to poll instead.
+type pollResponse struct {
+	// Primary is the primary's address, if this control node is not the primary.
+	Primary string `json:"elsewhere,omitempty"`
+	// NewestIncarnation is a later incarnation of the proxy, if this one is refused.
+	NewestIncarnation int64 `json:"newest,omitempty"`
+	Epoch             int64 `json:"epoch,omitempty"`
+	// Seq is the sequence number of the state that the proxy has with this response.
+	Seq   int64         `json:"seq,omitempty"`
+	Lease kernel.Micros `json:"lease_us,omitempty"`
+	// RetryAfter is the time until the proxy's slot for a large update: it is to poll again
+	// then.
+	RetryAfter kernel.Micros  `json:"later_us,omitempty"`
+	Proxies    int            `json:"poolers,omitempty"` // number of proxies that polled recently
+	CostTerm   int64          `json:"term,omitempty"`    // of the costs
+	CostSeq    int64          `json:"told,omitempty"`    // the newest change of the costs
+	Costs      map[string]int `json:"paces,omitempty"`   // that changed
+	// Update is an encoded update; none if nothing changed since the proxy's seq.
+	Update json.RawMessage `json:"news,omitempty"`
+	Query  *positionQuery  `json:"look,omitempty"` // nil if no positions are wanted
 }
 
-// look asks a carrier for the positions in answers of some services' primaries
-// to statements that it sends after it has this, and saw brings them with the
+// positionQuery asks a proxy for the positions in the responses of some services' primaries to
+// statements that it sends after it received the query. A positionReport returns them with the
 // next poll.
-type look struct {
+type positionQuery struct {
 	Term     int64         `json:"term"`
 	Stamp    kernel.Micros `json:"stamp_us"`
 	Services []string      `json:"services,omitempty"`
-	Same     bool          `json:"same,omitempty"` // the services of the look in hand
+	// Unchanged says that the services are those of the query that the proxy has.
+	Unchanged bool `json:"same,omitempty"`
 }
 
-// checksum stands for the services in polls; 0 for none.
-func (l *look) checksum() uint32 {
+// checksum identifies the services in polls; 0 for none.
+func (l *positionQuery) checksum() uint32 {
 	if l == nil || len(l.Services) == 0 {
 		return 0
 	}
 	return crc32.ChecksumIEEE([]byte(strings.Join(l.Services, "\n")))
 }
 
-// unless leaves out the services if they are those that the carrier has in hand.
-func (l *look) unless(inHand uint32) *look {
-	if inHand == 0 || l.checksum() != inHand {
+// omitKnownServices leaves out the services if they are those of the query that the proxy has,
+// identified by their checksum.
+func (l *positionQuery) omitKnownServices(known uint32) *positionQuery {
+	if known == 0 || l.checksum() != known {
 		return l
 	}
-	return &look{Term: l.Term, Stamp: l.Stamp, Same: true}
+	return &positionQuery{Term: l.Term, Stamp: l.Stamp, Unchanged: true}
 }
 
-type saw struct {
-	Term  int64         `json:"term"`
-	Stamp kernel.Micros `json:"stamp_us"`
-	At    positions     `json:"at"`
+// positionReport answers the positionQuery with the same term and stamp.
+type positionReport struct {
+	Term      int64         `json:"term"`
+	Stamp     kernel.Micros `json:"stamp_us"`
+	Positions positions     `json:"at"`
 }
 
-// positions are places in databases' logs, by service.
+// positions are positions in databases' logs, by service.
 type positions map[string]lineprotocol.Position
 
 // MarshalJSON implements json.Marshaler.
@@ -118,218 +137,220 @@
 	return nil
 }
 
-// Publisher is the control node's side: it answers the polls of carriers.
+// Publisher is the control node's side: it responds to the polls of proxies.
 type Publisher struct {
-	k       *kernel.Kernel
-	v       *controlstate.Replica
-	readers *failover.Readers
-	lease   kernel.Micros
-	hold    func() kernel.Micros
-	heard   func(pooler, id string) // a pooler's notice of a fault
-	turns   turns
+	k           *kernel.Kernel
+	replica     *controlstate.Replica
+	readers     *failover.Readers
+	lease       kernel.Micros
+	pollTimeout func() kernel.Micros
+	reportDown  func(proxy, id string) // called for each database that a proxy considers down
+	pacer       transferPacer
 
-	mu      sync.Mutex
-	history *newsHistory
-	seen    *observations // of the same term
+	mu           sync.Mutex
+	log          *updateLog
+	observations *observations // of the same term as the log
 }
 
-// turns has large news leave one after another, at a share of the link: of
-// hundreds of poolers that start at once, or find another primary, each is sent
-// some, and whatever else the control node sends would wait behind them, its checks
-// of databases too. A carrier whose turn is not soon asks again when it comes;
-// to hold its call until then would have it given up, and the turn lost.
-type turns struct {
-	rate float64 // bytes a microsecond; 0 for no bound
+// transferPacer spaces large updates so that they take only a share of the link. When hundreds
+// of proxies start at once, or find another primary, each is sent a large update, and everything
+// else that the control node sends, its health checks of databases included, would queue behind
+// them. A proxy whose slot is not soon polls again when it comes; if its call were held until
+// then, the proxy would time out and the slot would be lost.
+type transferPacer struct {
+	rate float64 // bytes per microsecond; 0 for no limit
 
-	mu    sync.Mutex
-	next  kernel.Micros
-	given map[string]kernel.Micros // by carrier, turns that are to come
+	mu           sync.Mutex
+	nextFree     kernel.Micros
+	reservations map[string]kernel.Micros // future slots, by proxy
 }
 
 const (
-	// linkShare is the part of the link that large news may take.
+	// linkShare is the share of the link that large updates may take.
 	linkShare = 0.7
-	// largeNews are those that take turns.
-	largeNews = 4 << 10
-	// stay is how long a turn may be waited for within one call.
-	stay = 200 * kernel.Millisecond
-	// turnKept is for how long a turn that was not used is remembered.
-	turnKept = 2 * kernel.Second
+	// pacedUpdateSize is the size in bytes from which updates are paced.
+	pacedUpdateSize = 4 << 10
+	// maxInlineWait is the longest wait for a slot within one call.
+	maxInlineWait = 200 * kernel.Millisecond
+	// reservationTTL is how long an unused reservation is kept after its slot.
+	reservationTTL = 2 * kernel.Second
 )
 
-// take returns how long the carrier is to wait for the turn of so many bytes.
-func (t *turns) take(carrier string, now kernel.Micros, size int) kernel.Micros {
-	if t.rate == 0 || size < largeNews {
+// reserve returns how long the proxy has to wait before an update of the given size in bytes may
+// be sent to it. A wait longer than maxInlineWait is remembered as the proxy's reservation.
+func (t *transferPacer) reserve(proxy string, now kernel.Micros, size int) kernel.Micros {
+	if t.rate == 0 || size < pacedUpdateSize {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.given, func(_ string, at kernel.Micros) bool { return now-at > turnKept })
-	if at, given := t.given[carrier]; given {
+	maps.DeleteFunc(t.reservations, func(_ string, at kernel.Micros) bool { return now-at > reservationTTL })
+	if at, reserved := t.reservations[proxy]; reserved {
 		if at <= now {
-			delete(t.given, carrier)
+			delete(t.reservations, proxy)
 		}
 		return max(0, at-now)
 	}
-	at := max(now, t.next)
-	t.next = at + kernel.Micros(float64(size)/t.rate)
-	if at-now > stay {
-		if t.given == nil {
-			t.given = map[string]kernel.Micros{}
+	at := max(now, t.nextFree)
+	t.nextFree = at + kernel.Micros(float64(size)/t.rate)
+	if at-now > maxInlineWait {
+		if t.reservations == nil {
+			t.reservations = map[string]kernel.Micros{}
 		}
-		t.given[carrier] = at
+		t.reservations[proxy] = at
 	}
 	return at - now
 }
 
-// inTerm returns the news history and the observations of a term.
-func (o *Publisher) inTerm(began int64) (*newsHistory, *observations) {
+// forTerm returns the update log and the observations of a term.
+func (o *Publisher) forTerm(term int64) (*updateLog, *observations) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.history == nil || o.history.began != began {
-		o.history, o.seen = newNewsHistory(began), newObservations(o.k.Clock)
+	if o.log == nil || o.log.term != term {
+		o.log, o.observations = newUpdateLog(term), newObservations(o.k.Clock)
 	}
-	return o.history, o.seen
+	return o.log, o.observations
 }
 
-// NewPublisher answers polls through the endpoint.
-// Mbps is the bandwidth of its link, 0 if that is not known.
-func NewPublisher(k *kernel.Kernel, b *rpc.Endpoint, v *controlstate.Replica, readers *failover.Readers, lease kernel.Micros, hold func() kernel.Micros, heard func(pooler, id string), mbps float64) *Publisher {
-	o := &Publisher{k: k, v: v, readers: readers, lease: lease, hold: hold, heard: heard}
-	o.turns.rate = linkShare * mbps / 8
-	rpc.On(b, pollOp, o.onPoll)
+// NewPublisher returns a publisher that serves polls through the endpoint. mbps is the bandwidth
+// of the link in Mbit/s, 0 if it is not known.
+func NewPublisher(k *kernel.Kernel, endpoint *rpc.Endpoint, replica *controlstate.Replica, readers *failover.Readers, lease kernel.Micros, pollTimeout func() kernel.Micros, reportDown func(proxy, id string), mbps float64) *Publisher {
+	o := &Publisher{k: k, replica: replica, readers: readers, lease: lease, pollTimeout: pollTimeout, reportDown: reportDown}
+	o.pacer.rate = linkShare * mbps / 8
+	rpc.On(endpoint, pollOp, o.handlePoll)
 	return o
 }
 
-func (o *Publisher) onPoll(ctx context.Context, q pollAsk) (any, error) {
-	if q.Pooler == "" || q.Life == 0 {
+func (o *Publisher) handlePoll(ctx context.Context, request pollRequest) (any, error) {
+	if request.Proxy == "" || request.Incarnation == 0 {
 		o.k.Counters.Add("distribution.malformed", 1)
 		return nil, errors.New("malformed")
 	}
-	term, elsewhere := o.awaitTerm(ctx)
+	term, primary := o.awaitTerm(ctx)
 	if term == nil {
-		return pollAnswer{Elsewhere: elsewhere}, nil
+		return pollResponse{Primary: primary}, nil
 	}
-	if err := o.register(ctx, q, term); err != nil {
+	if err := o.register(ctx, request, term); err != nil {
 		return nil, err
 	}
-	if newest, ok := o.take(q); !ok {
-		return pollAnswer{Newest: newest}, nil
+	if newest, ok := o.recordReport(request); !ok {
+		return pollResponse{NewestIncarnation: newest}, nil
 	}
-	return o.await(ctx, q, term)
+	return o.awaitUpdate(ctx, request, term)
 }
 
-// take takes in what a poll tells; newest is a later life of the pooler if this one is
-// refused.
-func (o *Publisher) take(q pollAsk) (newest int64, ok bool) {
-	report := failover.Report{Left: q.Left, Acked: q.Acked, Certain: q.Certain}
-	if newest, ok := o.readers.Heard(q.Pooler, q.Life, report, o.k.Clock.Now()); !ok {
+// recordReport records what a poll reports. If the poll is refused, newest is a later
+// incarnation of the proxy.
+func (o *Publisher) recordReport(request pollRequest) (newest int64, ok bool) {
+	report := failover.Report{Left: request.Released, Acked: request.Acked, Certain: request.Certain}
+	if newest, ok := o.readers.Heard(request.Proxy, request.Incarnation, report, o.k.Clock.Now()); !ok {
 		o.k.Counters.Add("distribution.old_life", 1)
 		return newest, false
 	}
-	if q.Saw != nil {
-		o.readers.Sighted(failover.Sighting{Term: q.Saw.Term, Stamp: q.Saw.Stamp, At: q.Saw.At})
+	if request.Positions != nil {
+		o.readers.Sighted(failover.Sighting{Term: request.Positions.Term, Stamp: request.Positions.Stamp, At: request.Positions.Positions})
 	}
-	for _, id := range q.Down {
-		o.heard(q.Pooler, id)
+	for _, id := range request.Down {
+		o.reportDown(request.Proxy, id)
 	}
 	return 0, true
 }
 
-// await answers a poll once there are news for it, or after a while without.
-func (o *Publisher) await(ctx context.Context, q pollAsk, term *controlstate.Term) (any, error) {
-	t := time.NewTimer(o.hold().Duration())
-	defer t.Stop()
-	for mine := false; ; {
-		changed := o.v.Changed()
-		state, err := o.v.Durable()
+// awaitUpdate responds to a poll once there is an update for it, or after a timeout without one.
+func (o *Publisher) awaitUpdate(ctx context.Context, request pollRequest, term *controlstate.Term) (any, error) {
+	timeout := time.NewTimer(o.pollTimeout().Duration())
+	defer timeout.Stop()
+	for admitted := false; ; {
+		changed := o.replica.Changed()
+		state, err := o.replica.Durable()
 		if err != nil || !term.Valid() {
-			return pollAnswer{}, nil
+			return pollResponse{}, nil
 		}
-		history, seen := o.inTerm(term.Began())
-		if q.Seen != nil {
-			seen.add(q.Seen)
-			q.Seen = nil
+		log, aggregate := o.forTerm(term.Began())
+		if request.Observations != nil {
+			aggregate.add(request.Observations)
+			request.Observations = nil
 		}
-		news, urgent, err := history.since(state, q.Seq)
+		encoded, urgent, err := log.since(state, request.Seq)
 		if err != nil {
 			o.k.Counters.Add("distribution.unreadable", 1)
 			return nil, err
 		}
-		if news != nil {
-			seen.keep(history.has)
+		if encoded != nil {
+			aggregate.retain(log.hasDatabase)
 		}
-		if news != nil && !mine {
-			wait := o.turns.take(q.Pooler, o.k.Clock.Now(), len(news))
-			if wait > stay {
+		if encoded != nil && !admitted {
+			wait := o.pacer.reserve(request.Proxy, o.k.Clock.Now(), len(encoded))
+			if wait > maxInlineWait {
 				o.k.Counters.Add("distribution.later", 1)
-				return pollAnswer{Later: wait}, nil
+				return pollResponse{RetryAfter: wait}, nil
 			}
-			mine = true
+			admitted = true
 			if wait > 0 {
 				kernel.Sleep(ctx, wait)
 				continue
 			}
 		}
-		if news == nil && !q.Now {
+		if encoded == nil && !request.Immediate {
 			select {
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			case <-changed:
 				continue
-			case <-t.C:
+			case <-timeout.C:
 			}
 		}
-		if news != nil && !urgent && !q.Now {
-			// Changes that come close together go out together.
-			q.Now = true
-			kernel.Sleep(ctx, gather)
+		if encoded != nil && !urgent && !request.Immediate {
+			// Changes that follow each other closely are sent together.
+			request.Immediate = true
+			kernel.Sleep(ctx, batchDelay)
 			continue
 		}
-		return o.answer(q, state, news, seen, term)
+		return o.respond(request, state, encoded, aggregate, term)
 	}
 }
 
-// ofLate is for how long a pooler that polls no more is counted: the connections
-// that it had may be there yet, and it may come back.
-const ofLate = 20 * kernel.Second
+// proxyCountWindow is how long a proxy that no longer polls is counted: its connections may
+// still be open, and it may come back.
+const proxyCountWindow = 20 * kernel.Second
 
-// gather is how long a change that can wait is held back for others.
-const gather = 50 * kernel.Millisecond
+// batchDelay is how long a change that is not urgent is held back to be sent together with
+// others.
+const batchDelay = 50 * kernel.Millisecond
 
-// register enters the pooler's life in the control state before it is granted a
-// lease, and starts the term if this is its first poll.
-func (o *Publisher) register(ctx context.Context, q pollAsk, term *controlstate.Term) error {
-	state, err := o.v.Durable()
+// register enters the proxy's incarnation in the control state before it is granted a lease, and
+// initializes the lease bookkeeping of the term if this is the term's first poll.
+func (o *Publisher) register(ctx context.Context, request pollRequest, term *controlstate.Term) error {
+	state, err := o.replica.Durable()
 	if err != nil {
 		return err
 	}
 	if !o.readers.InTerm(term.Began()) {
-		poolers, err := failover.Registered(state.Entries)
+		proxies, err := failover.Registered(state.Entries)
 		if err != nil {
 			return err
 		}
-		o.readers.Term(term.Began(), poolers, o.k.Clock.Now(), o.lease)
+		o.readers.Term(term.Began(), proxies, o.k.Clock.Now(), o.lease)
 	}
-	if failover.IsRegistered(state.Entries, q.Pooler, q.Life) {
+	if failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
 		return nil
 	}
-	return o.v.Update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
-		return failover.Register(q.Pooler, q.Life), nil
+	return o.replica.Update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+		return failover.Register(request.Proxy, request.Incarnation), nil
 	})
 }
 
-// awaitTerm returns the term if this control node leads, else who does; where no
-// primary is known it waits for one.
-func (o *Publisher) awaitTerm(ctx context.Context) (term *controlstate.Term, elsewhere string) {
-	ctx, cancel := context.WithTimeout(ctx, o.hold().Duration())
+// awaitTerm returns the current term if this control node is the primary, otherwise the
+// primary's address. If no primary is known it waits for one.
+func (o *Publisher) awaitTerm(ctx context.Context) (term *controlstate.Term, primary string) {
+	ctx, cancel := context.WithTimeout(ctx, o.pollTimeout().Duration())
 	defer cancel()
 	for {
-		changed := o.v.Changed()
-		if term, err := o.v.Term(); err == nil {
+		changed := o.replica.Changed()
+		if term, err := o.replica.Term(); err == nil {
 			return term, ""
 		}
-		if addr, known := o.v.Known(); known {
+		if addr, known := o.replica.Known(); known {
 			return nil, addr
 		}
 		select {
@@ -340,35 +361,36 @@
 	}
 }
 
-func (o *Publisher) answer(q pollAsk, state controlstate.State, news json.RawMessage, seen *observations, term *controlstate.Term) (any, error) {
-	// Only a registered carrier is granted a lease: it may have been forgotten since its
-	// poll came. The lease is noted before it is granted, and only in the term in which
-	// the state was read.
-	if !failover.IsRegistered(state.Entries, q.Pooler, q.Life) {
-		return nil, errors.New("not registered any more")
+// respond grants the lease and returns the response to a poll.
+func (o *Publisher) respond(request pollRequest, state controlstate.State, encoded json.RawMessage, aggregate *observations, term *controlstate.Term) (any, error) {
+	// Only a registered proxy is granted a lease, and it may have been removed since its poll
+	// arrived. The lease is recorded before it is granted, and only in the term in which the
+	// state was read.
+	if !failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
+		return nil, errors.New("proxy is no longer registered")
 	}
-	if !o.readers.Grant(q.Pooler, q.Life, o.k.Clock.Now()+o.lease) {
-		return nil, errors.New("an earlier life of that pooler")
+	if !o.readers.Grant(request.Proxy, request.Incarnation, o.k.Clock.Now()+o.lease) {
+		return nil, errors.New("a later incarnation of this proxy is known")
 	}
 	if !term.Valid() {
 		o.k.Counters.Add("distribution.term_ended", 1)
-		return pollAnswer{}, nil
+		return pollResponse{}, nil
 	}
-	a := pollAnswer{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Poolers: o.readers.Count(o.k.Clock.Now() - ofLate)}
-	if q.Term != term.Began() {
-		q.Told = 0
+	response := pollResponse{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.Count(o.k.Clock.Now() - proxyCountWindow)}
+	if request.CostTerm != term.Began() {
+		request.CostSeq = 0
 	}
-	if a.Paces, a.Told = seen.since(q.Told); a.Told > 0 {
-		a.Term = term.Began()
+	if response.Costs, response.CostSeq = aggregate.since(request.CostSeq); response.CostSeq > 0 {
+		response.CostTerm = term.Began()
 	}
 	now := o.k.Clock.Now()
-	if wanted := o.readers.Wanted(q.Pooler, now); len(wanted) > 0 {
-		a.Look = (&look{Term: term.Began(), Stamp: now, Services: wanted}).unless(q.Looks)
+	if services := o.readers.Wanted(request.Proxy, now); len(services) > 0 {
+		response.Query = (&positionQuery{Term: term.Began(), Stamp: now, Services: services}).omitKnownServices(request.QueryChecksum)
 	}
-	raw, err := json.Marshal(a)
-	if err != nil || news == nil {
+	raw, err := json.Marshal(response)
+	if err != nil || encoded == nil {
 		return json.RawMessage(raw), err
 	}
-	// The news were encoded once for all poolers.
-	return json.RawMessage(append(append(append(raw[:len(raw)-1], `,"news":`...), news...), '}')), nil
+	// The update is encoded once for all proxies.
+	return json.RawMessage(append(append(append(raw[:len(raw)-1], `,"news":`...), encoded...), '}')), nil
 }
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -10,99 +10,98 @@
 	"indigowalk/internal/kernel"
 )
 
-// A carrier that is cut off from the control nodes, and not from other carriers, has
-// one of them pass its polls on. The control state's primary still counts the lease and
-// the acknowledgement itself, and the carrier measures the lease from before it
-// asked, so a lease that came this way is worth no more and no less.
+// A proxy that is cut off from the control nodes, but not from other proxies, has one of them
+// relay its polls. The control state's primary still records the lease and the acknowledgements
+// itself, and the proxy measures the lease from before it sent the poll, so a lease granted
+// through a relay is exactly as valid as any other.
 const relayOp = "distribution.relay"
 
 const (
-	// shortWait is how long a carrier that is cut off waits for a control node.
-	shortWait = 300 * kernel.Millisecond
-	// relayFor is how long a carrier stays with a peer before it tries a control node
-	// itself.
-	relayFor = kernel.Second
-	// mostPeers bounds whom a carrier asks as long as a cut lasts, and with it
-	// the connections that this leaves; peersATurn those between two polls of
+	// cutOffPollTimeout is how long a proxy that is cut off waits for a control node.
+	cutOffPollTimeout = 300 * kernel.Millisecond
+	// relayPeriod is how long a proxy polls through peers before it tries a control node itself
+	// again.
+	relayPeriod = kernel.Second
+	// maxRelayPeers bounds how many peers a proxy tries during one cut, and with it the
+	// connections that this leaves behind; peersPerRound bounds those tried between two polls of
 	// its own.
-	mostPeers  = 12
-	peersATurn = 3
-	// mostPassing bounds the polls that a carrier passes on at a time.
-	mostPassing = 8
+	maxRelayPeers = 12
+	peersPerRound = 3
+	// maxConcurrentRelays bounds the polls that a proxy relays at a time.
+	maxConcurrentRelays = 8
 )
 
-var errNoContact = errors.New("distribution: not in touch with the primary")
+var errNoContact = errors.New("distribution: no recent contact with the control state's primary")
 
-// relays are the peers that a carrier asks during one cut, in turn.
-type relays struct {
+// relayPeers are the peers that a proxy tries during one cut, in rotation.
+type relayPeers struct {
 	peers []string
-	at    int
-	used  bool // one has passed a poll on
+	next  int
+	used  bool // whether a peer has relayed a poll
 }
 
-// cutOff tells whether a peer should be asked. Where control nodes answer that they
-// know no primary, a peer most likely knows none either: it is asked later then.
-func (c *Subscriber) cutOff(unanswered int) bool {
+// needsRelay reports whether to poll through a peer. Where control nodes respond that they know
+// no primary, a peer most likely knows none either, so peers are tried later then.
+func (c *Subscriber) needsRelay(unanswered int) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	since := c.k.Clock.Now() - c.touched
-	return c.cfg.Peers != nil && (unanswered >= 2 && since > c.cfg.Lease/2 || unanswered >= 1 && since > 2*c.cfg.Lease)
+	elapsed := c.k.Clock.Now() - c.contactSentAt
+	return c.cfg.Peers != nil && (unanswered >= 2 && elapsed > c.cfg.Lease/2 || unanswered >= 1 && elapsed > 2*c.cfg.Lease)
 }
 
-// throughPeers polls through peers for a while; it reports whether one passed a
-// poll on.
-func (c *Subscriber) throughPeers(ctx context.Context, r *relays) (heard bool) {
+// pollThroughPeers polls through peers for a while. It reports whether a peer relayed a poll.
+func (c *Subscriber) pollThroughPeers(ctx context.Context, r *relayPeers) (relayed bool) {
 	if r.peers == nil {
 		all := c.cfg.Peers()
-		for _, i := range rand.Perm(len(all))[:min(len(all), mostPeers)] {
+		for _, i := range rand.Perm(len(all))[:min(len(all), maxRelayPeers)] {
 			r.peers = append(r.peers, all[i])
 		}
 	}
-	end := c.k.Clock.Now() + relayFor
-	for failed := 0; failed < min(peersATurn, len(r.peers)) && c.k.Clock.Now() < end && ctx.Err() == nil; {
-		peer := r.peers[r.at%len(r.peers)]
+	end := c.k.Clock.Now() + relayPeriod
+	for failed := 0; failed < min(peersPerRound, len(r.peers)) && c.k.Clock.Now() < end && ctx.Err() == nil; {
+		peer := r.peers[r.next%len(r.peers)]
 		next, err := c.poll(ctx, peer, relayOp, false)
 		if err != nil || next != peer {
 			c.k.Counters.Add("distribution.relay_failed", 1)
-			r.at++
+			r.next++
 			failed++
 			continue
 		}
 		c.k.Counters.Add("distribution.relayed", 1)
-		if heard = true; !r.used {
+		if relayed = true; !r.used {
 			r.used = true
-			c.k.Log.Warn("no control node answers, a peer passes polls on", "peer", peer)
+			c.k.Log.Warn("no control node responds; polling through a peer", "peer", peer)
 		}
 	}
-	return heard
+	return relayed
 }
 
-// onRelay passes a peer's poll on to the primary. It is refused unless this
-// carrier is in touch with the primary itself, and goes to a control node, so it is
-// passed on once.
-func (c *Subscriber) onRelay(ctx context.Context, poll json.RawMessage) (any, error) {
+// handleRelay forwards a peer's poll to the control state's primary. It refuses unless this
+// proxy itself is in contact with the primary. A relayed poll goes to a control node, never to
+// another peer, so it is relayed only once.
+func (c *Subscriber) handleRelay(ctx context.Context, poll json.RawMessage) (any, error) {
 	c.mu.RLock()
-	controlNode, since := c.controlNode, c.k.Clock.Now()-c.heardAt
+	controlNode, elapsed := c.controlNode, c.k.Clock.Now()-c.contactAnsweredAt
 	c.mu.RUnlock()
-	if controlNode == "" || since > c.pollSpan() {
+	if controlNode == "" || elapsed > c.pollTimeout() {
 		return nil, errNoContact
 	}
-	if c.passing.Add(1) > mostPassing {
-		c.passing.Add(-1)
+	if c.relaying.Add(1) > maxConcurrentRelays {
+		c.relaying.Add(-1)
 		return nil, errNoContact
 	}
-	defer c.passing.Add(-1)
+	defer c.relaying.Add(-1)
 	c.k.Counters.Add("distribution.passed_on", 1)
-	var answer json.RawMessage
-	if err := c.b.Call(ctx, controlNode, pollOp, poll, &answer, c.pollSpan()); err != nil {
+	var response json.RawMessage
+	if err := c.endpoint.Call(ctx, controlNode, pollOp, poll, &response, c.pollTimeout()); err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// sameHost tells whether two addresses are of one machine.
+// sameHost reports whether two addresses have the same host.
 func sameHost(a, b string) bool {
-	ha, _, _ := net.SplitHostPort(a)
-	hb, _, _ := net.SplitHostPort(b)
-	return ha == hb
+	hostA, _, _ := net.SplitHostPort(a)
+	hostB, _, _ := net.SplitHostPort(b)
+	return hostA == hostB
 }
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -20,148 +20,160 @@
 	"indigowalk/internal/rpc"
 )
 
-// ErrNoLease says that nothing may be sent to a primary now: there is none, it
-// is being replaced, or this pooler's read lease has run out.
+// ErrNoLease says that nothing may be sent to a primary now: there is none, it is being
+// replaced, or this proxy's read lease has expired.
 var ErrNoLease = errors.New("distribution: no read lease on a primary")
 
-// ErrLeft says that a database has left, or leaves and may not be sent any more.
-var ErrLeft = errors.New("distribution: the database has left")
+// ErrLeft says that a database was removed, or is draining and may not be sent requests any
+// more.
+var ErrLeft = errors.New("distribution: the database is draining or removed")
 
-// leaseMargin is kept between the check of the lease and its end.
+// leaseMargin is kept between the check of the lease and its expiry.
 const leaseMargin = 50 * kernel.Millisecond
 
-// wholeWait is how much longer a pooler that knows nothing waits for the whole
-// state.
-const wholeWait = 2 * kernel.Second
+// fullStateWait is added to the poll timeout of a proxy that has no state yet and waits for the
+// full one.
+const fullStateWait = 2 * kernel.Second
 
-// others is how long, after a poll that failed, others are not believed that it
-// was the right control node to ask. It may have been a lost packet; and a control node
-// that this pooler does not know as a member it can ask by their word only.
-const others = 300 * kernel.Millisecond
+// referralHoldoff is how long, after a failed poll of a control node, referrals back to that
+// node are ignored. They are followed again afterwards: the failure may have been a lost packet,
+// and a control node that this proxy does not know as a member is found by referral only.
+const referralHoldoff = 300 * kernel.Millisecond
 
-// lostAfter is the time without an answer after which a log line tells so.
-const lostAfter = 2 * kernel.Second
+// lostContactWarning is the time without a response after which a warning is logged.
+const lostContactWarning = 2 * kernel.Second
 
-// longestLater bounds how long a pooler waits for its turn to be told.
-const longestLater = 2 * kernel.Second
+// maxRetryAfter bounds how long a proxy waits for its slot for a large update.
+const maxRetryAfter = 2 * kernel.Second
 
-// leaveWait bounds how long leaving a primary that answers waits for what is
-// under way there.
-const leaveWait = 400 * kernel.Millisecond
+// releaseTimeout bounds how long the release of a responsive primary waits for statements in
+// flight there.
+const releaseTimeout = 400 * kernel.Millisecond
 
-// SubscriberConfig is what a subscriber is built from.
+// SubscriberConfig configures a Subscriber.
 type SubscriberConfig struct {
-	Pooler       string
-	Poll         func() kernel.Micros // longest wait of a poll at the control node
+	Pooler       string               // name of this proxy
+	Poll         func() kernel.Micros // how long a control node may hold a poll
 	ControlNodes func() []string
-	Peers        func() []string         // other carriers, who may pass polls on
-	Lease        kernel.Micros           // span of a read lease
-	Down         func() map[string]int64 // databases that the health coordinator holds as down
-	Applied      func(map[string]discovery.Database)
-	Observed     func(service string, sent kernel.Micros, pos lineprotocol.Position)
-	Seen         func() map[string]Seen     // what requests showed since it was last asked, nil if nothing
-	Paces        func(paces map[string]int) // what all carriers together saw
-	Bounds       func() Bounds
+	// Peers returns other proxies, which may relay polls.
+	Peers func() []string
+	// Lease is the duration of a read lease.
+	Lease kernel.Micros
+	// Down returns the databases that the health monitor considers down.
+	Down func() map[string]int64
+	// Applied is called with all databases after an update.
+	Applied func(map[string]discovery.Database)
+	// OnPosition is called with a position that a primary's log has reached.
+	OnPosition func(service string, sent kernel.Micros, position lineprotocol.Position)
+	// Observations returns what requests showed since the last call, nil if nothing.
+	Observations func() map[string]Observation
+	// OnCosts is called with the request costs that changed.
+	OnCosts func(costs map[string]int)
+	Bounds  func() Bounds
 }
 
-// Subscriber is the carrier's side: the newest control state it has, and its lease.
+// Subscriber is the proxy's side: it holds the newest control state received and the read lease.
 type Subscriber struct {
-	k    *kernel.Kernel
-	b    *rpc.Endpoint
-	cfg  SubscriberConfig
-	life int64
-
-	mu          sync.RWMutex
-	seq         int64
-	epoch       int64
-	conf        *routeconfig.Index
-	databases   map[string]discovery.Database
-	byService   map[string][]discovery.Database
-	leads       map[string]failover.Lead
-	leaseEnd    kernel.Micros
-	confirmed   kernel.Micros // when the poll was sent whose answer was taken in last
-	drains      drainLimits
-	touched     kernel.Micros  // when a poll was sent that a control node answered with a lease
-	controlNode string         // which one that was
-	heardAt     kernel.Micros  // when its answer came
-	poolers     int            // that the control node knows
-	term        int64          // of the observations that was told last,
-	told        int64          // and up to which change
-	inside      map[string]int // statements and transactions at a primary, by service
-	left        map[string]int64
-	commits     commits
-	learnt      map[string]kernel.Micros // when a move was learnt of
-
-	bell    kernel.Bell
-	outside kernel.Bell
-	passing atomic.Int32 // polls of others that are being passed on
+	k           *kernel.Kernel
+	endpoint    *rpc.Endpoint
+	cfg         SubscriberConfig
+	incarnation int64
+
+	mu        sync.RWMutex
+	seq       int64
+	epoch     int64
+	config    *routeconfig.Index
+	databases map[string]discovery.Database
+	byService map[string][]discovery.Database
+	leaders   map[string]failover.Lead
+	leaseEnd  kernel.Micros
+	confirmed kernel.Micros // when the poll was sent whose response was applied last
+	drains    drainTracker
+	// contactSentAt is when the last poll was sent to which a control node responded with a
+	// lease.
+	contactSentAt     kernel.Micros
+	controlNode       string         // the one that responded to it
+	contactAnsweredAt kernel.Micros  // when its response arrived
+	proxies           int            // number of proxies that the control node counts
+	costTerm          int64          // term of the costs received last
+	costSeq           int64          // newest change of those costs
+	inFlight          map[string]int // statements and transactions at a primary, by service
+	// released is, by service, the number of the last failover for which the old primary was
+	// released.
+	released       map[string]int64
+	commits        commitTracker
+	failoverSeenAt map[string]kernel.Micros // when the current failover became known, by service
+
+	changes kernel.Bell // rings at each change
+	// drained rings when nothing is in flight any more at a primary that is being replaced.
+	drained  kernel.Bell
+	relaying atomic.Int32 // number of peers' polls being relayed
 }
 
-// NewSubscriber returns a subscriber that knows nothing yet.
-func NewSubscriber(k *kernel.Kernel, b *rpc.Endpoint, cfg SubscriberConfig) *Subscriber {
+// NewSubscriber returns a subscriber that has no state yet.
+func NewSubscriber(k *kernel.Kernel, endpoint *rpc.Endpoint, cfg SubscriberConfig) *Subscriber {
 	c := &Subscriber{
-		k: k, b: b, cfg: cfg, life: time.Now().UnixMicro(), inside: map[string]int{},
-		left: map[string]int64{}, learnt: map[string]kernel.Micros{}, touched: k.Clock.Now(),
-		drains: drainLimits{began: k.Clock.Now()},
+		k: k, endpoint: endpoint, cfg: cfg, incarnation: time.Now().UnixMicro(), inFlight: map[string]int{},
+		released: map[string]int64{}, failoverSeenAt: map[string]kernel.Micros{}, contactSentAt: k.Clock.Now(),
+		drains: drainTracker{startedAt: k.Clock.Now()},
 	}
-	b.Handle(relayOp, c.onRelay)
-	c.tell(k.Counters)
+	endpoint.Handle(relayOp, c.handleRelay)
+	c.registerMetrics(k.Counters)
 	return c
 }
 
-// Config returns the newest configuration, nil before the first.
+// Config returns the newest configuration, nil if none has been received.
 func (c *Subscriber) Config() *routeconfig.Index {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.conf
+	return c.config
 }
 
-// Databases returns the databases of a service, which are not to be changed,
-// and who leads it.
+// Databases returns the databases of a service, which must not be modified, and its leader.
 func (c *Subscriber) Databases(service string) ([]discovery.Database, failover.Lead) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.byService[service], c.leads[service]
+	return c.byService[service], c.leaders[service]
 }
 
-// Serving returns the databases of a service, which are not to be changed.
+// Serving returns the databases of a service, which must not be modified.
 func (c *Subscriber) Serving(service string) []discovery.Database {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.byService[service]
 }
 
-// Version returns the epoch, sequence and configuration version in hand, and
-// how long the lease runs.
+// Version returns the epoch, sequence number and configuration revision that this proxy has, and
+// the remaining time of its lease.
 func (c *Subscriber) Version() (epoch, seq, rev int64, left kernel.Micros) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if c.conf != nil {
-		rev = c.conf.Rev
+	if c.config != nil {
+		rev = c.config.Rev
 	}
 	return c.epoch, c.seq, rev, max(0, c.leaseEnd-c.k.Clock.Now())
 }
 
-// Ready tells whether the pooler has a configuration and databases.
+// Ready reports whether the proxy has a configuration and databases.
 func (c *Subscriber) Ready() bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.conf != nil && len(c.databases) > 0
+	return c.config != nil && len(c.databases) > 0
 }
 
-// ControlNode is the address of the control node that answered the last poll, the
-// primary if nothing has changed since; "" if none has.
+// ControlNode returns the address of the control node that responded to the last poll, which is
+// the primary unless that has changed since; "" if none has responded.
 func (c *Subscriber) ControlNode() string {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.controlNode
 }
 
-// Changed closes at the next change.
-func (c *Subscriber) Changed() <-chan struct{} { return c.bell.Wait() }
+// Changed returns a channel that is closed at the next change.
+func (c *Subscriber) Changed() <-chan struct{} { return c.changes.Wait() }
 
-// Primary returns the database that may be sent statements as the service's
-// primary, if any may.
+// Primary returns the database to which statements may be sent as the service's primary. It
+// fails with ErrNoLease if there is none.
 func (c *Subscriber) Primary(service string) (string, error) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -169,288 +181,291 @@
 }
 
 func (c *Subscriber) primary(service string) (string, error) {
-	l, ok := c.leads[service]
-	if !ok || l.Moving || c.k.Clock.Now()+leaseMargin >= c.leaseEnd || !c.serves(l.ID) {
+	leader, ok := c.leaders[service]
+	if !ok || leader.Moving || c.k.Clock.Now()+leaseMargin >= c.leaseEnd || !c.acceptsRequests(leader.ID) {
 		return "", ErrNoLease
 	}
-	return l.ID, nil
+	return leader.ID, nil
 }
 
-// Send sends something to a primary if the lease covers it at that moment:
-// the check and the sending are one step with regard to leaving. What was
-// sent counts as under way until Done.
+// Send calls send if the lease covers the primary at that moment. The check and the sending are
+// atomic with respect to the release of the primary. What was sent counts as in flight until
+// Done.
 func (c *Subscriber) Send(service, id string, send func() error) (sent kernel.Micros, err error) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if p, err := c.primary(service); err != nil || p != id {
+	if primary, err := c.primary(service); err != nil || primary != id {
 		return 0, ErrNoLease
 	}
 	sent = c.k.Clock.Now()
 	return sent, send()
 }
 
-// Begin counts a statement or transaction as under way at the primary, and
-// returns how things stand there.
+// Begin counts a statement or transaction as in flight at the primary, and returns the state of
+// the primary at that time.
 func (c *Subscriber) Begin(service string) Mark {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inside[service]++
-	return Mark{Term: c.leads[service].Term, Reached: c.commits.acked[service]}
+	c.inFlight[service]++
+	return Mark{Term: c.leaders[service].Term, Acknowledged: c.commits.acked[service]}
 }
 
 // Done ends what Begin began.
 func (c *Subscriber) Done(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inside[service]--
-	c.k.Invariants.Check(c.inside[service] >= 0, invariant.CountsPositive, "%d statements at the primary of %s", c.inside[service], service)
-	if c.inside[service] == 0 && c.leads[service].Moving {
-		c.outside.Ring()
+	c.inFlight[service]--
+	c.k.Invariants.Check(c.inFlight[service] >= 0, invariant.CountsPositive, "%d statements in flight at the primary of %s", c.inFlight[service], service)
+	if c.inFlight[service] == 0 && c.leaders[service].Moving {
+		c.drained.Ring()
 	}
 }
 
 // Serve polls until ctx ends.
 func (c *Subscriber) Serve(ctx context.Context) error {
-	addr, failed := "", ""
-	heard, lost, failedAt := c.k.Clock.Now(), false, kernel.Micros(0)
-	unanswered := 0 // polls of other machines' control nodes in a row
-	var r relays
-	for turn := 0; ctx.Err() == nil; {
-		cut := c.cutOff(unanswered)
-		if cut && c.throughPeers(ctx, &r) {
-			heard = c.k.Clock.Now()
+	address, failedAddress := "", ""
+	lastResponse, contactLost, failedAt := c.k.Clock.Now(), false, kernel.Micros(0)
+	unanswered := 0 // consecutive failed polls of control nodes on other machines
+	var peers relayPeers
+	for attempt := 0; ctx.Err() == nil; {
+		cutOff := c.needsRelay(unanswered)
+		if cutOff && c.pollThroughPeers(ctx, &peers) {
+			lastResponse = c.k.Clock.Now()
 		}
-		if addr == "" {
-			known := c.cfg.ControlNodes()
-			if len(known) == 0 {
+		if address == "" {
+			candidates := c.cfg.ControlNodes()
+			if len(candidates) == 0 {
 				kernel.Sleep(ctx, 100*kernel.Millisecond)
 				continue
 			}
-			addr = known[turn%len(known)]
-			turn++
+			address = candidates[attempt%len(candidates)]
+			attempt++
 		}
-		next, err := c.poll(ctx, addr, pollOp, cut)
+		next, err := c.poll(ctx, address, pollOp, cutOff)
 		switch now := c.k.Clock.Now(); {
-		case err == nil && next == addr:
-			if heard = now; lost {
-				c.k.Log.Info("the control state is heard of again", "from", addr)
+		case err == nil && next == address:
+			if lastResponse = now; contactLost {
+				c.k.Log.Info("contact with the control state's primary restored", "from", address)
 			}
-			lost = false
-		case !lost && now-heard > lostAfter:
-			lost = true
-			c.k.Log.Warn("the control state is not heard of", "asked", addr, "elsewhere", next, "error", err)
+			contactLost = false
+		case !contactLost && now-lastResponse > lostContactWarning:
+			contactLost = true
+			c.k.Log.Warn("no response from the control state's primary", "asked", address, "elsewhere", next, "error", err)
 		}
 		switch {
 		case err != nil:
 			c.k.Counters.Add("distribution.poll_failed", 1)
-			failed, failedAt = addr, c.k.Clock.Now()
+			failedAddress, failedAt = address, c.k.Clock.Now()
 			unanswered++
-		case next == addr:
-			failed, unanswered, r = "", 0, relays{}
-		case !sameHost(addr, c.b.Addr()):
+		case next == address:
+			failedAddress, unanswered, peers = "", 0, relayPeers{}
+		case !sameHost(address, c.endpoint.Addr()):
 			unanswered = 0
 			fallthrough
 		default:
-			if next == failed && c.k.Clock.Now()-failedAt < others {
-				next = "" // others may not have noticed yet
+			if next == failedAddress && c.k.Clock.Now()-failedAt < referralHoldoff {
+				next = "" // the referring node may not have noticed the failure yet
 			}
 		}
 		if next == "" {
 			kernel.Sleep(ctx, 50*kernel.Millisecond)
 		}
-		addr = next
+		address = next
 	}
 	return nil
 }
 
-// poll asks a control node, or a peer who passes it on, and returns whom to ask
-// next, "" if that is not known. One that is short is answered at once, and not
-// waited for.
-func (c *Subscriber) poll(ctx context.Context, addr, op string, short bool) (string, error) {
+// poll sends a poll to a control node, or through a peer that relays it, and returns the address
+// to poll next, "" if that is not known. A short poll is answered immediately and has a short
+// timeout.
+func (c *Subscriber) poll(ctx context.Context, address, op string, short bool) (string, error) {
 	down := c.cfg.Down()
-	wait := c.leaving(down)
-	q := c.question(down, short)
+	wait := c.acknowledgeFailovers(down)
+	request := c.buildRequest(down, short)
 	if wait > 0 {
-		// Something to acknowledge soon: do not sit in a long poll.
-		stop, cancel := context.WithTimeout(ctx, wait.Duration())
+		// A failover is to be acknowledged soon: don't block in a long poll.
+		drainCtx, cancel := context.WithTimeout(ctx, wait.Duration())
 		select {
-		case <-stop.Done():
-		case <-c.outside.Wait():
+		case <-drainCtx.Done():
+		case <-c.drained.Wait():
 		}
 		cancel()
-		return c.poll(ctx, addr, op, short)
+		return c.poll(ctx, address, op, short)
 	}
 	start := c.k.Clock.Now()
-	if c.cfg.Seen != nil {
-		q.Seen = c.cfg.Seen()
+	if c.cfg.Observations != nil {
+		request.Observations = c.cfg.Observations()
 	}
-	span := c.pollSpan()
+	timeout := c.pollTimeout()
 	switch {
-	case q.Seq == 0:
-		span += wholeWait // there is nothing to lose, and a turn to wait for
+	case request.Seq == 0:
+		timeout += fullStateWait // there is no lease to lose, and a slot to wait for
 	case short:
-		span = shortWait
+		timeout = cutOffPollTimeout
 	}
-	var a pollAnswer
-	if err := c.b.Call(ctx, addr, op, q, &a, span); err != nil {
+	var response pollResponse
+	if err := c.endpoint.Call(ctx, address, op, request, &response, timeout); err != nil {
 		return "", err
 	}
 	switch {
-	case a.Newest >= q.Life:
-		// The clock that lives are counted by has stepped back meanwhile.
+	case response.NewestIncarnation >= request.Incarnation:
+		// The clock that numbers incarnations has been set back in the meantime.
 		c.mu.Lock()
-		c.life = a.Newest + 1
+		c.incarnation = response.NewestIncarnation + 1
 		c.mu.Unlock()
-		return addr, nil
-	case a.Later > 0:
-		kernel.Sleep(ctx, min(a.Later, longestLater))
-		return addr, nil
-	case a.Lease <= 0:
-		return a.Elsewhere, nil
+		return address, nil
+	case response.RetryAfter > 0:
+		kernel.Sleep(ctx, min(response.RetryAfter, maxRetryAfter))
+		return address, nil
+	case response.Lease <= 0:
+		return response.Primary, nil
 	}
-	if err := c.apply(start, a, q.Saw); err != nil {
+	if err := c.apply(start, response, request.Positions); err != nil {
 		c.k.Counters.Add("distribution.unreadable", 1)
 		return "", err
 	}
 	if op == pollOp {
 		c.mu.Lock()
-		c.touched, c.controlNode, c.heardAt = start, addr, c.k.Clock.Now()
+		c.contactSentAt, c.controlNode, c.contactAnsweredAt = start, address, c.k.Clock.Now()
 		c.mu.Unlock()
 	}
-	return addr, nil
+	return address, nil
 }
 
-// question is what a poll tells and asks.
-func (c *Subscriber) question(down map[string]int64, short bool) pollAsk {
+// buildRequest returns the poll request for the current state.
+func (c *Subscriber) buildRequest(down map[string]int64, short bool) pollRequest {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	q := pollAsk{Pooler: c.cfg.Pooler, Life: c.life, Seq: c.seq, Left: map[string]int64{}}
-	q.Term, q.Told, q.Saw = c.term, c.told, c.commits.seen()
-	q.Now = short || c.leaseEnd-c.k.Clock.Now() < 2*c.cfg.Poll()
+	request := pollRequest{Proxy: c.cfg.Pooler, Incarnation: c.incarnation, Seq: c.seq, Released: map[string]int64{}}
+	request.CostTerm, request.CostSeq, request.Positions = c.costTerm, c.costSeq, c.commits.report()
+	request.Immediate = short || c.leaseEnd-c.k.Clock.Now() < 2*c.cfg.Poll()
 	for id := range down {
-		q.Down = append(q.Down, id)
+		request.Down = append(request.Down, id)
 	}
-	for svc, turn := range c.left {
-		if c.leads[svc].Moving {
-			q.Left[svc] = turn
+	for service, failoverNumber := range c.released {
+		if c.leaders[service].Moving {
+			request.Released[service] = failoverNumber
 		}
 	}
-	q.Acked, q.Certain, q.Looks = c.commits.acked.of(q.Left), c.commits.certain.of(q.Left), c.commits.look.checksum()
-	return q
+	request.Acked, request.Certain, request.QueryChecksum = c.commits.acked.forServices(request.Released), c.commits.certain.forServices(request.Released), c.commits.query.checksum()
+	return request
 }
 
-// pollSpan is how long the answer to a poll is waited for.
-func (c *Subscriber) pollSpan() kernel.Micros { return c.cfg.Poll() + 300*kernel.Millisecond }
+// pollTimeout is the timeout of a poll.
+func (c *Subscriber) pollTimeout() kernel.Micros { return c.cfg.Poll() + 300*kernel.Millisecond }
 
-// leaving acknowledges moves that nothing stands against, and returns how
-// long to wait for what is still under way.
-func (c *Subscriber) leaving(down map[string]int64) (wait kernel.Micros) {
+// acknowledgeFailovers releases the old primaries of failovers where nothing is in flight any
+// more, the primary is down, or releaseTimeout has passed; the next poll acknowledges them. It
+// returns how long to wait for statements still in flight.
+func (c *Subscriber) acknowledgeFailovers(down map[string]int64) (wait kernel.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
-	for svc, l := range c.leads {
-		if !l.Moving || c.left[svc] >= l.Turn {
+	for service, leader := range c.leaders {
+		if !leader.Moving || c.released[service] >= leader.Turn {
 			continue
 		}
-		left := c.learnt[svc] + leaveWait - now
-		if _, isDown := down[l.ID]; c.inside[svc] == 0 || left <= 0 || isDown || l.Failed {
-			c.left[svc] = l.Turn
+		remaining := c.failoverSeenAt[service] + releaseTimeout - now
+		if _, isDown := down[leader.ID]; c.inFlight[service] == 0 || remaining <= 0 || isDown || leader.Failed {
+			c.released[service] = leader.Turn
 			continue
 		}
-		wait = max(wait, min(left, 20*kernel.Millisecond))
+		wait = max(wait, min(remaining, 20*kernel.Millisecond))
 	}
 	return wait
 }
 
-// apply takes an answer in, to a poll that told that.
-func (c *Subscriber) apply(start kernel.Micros, a pollAnswer, told *saw) error {
-	var n news
-	if a.News != nil {
-		if err := json.Unmarshal(a.News, &n); err != nil {
+// apply takes in a response. start is when the poll was sent, reported the positions that it
+// reported.
+func (c *Subscriber) apply(start kernel.Micros, response pollResponse, reported *positionReport) error {
+	var changes update
+	if response.Update != nil {
+		if err := json.Unmarshal(response.Update, &changes); err != nil {
 			return fmt.Errorf("distribution: %w", err)
 		}
 	}
 	c.mu.Lock()
-	c.watch(a, n)
-	if a.Epoch < c.epoch || a.Seq < c.seq {
+	c.checkInvariants(response, changes)
+	if response.Epoch < c.epoch || response.Seq < c.seq {
 		c.mu.Unlock()
 		c.k.Counters.Add("distribution.old_refused", 1)
 		return nil
 	}
-	if n.Config != nil {
-		if c.conf != nil && n.Config.Rev < c.conf.Rev {
+	if changes.Config != nil {
+		if c.config != nil && changes.Config.Rev < c.config.Rev {
 			c.mu.Unlock()
 			c.k.Counters.Add("distribution.old_refused", 1)
 			return nil
 		}
-		c.conf = c.conf.Next(n.Config)
+		c.config = c.config.Apply(changes.Config)
 	}
-	if a.News != nil {
-		c.merge(n)
+	if response.Update != nil {
+		c.merge(changes)
 	}
-	if n.Config != nil {
-		c.k.Log.Info("configuration taken", "rev", n.Config.Rev, "epoch", a.Epoch, "seq", a.Seq, "bytes", len(a.News))
+	if changes.Config != nil {
+		c.k.Log.Info("configuration applied", "rev", changes.Config.Rev, "epoch", response.Epoch, "seq", response.Seq, "bytes", len(response.Update))
 	}
-	c.epoch, c.seq, c.poolers = a.Epoch, a.Seq, a.Poolers
-	c.term, c.told = a.Term, a.Told
-	c.commits.lookFrom(a.Look, told, c.k.Clock.Now())
-	c.leaseEnd, c.confirmed = max(c.leaseEnd, start+a.Lease), start
+	c.epoch, c.seq, c.proxies = response.Epoch, response.Seq, response.Proxies
+	c.costTerm, c.costSeq = response.CostTerm, response.CostSeq
+	c.commits.setQuery(response.Query, reported, c.k.Clock.Now())
+	c.leaseEnd, c.confirmed = max(c.leaseEnd, start+response.Lease), start
 	databases := c.databases
 	var floors []failover.Lead
-	for _, l := range c.leads {
-		if l.Moving && l.Floor != "" {
-			floors = append(floors, l)
+	for _, leader := range c.leaders {
+		if leader.Moving && leader.Floor != "" {
+			floors = append(floors, leader)
 		}
 	}
 	c.mu.Unlock()
-	if len(a.Paces) > 0 && c.cfg.Paces != nil {
-		c.cfg.Paces(a.Paces)
+	if len(response.Costs) > 0 && c.cfg.OnCosts != nil {
+		c.cfg.OnCosts(response.Costs)
 	}
-	for _, l := range floors {
-		// No commit is acknowledged while a lead moves to a chosen database,
-		// so its position covers all until the poll was sent.
-		if pos, ok := lineprotocol.ParsePosition(l.Floor); ok {
-			c.cfg.Observed(l.Service, start, pos)
+	for _, leader := range floors {
+		// No commit is acknowledged during a failover to a chosen database,
+		// so its position covers all commits until the poll was sent.
+		if position, ok := lineprotocol.ParsePosition(leader.Floor); ok {
+			c.cfg.OnPosition(leader.Service, start, position)
 		}
 	}
-	if a.News != nil {
+	if response.Update != nil {
 		c.cfg.Applied(databases)
 	}
-	c.bell.Ring()
+	c.changes.Ring()
 	return nil
 }
 
-// watch checks an answer against what is in hand. The caller holds the lock.
-func (c *Subscriber) watch(a pollAnswer, n news) {
-	c.k.Invariants.Check(a.Epoch <= c.epoch || a.Seq >= c.seq, invariant.StateKept,
-		"epoch %d tells change %d, epoch %d told change %d", a.Epoch, a.Seq, c.epoch, c.seq)
-	if n.Config != nil && c.conf != nil && a.Epoch >= c.epoch && a.Seq >= c.seq {
-		c.k.Invariants.Check(n.Config.Rev >= c.conf.Rev, invariant.ConfigurationForward,
-			"configuration %d comes after %d", n.Config.Rev, c.conf.Rev)
+// checkInvariants checks a response against the state this proxy has. The caller holds the lock.
+func (c *Subscriber) checkInvariants(response pollResponse, changes update) {
+	c.k.Invariants.Check(response.Epoch <= c.epoch || response.Seq >= c.seq, invariant.StateKept,
+		"epoch %d is at change %d, but epoch %d was at change %d", response.Epoch, response.Seq, c.epoch, c.seq)
+	if changes.Config != nil && c.config != nil && response.Epoch >= c.epoch && response.Seq >= c.seq {
+		c.k.Invariants.Check(changes.Config.Rev >= c.config.Rev, invariant.ConfigurationForward,
+			"configuration %d received after %d", changes.Config.Rev, c.config.Rev)
 	}
 }
 
-// merge puts news into the maps, which others may hold, by making new ones.
-func (c *Subscriber) merge(n news) {
-	leads, databases := map[string]failover.Lead{}, map[string]discovery.Database{}
-	if !n.Whole {
-		maps.Copy(leads, c.leads)
+// merge applies an update to new copies of the maps, because callers may still hold the old
+// ones.
+func (c *Subscriber) merge(changes update) {
+	leaders, databases := map[string]failover.Lead{}, map[string]discovery.Database{}
+	if !changes.Full {
+		maps.Copy(leaders, c.leaders)
 		maps.Copy(databases, c.databases)
 	}
-	for svc, l := range n.Leads {
-		if old := c.leads[svc]; l.Moving && (old.Turn != l.Turn || !old.Moving) {
-			c.learnt[svc] = c.k.Clock.Now()
+	for service, leader := range changes.Leaders {
+		if old := c.leaders[service]; leader.Moving && (old.Turn != leader.Turn || !old.Moving) {
+			c.failoverSeenAt[service] = c.k.Clock.Now()
 		}
-		leads[svc] = l
+		leaders[service] = leader
 	}
-	maps.Copy(databases, n.Databases)
-	for _, id := range n.Gone {
+	maps.Copy(databases, changes.Databases)
+	for _, id := range changes.Removed {
 		delete(databases, id)
 	}
 	c.drains.update(c.databases, databases, c.confirmed, c.cfg.Bounds())
-	c.leads, c.databases, c.byService = leads, databases, map[string][]discovery.Database{}
+	c.leaders, c.databases, c.byService = leaders, databases, map[string][]discovery.Database{}
 	for _, id := range slices.Sorted(maps.Keys(databases)) {
-		d := databases[id]
-		c.byService[d.Service] = append(c.byService[d.Service], d)
+		database := databases[id]
+		c.byService[database.Service] = append(c.byService[database.Service], database)
 	}
 }
--- a/internal/distribution/newshistory_test.go
+++ b/internal/distribution/updatelog_test.go
@@ -12,10 +12,10 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// A pooler is told what changed since what it has, and everything only if what
-// came before is not known any more.
-func TestNewsSinceASequence(t *testing.T) {
-	e := newNewsHistory(1)
+// A proxy is sent what changed since the state it has, and the full state only if the changes
+// since then are no longer known.
+func TestUpdateSinceSequence(t *testing.T) {
+	log := newUpdateLog(1)
 	state := controlstate.State{Epoch: 3, Seq: 10}.WithoutRevisions()
 	put := func(key, raw string) {
 		if raw == "" {
@@ -23,57 +23,57 @@
 		}
 		state = state.With(map[string]json.RawMessage{key: json.RawMessage(raw)})
 	}
-	since := func(seq int64) (n news, size int, urgent bool) {
+	since := func(seq int64) (got update, size int, urgent bool) {
 		t.Helper()
-		raw, urgent, err := e.since(state, seq)
+		raw, urgent, err := log.since(state, seq)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if raw != nil {
-			if err := json.Unmarshal(raw, &n); err != nil {
+			if err := json.Unmarshal(raw, &got); err != nil {
 				t.Fatal(err)
 			}
 		}
-		return n, len(raw), urgent
+		return got, len(raw), urgent
 	}
 	for i := range 90 {
 		id := fmt.Sprint("i-", i)
 		put(discovery.Key(id), fmt.Sprintf(`{"id":%q,"svc":"s%d","address":"10.1.64.%d:8000","zone":"z","slots":7}`, id, i/3, i))
 	}
 	whole, all, urgent := since(5)
-	if !whole.Whole || len(whole.Databases) != 90 || !urgent {
-		t.Fatalf("whole %v with %d databases, urgent %v", whole.Whole, len(whole.Databases), urgent)
+	if !whole.Full || len(whole.Databases) != 90 || !urgent {
+		t.Fatalf("full %v with %d databases, urgent %v", whole.Full, len(whole.Databases), urgent)
 	}
 	at := state.Seq
 	if _, size, _ := since(at); size != 0 {
-		t.Errorf("%d bytes of news for a pooler that has all", size)
+		t.Errorf("an update of %d bytes for a pooler that is up to date", size)
 	}
 	put("carrier/d1", "17")
 	if _, size, _ := since(at); size != 0 {
-		t.Errorf("%d bytes of news because another pooler was registered", size)
+		t.Errorf("an update of %d bytes because another pooler was registered", size)
 	}
 	put(discovery.Key("i-3"), `{"id":"i-3","svc":"s1","draining":true}`)
 	put(discovery.Key("i-4"), "")
-	n, size, urgent := since(at)
-	if n.Whole || len(n.Databases) != 1 || !n.Databases["i-3"].Draining || len(n.Gone) != 1 || urgent {
-		t.Errorf("changes of two databases: %+v, urgent %v", n, urgent)
+	got, size, urgent := since(at)
+	if got.Full || len(got.Databases) != 1 || !got.Databases["i-3"].Draining || len(got.Removed) != 1 || urgent {
+		t.Errorf("changes of two databases: %+v, urgent %v", got, urgent)
 	}
 	if size > all/20 {
 		t.Errorf("%d bytes for two changes, of %d for everything", size, all)
 	}
 	put(failover.Key("s1"), `{"svc":"s1","id":"i-5","moving":true,"turn":1}`)
-	if n, _, urgent := since(state.Seq - 1); !urgent || !n.Leads["s1"].Moving || len(n.Databases) != 0 {
-		t.Errorf("a move of a lead: %+v, urgent %v", n, urgent)
+	if got, _, urgent := since(state.Seq - 1); !urgent || !got.Leaders["s1"].Moving || len(got.Databases) != 0 {
+		t.Errorf("a failover: %+v, urgent %v", got, urgent)
 	}
-	// The first change after a pause as primary is not taken for none.
-	if n, _, _ := since(at); len(n.Leads) != 1 || len(n.Databases) != 1 {
-		t.Errorf("all changes since: %+v", n)
+	// The first change after a pause as primary must not be mistaken for no change.
+	if got, _, _ := since(at); len(got.Leaders) != 1 || len(got.Databases) != 1 {
+		t.Errorf("all changes since: %+v", got)
 	}
 }
 
-// A new primary that has followed the changes tells what a pooler lacks, not all
-// there is: hundreds of poolers find it at the same time.
-func TestNewsOfAnotherPrimary(t *testing.T) {
+// A new primary that has followed the changes sends a proxy what it lacks, not the full state:
+// hundreds of proxies find the new primary at the same time.
+func TestUpdateFromNewPrimaryIsIncremental(t *testing.T) {
 	conf := func(rev int, hosts ...string) json.RawMessage {
 		var routes []string
 		for _, h := range hosts {
@@ -87,31 +87,31 @@
 		state = state.With(map[string]json.RawMessage{discovery.Key(id): json.RawMessage(fmt.Sprintf(`{"id":%q,"svc":"s"}`, id))})
 	}
 	state = state.With(map[string]json.RawMessage{routeconfig.Key: conf(1, "a", "b")})
-	had := state.Seq
-	old, _, err := newNewsHistory(1).since(state, 0)
+	oldSeq := state.Seq
+	old, _, err := newUpdateLog(1).since(state, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var first news
+	var first update
 	if err := json.Unmarshal(old, &first); err != nil {
 		t.Fatal(err)
 	}
 	state = state.With(map[string]json.RawMessage{routeconfig.Key: conf(2, "b", "c")})
-	raw, _, err := newNewsHistory(2).since(state, had)
+	raw, _, err := newUpdateLog(2).since(state, oldSeq)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var n news
-	if err := json.Unmarshal(raw, &n); err != nil {
+	var got update
+	if err := json.Unmarshal(raw, &got); err != nil {
 		t.Fatal(err)
 	}
-	if n.Whole || len(n.Databases) != 0 || n.Config == nil {
-		t.Fatalf("%d bytes of %d: %+v", len(raw), len(old), n)
+	if got.Full || len(got.Databases) != 0 || got.Config == nil {
+		t.Fatalf("%d bytes of %d: %+v", len(raw), len(old), got)
 	}
-	x := (*routeconfig.Index)(nil).Next(first.Config).Next(n.Config)
+	index := (*routeconfig.Index)(nil).Apply(first.Config).Apply(got.Config)
 	for host, there := range map[string]bool{"a": false, "b": true, "c": true} {
-		if r, _ := x.Find(host); (r != nil) != there {
-			t.Errorf("route %s is there: %v", host, r != nil)
+		if r, _ := index.Find(host); (r != nil) != there {
+			t.Errorf("route %s exists: %v", host, r != nil)
 		}
 	}
 }
--- a/internal/routeconfig/index.go
+++ b/internal/routeconfig/index.go
@@ -7,46 +7,45 @@
 	"strings"
 )
 
-// Index is a configuration as poolers look things up in it: by database name,
-// without the names that only people read.
+// Index is a configuration in the form in which proxies look things up, without the route names,
+// which serve human readers only.
 type Index struct {
 	Rev      int64
 	Limits   Limits
 	services map[string]*Service
 	routes   map[string]*Route   // by key
-	hosts    map[string][]*Route // the longest prefix first
+	hosts    map[string][]*Route // longest prefix first
 	tenants  tenantIndex
 }
 
-// Alike are routes that differ by their keys and by where they lead only.
-type Alike struct {
+// RouteGroup holds routes that differ only by key and target.
+type RouteGroup struct {
 	Manner
-	Of map[string][]string `json:"of"` // keys, by where they lead
+	Targets map[string][]string `json:"of"` // route keys, by target
 }
 
-// AlikeServices are services that differ by their names only.
-type AlikeServices struct {
+// ServiceGroup holds services that differ only by name.
+type ServiceGroup struct {
 	Service
 	Names []string `json:"names"`
 }
 
-// Step leads from one configuration to a later one. Most changes touch a few
-// of many routes, and most routes are like others: a step is far smaller than
-// the configuration.
-type Step struct {
-	Rev      int64           `json:"rev"`
-	All      bool            `json:"all,omitempty"`      // these are all routes and services there are
-	Alike    []Alike         `json:"alike,omitempty"`    // routes that are new or changed
-	Dropped  []string        `json:"dropped,omitempty"`  // keys of routes that are no more
-	Services []AlikeServices `json:"services,omitempty"` // all, if any changed
-	Limits   Limits          `json:"limits"`
-	// Tenants are those that are new or changed, GoneTenants the names of those that
-	// are no more.
-	Tenants     []TenantStep `json:"tenants,omitempty"`
-	GoneTenants []string     `json:"gone_tenants,omitempty"`
+// Delta leads from one configuration to a later one. Most changes touch a few of many routes,
+// and most routes have the same attributes as others, so a delta is far smaller than the
+// configuration.
+type Delta struct {
+	Rev           int64          `json:"rev"`
+	Full          bool           `json:"all,omitempty"`      // the delta holds all routes and services
+	Routes        []RouteGroup   `json:"alike,omitempty"`    // new or changed routes
+	RemovedRoutes []string       `json:"dropped,omitempty"`  // keys of removed routes
+	Services      []ServiceGroup `json:"services,omitempty"` // all services, if any changed
+	Limits        Limits         `json:"limits"`
+	// Tenants are new or changed tenants, RemovedTenants the names of removed ones.
+	Tenants        []TenantStep `json:"tenants,omitempty"`
+	RemovedTenants []string     `json:"gone_tenants,omitempty"`
 }
 
-// Place is what tells a route from others.
+// Place returns the key that distinguishes the route from others: its host and path prefix.
 func (r Route) Place() string {
 	if r.Prefix == "/" {
 		return r.Host
@@ -54,166 +53,167 @@
 	return r.Host + " " + r.Prefix
 }
 
-// bare is a route without its key and name.
-type bare struct {
+// routeSpec is a route without its key and name.
+type routeSpec struct {
 	Manner
-	to string
+	target string
 }
 
-func (r Route) bare() bare { return bare{r.Manner, r.To()} }
+func (r Route) spec() routeSpec { return routeSpec{r.Manner, r.To()} }
 
-// To tells in a word where the route leads: a service, or a list of shares.
+// To returns the route's target: the name of a service, or a JSON list of weighted shares.
 func (r Route) To() string {
 	if len(r.Weighted) == 0 {
 		return r.Service
 	}
 	raw, err := json.Marshal(r.Weighted)
 	if err != nil {
-		return "" // shares that were read from JSON can be written
+		return "" // can't happen: shares that were read from JSON can be encoded
 	}
 	return string(raw)
 }
 
-// lead is the opposite of To.
-func (r *Route) lead(to string) {
-	if !strings.HasPrefix(to, "[") || json.Unmarshal([]byte(to), &r.Weighted) != nil {
-		r.Service = to
+// setTarget sets the target from the form that To returns.
+func (r *Route) setTarget(target string) {
+	if !strings.HasPrefix(target, "[") || json.Unmarshal([]byte(target), &r.Weighted) != nil {
+		r.Service = target
 	}
 }
 
-// History keeps the newest configuration and since which sequence each of its
-// routes is as it is.
+// History holds the newest configuration and, for each of its routes, the sequence number of its
+// last change.
 type History struct {
-	conf    *Configuration
-	routes  map[string]bare  // by key
-	at      map[string]int64 // seq at which a route last changed, or went
-	served  int64            // seq at which the services last changed
-	tenants tenantHistory
+	config             *Configuration
+	routes             map[string]routeSpec // by key
+	changedSeq         map[string]int64     // seq at which a route was last changed or removed, by key
+	servicesChangedSeq int64                // seq at which the services last changed
+	tenants            tenantHistory
 }
 
-// Turn takes the configuration of a sequence in.
-func (h *History) Turn(conf *Configuration, seq int64) {
-	if h.conf == nil || !slices.Equal(h.conf.Services, conf.Services) {
-		h.served = seq
+// Turn takes in the configuration of a sequence number.
+func (h *History) Turn(config *Configuration, seq int64) {
+	if h.config == nil || !slices.Equal(h.config.Services, config.Services) {
+		h.servicesChangedSeq = seq
 	}
-	next := make(map[string]bare, len(conf.Routes))
-	if h.at == nil {
-		h.at = map[string]int64{}
+	next := make(map[string]routeSpec, len(config.Routes))
+	if h.changedSeq == nil {
+		h.changedSeq = map[string]int64{}
 	}
-	for _, r := range conf.Routes {
-		key, b := r.Place(), r.bare()
-		next[key] = b
-		if old, ok := h.routes[key]; !ok || old != b {
-			h.at[key] = seq
+	for _, r := range config.Routes {
+		key, spec := r.Place(), r.spec()
+		next[key] = spec
+		if old, ok := h.routes[key]; !ok || old != spec {
+			h.changedSeq[key] = seq
 		}
 	}
 	for key := range h.routes {
-		if _, still := next[key]; !still {
-			h.at[key] = seq
+		if _, kept := next[key]; !kept {
+			h.changedSeq[key] = seq
 		}
 	}
-	h.conf, h.routes = conf, next
-	h.tenants.turn(conf.Tenants, seq)
+	h.config, h.routes = config, next
+	h.tenants.advance(config.Tenants, seq)
 }
 
-// Since returns the step for whoever has the configuration of seq; of one
-// that has none, or is not known, everything is told.
-func (h *History) Since(seq int64, whole bool) *Step {
-	s := &Step{Rev: h.conf.Rev, All: whole, Limits: h.conf.Limits}
-	if whole || h.served > seq {
-		s.Services = alikeServices(h.conf.Services)
+// Since returns the delta for a proxy that has the configuration of seq, and the full
+// configuration if full is set: the proxy has none, or it is not known which.
+func (h *History) Since(seq int64, full bool) *Delta {
+	delta := &Delta{Rev: h.config.Rev, Full: full, Limits: h.config.Limits}
+	if full || h.servicesChangedSeq > seq {
+		delta.Services = groupServices(h.config.Services)
 	}
-	s.Tenants, s.GoneTenants = h.tenants.since(seq, whole)
+	delta.Tenants, delta.RemovedTenants = h.tenants.since(seq, full)
 	groups := map[Manner]map[string][]string{}
-	for key, b := range h.routes {
-		if whole || h.at[key] > seq {
-			if groups[b.Manner] == nil {
-				groups[b.Manner] = map[string][]string{}
+	for key, spec := range h.routes {
+		if full || h.changedSeq[key] > seq {
+			if groups[spec.Manner] == nil {
+				groups[spec.Manner] = map[string][]string{}
 			}
-			groups[b.Manner][b.to] = append(groups[b.Manner][b.to], key)
+			groups[spec.Manner][spec.target] = append(groups[spec.Manner][spec.target], key)
 		}
 	}
-	for manner, of := range groups {
-		for _, keys := range of {
+	for manner, targets := range groups {
+		for _, keys := range targets {
 			slices.Sort(keys)
 		}
-		s.Alike = append(s.Alike, Alike{manner, of})
+		delta.Routes = append(delta.Routes, RouteGroup{manner, targets})
 	}
-	if !whole {
-		for key, at := range h.at {
-			if _, there := h.routes[key]; !there && at > seq {
-				s.Dropped = append(s.Dropped, key)
+	if !full {
+		for key, changed := range h.changedSeq {
+			if _, exists := h.routes[key]; !exists && changed > seq {
+				delta.RemovedRoutes = append(delta.RemovedRoutes, key)
 			}
 		}
 	}
-	return s
+	return delta
 }
 
-func alikeServices(services []Service) []AlikeServices {
+func groupServices(services []Service) []ServiceGroup {
 	names := map[Service][]string{}
 	for _, s := range services {
 		name := s.Name
 		s.Name = ""
 		names[s] = append(names[s], name)
 	}
-	out := make([]AlikeServices, 0, len(names))
-	for s, n := range names {
-		out = append(out, AlikeServices{s, n})
+	out := make([]ServiceGroup, 0, len(names))
+	for s, serviceNames := range names {
+		out = append(out, ServiceGroup{s, serviceNames})
 	}
 	return out
 }
 
-// Next returns the index after a step; x, which may be nil, stays as it is.
-func (x *Index) Next(s *Step) *Index {
-	n := &Index{Rev: s.Rev, Limits: s.Limits, services: map[string]*Service{}, routes: map[string]*Route{}, hosts: map[string][]*Route{}}
+// Apply returns a new index with the delta applied. x, which may be nil, is not modified.
+func (x *Index) Apply(delta *Delta) *Index {
+	next := &Index{Rev: delta.Rev, Limits: delta.Limits, services: map[string]*Service{}, routes: map[string]*Route{}, hosts: map[string][]*Route{}}
 	if x != nil {
-		n.tenants = x.tenants
+		next.tenants = x.tenants
 	}
-	n.tenants = n.tenants.next(s)
-	if x != nil && !s.All {
-		maps.Copy(n.routes, x.routes)
-		maps.Copy(n.services, x.services)
+	next.tenants = next.tenants.apply(delta)
+	if x != nil && !delta.Full {
+		maps.Copy(next.routes, x.routes)
+		maps.Copy(next.services, x.services)
 	}
-	if s.Services != nil {
-		clear(n.services)
-		for _, a := range s.Services {
-			for _, name := range a.Names {
-				svc := a.Service
+	if delta.Services != nil {
+		clear(next.services)
+		for _, group := range delta.Services {
+			for _, name := range group.Names {
+				svc := group.Service
 				svc.Name = name
-				n.services[name] = &svc
+				next.services[name] = &svc
 			}
 		}
 	}
-	for _, a := range s.Alike {
-		for to, keys := range a.Of {
-			var led Route
-			led.lead(to)
+	for _, group := range delta.Routes {
+		for target, keys := range group.Targets {
+			var parsed Route
+			parsed.setTarget(target)
 			for _, key := range keys {
-				r := Route{Manner: a.Manner, Prefix: "/", Service: led.Service, Weighted: led.Weighted}
+				r := Route{Manner: group.Manner, Prefix: "/", Service: parsed.Service, Weighted: parsed.Weighted}
 				if host, prefix, ok := strings.Cut(key, " "); ok {
 					r.Host, r.Prefix = host, prefix
 				} else {
 					r.Host = key
 				}
-				n.routes[key] = &r
+				next.routes[key] = &r
 			}
 		}
 	}
-	for _, key := range s.Dropped {
-		delete(n.routes, key)
+	for _, key := range delta.RemovedRoutes {
+		delete(next.routes, key)
 	}
-	for _, r := range n.routes {
-		n.hosts[r.Host] = append(n.hosts[r.Host], r)
+	for _, r := range next.routes {
+		next.hosts[r.Host] = append(next.hosts[r.Host], r)
 	}
-	for _, list := range n.hosts {
-		// Of two prefixes of one path the longer sorts behind.
+	for _, list := range next.hosts {
+		// Of two prefixes of the same path, the longer one sorts after the other, so the order is
+		// reversed here.
 		slices.SortFunc(list, func(a, b *Route) int { return strings.Compare(b.Prefix, a.Prefix) })
 	}
-	return n
+	return next
 }
 
-// Find returns the route and the service of a database name; of several
-// routes of one name, that of the least prefix.
+// Find returns the route and the service of a database name. If several routes have that name,
+// it returns the one whose prefix sorts first.
 func (x *Index) Find(host string) (*Route, *Service) {
 	if x == nil {
 		return nil, nil
@@ -227,7 +227,7 @@
 	return nil, nil
 }
 
-// Match returns the route of a host and path: that of the longest prefix.
+// Match returns the route of a host and path, the one with the longest matching prefix.
 func (x *Index) Match(host, path string) *Route {
 	if x == nil {
 		return nil
@@ -240,23 +240,23 @@
 	return nil
 }
 
-// Draw picks the service for one request, at a point from 0 to below 1.
+// Draw picks the service for one request by weight. at is a random number in [0, 1).
 func (r *Route) Draw(at float64) string {
 	sum := 0.0
 	for _, s := range r.Weighted {
 		sum += s.Weight
 	}
 	at *= sum
-	to := r.Service
+	picked := r.Service
 	for _, s := range r.Weighted {
 		if s.Weight > 0 {
-			to = s.Service
+			picked = s.Service
 		}
 		if at -= s.Weight; at < 0 {
 			break
 		}
 	}
-	return to
+	return picked
 }
 
 // Service returns a service, nil if it is not known.
--- a/internal/routeconfig/invariants_test.go
+++ b/internal/routeconfig/invariants_test.go
@@ -10,8 +10,9 @@
 	"indigowalk/internal/kernel"
 )
 
-// A configuration in force that is not that of the newest order on record is found.
-func TestOrderInForceIsRecorded(t *testing.T) {
+// The invariant check detects a current configuration that was not made by the newest recorded
+// change.
+func TestCurrentConfigurationIsRecorded(t *testing.T) {
 	for name, c := range map[string]struct {
 		record string
 		want   []invariant.Invariant
@@ -25,9 +26,9 @@
 		r := New(k, nil, 64)
 		entries := map[string]json.RawMessage{}
 		if c.record != "" {
-			entries[r.ledger.place(1)] = json.RawMessage(c.record)
+			entries[r.ledger.entryKey(1)] = json.RawMessage(c.record)
 		}
-		r.watch(entries, stored{Rev: 5, Orders: 2})
+		r.checkInvariants(entries, stored{Rev: 5, Changes: 2})
 		if got := k.Invariants.Violated(); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v", name, got)
 		}
--- a/internal/routeconfig/ledger.go
+++ b/internal/routeconfig/ledger.go
@@ -10,67 +10,67 @@
 	"indigowalk/internal/controlstate"
 )
 
-// order is a change of version Base to version Rev. Sum is of its kind and
-// whole body: orders that are equal are the same order, sent again by
-// whomever.
-type order struct {
+// changeID identifies a change of version Base to version Rev. Sum is a digest of the kind of
+// change, both versions and the whole body: changes with equal ids are the same change, sent
+// again by whichever client.
+type changeID struct {
 	Base int64  `json:"base"`
 	Rev  int64  `json:"rev"`
 	Sum  string `json:"sum"`
 }
 
-func newOrder(kind string, base, rev int64, body []byte) order {
+func newChangeID(kind string, base, rev int64, body []byte) changeID {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s %d %d %s", kind, base, rev, body))
-	return order{base, rev, base64.RawStdEncoding.EncodeToString(sum[:16])}
+	return changeID{base, rev, base64.RawStdEncoding.EncodeToString(sum[:16])}
 }
 
-// orderPrefix starts the entries of the control state that hold the ledger.
-const orderPrefix = "order/"
+// changePrefix is the key prefix of the control state entries that hold the ledger.
+const changePrefix = "order/"
 
-// ledger holds the idempotency records: the last orders that were taken, each
-// in an entry of its own, written with the configuration that it made. The
-// entries are a ring: a new order takes the place of the oldest one, which is
-// thereby forgotten, so that what a change writes and what there is in all do not
-// grow with the changes before it.
-type ledger struct {
+// changeLedger holds the idempotency records: the last accepted changes, each in an entry of its
+// own, written together with the configuration that it made. The entries form a ring: a new
+// record overwrites the oldest one, so that neither what a change writes nor the total size
+// grows with the number of earlier changes.
+type changeLedger struct {
 	size    int64
-	decoded *controlstate.Decoded[order]
+	decoded *controlstate.Decoded[changeID]
 }
 
-func newLedger(size int64) *ledger {
-	return &ledger{size, controlstate.NewDecoded[order](orderPrefix)}
+func newChangeLedger(size int64) *changeLedger {
+	return &changeLedger{size, controlstate.NewDecoded[changeID](changePrefix)}
 }
 
-// place is the entry of the nth order.
-func (l *ledger) place(n int64) string { return orderPrefix + strconv.FormatInt(n%l.size, 10) }
+// entryKey returns the key of the entry that holds the nth change.
+func (l *changeLedger) entryKey(n int64) string {
+	return changePrefix + strconv.FormatInt(n%l.size, 10)
+}
 
-// check tells what becomes of an order that does not build on the current
-// version: nil if it was taken before; ErrOtherVersion if it never was, and
-// never can be; ErrForgotten if neither is known.
+// resolve determines the outcome of a change that is not based on the current version: nil if it
+// was accepted before; ErrOtherVersion if it was not and never can be; ErrForgotten if that
+// can't be determined.
 //
-// The records are followed from the current version back, each to the version
-// on which it builds. Whatever was taken and is not met on the way was taken
-// before the last version so reached, builds on an older one and made that
-// version at most. That holds also where the size of the ring was another
-// before, or where there was none.
-func (l *ledger) check(entries map[string]json.RawMessage, current int64, o order) error {
-	orders, err := l.decoded.Of(entries)
+// The records are followed from the current version backwards, each to its base version. An
+// accepted change that is not met on the way was accepted before the oldest version reached was
+// made, so its base is older than that version, and the version it made is at most that one.
+// This also holds if the ring had a different size before, or did not exist.
+func (l *changeLedger) resolve(entries map[string]json.RawMessage, current int64, id changeID) error {
+	records, err := l.decoded.Of(entries)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
-	made := make(map[int64]order, len(orders))
-	for _, taken := range orders {
-		made[taken.Rev] = taken
+	byRev := make(map[int64]changeID, len(records))
+	for _, accepted := range records {
+		byRev[accepted.Rev] = accepted
 	}
 	reached := current
 	for {
-		taken, known := made[reached]
+		accepted, known := byRev[reached]
 		switch {
-		case known && taken == o:
+		case known && accepted == id:
 			return nil
 		case known:
-			reached = taken.Base
-		case o.Base < reached && o.Rev <= reached:
+			reached = accepted.Base
+		case id.Base < reached && id.Rev <= reached:
 			return ErrForgotten
 		default:
 			return ErrOtherVersion
--- a/internal/routeconfig/plugin.go
+++ b/internal/routeconfig/plugin.go
@@ -10,8 +10,8 @@
 	kernel.Register(kernel.Plugin{
 		Name: "routeconfig", Rank: 30, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
-			s := kernel.Need[*settings.Live](k).Now()
-			kernel.Offer(k, New(k, kernel.Need[*controlstate.Replica](k), s.OrdersKept))
+			current := kernel.Need[*settings.Live](k).Now()
+			kernel.Offer(k, New(k, kernel.Need[*controlstate.Replica](k), current.OrdersKept))
 			return nil
 		},
 	})
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -1,5 +1,5 @@
-// Package routeconfig keeps the configuration: it checks what the operator
-// sends, lets one change win on each version, and answers what is in force.
+// Package routeconfig manages the route configuration: it validates what the operator sends,
+// accepts at most one change per version, and returns the current configuration.
 package routeconfig
 
 import (
@@ -28,8 +28,8 @@
 	Mutating   = "mutating"
 )
 
-// Route sends a database name that sessions use, or the requests of a host and
-// path, to a service or, by weights, to several.
+// Route maps a database name that sessions use, or the requests of a host and path, to a service
+// or, by weight, to several services.
 type Route struct {
 	Name   string `json:"name" validate:"required"`
 	Host   string `json:"host" validate:"required"`
@@ -39,7 +39,7 @@
 	Weighted []Share `json:"weighted,omitempty" validate:"dive"`
 }
 
-// Manner is how a route serves, whatever its name and wherever it leads.
+// Manner holds the attributes of a route other than its name, key and target.
 type Manner struct {
 	Type       string `json:"type" validate:"oneof=primary bounded nearest idempotent mutating"`
 	DeadlineMs int64  `json:"deadline_ms" validate:"gt=0"`
@@ -47,16 +47,16 @@
 	Prio       int    `json:"prio" validate:"gte=0"`
 	Tries      int    `json:"tries" validate:"gte=0"`
 	StaleMs    int64  `json:"stale_ms,omitempty" validate:"gte=0"`
-	MaxStaleMs int64  `json:"max_stale_ms,omitempty" validate:"gte=0"` // the same by its other name
-	Public     bool   `json:"public,omitempty"`                        // needs no key
+	MaxStaleMs int64  `json:"max_stale_ms,omitempty" validate:"gte=0"` // alias of stale_ms
+	Public     bool   `json:"public,omitempty"`                        // needs no API key
 }
 
-// Stale is how old what is read may be.
+// Stale returns the maximum staleness of reads.
 func (m Manner) Stale() kernel.Micros {
 	return kernel.Micros(cmp.Or(m.StaleMs, m.MaxStaleMs)) * kernel.Millisecond
 }
 
-// Share is the part of a route's requests that goes to one service.
+// Share is the share of a route's requests that goes to one service.
 type Share struct {
 	Service string  `json:"svc" validate:"required"`
 	Weight  float64 `json:"share" validate:"gte=0"`
@@ -72,7 +72,7 @@
 	SyncReplicas int    `json:"sync_replicas" validate:"gte=0"`
 }
 
-// Limits bound what clients may do.
+// Limits are the limits for clients.
 type Limits struct {
 	MaxHeaderBytes  int64 `json:"max_header_bytes" validate:"gte=0"`
 	MaxBodyBytes    int64 `json:"max_body_bytes" validate:"gte=0"`
@@ -81,7 +81,7 @@
 	TxnIdleMs       int64 `json:"txn_idle_ms" validate:"gte=0"`
 }
 
-// Configuration is a whole configuration.
+// Configuration is a complete configuration.
 type Configuration struct {
 	Rev      int64     `json:"rev" validate:"gt=0"`
 	Routes   []Route   `json:"routes" validate:"dive"`
@@ -90,12 +90,12 @@
 	Tenants  []Tenant  `json:"tenants,omitempty" validate:"dive"`
 }
 
-// Fault says which field of a configuration is wrong.
+// Fault says which field of a configuration is wrong, and why.
 type Fault struct{ Field, Reason string }
 
 func (f Fault) Error() string { return f.Field + ": " + f.Reason }
 
-var checker = func() *validator.Validate {
+var structValidator = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
@@ -104,34 +104,35 @@
 	return v
 }()
 
-// Parse reads a configuration and returns every fault it has by itself.
+// Parse decodes and validates a configuration. It returns every fault that can be found without
+// knowledge of the previous version.
 func Parse(raw []byte) (*Configuration, []Fault) {
-	c := &Configuration{}
+	config := &Configuration{}
 	if !json.Valid(raw) {
-		return nil, []Fault{{"body", "is not JSON in full"}}
+		return nil, []Fault{{"body", "is not complete JSON"}}
 	}
-	if err := json.Unmarshal(raw, c); err != nil {
+	if err := json.Unmarshal(raw, config); err != nil {
 		field := "body"
-		var t *json.UnmarshalTypeError
-		if errors.As(err, &t) && t.Field != "" {
-			field = t.Field
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			field = typeErr.Field
 		}
 		return nil, []Fault{{field, "has the wrong type"}}
 	}
 	var faults []Fault
-	var bad validator.ValidationErrors
-	if err := checker.Struct(c); errors.As(err, &bad) {
-		for _, f := range bad {
-			_, place, _ := strings.Cut(strings.NewReplacer(".Manner.", ".", ".TenantTerms.", ".").Replace(f.Namespace()), ".")
+	var invalid validator.ValidationErrors
+	if err := structValidator.Struct(config); errors.As(err, &invalid) {
+		for _, f := range invalid {
+			_, field, _ := strings.Cut(strings.NewReplacer(".Manner.", ".", ".TenantTerms.", ".").Replace(f.Namespace()), ".")
 			reason := "fails " + f.Tag()
 			if f.Param() != "" {
 				reason += "=" + f.Param()
 			}
-			faults = append(faults, Fault{place, reason})
+			faults = append(faults, Fault{field, reason})
 		}
 	}
 	services := map[string]bool{}
-	for i, s := range c.Services {
+	for i, s := range config.Services {
 		if services[s.Name] {
 			faults = append(faults, Fault{fmt.Sprintf("services[%d].name", i), "is there twice"})
 		}
@@ -139,28 +140,28 @@
 	}
 	type match struct{ host, prefix string }
 	matches := map[match]bool{}
-	for i, r := range c.Routes {
+	for i, r := range config.Routes {
 		faults = append(faults, r.faults(fmt.Sprintf("routes[%d]", i), services)...)
-		m := match{r.Host, r.Prefix}
-		if matches[m] {
+		key := match{r.Host, r.Prefix}
+		if matches[key] {
 			faults = append(faults, Fault{fmt.Sprintf("routes[%d].host", i), "same host and path_prefix as another route"})
 		}
-		matches[m] = true
+		matches[key] = true
 	}
-	faults = append(faults, checkTenants(c.Tenants)...)
+	faults = append(faults, checkTenants(config.Tenants)...)
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	return c, nil
+	return config, nil
 }
 
-// faults returns what is wrong with the route by itself and with where it leads.
-func (r Route) faults(place string, services map[string]bool) (faults []Fault) {
+// faults returns the faults of the route itself and of its target.
+func (r Route) faults(field string, services map[string]bool) (faults []Fault) {
 	if (len(r.Weighted) == 0 || r.Service != "") && !services[r.Service] {
-		faults = append(faults, Fault{place + ".svc", "names an unknown service"})
+		faults = append(faults, Fault{field + ".svc", "names an unknown service"})
 	}
 	if r.StaleMs > 0 && r.MaxStaleMs > 0 && r.StaleMs != r.MaxStaleMs {
-		faults = append(faults, Fault{place + ".max_stale_ms", "is not the same as stale_ms"})
+		faults = append(faults, Fault{field + ".max_stale_ms", "differs from stale_ms"})
 	}
 	if len(r.Weighted) == 0 {
 		return faults
@@ -169,65 +170,67 @@
 	for i, s := range r.Weighted {
 		sum += s.Weight
 		if !services[s.Service] {
-			faults = append(faults, Fault{fmt.Sprintf("%s.weighted[%d].svc", place, i), "names an unknown service"})
+			faults = append(faults, Fault{fmt.Sprintf("%s.weighted[%d].svc", field, i), "names an unknown service"})
 		}
 	}
 	if sum <= 0 {
-		faults = append(faults, Fault{place + ".weighted", "the shares add up to 0"})
+		faults = append(faults, Fault{field + ".weighted", "the shares add up to 0"})
 	}
 	return faults
 }
 
-// Key is the entry of the control state that holds the configuration.
+// Key is the key of the control state entry that holds the configuration.
 const Key = "configuration"
 
-// stored keeps the body as it was sent: read back, it must not differ.
+// stored is the entry's value. The body is kept exactly as it was sent, because it must read
+// back unchanged.
 type stored struct {
-	Rev    int64           `json:"rev"`
-	Body   json.RawMessage `json:"body"`
-	Orders int64           `json:"orders"` // taken so far: it gives the next one's place in the ledger
+	Rev     int64           `json:"rev"`
+	Body    json.RawMessage `json:"body"`
+	Changes int64           `json:"orders"` // accepted so far: it determines the ledger entry of the next one
 }
 
-// MaxBody bounds a configuration, as it is sent and as it is kept: half of what
-// one call between control nodes carries, and some 10,000 routes.
+// MaxBody bounds a configuration in bytes, both as sent and as stored: half of what one call
+// between control nodes carries, which is enough for some 10,000 routes.
 const MaxBody = 2 << 20
 
-// Errors of this layer.
+// Errors returned by Registry.
 var (
-	ErrOtherVersion = errors.New("routeconfig: another version is in place")
-	ErrUnavailable  = errors.New("routeconfig: can't be changed now")
-	// ErrForgotten says that an order may have been taken long ago: the ledger
-	// does not reach back as far.
-	ErrForgotten = errors.New("routeconfig: whether this was taken is not known any more")
+	ErrOtherVersion = errors.New("routeconfig: the base version is not the current version")
+	ErrUnavailable  = errors.New("routeconfig: the configuration can't be read or changed now")
+	// ErrForgotten says that the change may have been accepted long ago: the ledger does not
+	// reach back far enough to tell.
+	ErrForgotten = errors.New("routeconfig: it is no longer known whether this change was accepted")
 )
 
-// Invalid lists the faults for which a configuration was refused.
+// Invalid lists the faults for which a configuration was rejected.
 type Invalid struct{ Faults []Fault }
 
 func (e *Invalid) Error() string { return "routeconfig: invalid configuration" }
 
-// controlState is what the route configuration needs of the control state.
+// controlState is the part of the control state that the Registry needs.
 type controlState interface {
 	Update(ctx context.Context, change controlstate.ChangeFunc) error
 	Read(key string) (json.RawMessage, error)
 }
 
-// Registry keeps the configuration at a control node. The versions that were ever in force form a
-// chain: each was made by the one order that was taken on top of the version
-// before it, and its number is higher.
+// Registry manages the configuration at a control node. The versions that were ever current form
+// a chain: each was made by the one change that was accepted on top of the version before it,
+// and its number is higher.
 type Registry struct {
 	k      *kernel.Kernel
-	v      controlState
-	ledger *ledger
+	state  controlState
+	ledger *changeLedger
 }
 
-// New returns the route configuration kept in v; its ledger holds that many orders.
-func New(k *kernel.Kernel, v controlState, orders int64) *Registry {
-	return &Registry{k, v, newLedger(orders)}
+// New returns a registry that keeps the configuration in the given control state, with a ledger of that
+// many changes.
+func New(k *kernel.Kernel, state controlState, changes int64) *Registry {
+	return &Registry{k, state, newChangeLedger(changes)}
 }
 
-// Decode returns the configuration in an entry of the control state.
-func Decode(entry json.RawMessage) (body json.RawMessage, c *Configuration, err error) {
+// Decode decodes an entry of the control state into the configuration and its body as sent.
+func Decode(entry json.RawMessage) (body json.RawMessage, config *Configuration, err error) {
 	if entry == nil {
 		return nil, nil, nil
 	}
@@ -235,40 +238,40 @@
 	if err := json.Unmarshal(entry, &s); err != nil {
 		return nil, nil, fmt.Errorf("routeconfig: %w", err)
 	}
-	c = &Configuration{} // it was checked when it was taken
-	if err := json.Unmarshal(s.Body, c); err != nil {
+	config = &Configuration{} // validated when it was accepted
+	if err := json.Unmarshal(s.Body, config); err != nil {
 		return nil, nil, fmt.Errorf("routeconfig: %w", err)
 	}
-	return s.Body, c, nil
+	return s.Body, config, nil
 }
 
-// Replace puts a configuration that builds on base in force.
+// Replace makes a configuration that is based on version base the current one.
 func (c *Registry) Replace(ctx context.Context, base int64, raw []byte) error {
-	conf, faults := Parse(raw)
+	config, faults := Parse(raw)
 	if faults != nil {
-		return c.refuse(&Invalid{faults})
+		return c.countRefusal(&Invalid{faults})
 	}
 	body, err := compact(raw)
 	if err != nil {
-		return c.refuse(err)
+		return c.countRefusal(err)
 	}
-	return c.change(ctx, newOrder("replace", base, conf.Rev, body), func(json.RawMessage) (json.RawMessage, error) {
+	return c.change(ctx, newChangeID("replace", base, config.Rev, body), func(json.RawMessage) (json.RawMessage, error) {
 		return body, nil
 	})
 }
 
-// Update changes named items of the configuration base.
+// Update changes named items of the configuration of version base.
 func (c *Registry) Update(ctx context.Context, base int64, raw []byte) error {
-	p, err := parsePatch(raw)
+	change, err := parsePatch(raw)
 	if err != nil {
-		return c.refuse(err)
+		return c.countRefusal(err)
 	}
 	body, err := compact(raw)
 	if err != nil {
-		return c.refuse(err)
+		return c.countRefusal(err)
 	}
-	return c.change(ctx, newOrder("update", base, p.Rev, body), func(now json.RawMessage) (json.RawMessage, error) {
-		next, err := p.apply(now)
+	return c.change(ctx, newChangeID("update", base, change.Rev, body), func(current json.RawMessage) (json.RawMessage, error) {
+		next, err := change.apply(current)
 		if err != nil {
 			return nil, err
 		}
@@ -279,56 +282,57 @@
 	})
 }
 
+// compact returns the JSON text without insignificant whitespace.
 func compact(raw []byte) ([]byte, error) {
 	var body bytes.Buffer
 	if err := json.Compact(&body, raw); err != nil {
-		return nil, &Invalid{[]Fault{{"body", "is not JSON in full"}}}
+		return nil, &Invalid{[]Fault{{"body", "is not complete JSON"}}}
 	}
 	return body.Bytes(), nil
 }
 
-// change puts what next makes of the body in place in force, if the order
-// builds on that version. One that was taken before is acknowledged again, and
-// one of which that can't be told is left without a clear answer.
-func (c *Registry) change(ctx context.Context, o order, next func(json.RawMessage) (json.RawMessage, error)) error {
-	if o.Rev <= o.Base { // no version was ever made like this
-		return c.refuse(&Invalid{[]Fault{{"rev", fmt.Sprintf("is not higher than %d, on which it builds", o.Base)}}})
+// change makes the body that next returns the current configuration, if the change is based on
+// the current version. A change that was accepted before is acknowledged again, and one
+// for which that is no longer known gets ErrForgotten.
+func (c *Registry) change(ctx context.Context, id changeID, next func(json.RawMessage) (json.RawMessage, error)) error {
+	if id.Rev <= id.Base { // no version can have been made by such a change
+		return c.countRefusal(&Invalid{[]Fault{{"rev", fmt.Sprintf("is not higher than the base version %d", id.Base)}}})
 	}
-	var fresh bool
-	err := c.v.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
-		fresh = false
-		var now stored
-		if e := entries[Key]; e != nil {
-			if err := json.Unmarshal(e, &now); err != nil {
+	var accepted bool
+	err := c.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+		accepted = false
+		var current stored
+		if raw := entries[Key]; raw != nil {
+			if err := json.Unmarshal(raw, &current); err != nil {
 				return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 			}
 		}
-		c.watch(entries, now)
-		if o.Base != now.Rev {
-			return nil, c.ledger.check(entries, now.Rev, o)
+		c.checkInvariants(entries, current)
+		if id.Base != current.Rev {
+			return nil, c.ledger.resolve(entries, current.Rev, id)
 		}
-		body, err := next(now.Body)
+		body, err := next(current.Body)
 		if err != nil {
 			return nil, err
 		}
-		entry, err := json.Marshal(stored{o.Rev, body, now.Orders + 1})
+		entry, err := json.Marshal(stored{id.Rev, body, current.Changes + 1})
 		if err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 		}
 		if len(entry) > MaxBody {
-			return nil, &Invalid{[]Fault{{"body", fmt.Sprintf("makes a configuration of over %d bytes", MaxBody)}}}
+			return nil, &Invalid{[]Fault{{"body", fmt.Sprintf("would make the configuration larger than %d bytes", MaxBody)}}}
 		}
-		record, err := json.Marshal(o)
+		record, err := json.Marshal(id)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 		}
-		fresh = true
-		return map[string]json.RawMessage{Key: entry, c.ledger.place(now.Orders): record}, nil
+		accepted = true
+		return map[string]json.RawMessage{Key: entry, c.ledger.entryKey(current.Changes): record}, nil
 	})
 	switch {
-	case err == nil && fresh:
+	case err == nil && accepted:
 		c.k.Counters.Add("routeconfig.taken", 1)
-		c.k.Log.Info("configuration in force", "rev", o.Rev)
+		c.k.Log.Info("configuration in force", "rev", id.Rev)
 		return nil
 	case err == nil:
 		c.k.Counters.Add("routeconfig.taken_before", 1)
@@ -336,23 +340,24 @@
 	case errors.Is(err, controlstate.ErrNotPrimary), errors.Is(err, controlstate.ErrUnavailable):
 		err = fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
-	return c.refuse(err)
+	return c.countRefusal(err)
 }
 
-// watch checks that the configuration in force is that of the newest order on record.
-func (c *Registry) watch(entries map[string]json.RawMessage, now stored) {
-	raw, there := entries[c.ledger.place(max(0, now.Orders-1))]
-	if now.Orders == 0 || !there {
-		return // none yet, or the ledger was of another size
+// checkInvariants checks that the current configuration was made by the newest recorded change.
+func (c *Registry) checkInvariants(entries map[string]json.RawMessage, current stored) {
+	raw, recorded := entries[c.ledger.entryKey(max(0, current.Changes-1))]
+	if current.Changes == 0 || !recorded {
+		return // no change yet, or the ledger had a different size
 	}
-	var newest order
+	var newest changeID
 	err := json.Unmarshal(raw, &newest)
-	c.k.Invariants.Check(err == nil && newest.Rev == now.Rev, invariant.OrderRecorded,
-		"configuration %d is in force, and the newest order on record made %d (%v)", now.Rev, newest.Rev, err)
+	c.k.Invariants.Check(err == nil && newest.Rev == current.Rev, invariant.OrderRecorded,
+		"configuration %d is in force, but the newest recorded change made %d (%v)", current.Rev, newest.Rev, err)
 }
 
-// refuse counts a change that is not taken, or not surely.
-func (c *Registry) refuse(err error) error {
+// countRefusal counts a change that was not accepted, or whose outcome is unknown, and returns
+// err.
+func (c *Registry) countRefusal(err error) error {
 	switch {
 	case errors.Is(err, ErrOtherVersion):
 		c.k.Counters.Add("routeconfig.lost_race", 1)
@@ -366,9 +371,9 @@
 	return err
 }
 
-// Fetch returns the newest configuration as it was sent.
+// Fetch returns the current configuration as it was sent, nil if there is none.
 func (c *Registry) Fetch() (json.RawMessage, error) {
-	entry, err := c.v.Read(Key)
+	entry, err := c.state.Read(Key)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -23,7 +23,7 @@
 	}
 	var h History
 	h.Turn(c, 1)
-	x := (*Index)(nil).Next(h.Since(0, true))
+	x := (*Index)(nil).Apply(h.Since(0, true))
 	if r, s := x.Find("h2"); r == nil || r.StaleMs != 1500 || s.Name != "s" {
 		t.Errorf("h2: %+v %+v", r, s)
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// How old a read may be goes by two names.
-func TestStaleByEitherName(t *testing.T) {
+// The staleness bound can be given as stale_ms or as max_stale_ms.
+func TestStalenessFieldAliases(t *testing.T) {
 	for _, name := range []string{"stale_ms", "max_stale_ms"} {
 		c, faults := Parse([]byte(strings.Replace(good, "stale_ms", name, 1)))
 		if faults != nil {
@@ -62,19 +62,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		step := &Step{}
+		step := &Delta{}
 		if err := json.Unmarshal(raw, step); err != nil {
 			t.Fatal(err)
 		}
-		if r, _ := (*Index)(nil).Next(step).Find("h2"); r == nil || r.Stale() != 1500*kernel.Millisecond {
+		if r, _ := (*Index)(nil).Apply(step).Find("h2"); r == nil || r.Stale() != 1500*kernel.Millisecond {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
 }
 
-// A pooler that follows step by step finds what one finds that was told all,
-// and a step of a large configuration is small.
-func TestStepsLeadToTheWhole(t *testing.T) {
+// A proxy that applies delta after delta has the same configuration as one that received it in
+// full, and the delta of a small change to a large configuration is small.
+func TestDeltasMatchFullConfiguration(t *testing.T) {
 	conf := &Configuration{Rev: 1, Services: []Service{{Name: "s", MaxConns: 96}}}
 	for i := range 1900 {
 		conf.Routes = append(conf.Routes, Route{
@@ -82,8 +82,8 @@
 			Manner: Manner{Type: Bounded, DeadlineMs: 4000, TargetMs: 600, Prio: 2, Tries: 2, StaleMs: 1500},
 		})
 	}
-	var h History
-	h.Turn(conf, 10)
+	var history History
+	history.Turn(conf, 10)
 	size := func(v any) int {
 		raw, err := json.Marshal(v)
 		if err != nil {
@@ -91,45 +91,45 @@
 		}
 		return len(raw)
 	}
-	whole := h.Since(0, true)
-	if size(whole) > size(conf)/8 {
-		t.Errorf("everything is told in %d bytes, of %d", size(whole), size(conf))
+	first := history.Since(0, true)
+	if size(first) > size(conf)/8 {
+		t.Errorf("the full delta has %d bytes, the configuration %d", size(first), size(conf))
 	}
-	x := (*Index)(nil).Next(whole)
-	change := func(seq int64, f func(c *Configuration)) *Step {
+	incremental := (*Index)(nil).Apply(first)
+	change := func(seq int64, f func(c *Configuration)) *Delta {
 		next := *conf
 		next.Rev, next.Routes, next.Services = seq, slices.Clone(conf.Routes), slices.Clone(conf.Services)
 		f(&next)
 		conf = &next
-		h.Turn(conf, seq)
-		return h.Since(seq-1, false)
+		history.Turn(conf, seq)
+		return history.Since(seq-1, false)
 	}
-	for _, step := range []*Step{
+	for _, delta := range []*Delta{
 		change(11, func(c *Configuration) { c.Routes[7].DeadlineMs = 3000 }),
 		change(12, func(c *Configuration) { c.Routes = c.Routes[:1899]; c.Routes[3].Prefix = "/sub" }),
 		change(13, func(c *Configuration) { c.Services[0].MaxConns = 50; c.Limits.TxnIdleMs = 9 }),
 	} {
-		if size(step) > 400 {
-			t.Errorf("a small change is told in %d bytes", size(step))
+		if size(delta) > 400 {
+			t.Errorf("the delta of a small change has %d bytes", size(delta))
 		}
-		x = x.Next(step)
+		incremental = incremental.Apply(delta)
 	}
-	y := (*Index)(nil).Next(h.Since(0, true))
+	full := (*Index)(nil).Apply(history.Since(0, true))
 	for i := range 1900 {
 		host := fmt.Sprintf("host%05d", i)
-		a, s := x.Find(host)
-		b, _ := y.Find(host)
+		a, s := incremental.Find(host)
+		b, _ := full.Find(host)
 		if (a == nil) != (b == nil) || a != nil && (!reflect.DeepEqual(a, b) || s.MaxConns != 50) {
-			t.Fatalf("%s: %+v step by step, %+v at once", host, a, b)
+			t.Fatalf("%s: %+v by deltas, %+v in full", host, a, b)
 		}
 	}
-	if r, _ := x.Find("host00007"); r.DeadlineMs != 3000 || x.Limits.TxnIdleMs != 9 || x.Rev != 13 {
-		t.Errorf("%+v, limits %+v, version %d", r, x.Limits, x.Rev)
+	if r, _ := incremental.Find("host00007"); r.DeadlineMs != 3000 || incremental.Limits.TxnIdleMs != 9 || incremental.Rev != 13 {
+		t.Errorf("%+v, limits %+v, version %d", r, incremental.Limits, incremental.Rev)
 	}
 }
 
-// Routes of requests: the longest prefix of a host, and weights.
-func TestMatchAndDraw(t *testing.T) {
+// The longest matching prefix of a host wins, and services are picked by weight.
+func TestRouteMatchAndServicePick(t *testing.T) {
 	body := `{"rev":1,"routes":[
 	{"name":"a","host":"h","path_prefix":"/","type":"idempotent","deadline_ms":9,"svc":"s"},
 	{"name":"b","host":"h","path_prefix":"/x/","type":"mutating","deadline_ms":9,"weighted":[{"svc":"s","share":90},{"svc":"t","share":10},{"svc":"s","share":0}]},
@@ -139,26 +139,26 @@
 	if faults != nil {
 		t.Fatal(faults)
 	}
-	var h History
-	h.Turn(c, 1)
-	raw, err := json.Marshal(h.Since(0, true))
+	var history History
+	history.Turn(c, 1)
+	raw, err := json.Marshal(history.Since(0, true))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var step Step
-	if err := json.Unmarshal(raw, &step); err != nil {
+	var delta Delta
+	if err := json.Unmarshal(raw, &delta); err != nil {
 		t.Fatal(err)
 	}
-	x := (*Index)(nil).Next(&step)
+	index := (*Index)(nil).Apply(&delta)
 	for path, want := range map[string]string{"/": "/", "/xx": "/", "/x/": "/x/", "/x/y": "/x/", "/x/y/z": "/x/y/"} {
-		if r := x.Match("h", path); r == nil || r.Prefix != want {
+		if r := index.Match("h", path); r == nil || r.Prefix != want {
 			t.Errorf("%s: %+v, want the route of %s", path, r, want)
 		}
 	}
-	if x.Match("other", "/") != nil {
+	if index.Match("other", "/") != nil {
 		t.Error("a route of another host")
 	}
-	r := x.Match("h", "/x/1")
+	r := index.Match("h", "/x/1")
 	for at, want := range map[float64]string{0: "s", 0.899: "s", 0.901: "t", 0.9999999999: "t"} {
 		if got := r.Draw(at); got != want {
 			t.Errorf("at %v: %s, want %s", at, got, want)
--- a/internal/routeconfig/tenant.go
+++ b/internal/routeconfig/tenant.go
@@ -8,31 +8,31 @@
 	"slices"
 )
 
-// Tenant is who may send: its keys, its rank and its quota over all nodes.
+// Tenant is a client organization: its API keys, its priority and its quota over all nodes.
 type Tenant struct {
 	Name string   `json:"name" validate:"required"`
 	Keys []string `json:"api_keys"`
 	TenantTerms
 }
 
-// TenantTerms are what a tenant is served by.
+// TenantTerms are a tenant's priority and quota.
 type TenantTerms struct {
-	Prio     int     `json:"prio,omitempty" validate:"gte=0"`       // before the route's; 0 is the highest
-	RatePerS float64 `json:"rate_per_s,omitempty" validate:"gte=0"` // operations a second; 0 for no limit
-	Burst    float64 `json:"burst,omitempty" validate:"gte=0"`      // operations on top
+	Prio     int     `json:"prio,omitempty" validate:"gte=0"`       // takes precedence over the route's; 0 is the highest
+	RatePerS float64 `json:"rate_per_s,omitempty" validate:"gte=0"` // operations per second; 0 for no limit
+	Burst    float64 `json:"burst,omitempty" validate:"gte=0"`      // operations allowed on top of the rate
 }
 
-// Bounds of tenants.
+// Limits for tenants.
 const (
 	maxTenants = 10_000
-	maxRate    = 1e9 // operations a second, or on top
+	maxRate    = 1e9 // bounds the rate in operations per second, and the burst in operations
 )
 
-// KeyDigest stands for a key wherever that need not be known itself: at carriers, in
-// logs and in what tools show.
+// KeyDigest replaces an API key wherever the key itself need not be known: at proxies, in logs
+// and in the output of tools.
 type KeyDigest [16]byte
 
-// DigestOf returns the digest of a key.
+// DigestOf returns the digest of an API key.
 func DigestOf(key string) (d KeyDigest) {
 	sum := sha256.Sum256([]byte(key))
 	copy(d[:], sum[:])
@@ -48,35 +48,35 @@
 func (d *KeyDigest) UnmarshalText(text []byte) error {
 	raw, err := base64.RawStdEncoding.DecodeString(string(text))
 	if err != nil || len(raw) != len(d) {
-		return fmt.Errorf("routeconfig: no digest of a key")
+		return fmt.Errorf("routeconfig: invalid digest of an API key")
 	}
 	copy(d[:], raw)
 	return nil
 }
 
-// checkTenants returns what is wrong with the tenants between each other. No key is
-// in what it says.
+// checkTenants returns the faults of the tenants, including conflicts between them. The faults
+// never contain an API key.
 func checkTenants(tenants []Tenant) (faults []Fault) {
 	if len(tenants) > maxTenants {
 		return []Fault{{"tenants", fmt.Sprintf("are over %d", maxTenants)}}
 	}
 	names, keys := map[string]bool{}, map[string]int{}
 	for i, t := range tenants {
-		place := fmt.Sprintf("tenants[%d]", i)
+		field := fmt.Sprintf("tenants[%d]", i)
 		if names[t.Name] {
-			faults = append(faults, Fault{place + ".name", "is there twice"})
+			faults = append(faults, Fault{field + ".name", "is there twice"})
 		}
 		names[t.Name] = true
 		if t.RatePerS > maxRate || t.Burst > maxRate {
-			faults = append(faults, Fault{place, fmt.Sprintf("has a rate_per_s or burst over %.0f", maxRate)})
+			faults = append(faults, Fault{field, fmt.Sprintf("has a rate_per_s or burst over %.0f", maxRate)})
 		}
 		for n, key := range t.Keys {
 			owner, known := keys[key]
 			switch {
 			case key == "":
-				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", place, n), "is empty"})
+				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", field, n), "is empty"})
 			case known && owner != i:
-				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", place, n), "is a key of another tenant too"})
+				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", field, n), "is a key of another tenant too"})
 			}
 			keys[key] = i
 		}
@@ -84,7 +84,7 @@
 	return faults
 }
 
-// Redacted is the configuration without its keys, for whoever may see the rest.
+// Redacted returns the configuration without API keys, for readers who may see everything else.
 func (c *Configuration) Redacted() *Configuration {
 	if c == nil || len(c.Tenants) == 0 {
 		return c
@@ -97,105 +97,105 @@
 	return &out
 }
 
-// TenantStep is a tenant as carriers are told of it.
+// TenantStep is a tenant as it is published to proxies, with digests instead of API keys.
 type TenantStep struct {
 	Name string `json:"name"`
 	TenantTerms
 	Keys []KeyDigest `json:"keys"`
 }
 
-// tenantStep makes one of a tenant.
-func tenantStep(t Tenant) TenantStep {
-	step := TenantStep{Name: t.Name, TenantTerms: t.TenantTerms, Keys: make([]KeyDigest, 0, len(t.Keys))}
+// newTenantStep returns the published form of a tenant.
+func newTenantStep(t Tenant) TenantStep {
+	published := TenantStep{Name: t.Name, TenantTerms: t.TenantTerms, Keys: make([]KeyDigest, 0, len(t.Keys))}
 	for _, key := range t.Keys {
-		step.Keys = append(step.Keys, DigestOf(key))
+		published.Keys = append(published.Keys, DigestOf(key))
 	}
-	return step
+	return published
 }
 
 func (t TenantStep) equal(o TenantStep) bool {
 	return t.Name == o.Name && t.TenantTerms == o.TenantTerms && slices.Equal(t.Keys, o.Keys)
 }
 
-// tenantHistory keeps since which sequence each tenant is as it is.
+// tenantHistory holds the current tenants and the sequence number of each one's last change.
 type tenantHistory struct {
-	now map[string]TenantStep
-	at  map[string]int64 // seq at which a tenant last changed, or went
+	current    map[string]TenantStep
+	changedSeq map[string]int64 // seq at which a tenant was last changed or removed, by name
 }
 
-// turn takes the tenants of a sequence in.
-func (h *tenantHistory) turn(tenants []Tenant, seq int64) {
-	if h.at == nil {
-		h.at = map[string]int64{}
+// advance takes in the tenants of a sequence number.
+func (h *tenantHistory) advance(tenants []Tenant, seq int64) {
+	if h.changedSeq == nil {
+		h.changedSeq = map[string]int64{}
 	}
 	next := make(map[string]TenantStep, len(tenants))
 	for _, t := range tenants {
-		step := tenantStep(t)
-		next[t.Name] = step
-		if was, known := h.now[t.Name]; !known || !was.equal(step) {
-			h.at[t.Name] = seq
+		published := newTenantStep(t)
+		next[t.Name] = published
+		if old, known := h.current[t.Name]; !known || !old.equal(published) {
+			h.changedSeq[t.Name] = seq
 		}
 	}
-	for name := range h.now {
-		if _, still := next[name]; !still {
-			h.at[name] = seq
+	for name := range h.current {
+		if _, kept := next[name]; !kept {
+			h.changedSeq[name] = seq
 		}
 	}
-	h.now = next
+	h.current = next
 }
 
-// since lists the tenants that changed since a sequence, all if whole, and the names
-// of those that went.
-func (h *tenantHistory) since(seq int64, whole bool) (changed []TenantStep, gone []string) {
-	for _, name := range slices.Sorted(maps.Keys(h.now)) {
-		if whole || h.at[name] > seq {
-			changed = append(changed, h.now[name])
+// since returns the tenants that changed after seq, or all if whole, and the names of those
+// removed after seq.
+func (h *tenantHistory) since(seq int64, full bool) (changed []TenantStep, removed []string) {
+	for _, name := range slices.Sorted(maps.Keys(h.current)) {
+		if full || h.changedSeq[name] > seq {
+			changed = append(changed, h.current[name])
 		}
 	}
-	if whole {
+	if full {
 		return changed, nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.at)) {
-		if _, there := h.now[name]; !there && h.at[name] > seq {
-			gone = append(gone, name)
+	for _, name := range slices.Sorted(maps.Keys(h.changedSeq)) {
+		if _, exists := h.current[name]; !exists && h.changedSeq[name] > seq {
+			removed = append(removed, name)
 		}
 	}
-	return changed, gone
+	return changed, removed
 }
 
-// tenantIndex is the tenants as carriers look them up.
+// tenantIndex holds the tenants in the form in which proxies look them up.
 type tenantIndex struct {
 	byName map[string]TenantStep
 	byKey  map[KeyDigest]*TenantStep
 }
 
-// next returns the index after a step; x stays as it is.
-func (x tenantIndex) next(s *Step) tenantIndex {
-	if !s.All && len(s.Tenants) == 0 && len(s.GoneTenants) == 0 {
+// apply returns a new index with the delta applied; x is not modified.
+func (x tenantIndex) apply(delta *Delta) tenantIndex {
+	if !delta.Full && len(delta.Tenants) == 0 && len(delta.RemovedTenants) == 0 {
 		return x
 	}
-	n := tenantIndex{byName: map[string]TenantStep{}, byKey: map[KeyDigest]*TenantStep{}}
-	if !s.All {
-		maps.Copy(n.byName, x.byName)
+	next := tenantIndex{byName: map[string]TenantStep{}, byKey: map[KeyDigest]*TenantStep{}}
+	if !delta.Full {
+		maps.Copy(next.byName, x.byName)
 	}
-	for _, t := range s.Tenants {
-		n.byName[t.Name] = t
+	for _, t := range delta.Tenants {
+		next.byName[t.Name] = t
 	}
-	for _, name := range s.GoneTenants {
-		delete(n.byName, name)
+	for _, name := range delta.RemovedTenants {
+		delete(next.byName, name)
 	}
-	for _, t := range n.byName {
+	for _, t := range next.byName {
 		for _, key := range t.Keys {
-			n.byKey[key] = &t
+			next.byKey[key] = &t
 		}
 	}
-	return n
+	return next
 }
 
-// HasTenants tells whether clients need a key.
+// HasTenants reports whether clients need an API key.
 func (x *Index) HasTenants() bool { return x != nil && len(x.tenants.byName) > 0 }
 
-// Tenant returns who holds a key, nil if nobody does.
+// Tenant returns the tenant that a key belongs to, nil if there is none.
 func (x *Index) Tenant(key KeyDigest) *TenantStep {
 	if x == nil {
 		return nil
@@ -203,7 +203,7 @@
 	return x.tenants.byKey[key]
 }
 
-// Tenants lists all, by name. The map is not to be changed.
+// Tenants returns all tenants by name. The map must not be modified.
 func (x *Index) Tenants() map[string]TenantStep {
 	if x == nil {
 		return nil
--- a/internal/routeconfig/tenant_test.go
+++ b/internal/routeconfig/tenant_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// conf is a configuration with one route and these tenants, as JSON.
+// tenantConf returns a configuration with one route and the given tenants, as JSON.
 func tenantConf(tenants string) []byte {
 	return fmt.Appendf(nil, `{"rev":2,"routes":[{"name":"r","host":"h","path_prefix":"/","type":"primary","svc":"s","deadline_ms":9}],"services":[{"name":"s"}],"tenants":%s}`, tenants)
 }
@@ -39,18 +39,18 @@
 			t.Errorf("%.80s: %.200q", tenants, got)
 		}
 		if strings.Contains(got, "k1") {
-			t.Errorf("a key is in %q", got)
+			t.Errorf("an API key is in %q", got)
 		}
 	}
 }
 
-// A carrier that is told steps, some of them late and together, has the same tenants
-// as one that is told everything.
-func TestTenantSteps(t *testing.T) {
+// A proxy that applies deltas, some of them late and combined, has the same tenants as one that
+// received the full configuration.
+func TestTenantDeltas(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	var h History
-	var x *Index
-	told := int64(0)
+	var history History
+	var index *Index
+	applied := int64(0)
 	for seq := int64(1); seq < 200; seq++ {
 		c := &Configuration{Rev: seq}
 		for i := range 8 {
@@ -58,30 +58,30 @@
 				c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i, r.IntN(2))}, TenantTerms: TenantTerms{RatePerS: float64(r.IntN(2))}})
 			}
 		}
-		h.Turn(c, seq)
+		history.Turn(c, seq)
 		if r.IntN(3) > 0 {
 			continue
 		}
-		raw, err := json.Marshal(h.Since(told, told == 0))
+		raw, err := json.Marshal(history.Since(applied, applied == 0))
 		if err != nil {
 			t.Fatal(err)
 		}
-		var step Step
-		if err := json.Unmarshal(raw, &step); err != nil {
+		var delta Delta
+		if err := json.Unmarshal(raw, &delta); err != nil {
 			t.Fatal(err)
 		}
-		x, told = x.Next(&step), seq
-		if len(x.Tenants()) != len(c.Tenants) {
-			t.Fatalf("at %d: %d tenants, want %d", seq, len(x.Tenants()), len(c.Tenants))
+		index, applied = index.Apply(&delta), seq
+		if len(index.Tenants()) != len(c.Tenants) {
+			t.Fatalf("at %d: %d tenants, want %d", seq, len(index.Tenants()), len(c.Tenants))
 		}
 		for _, want := range c.Tenants {
-			got := x.Tenant(DigestOf(want.Keys[0]))
+			got := index.Tenant(DigestOf(want.Keys[0]))
 			if got == nil || got.Name != want.Name || got.TenantTerms != want.TenantTerms || len(got.Keys) != 1 {
 				t.Fatalf("at %d: %+v, want %+v", seq, got, want)
 			}
 		}
-		if x.Tenant(DigestOf("k-none")) != nil || strings.Contains(string(raw), `"k0`) {
-			t.Fatalf("at %d: an unknown key, or a key in the news: %s", seq, raw)
+		if index.Tenant(DigestOf("k-none")) != nil || strings.Contains(string(raw), `"k0`) {
+			t.Fatalf("at %d: an unknown key was found, or the delta contains a key: %s", seq, raw)
 		}
 	}
 }
