--- a/internal/distribution/invariants_test.go
+++ b/internal/distribution/invariants_test.go
@@ -18,14 +18,10 @@
 		play func(c *Subscriber)
 		want []invariant.Invariant
 	}{
-		"a later epoch with more": {func(c *Subscriber) { c.checkInvariants(pollResponse{Epoch: 3, Seq: 6}, update{}) }, nil},
-		"a late response": {func(c *Subscriber) {
-			c.checkInvariants(pollResponse{Epoch: 2, Seq: 4}, update{Config: &routeconfig.Delta{Rev: 1}})
-		}, nil},
-		"a later epoch with less": {func(c *Subscriber) { c.checkInvariants(pollResponse{Epoch: 3, Seq: 4}, update{}) }, []invariant.Invariant{invariant.StateKept}},
-		"an older configuration": {func(c *Subscriber) {
-			c.checkInvariants(pollResponse{Epoch: 2, Seq: 6}, update{Config: &routeconfig.Delta{Rev: 8}})
-		},
+		"a later epoch with more": {func(c *Subscriber) { c.check(pollReply{Epoch: 3, Seq: 6}, update{}) }, nil},
+		"a late response":         {func(c *Subscriber) { c.check(pollReply{Epoch: 2, Seq: 4}, update{Config: &routeconfig.Delta{Rev: 1}}) }, nil},
+		"a later epoch with less": {func(c *Subscriber) { c.check(pollReply{Epoch: 3, Seq: 4}, update{}) }, []invariant.Invariant{invariant.StateKept}},
+		"an older configuration": {func(c *Subscriber) { c.check(pollReply{Epoch: 2, Seq: 6}, update{Config: &routeconfig.Delta{Rev: 8}}) },
 			[]invariant.Invariant{invariant.ConfigurationForward}},
 		"begun and ended": {func(c *Subscriber) { c.Begin("s"); c.Done("s") }, nil},
 		"ended twice":     {func(c *Subscriber) { c.Begin("s"); c.Done("s"); c.Done("s") }, []invariant.Invariant{invariant.CountsPositive}},
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -51,8 +51,8 @@
 	CostSeq  int64 `json:"told,omitempty"`
 }
 
-// pollResponse grants a lease and carries updates, or says where or when to poll instead.
-type pollResponse struct {
+// pollReply grants a lease and carries updates, or says where or when to poll instead.
+type pollReply struct {
 	// Primary is the primary's address, if this control node is not the primary.
 	Primary string `json:"elsewhere,omitempty"`
 	// NewestIncarnation is a later incarnation of the proxy, if this one is refused.
@@ -228,13 +228,13 @@
 	}
 	term, primary := o.awaitTerm(ctx)
 	if term == nil {
-		return pollResponse{Primary: primary}, nil
+		return pollReply{Primary: primary}, nil
 	}
 	if err := o.register(ctx, request, term); err != nil {
 		return nil, err
 	}
 	if newest, ok := o.recordReport(request); !ok {
-		return pollResponse{NewestIncarnation: newest}, nil
+		return pollReply{NewestIncarnation: newest}, nil
 	}
 	return o.awaitUpdate(ctx, request, term)
 }
@@ -264,7 +264,7 @@
 		changed := o.replica.Changed()
 		state, err := o.replica.Durable()
 		if err != nil || !term.Valid() {
-			return pollResponse{}, nil
+			return pollReply{}, nil
 		}
 		log, aggregate := o.forTerm(term.Began())
 		if request.Observations != nil {
@@ -283,7 +283,7 @@
 			wait := o.pacer.reserve(request.Proxy, o.k.Clock.Now(), len(encoded))
 			if wait > maxInlineWait {
 				o.k.Counters.Add("distribution.later", 1)
-				return pollResponse{RetryAfter: wait}, nil
+				return pollReply{RetryAfter: wait}, nil
 			}
 			admitted = true
 			if wait > 0 {
@@ -374,9 +374,9 @@
 	}
 	if !term.Valid() {
 		o.k.Counters.Add("distribution.term_ended", 1)
-		return pollResponse{}, nil
+		return pollReply{}, nil
 	}
-	response := pollResponse{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.Count(o.k.Clock.Now() - proxyCountWindow)}
+	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.Count(o.k.Clock.Now() - proxyCountWindow)}
 	if request.CostTerm != term.Began() {
 		request.CostSeq = 0
 	}
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -69,7 +69,7 @@
 	}
 	state.Entries = failover.Register("d", 1)
 	response, err := publisher.respond(pollRequest{Proxy: "d", Incarnation: 1}, state, json.RawMessage(`{}`), newObservations(publisher.k.Clock), nil)
-	if got, ok := response.(pollResponse); err != nil || !ok || got.Lease != 0 || got.Seq != 0 || got.Update != nil {
+	if got, ok := response.(pollReply); err != nil || !ok || got.Lease != 0 || got.Seq != 0 || got.Update != nil {
 		t.Errorf("responded %s %v", response, err)
 	}
 	if publisher.readers.Term(2, map[string]int64{}, 0, 0); publisher.readers.InTerm(2) || publisher.readers.Count(publisher.k.Clock.Now()) != 1 {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -303,7 +303,7 @@
 	case short:
 		timeout = cutOffPollTimeout
 	}
-	var response pollResponse
+	var response pollReply
 	if err := c.endpoint.Call(ctx, address, op, request, &response, timeout); err != nil {
 		return "", err
 	}
@@ -377,7 +377,7 @@
 
 // apply takes in a response. start is when the poll was sent, reported the positions that it
 // reported.
-func (c *Subscriber) apply(start kernel.Micros, response pollResponse, reported *positionReport) error {
+func (c *Subscriber) apply(start kernel.Micros, response pollReply, reported *positionReport) error {
 	var changes update
 	if response.Update != nil {
 		if err := json.Unmarshal(response.Update, &changes); err != nil {
@@ -385,7 +385,7 @@
 		}
 	}
 	c.mu.Lock()
-	c.checkInvariants(response, changes)
+	c.check(response, changes)
 	if response.Epoch < c.epoch || response.Seq < c.seq {
 		c.mu.Unlock()
 		c.k.Counters.Add("distribution.old_refused", 1)
@@ -434,8 +434,8 @@
 	return nil
 }
 
-// checkInvariants checks a response against the state this proxy has. The caller holds the lock.
-func (c *Subscriber) checkInvariants(response pollResponse, changes update) {
+// check checks a response against the state this proxy has. The caller holds the lock.
+func (c *Subscriber) check(response pollReply, changes update) {
 	c.k.Invariants.Check(response.Epoch <= c.epoch || response.Seq >= c.seq, invariant.StateKept,
 		"epoch %d is at change %d, but epoch %d was at change %d", response.Epoch, response.Seq, c.epoch, c.seq)
 	if changes.Config != nil && c.config != nil && response.Epoch >= c.epoch && response.Seq >= c.seq {
--- a/internal/routeconfig/ledger.go
+++ b/internal/routeconfig/ledger.go
@@ -27,23 +27,21 @@
 // changePrefix is the key prefix of the control state entries that hold the ledger.
 const changePrefix = "order/"
 
-// changeLedger holds the idempotency records: the last accepted changes, each in an entry of its
+// ledger holds the idempotency records: the last accepted changes, each in an entry of its
 // own, written together with the configuration that it made. The entries form a ring: a new
 // record overwrites the oldest one, so that neither what a change writes nor the total size
 // grows with the number of earlier changes.
-type changeLedger struct {
+type ledger struct {
 	size    int64
 	decoded *controlstate.Decoded[changeID]
 }
 
-func newChangeLedger(size int64) *changeLedger {
-	return &changeLedger{size, controlstate.NewDecoded[changeID](changePrefix)}
+func newLedger(size int64) *ledger {
+	return &ledger{size, controlstate.NewDecoded[changeID](changePrefix)}
 }
 
 // entryKey returns the key of the entry that holds the nth change.
-func (l *changeLedger) entryKey(n int64) string {
-	return changePrefix + strconv.FormatInt(n%l.size, 10)
-}
+func (l *ledger) entryKey(n int64) string { return changePrefix + strconv.FormatInt(n%l.size, 10) }
 
 // resolve determines the outcome of a change that is not based on the current version: nil if it
 // was accepted before; ErrOtherVersion if it was not and never can be; ErrForgotten if that
@@ -53,7 +51,7 @@
 // accepted change that is not met on the way was accepted before the oldest version reached was
 // made, so its base is older than that version, and the version it made is at most that one.
 // This also holds if the ring had a different size before, or did not exist.
-func (l *changeLedger) resolve(entries map[string]json.RawMessage, current int64, id changeID) error {
+func (l *ledger) resolve(entries map[string]json.RawMessage, current int64, id changeID) error {
 	records, err := l.decoded.Of(entries)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -220,13 +220,13 @@
 type Registry struct {
 	k      *kernel.Kernel
 	state  controlState
-	ledger *changeLedger
+	ledger *ledger
 }
 
 // New returns a registry that keeps the configuration in the given control state, with a ledger of that
 // many changes.
 func New(k *kernel.Kernel, state controlState, changes int64) *Registry {
-	return &Registry{k, state, newChangeLedger(changes)}
+	return &Registry{k, state, newLedger(changes)}
 }
 
 // Decode decodes an entry of the control state into the configuration and its body as sent.
--- a/internal/routeconfig/tenant.go
+++ b/internal/routeconfig/tenant.go
@@ -144,7 +144,7 @@
 	h.current = next
 }
 
-// since returns the tenants that changed after seq, or all if whole, and the names of those
+// since returns the tenants that changed after seq, or all if full is set, and the names of those
 // removed after seq.
 func (h *tenantHistory) since(seq int64, full bool) (changed []TenantStep, removed []string) {
 	for _, name := range slices.Sorted(maps.Keys(h.current)) {
