--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -179,6 +179,7 @@
 	return net.JoinHostPort(host, port)
 }
 
+// errorResponse is the JSON body of an error response.
 type errorResponse struct {
 	Err    string   `json:"err"`
 	Fields []string `json:"fields,omitempty"`
--- a/internal/distribution/drain.go
+++ b/internal/distribution/drain.go
@@ -62,8 +62,8 @@
 	return known && !c.drains.expired(id, c.k.Clock.Now(), c.cfg.Bounds())
 }
 
-// MaySend fails with ErrLeft if client requests may no longer be sent to a database. It is to be
-// called right before sending; for a primary, Send makes the same check.
+// MaySend fails if client requests may no longer be sent to a database. It is to be called right
+// before sending; for a primary, Send makes the same check.
 func (c *Subscriber) MaySend(id string) error {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/distribution/observations.go
+++ b/internal/distribution/observations.go
@@ -35,6 +35,7 @@
 }
 
 const (
+	// publishInterval is the shortest time between two evaluations of the costs.
 	publishInterval = 300 * kernel.Millisecond
 	// One response, or one failure, replaces this share of the previous average.
 	latencyWeight = 0.04
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -22,6 +22,7 @@
 	"indigowalk/internal/rpc"
 )
 
+// pollOp is the operation by which a proxy polls a control node.
 const pollOp = "distribution.poll"
 
 // pollRequest reports a proxy's state to the control state's primary and asks for updates.
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -10,6 +10,8 @@
 	"indigowalk/internal/kernel"
 )
 
+// relayOp is the operation by which a proxy asks a peer to relay a poll.
+//
 // A proxy that is cut off from the control nodes, but not from other proxies, has one of them
 // relay its polls. The control state's primary still records the lease and the acknowledgements
 // itself, and the proxy measures the lease from before it sent the poll, so a lease granted
--- a/internal/distribution/updatelog.go
+++ b/internal/distribution/updatelog.go
@@ -17,7 +17,7 @@
 
 // update is what a proxy lacks of the control state.
 type update struct {
-	// The whole state, not only what changed.
+	// Full says that this is the full state, not only what changed.
 	Full      bool                     `json:"whole,omitempty"`
 	Config    *routeconfig.Delta       `json:"config,omitempty"`
 	Databases databaseSet              `json:"databases,omitempty"`
@@ -29,6 +29,7 @@
 // most databases have all other attributes in common.
 type databaseSet map[string]discovery.Database
 
+// databaseGroup holds databases that differ only by id, service and address.
 type databaseGroup struct {
 	discovery.Database
 	Rows [][3]string `json:"rows"` // id, service and address of each database
--- a/internal/distribution/updatelog_test.go
+++ b/internal/distribution/updatelog_test.go
@@ -40,9 +40,9 @@
 		id := fmt.Sprint("i-", i)
 		put(discovery.Key(id), fmt.Sprintf(`{"id":%q,"svc":"s%d","address":"10.1.64.%d:8000","zone":"z","slots":7}`, id, i/3, i))
 	}
-	whole, all, urgent := since(5)
-	if !whole.Full || len(whole.Databases) != 90 || !urgent {
-		t.Fatalf("full %v with %d databases, urgent %v", whole.Full, len(whole.Databases), urgent)
+	full, all, urgent := since(5)
+	if !full.Full || len(full.Databases) != 90 || !urgent {
+		t.Fatalf("full %v with %d databases, urgent %v", full.Full, len(full.Databases), urgent)
 	}
 	at := state.Seq
 	if _, size, _ := since(at); size != 0 {
--- a/internal/routeconfig/index.go
+++ b/internal/routeconfig/index.go
@@ -73,7 +73,7 @@
 	return string(raw)
 }
 
-// setTarget sets the target from the form that To returns.
+// setTarget sets the target from its text form.
 func (r *Route) setTarget(target string) {
 	if !strings.HasPrefix(target, "[") || json.Unmarshal([]byte(target), &r.Weighted) != nil {
 		r.Service = target
--- a/internal/routeconfig/invariants_test.go
+++ b/internal/routeconfig/invariants_test.go
@@ -19,7 +19,7 @@
 	}{
 		"recorded":          {`{"base":3,"rev":5,"sum":"x"}`, nil},
 		"no record":         {"", nil},
-		"another order":     {`{"base":3,"rev":4,"sum":"x"}`, []invariant.Invariant{invariant.OrderRecorded}},
+		"another change":    {`{"base":3,"rev":4,"sum":"x"}`, []invariant.Invariant{invariant.OrderRecorded}},
 		"an unreadable one": {`{"base":`, []invariant.Invariant{invariant.OrderRecorded}},
 	} {
 		k := kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))
--- a/internal/routeconfig/ledger.go
+++ b/internal/routeconfig/ledger.go
@@ -44,8 +44,8 @@
 func (l *ledger) entryKey(n int64) string { return changePrefix + strconv.FormatInt(n%l.size, 10) }
 
 // resolve determines the outcome of a change that is not based on the current version: nil if it
-// was accepted before; ErrOtherVersion if it was not and never can be; ErrForgotten if that
-// can't be determined.
+// was accepted before, a version conflict if it was not and never can be, and an unknown outcome
+// if that can't be determined.
 //
 // The records are followed from the current version backwards, each to its base version. An
 // accepted change that is not met on the way was accepted before the oldest version reached was
--- a/internal/routeconfig/ledger_test.go
+++ b/internal/routeconfig/ledger_test.go
@@ -43,9 +43,9 @@
 	return n
 }
 
-func onMemory(orders int64) (*Registry, *memory) {
+func onMemory(changes int64) (*Registry, *memory) {
 	m := &memory{entries: map[string]json.RawMessage{}}
-	return New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), m, orders), m
+	return New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), m, changes), m
 }
 
 func body(rev int64, mark int) []byte {
@@ -97,8 +97,8 @@
 }
 
 // A change is identified by base, number, kind and whole body. One that was accepted is
-// acknowledged again or gets ErrForgotten, whatever came after it; a different change on the
-// same base is refused for as long as the accepted one is known.
+// acknowledged again or its outcome is reported as unknown, whatever came after it; a different
+// change on the same base is refused for as long as the accepted one is known.
 func TestRepeatedChanges(t *testing.T) {
 	registry, _ := onMemory(4)
 	grow(t, registry, 0, 9) // version 6, based on 5, is the oldest change on record
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -292,8 +292,8 @@
 }
 
 // change makes the body that next returns the current configuration, if the change is based on
-// the current version. A change that was accepted before is acknowledged again, and one
-// for which that is no longer known gets ErrForgotten.
+// the current version. A change that was accepted before is acknowledged again; one
+// for which that is no longer known fails with an unknown outcome.
 func (c *Registry) change(ctx context.Context, id changeID, next func(json.RawMessage) (json.RawMessage, error)) error {
 	if id.Rev <= id.Base { // no version can have been made by such a change
 		return c.countRefusal(&Invalid{[]Fault{{"rev", fmt.Sprintf("is not higher than the base version %d", id.Base)}}})
