--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -62,7 +62,7 @@
 		Build: func(k *kernel.Kernel) error {
 			current := kernel.Need[*settings.Live](k).Now()
 			if current.ControlAddr == "" {
-				return &settings.Error{Key: "listen.control_addr", Reason: "required on a control node"}
+				return &settings.Error{Key: "listen.control_addr", Reason: "a control node needs it"}
 			}
 			server := New(k, current.ControlAddr, kernel.Need[*controlstate.Replica](k),
 				kernel.Need[*discovery.Registry](k), kernel.Need[*routeconfig.Registry](k))
@@ -129,7 +129,7 @@
 			handler(buffered, request)
 			if !term.Valid() {
 				r.k.Counters.Add("controlapi.term_ended", 1)
-				r.writeError(w, http.StatusServiceUnavailable, "the primary's term ended while the request was processed")
+				r.writeError(w, http.StatusServiceUnavailable, "the term ended meanwhile")
 				return
 			}
 			buffered.flush(w, r.k)
@@ -137,7 +137,7 @@
 		}
 		primary := r.controlAddress(r.replica.Referral())
 		if primary == "" {
-			r.writeError(w, http.StatusServiceUnavailable, "no primary is known")
+			r.writeError(w, http.StatusServiceUnavailable, "no primary is known now")
 			return
 		}
 		r.k.Counters.Add("controlapi.redirected", 1)
@@ -211,7 +211,7 @@
 		// A body that did not arrive in full says nothing about the change: it may have
 		// been accepted before, so this must not be a status that means rejection.
 		r.k.Counters.Add("controlapi.cut_short", 1)
-		r.writeError(w, http.StatusRequestTimeout, "body: incomplete", "body")
+		r.writeError(w, http.StatusRequestTimeout, "body: is not there in full", "body")
 		return nil, false
 	}
 	return raw, true
@@ -226,7 +226,7 @@
 	}
 	var beat discovery.Beat
 	if err := json.Unmarshal(raw, &beat); err != nil {
-		r.writeError(w, http.StatusBadRequest, "heartbeat: "+err.Error())
+		r.writeError(w, http.StatusBadRequest, "beat: "+err.Error())
 		return
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
@@ -234,7 +234,7 @@
 	err := r.databases.Heartbeat(ctx, request.PathValue("id"), beat)
 	switch {
 	case errors.Is(err, discovery.ErrMalformed):
-		r.writeError(w, http.StatusBadRequest, "heartbeat: svc and address are required")
+		r.writeError(w, http.StatusBadRequest, "beat: svc and address are needed")
 	case err != nil:
 		r.writeError(w, http.StatusServiceUnavailable, err.Error())
 	default:
--- a/internal/controlapi/failures.go
+++ b/internal/controlapi/failures.go
@@ -22,7 +22,7 @@
 
 func (a *responseRecorder) Write(raw []byte) (int, error) {
 	if a.status >= http.StatusBadRequest && json.Unmarshal(raw, &a.response) != nil {
-		a.response.Err = "unreadable error response"
+		a.response.Err = "unreadable reason"
 	}
 	return a.ResponseWriter.Write(raw)
 }
--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -19,9 +19,9 @@
 	p := &patch{}
 	switch {
 	case !json.Valid(raw):
-		return nil, &Invalid{[]Fault{{"body", "is not complete JSON"}}}
+		return nil, &Invalid{[]Fault{{"body", "is not JSON in full"}}}
 	case json.Unmarshal(raw, p) != nil:
-		return nil, &Invalid{[]Fault{{"body", "does not consist of rev, upsert and remove"}}}
+		return nil, &Invalid{[]Fault{{"body", "is not rev, upsert and remove"}}}
 	case p.Rev <= 0:
 		return nil, &Invalid{[]Fault{{"rev", "fails gt=0"}}}
 	}
@@ -77,7 +77,7 @@
 	items := []json.RawMessage{}
 	if len(raw) > 0 && !bytes.Equal(raw, []byte("null")) {
 		if err := json.Unmarshal(raw, &items); err != nil {
-			return nil, &Invalid{[]Fault{{kind, "is not a list of named items"}}}
+			return nil, &Invalid{[]Fault{{kind, "is no list of named items"}}}
 		}
 	}
 	indexOf := map[string]int{}
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -109,7 +109,7 @@
 func Parse(raw []byte) (*Configuration, []Fault) {
 	config := &Configuration{}
 	if !json.Valid(raw) {
-		return nil, []Fault{{"body", "is not complete JSON"}}
+		return nil, []Fault{{"body", "is not JSON in full"}}
 	}
 	if err := json.Unmarshal(raw, config); err != nil {
 		field := "body"
@@ -161,7 +161,7 @@
 		faults = append(faults, Fault{field + ".svc", "names an unknown service"})
 	}
 	if r.StaleMs > 0 && r.MaxStaleMs > 0 && r.StaleMs != r.MaxStaleMs {
-		faults = append(faults, Fault{field + ".max_stale_ms", "differs from stale_ms"})
+		faults = append(faults, Fault{field + ".max_stale_ms", "is not the same as stale_ms"})
 	}
 	if len(r.Weighted) == 0 {
 		return faults
@@ -196,11 +196,11 @@
 
 // Errors returned by Registry.
 var (
-	ErrOtherVersion = errors.New("routeconfig: the base version is not the current version")
-	ErrUnavailable  = errors.New("routeconfig: the configuration can't be read or changed now")
+	ErrOtherVersion = errors.New("routeconfig: another version is in place")
+	ErrUnavailable  = errors.New("routeconfig: can't be changed now")
 	// ErrForgotten says that the change may have been accepted long ago: the ledger does not
 	// reach back far enough to tell.
-	ErrForgotten = errors.New("routeconfig: it is no longer known whether this change was accepted")
+	ErrForgotten = errors.New("routeconfig: whether this was taken is not known any more")
 )
 
 // Invalid lists the faults for which a configuration was rejected.
@@ -286,7 +286,7 @@
 func compact(raw []byte) ([]byte, error) {
 	var body bytes.Buffer
 	if err := json.Compact(&body, raw); err != nil {
-		return nil, &Invalid{[]Fault{{"body", "is not complete JSON"}}}
+		return nil, &Invalid{[]Fault{{"body", "is not JSON in full"}}}
 	}
 	return body.Bytes(), nil
 }
@@ -296,7 +296,7 @@
 // for which that is no longer known fails with an unknown outcome.
 func (c *Registry) change(ctx context.Context, id changeID, next func(json.RawMessage) (json.RawMessage, error)) error {
 	if id.Rev <= id.Base { // no version can have been made by such a change
-		return c.countRefusal(&Invalid{[]Fault{{"rev", fmt.Sprintf("is not higher than the base version %d", id.Base)}}})
+		return c.countRefusal(&Invalid{[]Fault{{"rev", fmt.Sprintf("is not higher than %d, on which it builds", id.Base)}}})
 	}
 	var accepted bool
 	err := c.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
@@ -320,7 +320,7 @@
 			return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 		}
 		if len(entry) > MaxBody {
-			return nil, &Invalid{[]Fault{{"body", fmt.Sprintf("would make the configuration larger than %d bytes", MaxBody)}}}
+			return nil, &Invalid{[]Fault{{"body", fmt.Sprintf("makes a configuration of over %d bytes", MaxBody)}}}
 		}
 		record, err := json.Marshal(id)
 		if err != nil {
--- a/internal/routeconfig/tenant.go
+++ b/internal/routeconfig/tenant.go
@@ -48,7 +48,7 @@
 func (d *KeyDigest) UnmarshalText(text []byte) error {
 	raw, err := base64.RawStdEncoding.DecodeString(string(text))
 	if err != nil || len(raw) != len(d) {
-		return fmt.Errorf("routeconfig: invalid digest of an API key")
+		return fmt.Errorf("routeconfig: no digest of a key")
 	}
 	copy(d[:], raw)
 	return nil
