--- a/internal/discovery/departed.go
+++ b/internal/discovery/departed.go
@@ -18,9 +18,9 @@
 // departedPrefix starts the entries of the control state that hold them.
 const departedPrefix = "departed/"
 
-// departuresKept is how many are kept: a late beat is late by seconds, in which
+// maxDepartures is how many are kept: a late beat is late by seconds, in which
 // some dozens depart at most.
-const departuresKept = 256
+const maxDepartures = 256
 
 // hasDeparted tells whether there is a record of a database.
 func (a *Registry) hasDeparted(entries map[string]json.RawMessage, id string) (bool, error) {
@@ -33,9 +33,9 @@
 	return false, err
 }
 
-// Record adds the entries that note departures to changes; a database has one.
+// RecordDepartures adds the entries that note departures to changes; a database has one.
 // Whoever removes the entry of a database records that.
-func (a *Registry) Record(entries, changes map[string]json.RawMessage, ids ...string) error {
+func (a *Registry) RecordDepartures(entries, changes map[string]json.RawMessage, ids ...string) error {
 	if len(ids) == 0 {
 		return nil
 	}
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		changes[departedPrefix+strconv.FormatInt(next%departuresKept, 10)] = raw
+		changes[departedPrefix+strconv.FormatInt(next%maxDepartures, 10)] = raw
 		next++
 	}
 	return nil
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -25,9 +25,9 @@
 	Zone     string `json:"zone"`
 	Slots    int    `json:"slots"`
 	Draining bool   `json:"draining,omitempty"`
-	// Was lists the ids that a database had before it crashed and returned, at
+	// PreviousIDs lists the ids that a database had before it crashed and returned, at
 	// the same address and with its log, the last one first.
-	Was string `json:"was,omitempty"`
+	PreviousIDs string `json:"was,omitempty"`
 	// Gone says that it will not be back, nor its log. The failover manager removes it
 	// once it knows how far its log may have reached.
 	Gone bool `json:"gone,omitempty"`
@@ -37,16 +37,16 @@
 	Limit string `json:"limit,omitempty"`
 }
 
-// remembered is how many earlier ids of a database are.
-const remembered = 4
+// maxPreviousIDs is how many earlier ids of a database are.
+const maxPreviousIDs = 4
 
-// Had tells whether the database had that id in an earlier life.
-func (d Database) Had(id string) bool { return slices.Contains(strings.Fields(d.Was), id) }
+// HadID tells whether the database had that id in an earlier life.
+func (d Database) HadID(id string) bool { return slices.Contains(strings.Fields(d.PreviousIDs), id) }
 
-// Succeeds returns the database as the next life of another.
-func (d Database) Succeeds(old Database) Database {
-	ids := append([]string{old.ID}, strings.Fields(old.Was)...)
-	d.Was = strings.Join(ids[:min(remembered, len(ids))], " ")
+// SuccessorOf returns the database as the next life of another.
+func (d Database) SuccessorOf(old Database) Database {
+	ids := append([]string{old.ID}, strings.Fields(old.PreviousIDs)...)
+	d.PreviousIDs = strings.Join(ids[:min(maxPreviousIDs, len(ids))], " ")
 	return d
 }
 
@@ -63,11 +63,11 @@
 	Role     string `json:"target_role"`
 }
 
-// Soft is what is only remembered.
-type Soft struct {
+// ObservedState is what is only remembered.
+type ObservedState struct {
 	Role  string
 	Seq   int64
-	Heard kernel.Micros
+	LastHeard kernel.Micros
 }
 
 // keyPrefix starts the entries of the control state that hold databases.
@@ -79,9 +79,9 @@
 // Holds tells whether an entry holds a database.
 func Holds(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
-// lateBeat is how long after a beat one with a lower number is taken for a
+// reorderWindow is how long after a beat one with a lower number is taken for a
 // delayed one; later than that the database has started its count again.
-const lateBeat = 3 * kernel.Second
+const reorderWindow = 3 * kernel.Second
 
 // Errors of this layer.
 var (
@@ -92,20 +92,20 @@
 // Registry is the list of databases at a control node.
 type Registry struct {
 	k *kernel.Kernel
-	v *controlstate.Replica
+	state *controlstate.Replica
 
 	decoded  *controlstate.Decoded[Database]
 	departed *controlstate.Decoded[departure]
 
 	mu    sync.Mutex
-	soft  map[string]Soft
+	observed  map[string]ObservedState
 	sweep kernel.Sweep // of what databases that went said
 	bell  kernel.Bell
 }
 
 // New returns the list kept in v.
 func New(k *kernel.Kernel, v *controlstate.Replica) *Registry {
-	return &Registry{k: k, v: v, decoded: Decoder(), departed: controlstate.NewDecoded[departure](departedPrefix), soft: map[string]Soft{}}
+	return &Registry{k: k, state: v, decoded: Decoder(), departed: controlstate.NewDecoded[departure](departedPrefix), observed: map[string]ObservedState{}}
 }
 
 // Decoder returns what picks the databases out of the control state.
@@ -129,7 +129,7 @@
 		ID: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Slots: b.Slots,
 		Draining: b.Status == "draining",
 	}
-	have, err := a.v.Read(keyPrefix + id)
+	have, err := a.state.Read(keyPrefix + id)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
@@ -139,17 +139,17 @@
 			return fmt.Errorf("%w: %v", ErrUnavailable, err)
 		}
 	}
-	late := !a.note(id, b)
+	late := !a.recordObserved(id, b)
 	if late {
 		a.k.Counters.Add("discovery.late_beats", 1)
 	}
 	switch {
 	case have == nil && late:
 		return fmt.Errorf("%w: a delayed beat of a database that is not known", ErrUnavailable)
-	case have != nil && (old.Gone || old.covers(want) || late && (old.Draining || !want.Draining)):
+	case have != nil && (old.Gone || old.unchangedBy(want) || late && (old.Draining || !want.Draining)):
 		return nil
 	}
-	return a.change(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+	return a.update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		if gone, err := a.hasDeparted(entries, id); gone || err != nil {
 			return nil, err
 		}
@@ -157,30 +157,30 @@
 		if err != nil {
 			return nil, err
 		}
-		return settle(known, want)
+		return registrationChanges(known, want)
 	}, "database known", "id", id, "zone", b.Zone, "status", b.Status, "role", b.Role)
 }
 
-// covers tells whether a beat that wants w says nothing new.
-func (d Database) covers(w Database) bool {
-	w.Was, w.Limit, w.Gone, w.Draining = d.Was, d.Limit, d.Gone, d.Draining || w.Draining
+// unchangedBy tells whether a beat that wants w says nothing new.
+func (d Database) unchangedBy(w Database) bool {
+	w.PreviousIDs, w.Limit, w.Gone, w.Draining = d.PreviousIDs, d.Limit, d.Gone, d.Draining || w.Draining
 	return w == d
 }
 
-// note remembers what a beat says besides the control state; it reports false
+// recordObserved remembers what a beat says besides the control state; it reports false
 // for a beat that is older than one before.
-func (a *Registry) note(id string, b Beat) bool {
+func (a *Registry) recordObserved(id string, b Beat) bool {
 	now := a.k.Clock.Now()
 	a.mu.Lock()
-	old, known := a.soft[id]
-	if known && b.Seq <= old.Seq && now-old.Heard < lateBeat {
+	old, known := a.observed[id]
+	if known && b.Seq <= old.Seq && now-old.LastHeard < reorderWindow {
 		a.mu.Unlock()
 		return false
 	}
 	if a.sweep.Due(now) {
-		maps.DeleteFunc(a.soft, func(_ string, s Soft) bool { return now-s.Heard > kernel.Kept })
+		maps.DeleteFunc(a.observed, func(_ string, s ObservedState) bool { return now-s.LastHeard > kernel.Kept })
 	}
-	a.soft[id] = Soft{b.Role, b.Seq, now}
+	a.observed[id] = ObservedState{b.Role, b.Seq, now}
 	a.mu.Unlock()
 	if old.Role != b.Role {
 		a.bell.Ring()
@@ -188,22 +188,22 @@
 	return true
 }
 
-// settle enters a database, and deals with any other at its address: of the
+// registrationChanges enters a database, and deals with any other at its address: of the
 // same service it is the same one before a crash, unless it was draining, for
 // then its log left with it. That one is gone, and so is one of another service.
-func settle(known map[string]Database, d Database) (out map[string]json.RawMessage, err error) {
+func registrationChanges(known map[string]Database, d Database) (out map[string]json.RawMessage, err error) {
 	out = map[string]json.RawMessage{}
 	if old, ok := known[d.ID]; ok {
-		d.Was, d.Limit, d.Gone, d.Draining = old.Was, old.Limit, old.Gone, d.Draining || old.Draining
+		d.PreviousIDs, d.Limit, d.Gone, d.Draining = old.PreviousIDs, old.Limit, old.Gone, d.Draining || old.Draining
 	}
 	for id, old := range known {
-		if old.Address == d.Address && old.Had(d.ID) && !old.Gone {
+		if old.Address == d.Address && old.HadID(d.ID) && !old.Gone {
 			return nil, nil // a delayed beat of the life before
 		}
 		switch {
 		case id == d.ID || old.Address != d.Address || old.Gone:
 		case old.Service == d.Service && !old.Draining:
-			d = d.Succeeds(old)
+			d = d.SuccessorOf(old)
 			out[keyPrefix+id] = nil
 		default:
 			old.Gone = true
@@ -219,20 +219,20 @@
 // Deregister notes that a database has ended in order. One that is not known
 // leaves a record too: its beats may come yet.
 func (a *Registry) Deregister(ctx context.Context, id string) error {
-	return a.change(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+	return a.update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		if gone, err := a.hasDeparted(entries, id); gone || err != nil {
 			return nil, err
 		}
-		out, err := edited(entries, id, func(d *Database) { d.Gone = true })
+		out, err := editEntry(entries, id, func(d *Database) { d.Gone = true })
 		if err != nil {
 			return nil, err
 		}
-		return out, a.Record(entries, out, id)
+		return out, a.RecordDepartures(entries, out, id)
 	}, "database gone", "id", id)
 }
 
-// edited changes the entry of a database, if there is one.
-func edited(entries map[string]json.RawMessage, id string, f func(*Database)) (map[string]json.RawMessage, error) {
+// editEntry changes the entry of a database, if there is one.
+func editEntry(entries map[string]json.RawMessage, id string, f func(*Database)) (map[string]json.RawMessage, error) {
 	out := map[string]json.RawMessage{}
 	have, there := entries[keyPrefix+id]
 	if !there {
@@ -251,7 +251,7 @@
 // Remove forgets databases that are gone and held nothing that the others do
 // not.
 func (a *Registry) Remove(ctx context.Context, ids ...string) error {
-	return a.change(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+	return a.update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		out := make(map[string]json.RawMessage, len(ids))
 		for _, id := range ids {
 			out[keyPrefix+id] = nil
@@ -260,9 +260,9 @@
 	}, "databases removed", "ids", ids)
 }
 
-func (a *Registry) change(ctx context.Context, f func(map[string]json.RawMessage) (map[string]json.RawMessage, error), msg string, attrs ...any) error {
+func (a *Registry) update(ctx context.Context, f func(map[string]json.RawMessage) (map[string]json.RawMessage, error), msg string, attrs ...any) error {
 	var changes map[string]json.RawMessage
-	err := a.v.Update(ctx, func(entries map[string]json.RawMessage) (_ map[string]json.RawMessage, err error) {
+	err := a.state.Update(ctx, func(entries map[string]json.RawMessage) (_ map[string]json.RawMessage, err error) {
 		if changes, err = f(entries); err != nil {
 			return nil, err
 		}
@@ -272,7 +272,7 @@
 				removed = append(removed, id)
 			}
 		}
-		return changes, a.Record(entries, changes, removed...)
+		return changes, a.RecordDepartures(entries, changes, removed...)
 	})
 	if err != nil {
 		a.k.Counters.Add("discovery.unavailable", 1)
@@ -285,10 +285,10 @@
 }
 
 // Soft returns what the databases last said of themselves.
-func (a *Registry) Soft() map[string]Soft {
+func (a *Registry) Soft() map[string]ObservedState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return maps.Clone(a.soft)
+	return maps.Clone(a.observed)
 }
 
 // Changed closes when a database sees itself in another role.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), nil)
 		for day := range 1000 {
-			if !a.note(fmt.Sprint("database-", day), Beat{Seq: 1, Role: "replica"}) {
+			if !a.recordObserved(fmt.Sprint("database-", day), Beat{Seq: 1, Role: "replica"}) {
 				t.Fatal("a first beat was taken for an old one")
 			}
 			time.Sleep(24 * time.Hour)
--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -23,8 +23,8 @@
 	By      string `json:"by"`   // who gives it, for the record
 }
 
-// Accepted is the record of such an order. It stays with the lead.
-type Accepted struct {
+// LossAcceptance is the record of such an order. It stays with the lead.
+type LossAcceptance struct {
 	Turn int64  `json:"turn"`
 	By   string `json:"by"`
 	AtMs int64  `json:"at_ms"` // time of day, in milliseconds since 1970
@@ -36,29 +36,29 @@
 	ErrNotWaiting = errors.New("failover: no move of that service and turn waits for a database")
 )
 
-// longestName bounds what is kept of who gave an order.
-const longestName = 200
+// maxNameLength bounds what is kept of who gave an order.
+const maxNameLength = 200
 
-// listen takes orders through the endpoint.
-func (c *Manager) listen(b *rpc.Endpoint) {
+// registerHandlers takes orders through the endpoint.
+func (c *Manager) registerHandlers(b *rpc.Endpoint) {
 	rpc.On(b, AcceptOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, c.Accept(ctx, q) })
 }
 
 // Accept takes an order for the move that waits now, and no other: the next one
 // waits again. Given twice, it is taken once.
 func (c *Manager) Accept(ctx context.Context, q AcceptLoss) error {
-	if q.By == "" || len(q.By) > longestName {
+	if q.By == "" || len(q.By) > maxNameLength {
 		return ErrNoName
 	}
-	if _, err := c.v.Term(); err != nil {
+	if _, err := c.state.Term(); err != nil {
 		return err
 	}
-	err := c.edit(ctx, q.Service, func(l *Lead, _ map[string]discovery.Database) error {
+	err := c.updateService(ctx, q.Service, func(l *Lead, _ map[string]discovery.Database) error {
 		if !l.Moving || l.Turn != q.Turn || q.Turn == 0 || l.To != "" {
 			return ErrNotWaiting
 		}
 		if l.Accepted.Turn != q.Turn {
-			l.Accepted = Accepted{q.Turn, q.By, time.Now().UnixMilli()}
+			l.Accepted = LossAcceptance{q.Turn, q.By, time.Now().UnixMilli()}
 		}
 		return nil
 	})
@@ -75,10 +75,10 @@
 	return nil
 }
 
-// acceptable tells whether an operator may have the choice made all the same.
-func acceptable(refusal string) bool {
+// canAcceptLoss tells whether an operator may have the choice made all the same.
+func canAcceptLoss(refusal string) bool {
 	switch refusal {
-	case someoneSilent, someoneGone, lost, beatAwaited, nobodyHolds:
+	case unresponsiveMayHoldCommit, removedMayHaveHeldCommit, allHoldersRemoved, awaitingFirstHeartbeat, acknowledgedCommitMissing:
 		return true
 	}
 	return false
--- a/internal/failover/acknowledged.go
+++ b/internal/failover/acknowledged.go
@@ -8,19 +8,19 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// acknowledged is what bounds, for each service, the commits that clients were
-// told of. A pooler that has left a primary reports what it acknowledged itself.
-// What a pooler acknowledged that reports no more, since it ended or its lease ran
+// ackTracker is what bounds, for each service, the commits that clients were
+// told of. A pooler that has left a primary reports what it ackTracker itself.
+// What a pooler ackTracker that reports no more, since it ended or its lease ran
 // out, is covered by a sighting: the position in an answer of the primary to a
-// statement that was sent later covers every commit acknowledged before.
-type acknowledged struct {
-	lost     kernel.Micros // until when poolers acknowledged that are no more
+// statement that was sent later covers every commit ackTracker before.
+type ackTracker struct {
+	unreportedUntil     kernel.Micros // until when poolers acknowledged that are no more
 	services []string      // with a primary
-	sighted  map[string]sighted
+	observed  map[string]coveringPosition
 }
 
-// sighted is a position that covers every commit acknowledged before a time.
-type sighted struct {
+// coveringPosition is a position that covers every commit acknowledged before a time.
+type coveringPosition struct {
 	before   kernel.Micros
 	position lineprotocol.Position
 }
@@ -41,29 +41,29 @@
 		return
 	}
 	for service, position := range s.At {
-		if known, ok := r.acknowledged.sighted[service]; ok && s.Stamp <= known.before {
+		if known, ok := r.acks.observed[service]; ok && s.Stamp <= known.before {
 			continue
 		}
-		if r.acknowledged.sighted == nil {
-			r.acknowledged.sighted = map[string]sighted{}
+		if r.acks.observed == nil {
+			r.acks.observed = map[string]coveringPosition{}
 		}
-		r.acknowledged.sighted[service] = sighted{s.Stamp, position}
+		r.acks.observed[service] = coveringPosition{s.Stamp, position}
 	}
 }
 
-// Led notes which services have a primary.
-func (r *Readers) Led(services []string) {
+// SetLedServices notes which services have a primary.
+func (r *Readers) SetLedServices(services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.acknowledged.services = slices.Sorted(slices.Values(services))
+	r.acks.services = slices.Sorted(slices.Values(services))
 }
 
 const (
-	// mostWanted bounds the services that one pooler is asked sightings of.
-	mostWanted = 16
-	// wantedFor is for how long it is asked for the same ones, if they stay wanted: it
+	// maxServicesToObserve bounds the services that one pooler is asked sightings of.
+	maxServicesToObserve = 16
+	// observeRotation is for how long it is asked for the same ones, if they stay wanted: it
 	// need not be told them again.
-	wantedFor = 2 * kernel.Second
+	observeRotation = 2 * kernel.Second
 )
 
 // Wanted lists services of which a sighting later than now would bound what poolers
@@ -71,17 +71,17 @@
 func (r *Readers) Wanted(pooler string, now kernel.Micros) (services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.acknowledged.lost
+	lost := r.acks.unreportedUntil
 	for _, d := range r.poolers {
-		if d.until <= now {
-			lost = max(lost, d.until)
+		if d.leaseEnd <= now {
+			lost = max(lost, d.leaseEnd)
 		}
 	}
-	all := r.acknowledged.services
-	first := int(crc32.ChecksumIEEE([]byte(pooler))>>1) + int(now/wantedFor)*mostWanted
+	all := r.acks.services
+	first := int(crc32.ChecksumIEEE([]byte(pooler))>>1) + int(now/observeRotation)*maxServicesToObserve
 	for i := range all {
 		service := all[(first+i)%len(all)]
-		if s, known := r.acknowledged.sighted[service]; (!known || s.before < lost) && len(services) < mostWanted {
+		if s, known := r.acks.observed[service]; (!known || s.before < lost) && len(services) < maxServicesToObserve {
 			services = append(services, service)
 		}
 	}
@@ -89,22 +89,22 @@
 	return services
 }
 
-// Acknowledged returns a position that covers every commit of the service that a
+// AcknowledgedUpperBound returns a position that covers every commit of the service that a
 // client was told of, once every pooler has left its primary at that turn or
 // holds no lease any more; false if none is known.
-func (r *Readers) Acknowledged(service string, turn int64) (lineprotocol.Position, bool) {
+func (r *Readers) AcknowledgedUpperBound(service string, turn int64) (lineprotocol.Position, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.acknowledged.lost
+	lost := r.acks.unreportedUntil
 	var most lineprotocol.Position
 	for _, d := range r.poolers {
 		if d.Left[service] < turn {
-			lost = max(lost, d.until)
+			lost = max(lost, d.leaseEnd)
 		} else if acked := d.Acked[service]; most.Less(acked) {
 			most = acked
 		}
 	}
-	s, known := r.acknowledged.sighted[service]
+	s, known := r.acks.observed[service]
 	if !known || s.before < lost {
 		return lineprotocol.Position{}, false
 	}
@@ -114,10 +114,10 @@
 	return most, true
 }
 
-// Certain returns a position that a commit of the service has at least of which a client
+// AcknowledgedLowerBound returns a position that a commit of the service has at least of which a client
 // was told, by the poolers that have left its primary at that turn; false if they told of
 // none. Others may have told of later ones.
-func (r *Readers) Certain(service string, turn int64) (most lineprotocol.Position, known bool) {
+func (r *Readers) AcknowledgedLowerBound(service string, turn int64) (most lineprotocol.Position, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.poolers {
--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -72,7 +72,7 @@
 		}
 	}
 	h.readers.Term(h.term, registered, h.now, historyLease)
-	h.readers.Led([]string{"svc"})
+	h.readers.SetLedServices([]string{"svc"})
 }
 
 // poll has a pooler poll; the poll, or its answer, may be lost.
@@ -155,7 +155,7 @@
 		h.poll(c)
 	case e == 32 && h.r.IntN(3) == 0:
 		if h.forgetsLives {
-			h.readers.acknowledged.lost = 0
+			h.readers.acks.unreportedUntil = 0
 		}
 		h.restart(c)
 	case e == 33 && h.r.IntN(10) == 0:
@@ -163,7 +163,7 @@
 	case e == 34 && !h.moving:
 		h.turn, h.moving = h.turn+1, true
 	case e > 34 && h.moving:
-		left, _ := h.readers.Left("svc", h.turn, h.now)
+		left, _ := h.readers.AllLeft("svc", h.turn, h.now)
 		if !left {
 			return true
 		}
@@ -171,11 +171,11 @@
 		if h.countsOld {
 			turn--
 		}
-		bound, known := h.readers.Acknowledged("svc", turn)
+		bound, known := h.readers.AcknowledgedUpperBound("svc", turn)
 		if known && bound.Less(h.newest) {
 			return false
 		}
-		if certain, known := h.readers.Certain("svc", h.turn); known && h.newest.Less(certain) {
+		if certain, known := h.readers.AcknowledgedLowerBound("svc", h.turn); known && h.newest.Less(certain) {
 			return false
 		}
 		if known {
@@ -184,7 +184,7 @@
 		h.moving = false // another leads, or the move is called off
 	}
 	if h.forgetsLives {
-		h.readers.acknowledged.lost = 0
+		h.readers.acks.unreportedUntil = 0
 	}
 	return true
 }
@@ -241,14 +241,14 @@
 	for i := range 40 {
 		pooler := fmt.Sprint("pooler-", i)
 		slices.Reverse(services) // they are not in order
-		r.Led(services)
-		first := r.Wanted(pooler, 10*wantedFor)
-		if len(first) != mostWanted {
+		r.SetLedServices(services)
+		first := r.Wanted(pooler, 10*observeRotation)
+		if len(first) != maxServicesToObserve {
 			t.Fatalf("%s is asked for %d services", pooler, len(first))
 		}
 		slices.Reverse(services)
-		r.Led(services)
-		if again := r.Wanted(pooler, 11*wantedFor-1); !slices.Equal(first, again) {
+		r.SetLedServices(services)
+		if again := r.Wanted(pooler, 11*observeRotation-1); !slices.Equal(first, again) {
 			t.Errorf("%s is asked for %v, and for %v soon after", pooler, first, again)
 		}
 		for _, service := range first {
--- a/internal/failover/call_test.go
+++ b/internal/failover/call_test.go
@@ -14,7 +14,7 @@
 // was looked at, whatever lease runs now.
 func TestDutyInItsTerm(t *testing.T) {
 	c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
-	if err := c.call(t.Context(), Lead{}); !errors.Is(err, errNotYet) || len(c.k.Counters.Snapshot()) != 0 {
+	if err := c.callPlatform(t.Context(), Lead{}); !errors.Is(err, errRetryLater) || len(c.k.Counters.Snapshot()) != 0 {
 		t.Errorf("called: %v, %v", err, c.k.Counters.Snapshot())
 	}
 }
@@ -24,7 +24,7 @@
 	for text, want := range map[string]int{"2.9": 0, "2.8": 0, "2.7": 1} {
 		c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
 		received, _ := lineprotocol.ParsePosition(text)
-		c.watchPromoted(Lead{Service: "s", To: "a", Floor: "2.8"}, statRow{received: received})
+		c.checkPromotedPosition(Lead{Service: "s", To: "a", Floor: "2.8"}, statRow{received: received})
 		if n := c.k.Invariants.Counts()[invariant.PromotedHoldsFloor]; n != want {
 			t.Errorf("%s: %d violations", text, n)
 		}
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -14,8 +14,8 @@
 	Draining bool                  `json:"draining,omitempty"`
 }
 
-// Absent is a replica that did not answer, or has ended.
-type Absent struct {
+// AbsentReplica is a replica that did not answer, or has ended.
+type AbsentReplica struct {
 	ID   string `json:"id"`
 	Gone bool   `json:"gone,omitempty"`
 	// Limit is the furthest position at which it may hold an acknowledged
@@ -25,26 +25,26 @@
 
 // Situation is all that the choice of the next primary depends on.
 type Situation struct {
-	Sync   int      `json:"sync"` // sync_replicas
+	SyncReplicas   int      `json:"sync"` // sync_replicas
 	Copies []Copy   `json:"copies"`
-	Absent []Absent `json:"absent,omitempty"` // every other replica of the service
-	// Held is the old primary's own position, asked after every pooler had left
+	Absent []AbsentReplica `json:"absent,omitempty"` // every other replica of the service
+	// PrimaryPosition is the old primary's own position, asked after every pooler had left
 	// it; nil if it did not answer.
-	Held *lineprotocol.Position `json:"held,omitempty"`
-	// Floor is what the one held that was chosen before in this turn, and could
+	PrimaryPosition *lineprotocol.Position `json:"held,omitempty"`
+	// ChosenPosition is what the one held that was chosen before in this turn, and could
 	// not be promoted; nil if none was.
-	Floor *lineprotocol.Position `json:"floor,omitempty"`
-	// Least is what databases that are forgotten by now may have held.
-	Least lineprotocol.Position `json:"least"`
+	ChosenPosition *lineprotocol.Position `json:"floor,omitempty"`
+	// MinPosition is what databases that are forgotten by now may have held.
+	MinPosition lineprotocol.Position `json:"least"`
 	// Acked covers every commit that a client was told of; nil if that is not
 	// known.
 	Acked *lineprotocol.Position `json:"acked,omitempty"`
-	// Certain is a position that a commit has at least of which a client was told; nil
+	// AckedLowerBound is a position that a commit has at least of which a client was told; nil
 	// if none is known.
-	Certain *lineprotocol.Position `json:"certain,omitempty"`
-	// BeatsDue says that the first beat of every replica that receives has had its time,
+	AckedLowerBound *lineprotocol.Position `json:"certain,omitempty"`
+	// FirstHeartbeatsElapsed says that the first beat of every replica that receives has had its time,
 	// however late it is.
-	BeatsDue bool `json:"beats_due,omitempty"`
+	FirstHeartbeatsElapsed bool `json:"beats_due,omitempty"`
 }
 
 // ChoiceKind is the kind of record of a choice.
@@ -61,13 +61,13 @@
 
 // Why nobody may be promoted yet.
 const (
-	nobodyAnswers = "no replica answers"
-	behindPrimary = "no replica that stays holds all that the primary does"
-	someoneSilent = "a replica that does not answer may hold an acknowledged commit"
-	someoneGone   = "a database that is gone may have held an acknowledged commit"
-	beatAwaited   = "a replica that is not known yet may hold an acknowledged commit"
-	nobodyHolds   = "an acknowledged commit is on no replica that is known"
-	lost          = "acknowledged commits may be lost: all databases that may have held them are gone"
+	noReplicaResponds = "no replica answers"
+	replicasBehindPrimary = "no replica that stays holds all that the primary does"
+	unresponsiveMayHoldCommit = "a replica that does not answer may hold an acknowledged commit"
+	removedMayHaveHeldCommit   = "a database that is gone may have held an acknowledged commit"
+	awaitingFirstHeartbeat   = "a replica that is not known yet may hold an acknowledged commit"
+	acknowledgedCommitMissing   = "an acknowledged commit is on no replica that is known"
+	allHoldersRemoved          = "acknowledged commits may be lost: all databases that may have held them are gone"
 )
 
 // Choose picks the replica to promote, or says why none may be yet.
@@ -86,36 +86,36 @@
 func Choose(s Situation) (id, refusal string) {
 	copies := byPosition(s.Copies)
 	if len(copies) == 0 {
-		return "", nobodyAnswers
+		return "", noReplicaResponds
 	}
 	best := copies[0].Received
-	if s.Floor != nil && !best.Less(*s.Floor) {
+	if s.ChosenPosition != nil && !best.Less(*s.ChosenPosition) {
 		return copies[0].ID, ""
 	}
-	if s.Held != nil {
+	if s.PrimaryPosition != nil {
 		// Of equals, one that stays comes first.
-		if best.Less(*s.Held) || copies[0].Draining {
-			return "", behindPrimary
+		if best.Less(*s.PrimaryPosition) || copies[0].Draining {
+			return "", replicasBehindPrimary
 		}
 		return copies[0].ID, ""
 	}
 	if s.Acked != nil {
-		if id := furthestPast(copies, *s.Acked); id != "" {
+		if id := mostAdvancedReaching(copies, *s.Acked); id != "" {
 			return id, ""
 		}
 	}
-	ahead := s.ahead(best)
-	gone := len(slices.DeleteFunc(slices.Clone(ahead), func(a Absent) bool { return !a.Gone }))
-	switch sync := max(s.Sync, 1); {
-	case gone >= sync || best.Less(s.Least):
-		return "", someoneGone
+	ahead := s.mayBeAhead(best)
+	gone := len(slices.DeleteFunc(slices.Clone(ahead), func(a AbsentReplica) bool { return !a.Gone }))
+	switch sync := max(s.SyncReplicas, 1); {
+	case gone >= sync || best.Less(s.MinPosition):
+		return "", removedMayHaveHeldCommit
 	case len(ahead) >= sync:
-		return "", someoneSilent
-	case s.Sync == 0: // no replica has to have a commit that was acknowledged
-	case s.Certain != nil && best.Less(*s.Certain):
-		return "", nobodyHolds
-	case s.Acked != nil && best.Less(*s.Acked) && !s.BeatsDue:
-		return "", beatAwaited
+		return "", unresponsiveMayHoldCommit
+	case s.SyncReplicas == 0: // no replica has to have a commit that was acknowledged
+	case s.AckedLowerBound != nil && best.Less(*s.AckedLowerBound):
+		return "", acknowledgedCommitMissing
+	case s.Acked != nil && best.Less(*s.Acked) && !s.FirstHeartbeatsElapsed:
+		return "", awaitingFirstHeartbeat
 	}
 	return copies[0].ID, ""
 }
@@ -140,17 +140,17 @@
 	return copies
 }
 
-// Furthest returns the copy that has received the most, "" if there is none.
-func Furthest(copies []Copy) string {
+// MostAdvanced returns the copy that has received the most, "" if there is none.
+func MostAdvanced(copies []Copy) string {
 	if len(copies) == 0 {
 		return ""
 	}
 	return byPosition(copies)[0].ID
 }
 
-// furthestPast returns the first of the copies, the furthest first, that has
+// mostAdvancedReaching returns the first of the copies, the furthest first, that has
 // reached a position, one that stays before any that leaves; "" if none has.
-func furthestPast(copies []Copy, position lineprotocol.Position) (id string) {
+func mostAdvancedReaching(copies []Copy, position lineprotocol.Position) (id string) {
 	for _, c := range copies {
 		switch {
 		case c.Received.Less(position):
@@ -172,13 +172,13 @@
 	return p.String()
 }
 
-// ahead lists the absent replicas that may hold commits past a position.
-func (s Situation) ahead(of lineprotocol.Position) []Absent {
-	return slices.DeleteFunc(slices.Clone(s.Absent), func(a Absent) bool { return a.Limit != nil && !of.Less(*a.Limit) })
+// mayBeAhead lists the absent replicas that may hold commits past a position.
+func (s Situation) mayBeAhead(of lineprotocol.Position) []AbsentReplica {
+	return slices.DeleteFunc(slices.Clone(s.Absent), func(a AbsentReplica) bool { return a.Limit != nil && !of.Less(*a.Limit) })
 }
 
-// furthest is the position of the replica that has received the most.
-func (s Situation) furthest() (best lineprotocol.Position) {
+// mostAdvancedPosition is the position of the replica that has received the most.
+func (s Situation) mostAdvancedPosition() (best lineprotocol.Position) {
 	for _, c := range s.Copies {
 		if best.Less(c.Received) {
 			best = c.Received
--- a/internal/failover/lead.go
+++ b/internal/failover/lead.go
@@ -22,18 +22,18 @@
 	Moving  bool   `json:"moving,omitempty"`
 	Failed  bool   `json:"failed,omitempty"` // moving, and the old lead does not answer
 	To      string `json:"to,omitempty"`
-	Called  bool   `json:"called,omitempty"` // the platform may have been called in this turn
-	Hold    int64  `json:"hold,omitempty"`   // term at which the replicas are paused
+	PlatformCalled  bool   `json:"called,omitempty"` // the platform may have been called in this turn
+	PauseTerm    int64  `json:"hold,omitempty"`   // term at which the replicas are paused
 	Floor   string `json:"floor,omitempty"`  // of a turn in which a choice was made: covers every acknowledged commit
 	Least   string `json:"least,omitempty"`  // whoever is promoted holds this: databases that are gone may have
 	// Waived covers the acknowledged commits whose loss was accepted, if any are certain.
 	Waived string `json:"waived,omitempty"`
 	// Accepted is the last order by which an operator accepted a loss.
-	Accepted Accepted `json:"accepted,omitzero"`
+	Accepted LossAcceptance `json:"accepted,omitzero"`
 }
 
-// settled is the lead once a database leads in a term and nothing moves.
-func (l Lead) settled(id string, term int64) Lead {
+// completed is the lead once a database leads in a term and nothing moves.
+func (l Lead) completed(id string, term int64) Lead {
 	return Lead{Service: l.Service, ID: id, Term: term, Turn: l.Turn, Least: l.Least, Waived: l.Waived, Accepted: l.Accepted}
 }
 
@@ -53,15 +53,15 @@
 	return Decoder().Of(entries)
 }
 
-// save changes the lead of a service.
-func (c *Manager) save(ctx context.Context, svc string, change func(*Lead) error) error {
-	return c.edit(ctx, svc, func(l *Lead, _ map[string]discovery.Database) error { return change(l) })
+// updateLeader changes the lead of a service.
+func (c *Manager) updateLeader(ctx context.Context, svc string, change func(*Lead) error) error {
+	return c.updateService(ctx, svc, func(l *Lead, _ map[string]discovery.Database) error { return change(l) })
 }
 
-// edit changes the lead of a service and its databases in one step; those that
+// updateService changes the lead of a service and its databases in one step; those that
 // are deleted from the map are removed, and recorded as departed.
-func (c *Manager) edit(ctx context.Context, svc string, change func(*Lead, map[string]discovery.Database) error) error {
-	return c.v.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+func (c *Manager) updateService(ctx context.Context, svc string, change func(*Lead, map[string]discovery.Database) error) error {
+	return c.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		all, err := c.databases.Of(entries)
 		if err != nil {
 			return nil, fmt.Errorf("failover: %w", err)
@@ -103,6 +103,6 @@
 		if len(out) == 0 {
 			return nil, nil
 		}
-		return out, errors.Join(err, c.acc.Record(entries, out, removed...))
+		return out, errors.Join(err, c.registry.RecordDepartures(entries, out, removed...))
 	})
 }
--- a/internal/failover/model_moves_test.go
+++ b/internal/failover/model_moves_test.go
@@ -10,7 +10,7 @@
 
 func (m *model) follows(covered lineprotocol.Position) bool {
 	m.goOn()
-	return slices.ContainsFunc(staying(m.replicas(m.lead.ID)), func(d discovery.Database) bool {
+	return slices.ContainsFunc(remaining(m.replicas(m.lead.ID)), func(d discovery.Database) bool {
 		n := m.node(d.ID)
 		return m.up(d.ID) && !n.primary && !n.pos().Less(covered)
 	})
@@ -33,8 +33,8 @@
 			delete(m.known, d.ID)
 		}
 	}
-	forget(&m.lead, gone, covered)
-	leaving := pick(replicas, func(d discovery.Database) bool { return d.Draining && !d.Gone })
+	removeGone(&m.lead, gone, covered)
+	leaving := filter(replicas, func(d discovery.Database) bool { return d.Draining && !d.Gone })
 	if !ok {
 		m.free(m.known)
 		if m.interrupted() {
@@ -47,7 +47,7 @@
 		}
 		return
 	}
-	confine(m.known, m.pause(pick(leaving, func(d discovery.Database) bool { return d.Limit == "" })))
+	recordLimits(m.known, m.pause(filter(leaving, func(d discovery.Database) bool { return d.Limit == "" })))
 }
 
 // pause pauses those that can be reached and returns how far they got.
@@ -71,7 +71,7 @@
 		if p := m.node(m.lead.ID); m.up(p.id) && p.primary && !m.follows(p.pos()) {
 			return
 		}
-		m.lead.Moving, m.lead.To, m.lead.Floor, m.lead.Called, m.lead.Turn = true, "", "", false, m.lead.Turn+1
+		m.lead.Moving, m.lead.To, m.lead.Floor, m.lead.PlatformCalled, m.lead.Turn = true, "", "", false, m.lead.Turn+1
 	}
 	if m.lead.To == "" && !m.decide() {
 		return
@@ -98,27 +98,27 @@
 // decide pauses, compares and chooses; true once there is a choice.
 func (m *model) decide() bool {
 	if !m.up(m.lead.ID) && m.r.IntN(2) == 0 {
-		early := m.pause(pick(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.Limit == "" }))
+		early := m.pause(filter(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.Limit == "" }))
 		if early == nil {
 			return false
 		}
-		confine(m.known, early)
+		recordLimits(m.known, early)
 	}
 	m.quiet = true // every pooler has left the old primary
 	old := m.lead.ID
 	for _, d := range m.list() {
-		if d.Had(m.lead.ID) && m.node(d.ID).primary {
+		if d.HadID(m.lead.ID) && m.node(d.ID).primary {
 			old = d.ID
 		}
 	}
-	sit := Situation{Sync: 1}
-	sit.Least, _ = lineprotocol.ParsePosition(m.lead.Least)
+	sit := Situation{SyncReplicas: 1}
+	sit.MinPosition, _ = lineprotocol.ParsePosition(m.lead.Least)
 	if floor, ok := lineprotocol.ParsePosition(m.lead.Floor); ok {
-		sit.Floor = &floor
+		sit.ChosenPosition = &floor
 	}
 	if n := m.node(old); m.up(old) && !m.known[old].Gone && n.primary {
 		held := n.pos()
-		sit.Held = &held
+		sit.PrimaryPosition = &held
 	}
 	certain := newestOf(m.acked)
 	if m.bounds && (m.calm || m.r.IntN(2) == 0) {
@@ -128,32 +128,32 @@
 			certain = newestOf(m.acked[:max(0, len(m.acked)-1)])
 		}
 	}
-	sit.Certain, sit.BeatsDue = &certain, m.beats(m.beatsDue())
-	replicas := pick(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.ID != old })
+	sit.AckedLowerBound, sit.FirstHeartbeatsElapsed = &certain, m.beats(m.beatsDue())
+	replicas := filter(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.ID != old })
 	for _, d := range replicas {
-		if n := m.node(d.ID); m.up(d.ID) && n.primary && m.lead.Called && n.term > m.lead.Term {
+		if n := m.node(d.ID); m.up(d.ID) && n.primary && m.lead.PlatformCalled && n.term > m.lead.Term {
 			m.settleOn(d.ID, n.pos())
 			return true
 		} else if m.up(d.ID) && n.primary && n.term < m.lead.Term {
 			n.primary = false
 		}
 	}
-	paused := m.pause(running(replicas))
+	paused := m.pause(notGone(replicas))
 	if paused == nil {
 		return false
 	}
-	sit.Copies, sit.Absent = compare(replicas, paused)
+	sit.Copies, sit.Absent = splitByPaused(replicas, paused)
 	to, _ := m.choose(sit)
 	if to != "" {
 		m.settleOn(to, paused[to])
 		return true
 	}
-	confine(m.known, paused)
-	if sit.Held != nil && m.lead.Called {
-		m.settleOn(old, *sit.Held)
+	recordLimits(m.known, paused)
+	if sit.PrimaryPosition != nil && m.lead.PlatformCalled {
+		m.settleOn(old, *sit.PrimaryPosition)
 		return true
 	}
-	if sit.Held != nil {
+	if sit.PrimaryPosition != nil {
 		m.lead.Moving, m.quiet = false, false
 		m.goOn()
 	}
@@ -161,8 +161,8 @@
 }
 
 func (m *model) settleOn(to string, floor lineprotocol.Position) {
-	m.lead.To, m.lead.Called, m.lead.Floor = to, true, floor.String()
-	forget(&m.lead, m.known, floor)
+	m.lead.To, m.lead.PlatformCalled, m.lead.Floor = to, true, floor.String()
+	removeGone(&m.lead, m.known, floor)
 	m.free(m.known)
 }
 
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -55,7 +55,7 @@
 func newModel(seed uint64, kind bool) *model {
 	m := &model{
 		r: rand.New(rand.NewPCG(seed, 1)), kind: kind, known: map[string]discovery.Database{}, term: 1,
-		choose: Choose, free: free, keeps: func(old discovery.Database) bool { return !old.Draining },
+		choose: Choose, free: clearLimits, keeps: func(old discovery.Database) bool { return !old.Draining },
 		bounds: seed/2%2 == 0, bound: newestOf, beats: func(due bool) bool { return due },
 	}
 	for range 3 {
@@ -176,7 +176,7 @@
 		if p := m.primary(); p != nil {
 			m.spread(p, true)
 		}
-	case e == 6 && len(staying(m.list())) > 1 && known && n.runs:
+	case e == 6 && len(remaining(m.list())) > 1 && known && n.runs:
 		d.Draining = true
 		m.known[n.id] = d
 	case e == 7 && n.runs && d.Draining: // it ends, and says so or not
@@ -243,7 +243,7 @@
 	if n.unheard {
 		n.unheard = false // nobody knows that it was another life
 	} else if m.keeps(old) {
-		now = now.Succeeds(old)
+		now = now.SuccessorOf(old)
 		delete(m.known, n.id)
 	} else {
 		old.Gone = true
@@ -264,14 +264,14 @@
 // step has the failover manager look once and do what is to be done.
 func (m *model) step() {
 	for _, d := range m.list() {
-		if d.Had(m.lead.ID) && m.node(d.ID).primary && !m.lead.Called {
+		if d.HadID(m.lead.ID) && m.node(d.ID).primary && !m.lead.PlatformCalled {
 			m.lead = Lead{Service: "s", ID: d.ID, Term: m.lead.Term, Turn: m.lead.Turn, Least: m.lead.Least}
 			m.quiet = false
 			m.goOn()
 			return
 		}
 	}
-	if m.lead.Moving || mustMove(m.list(), m.lead.ID, m.up) {
+	if m.lead.Moving || needsFailover(m.list(), m.lead.ID, m.up) {
 		m.move()
 	} else {
 		m.tend()
@@ -279,11 +279,11 @@
 }
 
 func (m *model) replicas(besides string) []discovery.Database {
-	return pick(m.list(), func(d discovery.Database) bool { return d.ID != besides })
+	return filter(m.list(), func(d discovery.Database) bool { return d.ID != besides })
 }
 
 func (m *model) goOn() {
-	for _, d := range staying(m.replicas(m.lead.ID)) {
+	for _, d := range remaining(m.replicas(m.lead.ID)) {
 		if m.up(d.ID) {
 			m.node(d.ID).paused = false
 		}
@@ -365,7 +365,7 @@
 	}
 	for name, spoil := range map[string]func(*model){
 		"the absent are not waited for": ask(func(s *Situation) { s.Absent = nil }),
-		"the forgotten held nothing":    ask(func(s *Situation) { s.Least = lineprotocol.Position{} }),
+		"the forgotten held nothing":    ask(func(s *Situation) { s.MinPosition = lineprotocol.Position{} }),
 		"everyone is waited for": ask(func(s *Situation) {
 			for i := range s.Absent {
 				s.Absent[i].Limit = nil
@@ -377,7 +377,7 @@
 			}
 		},
 		"a first beat is not waited for":                     func(m *model) { m.beats = func(bool) bool { return true } },
-		"what a client was certainly told of is passed over": ask(func(s *Situation) { s.Certain = nil }),
+		"what a client was certainly told of is passed over": ask(func(s *Situation) { s.AckedLowerBound = nil }),
 		"limits outlast their pause":                         func(m *model) { m.free = func(map[string]discovery.Database) {} },
 		"who leaves does not take its log":                   func(m *model) { m.keeps = func(discovery.Database) bool { return true } },
 	} {
--- a/internal/failover/move.go
+++ b/internal/failover/move.go
@@ -13,29 +13,29 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// move takes the next step of a move; a successor of this process takes it
+// advanceFailover takes the next step of a advanceFailover; a successor of this process takes it
 // from wherever it stands.
-func (c *Manager) move(ctx context.Context, svc string) error {
-	s, err := c.look()
+func (c *Manager) advanceFailover(ctx context.Context, svc string) error {
+	s, err := c.loadSnapshot()
 	if err != nil {
 		return err
 	}
-	l := s.leads[svc]
+	l := s.leaders[svc]
 	if !l.Moving {
-		if !mustMove(s.services[svc], l.ID, c.health.Up) {
+		if !needsFailover(s.services[svc], l.ID, c.health.Up) {
 			return nil
 		}
 		old, there := s.databases[l.ID]
 		failed := !there || old.Gone || !c.health.Up(l.ID)
 		if !failed {
 			// The lead serves on until somebody can take over at once.
-			if ok, _, err := c.follows(ctx, old, staying(s.replicas(svc, l.ID))); err == nil && !ok {
-				c.waitsFor(svc, behindPrimary, Situation{})
-				return errNotYet
+			if ok, _, err := c.hasCaughtUpReplica(ctx, old, remaining(s.replicas(svc, l.ID))); err == nil && !ok {
+				c.setWaitReason(svc, replicasBehindPrimary, Situation{})
+				return errRetryLater
 			}
 		}
-		err := c.save(ctx, svc, func(l *Lead) error {
-			l.Moving, l.Failed, l.To, l.Floor, l.Called, l.Turn = true, failed, "", "", false, l.Turn+1
+		err := c.updateLeader(ctx, svc, func(l *Lead) error {
+			l.Moving, l.Failed, l.To, l.Floor, l.PlatformCalled, l.Turn = true, failed, "", "", false, l.Turn+1
 			return nil
 		})
 		if err != nil {
@@ -43,24 +43,24 @@
 		}
 		c.k.Counters.Add("failover.moves", 1)
 		c.k.Log.Info("lead moves", "service", svc, "from", l.ID)
-		if s, err = c.look(); err != nil {
+		if s, err = c.loadSnapshot(); err != nil {
 			return err
 		}
-		l = s.leads[svc]
+		l = s.leaders[svc]
 	}
 	if l.To == "" {
-		if err := c.choose(ctx, s, &l); err != nil {
+		if err := c.chooseTarget(ctx, s, &l); err != nil {
 			return err
 		}
 	}
 	return c.promote(ctx, s, l)
 }
 
-// awaitLeft waits until no pooler can still read at the old primary.
-func (c *Manager) awaitLeft(ctx context.Context, l Lead) error {
+// awaitReadersLeft waits until no pooler can still read at the old primary.
+func (c *Manager) awaitReadersLeft(ctx context.Context, l Lead) error {
 	for {
 		changed := c.readers.Changed()
-		ok, wait := c.readers.Left(l.Service, l.Turn, c.k.Clock.Now())
+		ok, wait := c.readers.AllLeft(l.Service, l.Turn, c.k.Clock.Now())
 		if ok {
 			return nil
 		}
@@ -76,99 +76,99 @@
 	}
 }
 
-// choose pauses the replicas, compares what they hold and makes the choice
+// chooseTarget pauses the replicas, compares what they hold and makes the choice
 // durable.
-func (c *Manager) choose(ctx context.Context, s *snapshot, l *Lead) error {
-	if err := c.letLeave(ctx, s, l); err != nil {
+func (c *Manager) chooseTarget(ctx context.Context, s *snapshot, l *Lead) error {
+	if err := c.awaitReadersAndPauseLeaving(ctx, s, l); err != nil {
 		return err
 	}
-	old, there := s.old(*l)
+	old, there := s.oldPrimary(*l)
 	alive := there && !old.Gone && c.health.Up(old.ID)
 	sit, newest := c.situation(ctx, s, *l, old, alive)
 	replicas := s.replicas(l.Service, l.ID)
 	replicas = slices.DeleteFunc(replicas, func(d discovery.Database) bool { return d.ID == old.ID })
-	conns := c.openAll(ctx, running(replicas))
+	conns := c.openAll(ctx, notGone(replicas))
 	defer closeAll(conns)
 	p := c.pauseAll(conns, *l, newest)
 	if p.promoted != "" {
-		return c.settleOn(ctx, s, l, p.promoted, l.Term, p.hold, p.received[p.promoted])
+		return c.commitChoice(ctx, s, l, p.promoted, l.Term, p.pauseTerm, p.received[p.promoted])
 	}
-	sit.Copies, sit.Absent = compare(replicas, p.received)
-	l.Hold = p.hold
-	to, refusal := c.decide(l, sit)
+	sit.Copies, sit.Absent = splitByPaused(replicas, p.received)
+	l.PauseTerm = p.pauseTerm
+	to, refusal := c.decideTarget(l, sit)
 	if to != "" {
-		return c.settleOn(ctx, s, l, to, p.newest, p.hold, p.received[to])
+		return c.commitChoice(ctx, s, l, to, p.newestTerm, p.pauseTerm, p.received[to])
 	}
-	if refusal == someoneGone && (!there || old.Gone) {
-		refusal = lost
+	if refusal == removedMayHaveHeldCommit && (!there || old.Gone) {
+		refusal = allHoldersRemoved
 	}
-	c.waitsFor(l.Service, refusal, sit)
-	if err := c.confineLeaving(ctx, *l, p.received); err != nil {
+	c.setWaitReason(l.Service, refusal, sit)
+	if err := c.recordLeavingLimits(ctx, *l, p.received); err != nil {
 		return err
 	}
-	if sit.Held != nil && l.Called {
+	if sit.PrimaryPosition != nil && l.PlatformCalled {
 		// Whoever was chosen is lost, and the old primary is back: it alone holds
 		// everything, and is made the primary as any other would be.
-		return c.settleOn(ctx, s, l, old.ID, p.newest, p.hold, *sit.Held)
+		return c.commitChoice(ctx, s, l, old.ID, p.newestTerm, p.pauseTerm, *sit.PrimaryPosition)
 	}
-	if sit.Held != nil || alive && !old.Draining { // let them catch up
-		c.askAll(ctx, staying(replicas), "CONTINUE")
-		if !l.Called {
-			if err := c.callOff(ctx, l, refusal); err != nil {
+	if sit.PrimaryPosition != nil || alive && !old.Draining { // let them catch up
+		c.executeAll(ctx, remaining(replicas), "CONTINUE")
+		if !l.PlatformCalled {
+			if err := c.cancelFailover(ctx, l, refusal); err != nil {
 				return err
 			}
 		}
 	}
-	return fmt.Errorf("%w: %s", errNotYet, refusal)
+	return fmt.Errorf("%w: %s", errRetryLater, refusal)
 }
 
-// letLeave waits until poolers have left the old primary. From then on no commit of it
+// awaitReadersAndPauseLeaving waits until poolers have left the old primary. From then on no commit of it
 // is acknowledged to a client, even if a replica is woken by a CONTINUE that comes late;
 // what was acknowledged before is held by the replicas that are asked. What the poolers
 // have under way at a primary that answers ends before those are paused.
-func (c *Manager) letLeave(ctx context.Context, s *snapshot, l *Lead) error {
+func (c *Manager) awaitReadersAndPauseLeaving(ctx context.Context, s *snapshot, l *Lead) error {
 	early := make(chan int64, 1)
 	go func(l Lead) {
 		if !l.Failed {
-			early <- l.Hold
+			early <- l.PauseTerm
 			return
 		}
 		early <- c.pauseLeaving(ctx, s, l)
 	}(*l)
-	err := c.awaitLeft(ctx, *l)
-	l.Hold = <-early
+	err := c.awaitReadersLeft(ctx, *l)
+	l.PauseTerm = <-early
 	return err
 }
 
 // situation is what is known of a choice before the replicas are asked, and the newest
 // term that was heard of.
 func (c *Manager) situation(ctx context.Context, s *snapshot, l Lead, old discovery.Database, alive bool) (sit Situation, newest int64) {
-	sit = Situation{Sync: s.syncReplicas(l.Service)}
-	sit.Least, _ = lineprotocol.ParsePosition(l.Least)
+	sit = Situation{SyncReplicas: s.syncReplicas(l.Service)}
+	sit.MinPosition, _ = lineprotocol.ParsePosition(l.Least)
 	if floor, ok := lineprotocol.ParsePosition(l.Floor); ok {
-		sit.Floor = &floor
+		sit.ChosenPosition = &floor
 	}
-	if acked, known := c.readers.Acknowledged(l.Service, l.Turn); known {
+	if acked, known := c.readers.AcknowledgedUpperBound(l.Service, l.Turn); known {
 		sit.Acked = &acked
 	}
 	waived, _ := lineprotocol.ParsePosition(l.Waived)
-	if certain, known := c.readers.Certain(l.Service, l.Turn); known && waived.Less(certain) {
-		sit.Certain = &certain
+	if certain, known := c.readers.AcknowledgedLowerBound(l.Service, l.Turn); known && waived.Less(certain) {
+		sit.AckedLowerBound = &certain
 	}
-	sit.BeatsDue = c.since(fmt.Sprintf("first beats %s %d", l.Service, l.Turn)) > c.cfg.FirstBeat
+	sit.FirstHeartbeatsElapsed = c.elapsedSinceFirst(fmt.Sprintf("first beats %s %d", l.Service, l.Turn)) > c.cfg.FirstHeartbeatTimeout
 	newest = l.Term
 	if alive {
-		if row, err := c.ask(ctx, old, "STAT"); err == nil && row.primary {
-			sit.Held, newest = &row.received, max(newest, row.term)
+		if row, err := c.execute(ctx, old, "STAT"); err == nil && row.primary {
+			sit.PrimaryPosition, newest = &row.received, max(newest, row.term)
 		}
 	}
 	return sit, newest
 }
 
-// paused is what replicas answered that were paused.
-type paused struct {
-	newest   int64 // term that any knows
-	hold     int64 // term at which they are paused
+// pauseResult is what replicas answered that were pauseResult.
+type pauseResult struct {
+	newestTerm   int64 // term that any knows
+	pauseTerm     int64 // term at which they are paused
 	received map[string]lineprotocol.Position
 	promoted string // who was promoted in this turn, and ended before that was known
 }
@@ -177,50 +177,50 @@
 // does, also at a primary, which it does not pause; the positions told at log-in name
 // the terms. STAT, for which an overloaded replica has no slot, is asked only of those
 // that are not paused then.
-func (c *Manager) pauseAll(conns map[string]*dbconn.Conn, l Lead, newest int64) paused {
-	p := paused{newest: newest, received: map[string]lineprotocol.Position{}}
-	p.hold = max(newest, l.Hold, loginTerm(conns)) + 1
-	rows := c.sayAll(conns, "PAUSE "+strconv.FormatInt(p.hold, 10))
+func (c *Manager) pauseAll(conns map[string]*dbconn.Conn, l Lead, newest int64) pauseResult {
+	p := pauseResult{newestTerm: newest, received: map[string]lineprotocol.Position{}}
+	p.pauseTerm = max(newest, l.PauseTerm, loginTerm(conns)) + 1
+	rows := c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(p.pauseTerm, 10))
 	rest := maps.Clone(conns)
-	maps.DeleteFunc(rest, func(id string, _ *dbconn.Conn) bool { return rows[id].held == p.hold })
+	maps.DeleteFunc(rest, func(id string, _ *dbconn.Conn) bool { return rows[id].pausedTerm == p.pauseTerm })
 	if len(rest) > 0 {
 		held := int64(0)
-		for id, row := range c.sayAll(rest, "STAT") {
-			if row.primary && l.Called && row.term > l.Term {
+		for id, row := range c.executeOnAll(rest, "STAT") {
+			if row.primary && l.PlatformCalled && row.term > l.Term {
 				p.promoted, p.received[id] = id, row.received
 				return p
 			}
-			p.newest, held = max(p.newest, row.term), max(held, row.held)
+			p.newestTerm, held = max(p.newestTerm, row.term), max(held, row.pausedTerm)
 			if row.primary && row.term < l.Term {
 				// It led before, and has not heard who followed it.
-				c.say(conns[id], "STEPDOWN "+strconv.FormatInt(l.Term, 10))
+				c.executeOn(conns[id], "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 			}
 		}
-		p.hold = max(p.hold, p.newest, held) + 1
-		rows = c.sayAll(conns, "PAUSE "+strconv.FormatInt(p.hold, 10))
+		p.pauseTerm = max(p.pauseTerm, p.newestTerm, held) + 1
+		rows = c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(p.pauseTerm, 10))
 	}
 	for id, row := range rows {
-		p.newest = max(p.newest, row.term)
-		if row.held == p.hold {
+		p.newestTerm = max(p.newestTerm, row.term)
+		if row.pausedTerm == p.pauseTerm {
 			p.received[id] = row.received
 		}
 	}
 	return p
 }
 
-// decide chooses, or says why nobody can be chosen; a loss that was accepted is let pass.
-func (c *Manager) decide(l *Lead, sit Situation) (to, refusal string) {
+// decideTarget chooses, or says why nobody can be chosen; a loss that was accepted is let pass.
+func (c *Manager) decideTarget(l *Lead, sit Situation) (to, refusal string) {
 	to, refusal = Choose(sit)
-	accepted := to == "" && l.Accepted.Turn == l.Turn && acceptable(refusal)
+	accepted := to == "" && l.Accepted.Turn == l.Turn && canAcceptLoss(refusal)
 	if accepted {
-		to = Furthest(sit.Copies)
+		to = MostAdvanced(sit.Copies)
 		l.Least = "" // it is accepted that this may be lost
-		if sit.Certain != nil {
-			l.Waived = sit.Certain.String()
+		if sit.AckedLowerBound != nil {
+			l.Waived = sit.AckedLowerBound.String()
 		}
 		c.k.Log.Warn("chosen though acknowledged commits may be lost", "service", l.Service, "to", to, "why", refusal, "accepted by", l.Accepted.By)
 	}
-	epoch, _ := c.v.Lease()
+	epoch, _ := c.state.Lease()
 	c.k.Recorder.Add(ChoiceKind, Choice{l.Service, epoch, sit, to, accepted})
 	if to == "" {
 		c.k.Counters.Add("failover.choice_refused", 1)
@@ -228,90 +228,90 @@
 	return to, refusal
 }
 
-// confineLeaving notes the limits of databases that leave while nobody leads: they need
+// recordLeavingLimits notes the limits of databases that leave while nobody leads: they need
 // not be heard afterwards.
-func (c *Manager) confineLeaving(ctx context.Context, l Lead, received map[string]lineprotocol.Position) error {
-	return c.edit(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
+func (c *Manager) recordLeavingLimits(ctx context.Context, l Lead, received map[string]lineprotocol.Position) error {
+	return c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
 		if now.Turn == l.Turn && now.Moving && now.To == "" {
-			confine(known, received)
+			recordLimits(known, received)
 		}
 		return nil
 	})
 }
 
-// settleOn makes the choice durable, unless a database has joined since the look
+// commitChoice makes the choice durable, unless a database has joined since the look
 // that it rests on. The promotion lets every replica receive
 // again, so no limit holds any longer but that of the databases that are gone.
-func (c *Manager) settleOn(ctx context.Context, s *snapshot, l *Lead, to string, newest, hold int64, floor lineprotocol.Position) error {
-	err := c.edit(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
+func (c *Manager) commitChoice(ctx context.Context, s *snapshot, l *Lead, to string, newest, hold int64, floor lineprotocol.Position) error {
+	err := c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
 		if !now.Moving || now.Turn != l.Turn {
-			return errNotYet
+			return errRetryLater
 		}
 		for id := range known {
 			if _, seen := s.databases[id]; !seen {
-				return fmt.Errorf("%w: %s has joined", errNotYet, id)
+				return fmt.Errorf("%w: %s has joined", errRetryLater, id)
 			}
 		}
-		now.To, now.Called, now.Term, now.Hold, now.Floor = to, true, newest, hold, floor.String()
+		now.To, now.PlatformCalled, now.Term, now.PauseTerm, now.Floor = to, true, newest, hold, floor.String()
 		if now.Accepted.Turn == now.Turn && l.Least == "" {
 			now.Least, now.Waived = "", l.Waived
 		}
-		forget(now, known, floor)
-		free(known)
+		removeGone(now, known, floor)
+		clearLimits(known)
 		*l = *now
 		return nil
 	})
 	if err == nil {
-		c.goesOn(l.Service)
+		c.clearWaitReason(l.Service)
 		c.k.Log.Info("next lead chosen", "service", l.Service, "to", to, "superseding", newest, "received", floor.String())
 	}
 	return err
 }
 
-// waitsFor notes why a move waits, and logs it once for each reason.
-func (c *Manager) waitsFor(svc, reason string, sit Situation) {
-	text, best := reason, sit.furthest()
-	for _, a := range sit.ahead(best) {
+// setWaitReason notes why a move waits, and logs it once for each reason.
+func (c *Manager) setWaitReason(svc, reason string, sit Situation) {
+	text, best := reason, sit.mostAdvancedPosition()
+	for _, a := range sit.mayBeAhead(best) {
 		text += "; " + a.ID
 		if a.Gone {
 			text += ", gone"
 		}
 	}
-	if best.Less(sit.Least) {
-		text += fmt.Sprintf("; %s was held, %s is left", sit.Least, best)
+	if best.Less(sit.MinPosition) {
+		text += fmt.Sprintf("; %s was held, %s is left", sit.MinPosition, best)
 	}
-	if reason == nobodyHolds {
-		text += fmt.Sprintf("; %s was acknowledged, %s is left", sit.Certain, best)
+	if reason == acknowledgedCommitMissing {
+		text += fmt.Sprintf("; %s was acknowledged, %s is left", sit.AckedLowerBound, best)
 	}
 	c.mu.Lock()
-	said := c.waits[svc] == text
-	c.waits[svc] = text
+	said := c.waitReasons[svc] == text
+	c.waitReasons[svc] = text
 	c.mu.Unlock()
 	if !said {
-		c.k.Log.Info("move waits", "service", svc, "why", reason, "answered", sit.Copies, "absent", sit.Absent, "least", sit.Least.String(), "acked", positionText(sit.Acked), "certain", positionText(sit.Certain))
+		c.k.Log.Info("move waits", "service", svc, "why", reason, "answered", sit.Copies, "absent", sit.Absent, "least", sit.MinPosition.String(), "acked", positionText(sit.Acked), "certain", positionText(sit.AckedLowerBound))
 	}
 }
 
-// goesOn notes that a service's move waits no longer.
-func (c *Manager) goesOn(svc string) {
+// clearWaitReason notes that a service's move waits no longer.
+func (c *Manager) clearWaitReason(svc string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waits, svc)
+	delete(c.waitReasons, svc)
 }
 
 // Waits tells, by service, why a move of its lead waits.
 func (c *Manager) Waits() map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.waits)
+	return maps.Clone(c.waitReasons)
 }
 
-// callOff ends a move, before anyone was promoted, whose old primary serves.
-func (c *Manager) callOff(ctx context.Context, l *Lead, why string) error {
-	c.goesOn(l.Service)
+// cancelFailover ends a move, before anyone was promoted, whose old primary serves.
+func (c *Manager) cancelFailover(ctx context.Context, l *Lead, why string) error {
+	c.clearWaitReason(l.Service)
 	c.k.Log.Info("move called off", "service", l.Service, "why", why)
-	return c.save(ctx, l.Service, func(now *Lead) error {
-		if now.Turn == l.Turn && !now.Called {
+	return c.updateLeader(ctx, l.Service, func(now *Lead) error {
+		if now.Turn == l.Turn && !now.PlatformCalled {
 			now.Moving, now.Failed = false, false
 		}
 		return nil
--- a/internal/failover/paced_test.go
+++ b/internal/failover/paced_test.go
@@ -15,14 +15,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), Config{}, nil, nil, nil, nil)
 		for day := range 1000 {
-			c.since(fmt.Sprint("gone database-", day%2))
-			c.due(fmt.Sprint("wake database-", day))
+			c.elapsedSinceFirst(fmt.Sprint("gone database-", day%2))
+			c.attemptDue(fmt.Sprint("wake database-", day))
 			time.Sleep(24 * time.Hour)
 		}
-		if n := len(c.tried); n > 2 {
+		if n := len(c.attempts); n > 2 {
 			t.Errorf("%d times are remembered", n)
 		}
-		if span := c.since("gone database-0"); span > kernel.Second {
+		if span := c.elapsedSinceFirst("gone database-0"); span > kernel.Second {
 			t.Errorf("a database has just gone, but for %d s", span/kernel.Second)
 		}
 	})
--- a/internal/failover/plugin.go
+++ b/internal/failover/plugin.go
@@ -18,13 +18,13 @@
 			readers := NewReaders()
 			kernel.Offer(k, readers)
 			c := New(k, Config{
-				Name: s.NodeName, Platform: s.Platform, Leadless: s.Deploy == settings.API, ReaderLease: settings.Span(s.ReaderLeaseMs),
+				Name: s.NodeName, Platform: s.Platform, Leaderless: s.Deploy == settings.API, ReaderLease: settings.Span(s.ReaderLeaseMs),
 				Dialer:  dbconn.Dialer{Net: k.Net, Who: "failover", Connect: settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs)},
-				AskWait: kernel.Second, BeatWait: 700 * kernel.Millisecond, FirstBeat: settings.Span(s.HeartbeatMs + s.ContactMs),
+				RequestTimeout: kernel.Second, HeartbeatWait: 700 * kernel.Millisecond, FirstHeartbeatTimeout: settings.Span(s.HeartbeatMs + s.ContactMs),
 			}, kernel.Need[*controlstate.Replica](k), kernel.Need[*discovery.Registry](k),
 				kernel.Need[*health.Monitor](k), readers)
 			kernel.Offer(k, c)
-			c.listen(kernel.Need[*rpc.Endpoint](k))
+			c.registerHandlers(kernel.Need[*rpc.Endpoint](k))
 			k.Supervise("failover", c.Serve)
 			return nil
 		},
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -13,9 +13,9 @@
 )
 
 type leaseHolder struct {
-	life  int64
-	until kernel.Micros
-	heard kernel.Micros
+	incarnation  int64
+	leaseEnd kernel.Micros
+	lastHeard kernel.Micros
 	// removing says that its registration is being removed: it is granted nothing and
 	// heard no more until that is done.
 	removing bool
@@ -28,7 +28,7 @@
 	mu           sync.Mutex
 	epoch        int64
 	poolers      map[string]*leaseHolder
-	acknowledged acknowledged
+	acks ackTracker
 	bell         kernel.Bell
 }
 
@@ -58,21 +58,21 @@
 	if d != nil && d.removing {
 		return 0, false
 	}
-	if d != nil && life < d.life {
-		return d.life, false
+	if d != nil && life < d.incarnation {
+		return d.incarnation, false
 	}
-	fresh := d == nil || life > d.life
+	fresh := d == nil || life > d.incarnation
 	if fresh {
 		// A new life holds no lease of the one before, whose last
 		// acknowledgements nobody reports any more.
-		d = &leaseHolder{life: life}
+		d = &leaseHolder{incarnation: life}
 		r.poolers[pooler] = d
-		r.acknowledged.lost = max(r.acknowledged.lost, now)
+		r.acks.unreportedUntil = max(r.acks.unreportedUntil, now)
 	}
 	if changed := fresh || !maps.Equal(d.Left, report.Left); changed {
 		r.bell.Ring()
 	}
-	d.Report, d.heard = report, now
+	d.Report, d.lastHeard = report, now
 	return life, true
 }
 
@@ -82,10 +82,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := r.poolers[pooler]
-	if d == nil || d.life != life || d.removing {
+	if d == nil || d.incarnation != life || d.removing {
 		return false
 	}
-	d.until = max(d.until, until)
+	d.leaseEnd = max(d.leaseEnd, until)
 	return true
 }
 
@@ -94,37 +94,37 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.poolers {
-		if d.until > at {
+		if d.leaseEnd > at {
 			n++
 		}
 	}
 	return n
 }
 
-// Left tells whether every pooler has left the service's old primary at that
+// AllLeft tells whether every pooler has left the service's old primary at that
 // turn or holds no lease any more, and if not, how long the leases run.
-func (r *Readers) Left(service string, turn int64, now kernel.Micros) (bool, kernel.Micros) {
+func (r *Readers) AllLeft(service string, turn int64, now kernel.Micros) (bool, kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var wait kernel.Micros
 	for _, d := range r.poolers {
-		if d.until > now && d.Left[service] < turn {
-			wait = max(wait, d.until-now)
+		if d.leaseEnd > now && d.Left[service] < turn {
+			wait = max(wait, d.leaseEnd-now)
 		}
 	}
 	return wait == 0, wait
 }
 
-// Gone lists the poolers of which nothing was heard, and whose leases have been over, for
+// MarkExpired lists the poolers of which nothing was heard, and whose leases have been over, for
 // a span. From now on they are
 // neither heard nor granted anything, until Forget is called once their registrations
 // have been removed: a lease that no registration tells of would not be waited for by the
 // next primary.
-func (r *Readers) Gone(now, span kernel.Micros) (poolers []string) {
+func (r *Readers) MarkExpired(now, span kernel.Micros) (poolers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for pooler, d := range r.poolers {
-		if now-max(d.until, d.heard) > span {
+		if now-max(d.leaseEnd, d.lastHeard) > span {
 			d.removing = true
 		}
 		if d.removing {
@@ -135,14 +135,14 @@
 	return poolers
 }
 
-// Forget drops poolers whose registrations have been removed.
-func (r *Readers) Forget(poolers []string) {
+// RemoveExpired drops poolers whose registrations have been removed.
+func (r *Readers) RemoveExpired(poolers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, pooler := range poolers {
 		if d := r.poolers[pooler]; d != nil && d.removing {
 			// What it acknowledged nobody reports any more.
-			r.acknowledged.lost = max(r.acknowledged.lost, d.until)
+			r.acks.unreportedUntil = max(r.acks.unreportedUntil, d.leaseEnd)
 			delete(r.poolers, pooler)
 		}
 	}
@@ -157,9 +157,9 @@
 	if epoch <= r.epoch {
 		return
 	}
-	r.epoch, r.poolers, r.acknowledged = epoch, map[string]*leaseHolder{}, acknowledged{lost: now}
+	r.epoch, r.poolers, r.acks = epoch, map[string]*leaseHolder{}, ackTracker{unreportedUntil: now}
 	for pooler, life := range registered {
-		r.poolers[pooler] = &leaseHolder{life: life, until: now + lease}
+		r.poolers[pooler] = &leaseHolder{incarnation: life, leaseEnd: now + lease}
 	}
 }
 
@@ -173,26 +173,26 @@
 // Changed closes when a pooler acknowledges something.
 func (r *Readers) Changed() <-chan struct{} { return r.bell.Wait() }
 
-// carrierPrefix starts the entries of the control state that register poolers: a
+// proxyPrefix starts the entries of the control state that register poolers: a
 // pooler is entered there before it is granted its first lease, so that whoever
 // takes over knows whom to wait for.
-const carrierPrefix = "carrier/"
+const proxyPrefix = "carrier/"
 
 // Registered picks the poolers, with their lives, out of the control state.
 func Registered(entries map[string]json.RawMessage) (map[string]int64, error) {
-	return controlstate.Pick[int64](entries, carrierPrefix)
+	return controlstate.Pick[int64](entries, proxyPrefix)
 }
 
 // Register returns the change of the control state that enters a pooler's life.
 func Register(pooler string, life int64) map[string]json.RawMessage {
-	return map[string]json.RawMessage{carrierPrefix + pooler: json.RawMessage(fmt.Sprint(life))}
+	return map[string]json.RawMessage{proxyPrefix + pooler: json.RawMessage(fmt.Sprint(life))}
 }
 
 // Unregister returns the change of the control state that removes poolers.
 func Unregister(poolers []string) map[string]json.RawMessage {
 	removed := make(map[string]json.RawMessage, len(poolers))
 	for _, pooler := range poolers {
-		removed[carrierPrefix+pooler] = nil
+		removed[proxyPrefix+pooler] = nil
 	}
 	return removed
 }
@@ -200,5 +200,5 @@
 // IsRegistered tells whether that life of the pooler, or a later one, is entered.
 func IsRegistered(entries map[string]json.RawMessage, pooler string, life int64) bool {
 	var known int64
-	return json.Unmarshal(entries[carrierPrefix+pooler], &known) == nil && known >= life
+	return json.Unmarshal(entries[proxyPrefix+pooler], &known) == nil && known >= life
 }
--- a/internal/failover/readers_test.go
+++ b/internal/failover/readers_test.go
@@ -12,30 +12,30 @@
 	now := 100 * kernel.Second
 	r := NewReaders()
 	r.Term(1, map[string]int64{"cut off": 4, "dead": 7, "polls": 2}, now, kernel.Second)
-	if gone := r.Gone(now+span, span); gone != nil {
+	if gone := r.MarkExpired(now+span, span); gone != nil {
 		t.Fatalf("%v are gone while leases of the term before may run", gone)
 	}
 	now += span + 2*kernel.Second
 	r.Heard("polls", 2, Report{}, now)
 	r.Heard("new", 1, Report{}, now)
-	gone := r.Gone(now, span)
+	gone := r.MarkExpired(now, span)
 	if want := []string{"cut off", "dead"}; !slices.Equal(gone, want) {
 		t.Fatalf("%v are gone, want %v", gone, want)
 	}
 	if newest, ok := r.Heard("cut off", 4, Report{}, now); ok || newest != 0 || r.Grant("cut off", 4, now+kernel.Second) {
 		t.Error("a pooler was heard, or granted a lease, while its registration is being removed")
 	}
-	if again := r.Gone(now, span); !slices.Equal(again, gone) {
+	if again := r.MarkExpired(now, span); !slices.Equal(again, gone) {
 		t.Errorf("%v are gone at the next look, want %v: the removal may have failed", again, gone)
 	}
-	r.Forget(gone)
-	if _, wait := r.Left("service", 1, now); wait != 0 {
+	r.RemoveExpired(gone)
+	if _, wait := r.AllLeft("service", 1, now); wait != 0 {
 		t.Errorf("a move waits %d for poolers that are gone", wait)
 	}
 	if _, ok := r.Heard("cut off", 4, Report{}, now); !ok || !r.Grant("cut off", 4, now+kernel.Second) {
 		t.Error("a pooler that was forgotten is not taken in again")
 	}
-	if gone := r.Gone(now, span); gone != nil {
+	if gone := r.MarkExpired(now, span); gone != nil {
 		t.Errorf("%v are gone that have just been heard", gone)
 	}
 }
@@ -45,10 +45,10 @@
 	now := 100 * kernel.Second
 	r := NewReaders()
 	r.Term(1, map[string]int64{"back": 4}, now, kernel.Second)
-	gone := r.Gone(now+2*span, span)
+	gone := r.MarkExpired(now+2*span, span)
 	r.Term(2, map[string]int64{"back": 4}, now+2*span, kernel.Second)
-	r.Forget(gone)
-	if left, _ := r.Left("service", 1, now+2*span); left {
+	r.RemoveExpired(gone)
+	if left, _ := r.AllLeft("service", 1, now+2*span); left {
 		t.Error("a lease of the term before is not waited for")
 	}
 }
--- a/internal/failover/snapshot.go
+++ b/internal/failover/snapshot.go
@@ -12,21 +12,21 @@
 	databases map[string]discovery.Database
 	known     map[string]bool // databases by id
 	services  map[string][]discovery.Database
-	leads     map[string]Lead
+	leaders     map[string]Lead
 	conf      *routeconfig.Configuration
-	soft      map[string]discovery.Soft
+	observed      map[string]discovery.ObservedState
 	poolers   map[string]int64
 }
 
-// look decodes the control state, once for each change of it.
-func (c *Manager) look() (*snapshot, error) {
-	state, err := c.v.Durable()
+// loadSnapshot decodes the control state, once for each change of it.
+func (c *Manager) loadSnapshot() (*snapshot, error) {
+	state, err := c.state.Durable()
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.seen == nil || c.seenSeq != state.Seq || c.seenEpoch != state.Epoch {
+	if c.cached == nil || c.cachedSeq != state.Seq || c.cachedEpoch != state.Epoch {
 		s := &snapshot{services: map[string][]discovery.Database{}, known: map[string]bool{}}
 		entries := state.Entries
 		if s.databases, err = c.databases.Of(entries); err != nil {
@@ -36,21 +36,21 @@
 			s.known[d.ID] = true
 			s.services[d.Service] = append(s.services[d.Service], d)
 		}
-		if s.leads, err = c.leads.Of(entries); err != nil {
+		if s.leaders, err = c.leaders.Of(entries); err != nil {
 			return nil, err
 		}
 		if s.poolers, err = c.poolers.Of(entries); err != nil {
 			return nil, err
 		}
-		if c.seen != nil && bytes.Equal(c.confRaw, entries[routeconfig.Key]) {
-			s.conf = c.seen.conf
+		if c.cached != nil && bytes.Equal(c.cachedConfig, entries[routeconfig.Key]) {
+			s.conf = c.cached.conf
 		} else if _, s.conf, err = routeconfig.Decode(entries[routeconfig.Key]); err != nil {
 			return nil, err
 		}
-		c.seen, c.seenSeq, c.seenEpoch, c.confRaw = s, state.Seq, state.Epoch, entries[routeconfig.Key]
+		c.cached, c.cachedSeq, c.cachedEpoch, c.cachedConfig = s, state.Seq, state.Epoch, entries[routeconfig.Key]
 	}
-	s := *c.seen
-	s.soft = c.acc.Soft()
+	s := *c.cached
+	s.observed = c.registry.Soft()
 	return &s, nil
 }
 
--- a/internal/failover/statements.go
+++ b/internal/failover/statements.go
@@ -30,33 +30,33 @@
 	primary  bool
 	received lineprotocol.Position
 	term     int64 // newest it knows of
-	held     int64 // at which it is paused; 0 if it is not
+	pausedTerm     int64 // at which it is paused; 0 if it is not
 }
 
-// ask has one database carry out STAT, PAUSE, CONTINUE or STEPDOWN.
-func (c *Manager) ask(ctx context.Context, d discovery.Database, text string) (statRow, error) {
+// execute has one database carry out STAT, PAUSE, CONTINUE or STEPDOWN.
+func (c *Manager) execute(ctx context.Context, d discovery.Database, text string) (statRow, error) {
 	conn, err := c.open(ctx, d)
 	if err != nil {
 		return statRow{}, err
 	}
 	defer conn.Close()
-	return c.say(conn, text)
+	return c.executeOn(conn, text)
 }
 
 func (c *Manager) open(ctx context.Context, d discovery.Database) (*dbconn.Conn, error) {
-	return c.cfg.Dialer.Open(ctx, d, c.cfg.AskWait)
+	return c.cfg.Dialer.Open(ctx, d, c.cfg.RequestTimeout)
 }
 
-func (c *Manager) say(conn *dbconn.Conn, text string) (statRow, error) {
-	for end := c.k.Clock.Now() + c.cfg.AskWait; ; {
+func (c *Manager) executeOn(conn *dbconn.Conn, text string) (statRow, error) {
+	for end := c.k.Clock.Now() + c.cfg.RequestTimeout; ; {
 		a, err := conn.Ask(text, dbconn.For(end-c.k.Clock.Now(), nil))
 		if err != nil {
 			return statRow{}, err
 		}
-		if a.Code != lineprotocol.Retry || c.k.Clock.Now()+busyPause > end {
+		if a.Code != lineprotocol.Retry || c.k.Clock.Now()+busyRetryInterval > end {
 			return parseStat(a)
 		}
-		time.Sleep(busyPause.Duration()) // all its slots are taken
+		time.Sleep(busyRetryInterval.Duration()) // all its slots are taken
 	}
 }
 
@@ -77,19 +77,19 @@
 	if err1 != nil || err2 != nil || !ok && f[3] != "-" {
 		return statRow{}, fmt.Errorf("failover: odd STAT row %q", line)
 	}
-	r.received, r.term, r.held = pos, max(own, pos.Term), held
+	r.received, r.term, r.pausedTerm = pos, max(own, pos.Term), held
 	return r, nil
 }
 
-// askAll asks several databases at once and returns the answers there were.
-func (c *Manager) askAll(ctx context.Context, dbs []discovery.Database, text string) map[string]statRow {
+// executeAll asks several databases at once and returns the answers there were.
+func (c *Manager) executeAll(ctx context.Context, dbs []discovery.Database, text string) map[string]statRow {
 	conns := c.openAll(ctx, dbs)
 	defer closeAll(conns)
-	return c.sayAll(conns, text)
+	return c.executeOnAll(conns, text)
 }
 
 func (c *Manager) openAll(ctx context.Context, dbs []discovery.Database) map[string]*dbconn.Conn {
-	return gather(c, dbs, func(d discovery.Database) string { return d.ID },
+	return collect(c, dbs, func(d discovery.Database) string { return d.ID },
 		func(d discovery.Database) (*dbconn.Conn, error) { return c.open(ctx, d) })
 }
 
@@ -99,14 +99,14 @@
 	}
 }
 
-func (c *Manager) sayAll(conns map[string]*dbconn.Conn, text string) map[string]statRow {
-	return gather(c, slices.Collect(maps.Values(conns)), func(conn *dbconn.Conn) string { return conn.DB.ID },
-		func(conn *dbconn.Conn) (statRow, error) { return c.say(conn, text) })
+func (c *Manager) executeOnAll(conns map[string]*dbconn.Conn, text string) map[string]statRow {
+	return collect(c, slices.Collect(maps.Values(conns)), func(conn *dbconn.Conn) string { return conn.DB.ID },
+		func(conn *dbconn.Conn) (statRow, error) { return c.executeOn(conn, text) })
 }
 
-// gather does something with all at once and keeps the results of those that
+// collect does something with all at once and keeps the results of those that
 // did not fail.
-func gather[T, R any](c *Manager, all []T, key func(T) string, do func(T) (R, error)) map[string]R {
+func collect[T, R any](c *Manager, all []T, key func(T) string, do func(T) (R, error)) map[string]R {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	out := map[string]R{}
--- a/internal/health/coordinator.go
+++ b/internal/health/coordinator.go
@@ -19,11 +19,11 @@
 	up         bool
 	generation int64
 	checking   bool
-	own        bool          // the check is for a fault of a session here
-	due        kernel.Micros // of the next check while down
-	calm       kernel.Micros // until then peers' notices call for no check
-	tellers    []string      // peers that told of it of late, a few
-	echoed     kernel.Micros // when the last of them did
+	localFault        bool          // the check is for a fault of a session here
+	nextCheck        kernel.Micros // of the next check while down
+	quietUntil       kernel.Micros // until then peers' notices call for no check
+	reporters    []string      // peers that told of it of late, a few
+	lastReported     kernel.Micros // when the last of them did
 }
 
 // Coordinator is the state machine by itself: no clock, network or
@@ -35,7 +35,7 @@
 // NewCoordinator returns a coordinator that holds every database as up.
 func NewCoordinator() *Coordinator { return &Coordinator{state: map[string]*health{}} }
 
-func (c *Coordinator) of(id string) *health {
+func (c *Coordinator) entry(id string) *health {
 	h := c.state[id]
 	if h == nil {
 		h = &health{up: true}
@@ -54,29 +54,29 @@
 
 // Report takes a fault seen by a local session bound under a generation.
 func (c *Coordinator) Report(id string, generation int64) Outcome {
-	h := c.of(id)
+	h := c.entry(id)
 	switch {
 	case generation < h.generation:
-		return Stale
+		return StaleReport
 	case !h.up:
-		return Already
+		return AlreadyDown
 	}
 	h.up = false
-	return Marked
+	return MarkedDown
 }
 
 // PeerNotice takes a peer's notice; it says whether a check is called for.
 func (c *Coordinator) PeerNotice(id string) Outcome {
-	if !c.of(id).up {
-		return Already
+	if !c.entry(id).up {
+		return AlreadyDown
 	}
-	return ToCheck
+	return CheckNeeded
 }
 
 // Checked takes the result of an own check that started under a generation.
 // It reports whether the state changed.
 func (c *Coordinator) Checked(id string, generation int64, ok bool) bool {
-	h := c.of(id)
+	h := c.entry(id)
 	if generation != h.generation || h.up == ok {
 		return false
 	}
@@ -119,8 +119,8 @@
 	return b.database, b.generation
 }
 
-// take applies a notice by the paper's rule for sessions.
-func (b *Binding) take(n Notice) {
+// apply applies a notice by the paper's rule for sessions.
+func (b *Binding) apply(n Notice) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n.Generation < b.generation {
@@ -146,7 +146,7 @@
 func (c *Coordinator) Apply(e Event) (changed bool) {
 	switch e.Kind {
 	case "report":
-		return c.Report(e.Database, e.Generation) == Marked
+		return c.Report(e.Database, e.Generation) == MarkedDown
 	case "checked":
 		return c.Checked(e.Database, e.Generation, e.OK)
 	}
@@ -155,8 +155,8 @@
 
 // Outcomes.
 const (
-	Marked  Outcome = iota // the database is now down
-	Stale                  // older generation than the coordinator's
-	Already                // down already
-	ToCheck                // a peer's notice: counts only after an own check
+	MarkedDown  Outcome = iota // the database is now down
+	StaleReport                  // older generation than the coordinator's
+	AlreadyDown                // down already
+	CheckNeeded                // a peer's notice: counts only after an own check
 )
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -22,14 +22,14 @@
 // Config is what a health coordinator is built from.
 type Config struct {
 	Interval     kernel.Micros // between checks of a database that is down
-	First        kernel.Micros // until the first check after a local report
+	FirstCheck        kernel.Micros // until the first check after a local report
 	Check        Checker
 	Self         string          // address under which peers hear of this process
 	Peers        func() []string // in the order in which they are told
 	ControlNodes func() []string // of the peers, those that may move a lead
-	Tell         func(addrs []string, kind string, body any)
-	Heed         func() bool // whether peers' notices matter to this process now
-	Rate         float64     // bytes a microsecond that telling peers may take, 0 for no bound
+	Send         func(addrs []string, kind string, body any)
+	AcceptNotices         func() bool // whether peers' notices matter to this process now
+	NoticeRate         float64     // bytes a microsecond that telling peers may take, 0 for no bound
 }
 
 // EventKind is the kind of record of an event.
@@ -41,7 +41,7 @@
 // Notices that are due together share a datagram: they are gathered for a
 // moment, and told in parts of a bounded size.
 const (
-	gather     = 5 * kernel.Millisecond
+	gatherDelay     = 5 * kernel.Millisecond
 	maxNotices = 64
 )
 
@@ -50,13 +50,13 @@
 // meanwhile heard the notice from others does not repeat it. Telling many takes
 // a while itself: it goes on in parts, and whoever hears between two of them
 // that its seniors tell the same leaves the rest to them. The most senior
-// tellers hear of none, so that some always tell all.
+// maxReporters hear of none, so that some always tell all.
 const (
-	perPeer = kernel.Millisecond / 4
-	echo    = 200 * kernel.Millisecond
-	enough  = 2
-	atOnce  = 24 // peers told in one part
-	tellers = 8  // remembered for one database
+	delayPerPeer = kernel.Millisecond / 4
+	echoWindow    = 200 * kernel.Millisecond
+	enoughReporters  = 2
+	peersPerBatch  = 24 // peers told in one part
+	maxReporters = 8  // remembered for one database
 )
 
 // Whoever's own link is full finds database after database silent, and telling
@@ -64,9 +64,9 @@
 // link at most, as an average over a while: what is found meanwhile waits and is
 // told together.
 const (
-	tellFor    = 2 * kernel.Second
-	noticeHead = 110 // bytes of a datagram, and of each database in it
-	noticeEach = 18
+	budgetWindow    = 2 * kernel.Second
+	noticeHeaderBytes = 110 // bytes of a datagram, and of each database in it
+	noticeEntryBytes = 18
 )
 
 // Monitor runs a coordinator beside the sessions of one process.
@@ -80,18 +80,18 @@
 	// known are the databases that there are; nil as long as nobody said. What comes of
 	// any other, late, is about one that is gone: a verdict on it would never be lifted.
 	known    map[string]bool
-	c        *Coordinator
+	coordinator        *Coordinator
 	bindings map[string]map[*Binding]struct{}
 	budget   byteBudget
 	faults   outbox // for all peers
-	doubts   outbox // for the control nodes
+	suspicions   outbox // for the control nodes
 	bell     kernel.Bell
 }
 
 // New returns a health coordinator.
 func New(k *kernel.Kernel, cfg Config) *Monitor {
 	return &Monitor{
-		k: k, cfg: cfg, c: NewCoordinator(),
+		k: k, cfg: cfg, coordinator: NewCoordinator(),
 		events: make(chan Event, 256), bindings: map[string]map[*Binding]struct{}{},
 	}
 }
@@ -100,14 +100,14 @@
 func (s *Monitor) State(id string) (bool, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.c.Up(id)
+	return s.coordinator.Up(id)
 }
 
 // Up tells whether the database is held as up.
 func (s *Monitor) Up(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	up, _ := s.c.Up(id)
+	up, _ := s.coordinator.Up(id)
 	return up
 }
 
@@ -116,8 +116,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]int64{}
-	for _, id := range s.c.Down() {
-		_, out[id] = s.c.Up(id)
+	for _, id := range s.coordinator.Down() {
+		_, out[id] = s.coordinator.Up(id)
 	}
 	return out
 }
@@ -129,7 +129,7 @@
 func (s *Monitor) Bind(id string) *Binding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, g := s.c.Up(id)
+	_, g := s.coordinator.Up(id)
 	b := &Binding{database: id, generation: g, unbound: make(chan struct{})}
 	if s.bindings[id] == nil {
 		s.bindings[id] = map[*Binding]struct{}{}
@@ -169,8 +169,8 @@
 	}
 }
 
-// Notified takes a peer's datagram.
-func (s *Monitor) Notified(from string, body json.RawMessage) {
+// HandleNotices takes a peer's datagram.
+func (s *Monitor) HandleNotices(from string, body json.RawMessage) {
 	var n notice
 	if json.Unmarshal(body, &n) != nil || len(n.Databases) == 0 || slices.Contains(n.Databases, "") {
 		s.k.Counters.Add("health.malformed", 1)
@@ -184,23 +184,23 @@
 // Heard takes a peer's notice, however it came. One that tells nothing new is
 // only counted.
 func (s *Monitor) Heard(from, id string) {
-	if !s.cfg.Heed() {
+	if !s.cfg.AcceptNotices() {
 		return
 	}
 	s.mu.Lock()
-	if !s.knows(id) {
+	if !s.isKnown(id) {
 		s.mu.Unlock()
 		return
 	}
-	h, now := s.c.of(id), s.k.Clock.Now()
-	if now-h.echoed > echo {
-		h.tellers = h.tellers[:0]
+	h, now := s.coordinator.entry(id), s.k.Clock.Now()
+	if now-h.lastReported > echoWindow {
+		h.reporters = h.reporters[:0]
 	}
-	h.echoed = now
-	if len(h.tellers) < tellers && !slices.Contains(h.tellers, from) {
-		h.tellers = append(h.tellers, from)
+	h.lastReported = now
+	if len(h.reporters) < maxReporters && !slices.Contains(h.reporters, from) {
+		h.reporters = append(h.reporters, from)
 	}
-	idle := !h.up || h.checking || now < h.calm
+	idle := !h.up || h.checking || now < h.quietUntil
 	s.mu.Unlock()
 	if idle {
 		s.k.Counters.Add("health.notices", 1)
@@ -219,50 +219,50 @@
 		case <-ctx.Done():
 			return nil
 		case e := <-s.events:
-			s.work(ctx, e)
+			s.handleEvent(ctx, e)
 		case <-timer.C:
 			s.startChecks(ctx)
 		}
 	}
 }
 
-func (s *Monitor) work(ctx context.Context, e Event) {
+func (s *Monitor) handleEvent(ctx context.Context, e Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.knows(e.Database) {
+	if !s.isKnown(e.Database) {
 		return
 	}
 	s.k.Recorder.Add(EventKind, e)
-	h := s.c.of(e.Database)
+	h := s.coordinator.entry(e.Database)
 	switch e.Kind {
 	case "report":
-		if s.c.Apply(e) {
-			h.due = s.k.Clock.Now() + s.cfg.First
-			s.wentDown(e.Database, e.Generation)
+		if s.coordinator.Apply(e) {
+			h.nextCheck = s.k.Clock.Now() + s.cfg.FirstCheck
+			s.handleDown(e.Database, e.Generation)
 			s.faults.add(s, ctx, e.Database, s.cfg.Peers, 2)
 		} else if e.Generation < h.generation {
 			s.k.Counters.Add("health.stale_reports", 1)
 		}
 	case "doubt":
-		if up, gen := s.c.Up(e.Database); up && e.Generation >= gen {
-			if !h.own {
-				s.doubts.add(s, ctx, e.Database, s.cfg.ControlNodes, 1)
+		if up, gen := s.coordinator.Up(e.Database); up && e.Generation >= gen {
+			if !h.localFault {
+				s.suspicions.add(s, ctx, e.Database, s.cfg.ControlNodes, 1)
 			}
-			h.own = true
+			h.localFault = true
 			s.check(ctx, e.Database)
 		}
 	case "notice":
 		s.k.Counters.Add("health.notices", 1)
-		if s.c.PeerNotice(e.Database) == ToCheck && s.k.Clock.Now() >= h.calm {
+		if s.coordinator.PeerNotice(e.Database) == CheckNeeded && s.k.Clock.Now() >= h.quietUntil {
 			s.check(ctx, e.Database)
 		}
 	case "checked":
 		h.checking = false
-		h.due = s.k.Clock.Now() + s.cfg.Interval
-		h.calm = s.k.Clock.Now() + s.cfg.Interval/4
-		own := h.own
-		h.own = false
-		if !s.c.Apply(e) {
+		h.nextCheck = s.k.Clock.Now() + s.cfg.Interval
+		h.quietUntil = s.k.Clock.Now() + s.cfg.Interval/4
+		own := h.localFault
+		h.localFault = false
+		if !s.coordinator.Apply(e) {
 			return
 		}
 		if e.OK {
@@ -270,19 +270,19 @@
 			s.bell.Ring()
 			return
 		}
-		s.wentDown(e.Database, e.Generation)
+		s.handleDown(e.Database, e.Generation)
 		if own {
 			s.faults.add(s, ctx, e.Database, s.cfg.Peers, 2)
 		}
 	}
 }
 
-// wentDown tells the local sessions, under the local generation.
-func (s *Monitor) wentDown(id string, generation int64) {
+// handleDown tells the local sessions, under the local generation.
+func (s *Monitor) handleDown(id string, generation int64) {
 	s.k.Counters.Add("health.marked_down", 1)
 	s.k.Log.Info("database down", "id", id, "generation", generation)
 	for b := range s.bindings[id] {
-		b.take(Notice{id, generation})
+		b.apply(Notice{id, generation})
 	}
 	s.bell.Ring()
 }
@@ -292,9 +292,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, wait := s.k.Clock.Now(), 3600*kernel.Second
-	for _, h := range s.c.state {
+	for _, h := range s.coordinator.state {
 		if !h.up && !h.checking {
-			wait = min(wait, max(h.due-now, 0))
+			wait = min(wait, max(h.nextCheck-now, 0))
 		}
 	}
 	return wait
@@ -304,15 +304,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.k.Clock.Now()
-	for id, h := range s.c.state {
-		if !h.up && !h.checking && h.due <= now {
+	for id, h := range s.coordinator.state {
+		if !h.up && !h.checking && h.nextCheck <= now {
 			s.check(ctx, id)
 		}
 	}
 }
 
 func (s *Monitor) check(ctx context.Context, id string) {
-	h := s.c.of(id)
+	h := s.coordinator.entry(id)
 	if h.checking {
 		return
 	}
@@ -334,16 +334,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.known = known
-	for id := range s.c.state {
+	for id := range s.coordinator.state {
 		if !known[id] {
-			s.c.Forget(id)
+			s.coordinator.Forget(id)
 		}
 	}
 }
 
-// knows tells whether there is such a database, and counts what is about another. The
+// isKnown tells whether there is such a database, and counts what is about another. The
 // caller holds the lock.
-func (s *Monitor) knows(id string) bool {
+func (s *Monitor) isKnown(id string) bool {
 	if s.known == nil || s.known[id] {
 		return true
 	}
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -16,10 +16,10 @@
 
 func TestDelayedReportOfAnOlderGenerationIsIgnored(t *testing.T) {
 	c := NewCoordinator()
-	if got := c.Report("a", 0); got != Marked {
+	if got := c.Report("a", 0); got != MarkedDown {
 		t.Fatalf("first report: %v", got)
 	}
-	if got := c.Report("a", 0); got != Already {
+	if got := c.Report("a", 0); got != AlreadyDown {
 		t.Errorf("doubled report: %v", got)
 	}
 	if !c.Checked("a", 0, true) {
@@ -28,13 +28,13 @@
 	if up, gen := c.Up("a"); !up || gen != 1 {
 		t.Fatalf("after recovery: up %v generation %d", up, gen)
 	}
-	if got := c.Report("a", 0); got != Stale {
+	if got := c.Report("a", 0); got != StaleReport {
 		t.Errorf("a report from before the recovery: %v", got)
 	}
 	if up, _ := c.Up("a"); !up {
 		t.Error("the late report took a running database down")
 	}
-	if got := c.Report("a", 1); got != Marked {
+	if got := c.Report("a", 1); got != MarkedDown {
 		t.Errorf("a fault of the present generation: %v", got)
 	}
 	if c.Checked("a", 0, true) {
@@ -44,19 +44,19 @@
 
 func TestSessionTakesNoticesByGeneration(t *testing.T) {
 	b := &Binding{database: "a", generation: 3, unbound: make(chan struct{})}
-	b.take(Notice{"a", 2})
+	b.apply(Notice{"a", 2})
 	if db, _ := b.Bound(); db != "a" {
 		t.Error("an older notice unbound the session")
 	}
-	b.take(Notice{"b", 4})
+	b.apply(Notice{"b", 4})
 	if db, gen := b.Bound(); db != "a" || gen != 4 {
 		t.Errorf("a newer notice of another database: bound to %q at %d", db, gen)
 	}
-	b.take(Notice{"a", 3})
+	b.apply(Notice{"a", 3})
 	if db, _ := b.Bound(); db != "a" {
 		t.Error("a reordered notice unbound the session")
 	}
-	b.take(Notice{"a", 4})
+	b.apply(Notice{"a", 4})
 	if db, _ := b.Bound(); db != "" {
 		t.Error("the notice did not unbind the session")
 	}
@@ -66,16 +66,16 @@
 func pooler(t *testing.T, running *atomic.Bool, checks *atomic.Int64, sent func(kind string)) *Monitor {
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c := New(k, Config{
-		Interval: kernel.Second, First: 100 * kernel.Millisecond,
+		Interval: kernel.Second, FirstCheck: 100 * kernel.Millisecond,
 		Check:        func(context.Context, string) bool { checks.Add(1); return running.Load() },
 		Peers:        func() []string { return []string{"p1", "p2"} },
 		ControlNodes: func() []string { return nil },
-		Tell: func(addrs []string, kind string, _ any) {
+		Send: func(addrs []string, kind string, _ any) {
 			for range addrs {
 				sent(kind)
 			}
 		},
-		Heed: func() bool { return true },
+		AcceptNotices: func() bool { return true },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
@@ -91,7 +91,7 @@
 		c := pooler(t, &running, &checks, func(string) { sent.Add(1) })
 		body, _ := json.Marshal(notice{[]string{"a"}})
 		for range 3 { // doubled on the way
-			c.Notified("p1", body)
+			c.HandleNotices("p1", body)
 		}
 		synctest.Wait()
 		if !c.Up("a") || checks.Load() != 1 {
@@ -100,7 +100,7 @@
 		running.Store(false)
 		time.Sleep(time.Second)
 		b := c.Bind("a")
-		c.Notified("p1", body)
+		c.HandleNotices("p1", body)
 		synctest.Wait()
 		if db, _ := b.Bound(); c.Up("a") || db != "" {
 			t.Error("the check failed, yet the database is up or the session bound")
@@ -108,7 +108,7 @@
 		if sent.Load() != 0 {
 			t.Error("a peer's notice was passed on to peers")
 		}
-		c.Notified("p1", []byte("{"))
+		c.HandleNotices("p1", []byte("{"))
 		running.Store(true)
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
@@ -179,7 +179,7 @@
 		}
 		before := checks.Load()
 		body, _ := json.Marshal(notice{ids})
-		c.Notified("p1", body)
+		c.HandleNotices("p1", body)
 		synctest.Wait()
 		if n := checks.Load() - before; n != 0 {
 			t.Errorf("%d checks of databases that are held as down already", n)
@@ -188,8 +188,8 @@
 		before = sent.Load()
 		c.Report("seen by all", 0, true)
 		body, _ = json.Marshal(notice{[]string{"seen by all"}})
-		c.Notified("p1", body)
-		c.Notified("p2", body)
+		c.HandleNotices("p1", body)
+		c.HandleNotices("p2", body)
 		time.Sleep(80 * time.Millisecond)
 		if n := sent.Load() - before; n != 0 {
 			t.Errorf("%d datagrams repeat what all have heard", n)
@@ -224,7 +224,7 @@
 			}
 			body, _ := json.Marshal(notice{[]string{id}})
 			for _, addr := range from[:2] {
-				c.Notified(addr, body)
+				c.HandleNotices(addr, body)
 			}
 			time.Sleep(30 * time.Millisecond)
 			return sent.Load() - before
@@ -234,7 +234,7 @@
 		}
 		c.Keep(map[string]bool{})
 		c.Keep(map[string]bool{"a": true})
-		if n := tell("a", senior); n > 2*atOnce {
+		if n := tell("a", senior); n > 2*peersPerBatch {
 			t.Errorf("%d peers told beside two seniors", n)
 		}
 	})
@@ -247,8 +247,8 @@
 	const rate = 0.05 // bytes a microsecond: 50 KB a second
 	told := 0.0
 	for now := kernel.Micros(kernel.Second); now < 21*kernel.Second; now += 10 * kernel.Millisecond {
-		if p.open(now, rate) {
-			const all = 92 * (noticeHead + noticeEach)
+		if p.available(now, rate) {
+			const all = 92 * (noticeHeaderBytes + noticeEntryBytes)
 			p.bytes -= all
 			told += all
 		}
@@ -256,7 +256,7 @@
 	if told > 22*50_000 || told < 18*50_000 {
 		t.Errorf("%.0f bytes in 20 s at 50 KB a second", told)
 	}
-	if !(&byteBudget{}).open(0, 0) {
+	if !(&byteBudget{}).available(0, 0) {
 		t.Error("nothing is told on a link that is not known")
 	}
 }
@@ -274,9 +274,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 				m := New(k, Config{
-					Interval: kernel.Second, First: kernel.Second / 10, Check: func(context.Context, string) bool { return false },
+					Interval: kernel.Second, FirstCheck: kernel.Second / 10, Check: func(context.Context, string) bool { return false },
 					Peers: func() []string { return nil }, ControlNodes: func() []string { return nil },
-					Tell: func([]string, string, any) {}, Heed: func() bool { return true },
+					Send: func([]string, string, any) {}, AcceptNotices: func() bool { return true },
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
--- a/internal/health/plugin.go
+++ b/internal/health/plugin.go
@@ -11,9 +11,9 @@
 	"indigowalk/internal/settings"
 )
 
-// order is that in which peers are told: those that may move a lead first, and
+// notificationOrder is that in which peers are told: those that may move a lead first, and
 // of the others each process begins with another.
-func order(controlNodes, poolers []string) []string {
+func notificationOrder(controlNodes, poolers []string) []string {
 	at := 0
 	if len(poolers) > 0 {
 		at = rand.IntN(len(poolers))
@@ -21,8 +21,8 @@
 	return slices.Concat(controlNodes, poolers[at:], poolers[:at])
 }
 
-// tellShare is the part of the link that telling peers of faults may take.
-const tellShare = 0.2
+// noticeLinkShare is the part of the link that telling peers of faults may take.
+const noticeLinkShare = 0.2
 
 func init() {
 	kernel.Register(kernel.Plugin{
@@ -47,16 +47,16 @@
 			}
 			c := New(k, Config{
 				Interval:     settings.Span(s.CheckMs),
-				First:        settings.Span(s.CheckMs) / 10,
+				FirstCheck:        settings.Span(s.CheckMs) / 10,
 				Check:        func(ctx context.Context, id string) bool { return kernel.Need[Checker](k)(ctx, id) },
 				Self:         ring.Self().Addr,
-				Peers:        func() []string { return order(movers(), ring.Peers(carrier)) },
+				Peers:        func() []string { return notificationOrder(movers(), ring.Peers(carrier)) },
 				ControlNodes: movers,
-				Tell:         ring.Tell,
-				Heed:         heed,
-				Rate:         tellShare * s.NetMbps / 8,
+				Send:         ring.Tell,
+				AcceptNotices:         heed,
+				NoticeRate:         noticeLinkShare * s.NetMbps / 8,
 			})
-			ring.Handle(NoticeKind, c.Notified)
+			ring.Handle(NoticeKind, c.HandleNotices)
 			kernel.Offer(k, c)
 			k.Supervise("health", c.Serve)
 			return nil
--- a/internal/health/telling.go
+++ b/internal/health/telling.go
@@ -17,16 +17,16 @@
 // health coordinator's mutex.
 type byteBudget struct {
 	bytes float64
-	at    kernel.Micros
+	updated    kernel.Micros
 }
 
-// open tells whether something may be told now.
-func (p *byteBudget) open(now kernel.Micros, rate float64) bool {
+// available tells whether something may be told now.
+func (p *byteBudget) available(now kernel.Micros, rate float64) bool {
 	if rate == 0 {
 		return true
 	}
-	p.bytes = min(p.bytes+float64(now-p.at)*rate, float64(tellFor)*rate)
-	p.at = now
+	p.bytes = min(p.bytes+float64(now-p.updated)*rate, float64(budgetWindow)*rate)
+	p.updated = now
 	return p.bytes > 0
 }
 
@@ -49,9 +49,9 @@
 		return
 	}
 	go func() {
-		kernel.Sleep(ctx, gather+rand.N(perPeer*kernel.Micros(len(to())+1)))
+		kernel.Sleep(ctx, gatherDelay+rand.N(delayPerPeer*kernel.Micros(len(to())+1)))
 		s.mu.Lock()
-		for !s.budget.open(s.k.Clock.Now(), s.cfg.Rate) {
+		for !s.budget.available(s.k.Clock.Now(), s.cfg.NoticeRate) {
 			s.mu.Unlock()
 			s.k.Counters.Add("health.notices_held", 1)
 			if !kernel.Sleep(ctx, 50*kernel.Millisecond) {
@@ -63,11 +63,11 @@
 		o.ids = nil
 		s.mu.Unlock()
 		for n := range times {
-			if n > 0 && !s.mayTell() {
+			if n > 0 && !s.budgetAvailable() {
 				return // a lost notice costs less than a full link
 			}
-			ids = s.untold(ids, func(string, string) bool { return true })
-			s.tell(ctx, ids, to())
+			ids = s.unreported(ids, func(string, string) bool { return true })
+			s.sendNotices(ctx, ids, to())
 			if !kernel.Sleep(ctx, 50*kernel.Millisecond) {
 				return
 			}
@@ -75,45 +75,45 @@
 	}()
 }
 
-func (s *Monitor) mayTell() bool {
+func (s *Monitor) budgetAvailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.open(s.k.Clock.Now(), s.cfg.Rate)
+	return s.budget.available(s.k.Clock.Now(), s.cfg.NoticeRate)
 }
 
-// tell sends notices to peers, part by part.
-func (s *Monitor) tell(ctx context.Context, ids, peers []string) {
+// sendNotices sends notices to peers, part by part.
+func (s *Monitor) sendNotices(ctx context.Context, ids, peers []string) {
 	senior := func(from, id string) bool { return rank(from, id) < rank(s.cfg.Self, id) }
-	for part := range slices.Chunk(peers, atOnce) {
+	for part := range slices.Chunk(peers, peersPerBatch) {
 		for some := range slices.Chunk(ids, maxNotices) {
-			s.cfg.Tell(part, NoticeKind, notice{some})
+			s.cfg.Send(part, NoticeKind, notice{some})
 			s.mu.Lock()
-			s.budget.bytes -= float64(len(part) * (noticeHead + noticeEach*len(some)))
+			s.budget.bytes -= float64(len(part) * (noticeHeaderBytes + noticeEntryBytes*len(some)))
 			s.mu.Unlock()
 		}
-		if len(ids) == 0 || len(peers) > atOnce && !kernel.Sleep(ctx, kernel.Millisecond) {
+		if len(ids) == 0 || len(peers) > peersPerBatch && !kernel.Sleep(ctx, kernel.Millisecond) {
 			return
 		}
-		ids = s.untold(slices.Clone(ids), senior)
+		ids = s.unreported(slices.Clone(ids), senior)
 	}
 }
 
-// untold leaves out what enough others, of those that count, have told of
+// unreported leaves out what enough others, of those that count, have told of
 // late.
-func (s *Monitor) untold(ids []string, counts func(from, id string) bool) []string {
+func (s *Monitor) unreported(ids []string, counts func(from, id string) bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.k.Clock.Now()
 	return slices.DeleteFunc(ids, func(id string) bool {
-		h, n := s.c.state[id], 0
+		h, n := s.coordinator.state[id], 0
 		if h == nil {
 			return true // it is gone
 		}
-		for _, from := range h.tellers {
+		for _, from := range h.reporters {
 			if counts(from, id) {
 				n++
 			}
 		}
-		return n >= enough && now-h.echoed <= echo
+		return n >= enoughReporters && now-h.lastReported <= echoWindow
 	})
 }
--- a/internal/readrouting/forget_test.go
+++ b/internal/readrouting/forget_test.go
@@ -16,7 +16,7 @@
 		a.Lagging(fmt.Sprint("replica-", day))
 		a.Took("p.ledger", fmt.Sprint("replica-", day), 3*kernel.Millisecond)
 	}
-	if n := len(a.lag) + len(a.pace); n > 4 {
+	if n := len(a.lagging) + len(a.latencies); n > 4 {
 		t.Errorf("%d things are remembered of databases that went", n)
 	}
 }
--- a/internal/readrouting/readrouting.go
+++ b/internal/readrouting/readrouting.go
@@ -54,39 +54,39 @@
 	pos  lineprotocol.Position
 }
 
-// Observations that are kept: spaced by gap, none older than keep.
+// Observations that are kept: spaced by observationSpacing, none older than observationRetention.
 const (
-	gap  = 40 * kernel.Millisecond
-	keep = 10 * kernel.Second
+	observationSpacing  = 40 * kernel.Millisecond
+	observationRetention = 10 * kernel.Second
 )
 
-// behind is for how long a replica that answered LAGGING is passed over at
-// first; it doubles up to behindMax while it keeps doing so.
+// lagBackoff is for how long a replica that answered LAGGING is passed over at
+// first; it doubles up to maxLagBackoff while it keeps doing so.
 const (
-	behind    = 100 * kernel.Millisecond
-	behindMax = 800 * kernel.Millisecond
+	lagBackoff    = 100 * kernel.Millisecond
+	maxLagBackoff = 800 * kernel.Millisecond
 )
 
-type laggard struct{ until, span kernel.Micros }
+type lagState struct{ until, backoff kernel.Micros }
 
 // How answers' times weigh: each database's pace is its answers' time over
-// what is usual on their route, of late; a pace not heard of for a while fades
+// what is usual on their route, of late; a pace not heard of for a while latencyDecay
 // to the usual, so that a slow database is tried again.
 const (
-	paceWeight = 0.15
-	fades      = 1500 * kernel.Millisecond
+	latencyWeight = 0.15
+	latencyDecay      = 1500 * kernel.Millisecond
 )
 
-type pace struct {
+type relativeLatency struct {
 	ratio float64
 	at    kernel.Micros
 }
 
-func (p pace) now(now kernel.Micros) float64 {
+func (p relativeLatency) current(now kernel.Micros) float64 {
 	if p.at == 0 {
 		return 1
 	}
-	return 1 + (p.ratio-1)*math.Exp(-float64(now-p.at)/float64(fades))
+	return 1 + (p.ratio-1)*math.Exp(-float64(now-p.at)/float64(latencyDecay))
 }
 
 // Router remembers observations of the primaries, and who lags.
@@ -94,19 +94,19 @@
 	clock kernel.Clock
 
 	mu   sync.Mutex
-	seen map[string][]observation
+	observations map[string][]observation
 	// By database; what is not used any more is dropped at the sweep.
-	lag   map[string]laggard
-	pace  map[string]pace
+	lagging   map[string]lagState
+	latencies  map[string]relativeLatency
 	sweep kernel.Sweep
 
-	usual latency.Usual
+	typical latency.Usual
 }
 
 // New returns a router without observations.
 func New(clock kernel.Clock) *Router {
 	return &Router{
-		clock: clock, seen: map[string][]observation{}, lag: map[string]laggard{}, pace: map[string]pace{},
+		clock: clock, observations: map[string][]observation{}, lagging: map[string]lagState{}, latencies: map[string]relativeLatency{},
 	}
 }
 
@@ -114,15 +114,15 @@
 func (a *Router) Observe(service string, sent kernel.Micros, pos lineprotocol.Position) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	list := a.seen[service]
-	if n := len(list); n > 0 && sent < list[n-1].sent+gap {
+	list := a.observations[service]
+	if n := len(list); n > 0 && sent < list[n-1].sent+observationSpacing {
 		return
 	}
 	first := 0
-	for first < len(list) && list[first].sent < sent-keep {
+	for first < len(list) && list[first].sent < sent-observationRetention {
 		first++
 	}
-	a.seen[service] = append(list[first:], observation{sent, pos})
+	a.observations[service] = append(list[first:], observation{sent, pos})
 }
 
 // covering returns the oldest position dated at or after t: of those that
@@ -130,7 +130,7 @@
 func (a *Router) covering(service string, t kernel.Micros) (lineprotocol.Position, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, o := range a.seen[service] {
+	for _, o := range a.observations[service] {
 		if o.sent >= t {
 			return o.pos, true
 		}
@@ -143,21 +143,21 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
-	l := a.lag[id]
+	l := a.lagging[id]
 	if now < l.until {
 		return
 	}
-	if l.span = min(2*l.span, behindMax); now > l.until+2*behindMax || l.span == 0 {
-		l.span = behind
+	if l.backoff = min(2*l.backoff, maxLagBackoff); now > l.until+2*maxLagBackoff || l.backoff == 0 {
+		l.backoff = lagBackoff
 	}
-	l.until = now + l.span
-	a.lag[id] = l
+	l.until = now + l.backoff
+	a.lagging[id] = l
 }
 
-func (a *Router) lags(id string) bool {
+func (a *Router) isLagging(id string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.clock.Now() < a.lag[id].until
+	return a.clock.Now() < a.lagging[id].until
 }
 
 // Took notes how long a read of the route took at a database.
@@ -165,32 +165,32 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
-	usual := a.usual.Add(route, span, now)
+	usual := a.typical.Add(route, span, now)
 	if a.sweep.Due(now) {
-		maps.DeleteFunc(a.lag, func(_ string, l laggard) bool { return now-l.until > kernel.Kept })
-		maps.DeleteFunc(a.pace, func(_ string, p pace) bool { return now-p.at > kernel.Kept })
+		maps.DeleteFunc(a.lagging, func(_ string, l lagState) bool { return now-l.until > kernel.Kept })
+		maps.DeleteFunc(a.latencies, func(_ string, p relativeLatency) bool { return now-p.at > kernel.Kept })
 	}
-	r := a.pace[id].now(now)
-	a.pace[id] = pace{r + paceWeight*(float64(span)/max(usual, 1)-r), now}
+	r := a.latencies[id].current(now)
+	a.latencies[id] = relativeLatency{r + latencyWeight*(float64(span)/max(usual, 1)-r), now}
 }
 
 // Usual is how long a read of the route usually takes, 0 if none was seen.
 func (a *Router) Usual(route string) kernel.Micros {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return kernel.Micros(a.usual.Of(route))
+	return kernel.Micros(a.typical.Of(route))
 }
 
-func (a *Router) paceOf(id string) float64 {
+func (a *Router) latencyOf(id string) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.pace[id].now(a.clock.Now())
+	return a.latencies[id].current(a.clock.Now())
 }
 
 // Pick returns a choice, or false if there is none at present.
 func (a *Router) Pick(q Request, s Candidates) (Choice, bool) {
 	if q.Type != routeconfig.Primary && !q.Write {
-		if c, ok := a.replica(q, s); ok {
+		if c, ok := a.pickReplica(q, s); ok {
 			return c, true
 		}
 	}
@@ -207,11 +207,11 @@
 
 // Why there is no choice.
 const (
-	NoLead        = "no_lead_known"
-	LeadMoves     = "lead_moves"
+	NoLeader        = "no_lead_known"
+	FailoverInProgress     = "lead_moves"
 	NoLease       = "no_lease"
-	LeadDown      = "lead_held_as_down"
-	LeadUnknown   = "lead_not_among_databases"
+	LeaderDown      = "lead_held_as_down"
+	LeaderNotListed   = "lead_not_among_databases"
 	NoReplica     = "no_replica_fresh_and_up"
 	NoObservation = "no_position_of_primary_known"
 )
@@ -233,18 +233,18 @@
 func primaryReason(s Candidates) string {
 	switch {
 	case s.Lead.ID == "":
-		return NoLead
+		return NoLeader
 	case s.Lead.Moving:
-		return LeadMoves
+		return FailoverInProgress
 	case !s.Leased:
 		return NoLease
 	case !s.Up(s.Lead.ID):
-		return LeadDown
+		return LeaderDown
 	}
-	return LeadUnknown
+	return LeaderNotListed
 }
 
-func (a *Router) replica(q Request, s Candidates) (Choice, bool) {
+func (a *Router) pickReplica(q Request, s Candidates) (Choice, bool) {
 	pos, ok := a.covering(q.Service, q.Received-q.Stale)
 	if !ok {
 		return Choice{}, false
@@ -254,13 +254,13 @@
 	}
 	best, cost := -1, 0.0
 	for i, d := range s.Databases {
-		if d.ID == s.Lead.ID || d.Draining || q.Avoid[d.ID] || !s.Up(d.ID) || a.lags(d.ID) {
+		if d.ID == s.Lead.ID || d.Draining || q.Avoid[d.ID] || !s.Up(d.ID) || a.isLagging(d.ID) {
 			continue
 		}
 		// The wait to expect: this pooler's own share of the busy slots, at the
 		// database's pace. Another zone is like half a statement more, a
 		// connection that must be opened first like a whole one.
-		c := a.paceOf(d.ID) * (1 + float64(s.Busy(d.ID)) + 0.2*rand.Float64())
+		c := a.latencyOf(d.ID) * (1 + float64(s.Busy(d.ID)) + 0.2*rand.Float64())
 		if !s.Idle(d.ID) {
 			c++
 		}
