--- a/internal/discovery/departed.go
+++ b/internal/discovery/departures.go
@@ -5,24 +5,23 @@
 	"strconv"
 )
 
-// departure is the record of a database that has deregistered, or whose entry
-// was removed, by which a late beat of it, or its leaving sent again, is known
-// at any control node, also once nothing else is known of it. The records are a
-// ring of entries: the Nth one takes the place of the one before that by
-// departuresKept.
+// departure records a database that has deregistered or whose entry was removed. By it any
+// control node recognises a late heartbeat of that database, or a repeated deregistration, even
+// when nothing else is known of the database any more. The records form a ring of entries: record
+// N replaces record N-maxDepartures.
 type departure struct {
 	ID string `json:"id"`
 	N  int64  `json:"n"`
 }
 
-// departedPrefix starts the entries of the control state that hold them.
+// departedPrefix starts the keys of the control state's entries that hold departures.
 const departedPrefix = "departed/"
 
-// maxDepartures is how many are kept: a late beat is late by seconds, in which
-// some dozens depart at most.
+// maxDepartures is how many departures are kept: a late heartbeat is late by seconds, during
+// which at most a few dozen databases depart.
 const maxDepartures = 256
 
-// hasDeparted tells whether there is a record of a database.
+// hasDeparted reports whether the departure of a database is recorded.
 func (a *Registry) hasDeparted(entries map[string]json.RawMessage, id string) (bool, error) {
 	departed, err := a.departed.Of(entries)
 	for _, d := range departed {
@@ -33,8 +32,8 @@
 	return false, err
 }
 
-// RecordDepartures adds the entries that note departures to changes; a database has one.
-// Whoever removes the entry of a database records that.
+// RecordDepartures adds entries that record departures to changes; a database has at most one.
+// Every change that removes the entry of a database must record its departure.
 func (a *Registry) RecordDepartures(entries, changes map[string]json.RawMessage, ids ...string) error {
 	if len(ids) == 0 {
 		return nil
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery keeps the list of databases, from their own beats. Who
-// there is, where, and whether it drains or is gone is control state; how it
-// sees itself and when it was last heard is soft.
+// Package discovery keeps the registry of databases, which it learns from their heartbeats. Which
+// databases there are, where they are, and whether they are draining or gone is control state;
+// the role that a database reports and when it was last heard is kept in memory only.
 package discovery
 
 import (
@@ -17,7 +17,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// Database is what the control state holds of a database.
+// Database is the control state's record of a database.
 type Database struct {
 	ID       string `json:"id"`
 	Service  string `json:"svc"`
@@ -25,32 +25,32 @@
 	Zone     string `json:"zone"`
 	Slots    int    `json:"slots"`
 	Draining bool   `json:"draining,omitempty"`
-	// PreviousIDs lists the ids that a database had before it crashed and returned, at
-	// the same address and with its log, the last one first.
+	// PreviousIDs lists the IDs that a database had before it crashed and returned at the same
+	// address with its log, separated by spaces, the latest first.
 	PreviousIDs string `json:"was,omitempty"`
-	// Gone says that it will not be back, nor its log. The failover manager removes it
-	// once it knows how far its log may have reached.
+	// Gone says that neither the database nor its log will come back. The failover manager
+	// removes the entry once it knows how far the log may have reached.
 	Gone bool `json:"gone,omitempty"`
-	// Limit, if there is one, is the position past which it holds no
-	// acknowledged commit: a draining replica is paused there. It is cleared
-	// before anything is sent that lets the replica receive again.
+	// Limit, if set, is the position past which the database holds no acknowledged commit: a
+	// draining replica is paused there. It is cleared before anything is sent that makes the
+	// replica receive commits again.
 	Limit string `json:"limit,omitempty"`
 }
 
-// maxPreviousIDs is how many earlier ids of a database are.
+// maxPreviousIDs is how many previous IDs of a database are kept.
 const maxPreviousIDs = 4
 
-// HadID tells whether the database had that id in an earlier life.
+// HadID reports whether the database had that ID in an earlier incarnation.
 func (d Database) HadID(id string) bool { return slices.Contains(strings.Fields(d.PreviousIDs), id) }
 
-// SuccessorOf returns the database as the next life of another.
+// SuccessorOf returns the database as the next incarnation of another.
 func (d Database) SuccessorOf(old Database) Database {
 	ids := append([]string{old.ID}, strings.Fields(old.PreviousIDs)...)
 	d.PreviousIDs = strings.Join(ids[:min(maxPreviousIDs, len(ids))], " ")
 	return d
 }
 
-// Beat is what a database sends.
+// Beat is what a database sends periodically.
 type Beat struct {
 	Service  string `json:"svc"`
 	Address  string `json:"address"`
@@ -63,63 +63,62 @@
 	Role     string `json:"target_role"`
 }
 
-// ObservedState is what is only remembered.
+// ObservedState is what is known of a database in memory only.
 type ObservedState struct {
-	Role  string
-	Seq   int64
+	Role      string
+	Seq       int64
 	LastHeard kernel.Micros
 }
 
-// keyPrefix starts the entries of the control state that hold databases.
+// keyPrefix starts the keys of the control state's entries that hold databases.
 const keyPrefix = "database/"
 
-// Key is the entry that holds a database.
+// Key returns the key of the entry that holds a database.
 func Key(id string) string { return keyPrefix + id }
 
-// Holds tells whether an entry holds a database.
+// Holds reports whether the key is of an entry that holds a database.
 func Holds(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
-// reorderWindow is how long after a beat one with a lower number is taken for a
-// delayed one; later than that the database has started its count again.
+// reorderWindow is how long after a heartbeat another with a lower sequence number is considered
+// delayed; after that the database is assumed to have restarted its count.
 const reorderWindow = 3 * kernel.Second
 
-// Errors of this layer.
+// Errors of this package.
 var (
-	ErrUnavailable = errors.New("discovery: can't be changed now")
-	ErrMalformed   = errors.New("discovery: malformed beat")
+	ErrUnavailable = errors.New("discovery: the registry cannot be changed now")
+	ErrMalformed   = errors.New("discovery: malformed heartbeat")
 )
 
-// Registry is the list of databases at a control node.
+// Registry is the registry of databases at a control node.
 type Registry struct {
-	k *kernel.Kernel
+	k     *kernel.Kernel
 	state *controlstate.Replica
 
 	decoded  *controlstate.Decoded[Database]
 	departed *controlstate.Decoded[departure]
 
-	mu    sync.Mutex
-	observed  map[string]ObservedState
-	sweep kernel.Sweep // of what databases that went said
-	bell  kernel.Bell
+	mu       sync.Mutex
+	observed map[string]ObservedState
+	sweep    kernel.Sweep // of the reports of databases that are gone
+	bell     kernel.Bell
 }
 
-// New returns the list kept in v.
+// New returns the registry kept in that replica of the control state.
 func New(k *kernel.Kernel, v *controlstate.Replica) *Registry {
 	return &Registry{k: k, state: v, decoded: Decoder(), departed: controlstate.NewDecoded[departure](departedPrefix), observed: map[string]ObservedState{}}
 }
 
-// Decoder returns what picks the databases out of the control state.
+// Decoder returns a decoder of the databases in the control state.
 func Decoder() *controlstate.Decoded[Database] { return controlstate.NewDecoded[Database](keyPrefix) }
 
-// Decode picks the databases out of the control state, once.
+// Decode returns the databases in the control state, by ID. It is meant for single use.
 func Decode(entries map[string]json.RawMessage) (map[string]Database, error) {
 	return Decoder().Of(entries)
 }
 
-// Heartbeat takes a beat; it returns nil only once everything in it that is
-// control state is durable. A database that drains never goes back under that
-// id, and one that is gone or was replaced is never there again: whatever says
-// otherwise is a delayed beat.
+// Heartbeat processes a heartbeat; it returns nil only once everything in it that is control
+// state is durable. A database that is draining never returns under the same ID, and one that is
+// gone or was replaced never exists again: a heartbeat that says otherwise is a delayed one.
 func (a *Registry) Heartbeat(ctx context.Context, id string, b Beat) error {
 	if id == "" || b.Service == "" || b.Address == "" {
 		a.k.Counters.Add("discovery.malformed", 1)
@@ -145,7 +144,7 @@
 	}
 	switch {
 	case have == nil && late:
-		return fmt.Errorf("%w: a delayed beat of a database that is not known", ErrUnavailable)
+		return fmt.Errorf("%w: delayed heartbeat of an unknown database", ErrUnavailable)
 	case have != nil && (old.Gone || old.unchangedBy(want) || late && (old.Draining || !want.Draining)):
 		return nil
 	}
@@ -161,14 +160,14 @@
 	}, "database known", "id", id, "zone", b.Zone, "status", b.Status, "role", b.Role)
 }
 
-// unchangedBy tells whether a beat that wants w says nothing new.
+// unchangedBy reports whether a heartbeat that asks for the state w contains nothing new.
 func (d Database) unchangedBy(w Database) bool {
 	w.PreviousIDs, w.Limit, w.Gone, w.Draining = d.PreviousIDs, d.Limit, d.Gone, d.Draining || w.Draining
 	return w == d
 }
 
-// recordObserved remembers what a beat says besides the control state; it reports false
-// for a beat that is older than one before.
+// recordObserved records what a heartbeat contains besides control state; it returns false for a
+// heartbeat that is older than one processed before.
 func (a *Registry) recordObserved(id string, b Beat) bool {
 	now := a.k.Clock.Now()
 	a.mu.Lock()
@@ -188,9 +187,10 @@
 	return true
 }
 
-// registrationChanges enters a database, and deals with any other at its address: of the
-// same service it is the same one before a crash, unless it was draining, for
-// then its log left with it. That one is gone, and so is one of another service.
+// registrationChanges returns the changes that register a database and handle any other at its
+// address. Another of the same service is the same database before a crash, unless it was
+// draining, since then its log is gone with it. A draining one, or one of another service, is
+// marked as gone.
 func registrationChanges(known map[string]Database, d Database) (out map[string]json.RawMessage, err error) {
 	out = map[string]json.RawMessage{}
 	if old, ok := known[d.ID]; ok {
@@ -198,7 +198,7 @@
 	}
 	for id, old := range known {
 		if old.Address == d.Address && old.HadID(d.ID) && !old.Gone {
-			return nil, nil // a delayed beat of the life before
+			return nil, nil // a delayed heartbeat of an earlier incarnation
 		}
 		switch {
 		case id == d.ID || old.Address != d.Address || old.Gone:
@@ -216,8 +216,8 @@
 	return out, err
 }
 
-// Deregister notes that a database has ended in order. One that is not known
-// leaves a record too: its beats may come yet.
+// Deregister records that a database has shut down in order. An unknown database is recorded as
+// departed too, since heartbeats of it may still arrive.
 func (a *Registry) Deregister(ctx context.Context, id string) error {
 	return a.update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		if gone, err := a.hasDeparted(entries, id); gone || err != nil {
@@ -231,7 +231,7 @@
 	}, "database gone", "id", id)
 }
 
-// editEntry changes the entry of a database, if there is one.
+// editEntry returns the change that edits the entry of a database, if there is one.
 func editEntry(entries map[string]json.RawMessage, id string, f func(*Database)) (map[string]json.RawMessage, error) {
 	out := map[string]json.RawMessage{}
 	have, there := entries[keyPrefix+id]
@@ -248,8 +248,7 @@
 	return out, err
 }
 
-// Remove forgets databases that are gone and held nothing that the others do
-// not.
+// Remove removes databases that are gone and held nothing that the others do not hold.
 func (a *Registry) Remove(ctx context.Context, ids ...string) error {
 	return a.update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		out := make(map[string]json.RawMessage, len(ids))
@@ -260,6 +259,8 @@
 	}, "databases removed", "ids", ids)
 }
 
+// update applies changes to the control state, records the departure of every database that they
+// remove, and logs msg if anything changed.
 func (a *Registry) update(ctx context.Context, f func(map[string]json.RawMessage) (map[string]json.RawMessage, error), msg string, attrs ...any) error {
 	var changes map[string]json.RawMessage
 	err := a.state.Update(ctx, func(entries map[string]json.RawMessage) (_ map[string]json.RawMessage, err error) {
@@ -284,12 +285,12 @@
 	return nil
 }
 
-// Soft returns what the databases last said of themselves.
+// Soft returns what the databases last reported about themselves, by ID.
 func (a *Registry) Soft() map[string]ObservedState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.observed)
 }
 
-// Changed closes when a database sees itself in another role.
+// Changed returns a channel that is closed when a database reports another role.
 func (a *Registry) Changed() <-chan struct{} { return a.bell.Wait() }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,18 +10,19 @@
 	"indigowalk/internal/kernel"
 )
 
-// A control node outlives many generations of databases.
-func TestWhatDatabasesThatWentSaidIsDropped(t *testing.T) {
+// A control node outlives many generations of databases; what it keeps of gone ones must not
+// grow.
+func TestStateOfGoneDatabasesIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), nil)
 		for day := range 1000 {
 			if !a.recordObserved(fmt.Sprint("database-", day), Beat{Seq: 1, Role: "replica"}) {
-				t.Fatal("a first beat was taken for an old one")
+				t.Fatal("a first heartbeat was considered delayed")
 			}
 			time.Sleep(24 * time.Hour)
 		}
 		if n := len(a.Soft()); n > 2 {
-			t.Errorf("what %d databases that went said is remembered", n)
+			t.Errorf("the state of %d databases is kept", n)
 		}
 	})
 }
--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -11,41 +11,41 @@
 	"indigowalk/internal/rpc"
 )
 
-// AcceptOp is the call by which an operator accepts that acknowledged commits of a
-// service may be lost.
+// AcceptOp is the RPC by which an operator accepts that acknowledged commits of a service may be
+// lost.
 const AcceptOp = "failover.accept_loss"
 
-// AcceptLoss is the order of an operator who knows that a database which a move
-// waits for does not come back.
+// AcceptLoss is the request of an operator who knows that a database that a failover waits for
+// will not come back.
 type AcceptLoss struct {
 	Service string `json:"svc"`
-	Turn    int64  `json:"turn"` // of the move that waits
-	By      string `json:"by"`   // who gives it, for the record
+	Turn    int64  `json:"turn"` // number of the failover that is waiting
+	By      string `json:"by"`   // the operator, for the record
 }
 
-// LossAcceptance is the record of such an order. It stays with the lead.
+// LossAcceptance records such a request. It is kept with the leader.
 type LossAcceptance struct {
 	Turn int64  `json:"turn"`
 	By   string `json:"by"`
-	AtMs int64  `json:"at_ms"` // time of day, in milliseconds since 1970
+	AtMs int64  `json:"at_ms"` // Unix time in milliseconds
 }
 
-// Errors of an order that is not taken.
+// Errors of rejected requests.
 var (
-	ErrNoName     = errors.New("failover: who accepts the loss must be named")
-	ErrNotWaiting = errors.New("failover: no move of that service and turn waits for a database")
+	ErrNoName     = errors.New("failover: the operator who accepts the loss must be named, in at most 200 bytes")
+	ErrNotWaiting = errors.New("failover: no failover of that service and number is waiting for a database")
 )
 
-// maxNameLength bounds what is kept of who gave an order.
+// maxNameLength bounds the stored name of the operator, in bytes.
 const maxNameLength = 200
 
-// registerHandlers takes orders through the endpoint.
+// registerHandlers registers the operators' requests at the RPC endpoint.
 func (c *Manager) registerHandlers(b *rpc.Endpoint) {
 	rpc.On(b, AcceptOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, c.Accept(ctx, q) })
 }
 
-// Accept takes an order for the move that waits now, and no other: the next one
-// waits again. Given twice, it is taken once.
+// Accept records a request for the failover that is waiting now, and for no other: the next one
+// waits again. A repeated request has no further effect.
 func (c *Manager) Accept(ctx context.Context, q AcceptLoss) error {
 	if q.By == "" || len(q.By) > maxNameLength {
 		return ErrNoName
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// canAcceptLoss tells whether an operator may have the choice made all the same.
+// canAcceptLoss reports whether an operator may override this refusal to choose a primary.
 func canAcceptLoss(refusal string) bool {
 	switch refusal {
 	case unresponsiveMayHoldCommit, removedMayHaveHeldCommit, allHoldersRemoved, awaitingFirstHeartbeat, acknowledgedCommitMissing:
--- a/internal/failover/acknowledged.go
+++ b/internal/failover/acknowledged.go
@@ -8,15 +8,15 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// ackTracker is what bounds, for each service, the commits that clients were
-// told of. A pooler that has left a primary reports what it ackTracker itself.
-// What a pooler ackTracker that reports no more, since it ended or its lease ran
-// out, is covered by a sighting: the position in an answer of the primary to a
-// statement that was sent later covers every commit ackTracker before.
+// ackTracker holds what bounds, for each service, the commits that were acknowledged to clients.
+// A pooler that has left a primary reports what it acknowledged itself. Commits acknowledged by a
+// pooler that no longer reports, because it ended or its lease expired, are covered by an
+// observation: the position in a primary's response to a statement that was sent later covers
+// every commit acknowledged before.
 type ackTracker struct {
-	unreportedUntil     kernel.Micros // until when poolers acknowledged that are no more
-	services []string      // with a primary
-	observed  map[string]coveringPosition
+	unreportedUntil kernel.Micros // poolers that no longer report may have acknowledged commits until then
+	services        []string      // those that have a primary
+	observed        map[string]coveringPosition
 }
 
 // coveringPosition is a position that covers every commit acknowledged before a time.
@@ -25,15 +25,16 @@
 	position lineprotocol.Position
 }
 
-// Sighting is what a pooler saw at primaries after it had the answer that bore
-// that stamp.
+// Sighting is what a pooler observed at primaries after it received the poll response with this
+// stamp.
 type Sighting struct {
-	Term  int64                            // in which the stamp was made
-	Stamp kernel.Micros                    // clock of the control node that made it
-	At    map[string]lineprotocol.Position // newest, by service
+	Term  int64                            // in which the stamp was issued
+	Stamp kernel.Micros                    // clock of the control node that issued it
+	At    map[string]lineprotocol.Position // newest observed position, by service
 }
 
-// Sighted notes what a pooler saw. A stamp of another term is of another clock.
+// Sighted records what a pooler observed. Observations stamped in another term are ignored, since
+// their stamp is of another node's clock.
 func (r *Readers) Sighted(s Sighting) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// SetLedServices notes which services have a primary.
+// SetLedServices sets the services that have a primary.
 func (r *Readers) SetLedServices(services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,15 +60,15 @@
 }
 
 const (
-	// maxServicesToObserve bounds the services that one pooler is asked sightings of.
+	// maxServicesToObserve bounds the services that one pooler is asked to observe.
 	maxServicesToObserve = 16
-	// observeRotation is for how long it is asked for the same ones, if they stay wanted: it
-	// need not be told them again.
+	// observeRotation is how long a pooler is asked for the same services, as long as
+	// observations of them are needed, so that the list does not have to be sent again.
 	observeRotation = 2 * kernel.Second
 )
 
-// Wanted lists services of which a sighting later than now would bound what poolers
-// acknowledged that are no more. Poolers are asked for different ones.
+// Wanted lists services for which an observation later than now would bound what was acknowledged
+// by poolers that no longer report. Different poolers are asked for different services.
 func (r *Readers) Wanted(pooler string, now kernel.Micros) (services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,9 +90,9 @@
 	return services
 }
 
-// AcknowledgedUpperBound returns a position that covers every commit of the service that a
-// client was told of, once every pooler has left its primary at that turn or
-// holds no lease any more; false if none is known.
+// AcknowledgedUpperBound returns a position that covers every commit of the service that was
+// acknowledged to a client, once every pooler has left its primary for that failover or holds no
+// lease any more; false if no such position is known.
 func (r *Readers) AcknowledgedUpperBound(service string, turn int64) (lineprotocol.Position, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,9 +115,9 @@
 	return most, true
 }
 
-// AcknowledgedLowerBound returns a position that a commit of the service has at least of which a client
-// was told, by the poolers that have left its primary at that turn; false if they told of
-// none. Others may have told of later ones.
+// AcknowledgedLowerBound returns a position that some acknowledged commit of the service has
+// reached at least, according to the poolers that have left its primary for that failover; false
+// if they reported none. Other poolers may have acknowledged later commits.
 func (r *Readers) AcknowledgedLowerBound(service string, turn int64) (most lineprotocol.Position, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -11,62 +11,62 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// carrier is a pooler of the history: what it reports, as the poolers' own code does.
-type carrier struct {
-	name     string
-	life     int64
-	leaseEnd kernel.Micros // on its own, measured from before it asked
-	learnt   int64         // turn of the move that it has heard of
-	left     int64
-	acked    lineprotocol.Position
-	certain  lineprotocol.Position
-	stamp    kernel.Micros // of the last answer that it had
-	term     int64
-	seen     lineprotocol.Position
-	known    int64 // life that the control state has
+// simPooler is a simulated pooler; it reports the same things as the poolers' own code.
+type simPooler struct {
+	name            string
+	incarnation     int64
+	leaseEnd        kernel.Micros // by the pooler's own reckoning, measured from before it polled
+	learnedFailover int64         // number of the failover that it has learned of
+	left            int64
+	acked           lineprotocol.Position
+	certain         lineprotocol.Position
+	stamp           kernel.Micros // of the last response that it received
+	term            int64
+	seen            lineprotocol.Position
+	known           int64 // incarnation that is registered in the control state
 }
 
-// acks is a history of one service's primary, whose commits are numbered, of the
-// poolers that acknowledge them, and of the control node, whose polls, answers and memory
+// history is a random history of one service's primary, whose commits are numbered, of the poolers
+// that acknowledge them, and of the control node. Polls, responses and the control node's memory
 // may be lost.
-type acks struct {
-	r        *rand.Rand
-	now      kernel.Micros
-	term     int64
-	turn     int64
-	moving   bool
-	number   int64
-	newest   lineprotocol.Position // that a client was told of
-	readers  *Readers
-	carriers []*carrier
-	lives    int64
-	told     int // how often a bound was
-	// What is left out, to see that the check finds it.
-	forgetsLives, stampsLate, countsOld, claimsMore bool
+type history struct {
+	r            *rand.Rand
+	now          kernel.Micros
+	term         int64
+	failoverID   int64
+	moving       bool
+	lastNumber   int64
+	newestAcked  lineprotocol.Position // newest commit that was acknowledged to a client
+	readers      *Readers
+	poolers      []*simPooler
+	incarnations int64
+	boundsGiven  int // how often an upper bound was given
+	// Faults to inject, to see that the check detects them.
+	forgetsIncarnations, stampsLate, countsOld, claimsMore bool
 }
 
 const historyLease = kernel.Micros(50)
 
-func newAcks(seed uint64) *acks {
-	h := &acks{r: rand.New(rand.NewPCG(seed, 2)), now: 1000, term: 1, readers: NewReaders()}
+func newHistory(seed uint64) *history {
+	h := &history{r: rand.New(rand.NewPCG(seed, 2)), now: 1000, term: 1, readers: NewReaders()}
 	for _, name := range []string{"a", "b", "c"} {
-		h.carriers = append(h.carriers, &carrier{name: name})
-		h.restart(h.carriers[len(h.carriers)-1])
+		h.poolers = append(h.poolers, &simPooler{name: name})
+		h.restart(h.poolers[len(h.poolers)-1])
 	}
 	h.takeOver()
 	return h
 }
 
-func (h *acks) restart(c *carrier) {
-	h.lives++
-	*c = carrier{name: c.name, life: h.lives, known: c.known}
+func (h *history) restart(c *simPooler) {
+	h.incarnations++
+	*c = simPooler{name: c.name, incarnation: h.incarnations, known: c.known}
 }
 
-// takeOver has another control node lead, which knows the lives that were registered.
-func (h *acks) takeOver() {
+// takeOver makes another control node the primary, which knows the registered incarnations.
+func (h *history) takeOver() {
 	h.term++
 	registered := map[string]int64{}
-	for _, c := range h.carriers {
+	for _, c := range h.poolers {
 		if c.known > 0 {
 			registered[c.name] = c.known
 		}
@@ -75,14 +75,14 @@
 	h.readers.SetLedServices([]string{"svc"})
 }
 
-// poll has a pooler poll; the poll, or its answer, may be lost.
-func (h *acks) poll(c *carrier) {
+// poll lets a pooler poll; the poll or its response may be lost.
+func (h *history) poll(c *simPooler) {
 	asked := h.now
-	if c.learnt > c.left && h.r.IntN(2) == 0 {
-		c.left = c.learnt
+	if c.learnedFailover > c.left && h.r.IntN(2) == 0 {
+		c.left = c.learnedFailover
 	}
 	report := Report{}
-	if c.left > 0 && h.moving && c.left == h.turn {
+	if c.left > 0 && h.moving && c.left == h.failoverID {
 		report = Report{Left: map[string]int64{"svc": c.left}, Acked: map[string]lineprotocol.Position{"svc": c.acked}}
 		if c.certain.Number > 0 {
 			report.Certain = map[string]lineprotocol.Position{"svc": c.certain}
@@ -90,17 +90,17 @@
 	}
 	saw := Sighting{Term: c.term, Stamp: c.stamp, At: map[string]lineprotocol.Position{"svc": c.seen}}
 	if h.r.IntN(4) == 0 {
-		return // it is lost
+		return // the poll is lost
 	}
 	h.now += kernel.Micros(h.r.IntN(3))
-	c.known = max(c.known, c.life)
-	if _, ok := h.readers.Heard(c.name, c.life, received(report), h.now); !ok {
+	c.known = max(c.known, c.incarnation)
+	if _, ok := h.readers.Heard(c.name, c.incarnation, received(report), h.now); !ok {
 		return
 	}
 	if c.stamp > 0 && c.seen.Number > 0 {
 		h.readers.Sighted(saw)
 	}
-	if !h.readers.Grant(c.name, c.life, h.now+historyLease) {
+	if !h.readers.Grant(c.name, c.incarnation, h.now+historyLease) {
 		return
 	}
 	stamp := h.now
@@ -108,130 +108,131 @@
 		stamp += 30
 	}
 	if h.r.IntN(4) == 0 {
-		return // the answer is lost
+		return // the response is lost
 	}
 	h.now += kernel.Micros(h.r.IntN(3))
 	c.leaseEnd, c.stamp, c.term, c.seen = asked+historyLease, stamp, h.term, lineprotocol.Position{}
 	if h.moving {
-		c.learnt = h.turn
+		c.learnedFailover = h.failoverID
 	}
 }
 
-// received is a report as it comes out of a message, apart from the sender's.
+// received returns a copy of a report, as decoded from a message it shares nothing with the
+// sender.
 func received(r Report) Report {
 	return Report{Left: maps.Clone(r.Left), Acked: maps.Clone(r.Acked), Certain: maps.Clone(r.Certain)}
 }
 
-// serve has a pooler run a statement at the primary, and acknowledge a commit.
-func (h *acks) serve(c *carrier) {
-	if h.now >= c.leaseEnd || c.learnt == h.turn && h.moving {
+// serve lets a pooler run a statement at the primary and acknowledge a commit.
+func (h *history) serve(c *simPooler) {
+	if h.now >= c.leaseEnd || c.learnedFailover == h.failoverID && h.moving {
 		return
 	}
 	if h.r.IntN(2) == 0 {
-		h.number++
-		if c.left < h.turn || !h.moving {
-			h.newest = lineprotocol.Position{Term: 1, Number: h.number}
+		h.lastNumber++
+		if c.left < h.failoverID || !h.moving {
+			h.newestAcked = lineprotocol.Position{Term: 1, Number: h.lastNumber}
 			c.certain = c.acked.Next()
 			if h.claimsMore {
-				c.certain = h.newest.Next()
+				c.certain = h.newestAcked.Next()
 			}
-			c.acked = h.newest
+			c.acked = h.newestAcked
 		}
 	}
 	if c.stamp > 0 {
-		c.seen = lineprotocol.Position{Term: 1, Number: h.number}
+		c.seen = lineprotocol.Position{Term: 1, Number: h.lastNumber}
 	}
 }
 
-// step is one thing that may happen; it reports false if the control node bounds the
-// commits too low, or is certain of one that no client was told of.
-func (h *acks) step() bool {
+// step takes one random step; it returns false if the control node's upper bound does not cover
+// the acknowledged commits, or its lower bound is past them.
+func (h *history) step() bool {
 	h.now += kernel.Micros(1 + h.r.IntN(4))
-	c := h.carriers[h.r.IntN(len(h.carriers))]
+	c := h.poolers[h.r.IntN(len(h.poolers))]
 	switch e := h.r.IntN(40); {
 	case e < 16:
 		h.serve(c)
 	case e < 32:
 		h.poll(c)
 	case e == 32 && h.r.IntN(3) == 0:
-		if h.forgetsLives {
+		if h.forgetsIncarnations {
 			h.readers.acks.unreportedUntil = 0
 		}
 		h.restart(c)
 	case e == 33 && h.r.IntN(10) == 0:
 		h.takeOver()
 	case e == 34 && !h.moving:
-		h.turn, h.moving = h.turn+1, true
+		h.failoverID, h.moving = h.failoverID+1, true
 	case e > 34 && h.moving:
-		left, _ := h.readers.AllLeft("svc", h.turn, h.now)
+		left, _ := h.readers.AllLeft("svc", h.failoverID, h.now)
 		if !left {
 			return true
 		}
-		turn := h.turn
+		failoverID := h.failoverID
 		if h.countsOld {
-			turn--
+			failoverID--
 		}
-		bound, known := h.readers.AcknowledgedUpperBound("svc", turn)
-		if known && bound.Less(h.newest) {
+		bound, known := h.readers.AcknowledgedUpperBound("svc", failoverID)
+		if known && bound.Less(h.newestAcked) {
 			return false
 		}
-		if certain, known := h.readers.AcknowledgedLowerBound("svc", h.turn); known && h.newest.Less(certain) {
+		if certain, known := h.readers.AcknowledgedLowerBound("svc", h.failoverID); known && h.newestAcked.Less(certain) {
 			return false
 		}
 		if known {
-			h.told++
+			h.boundsGiven++
 		}
-		h.moving = false // another leads, or the move is called off
+		h.moving = false // another database leads, or the failover is cancelled
 	}
-	if h.forgetsLives {
+	if h.forgetsIncarnations {
 		h.readers.acks.unreportedUntil = 0
 	}
 	return true
 }
 
-// AcknowledgedIsKnown: whatever poolers, polls and control nodes are lost, a bound that is
-// told covers every commit that a client was told of; and mostly one is told.
-func TestAcknowledgedIsKnown(t *testing.T) {
-	told, moves := 0, int64(0)
+// Whichever poolers, polls and control nodes are lost, an upper bound that is given must cover
+// every commit that was acknowledged to a client; and it must be given often enough.
+func TestAcknowledgedBoundsHoldUnderLoss(t *testing.T) {
+	boundsGiven, moves := 0, int64(0)
 	for seed := range uint64(2000) {
-		h := newAcks(seed)
+		h := newHistory(seed)
 		for range 400 {
 			if !h.step() {
-				t.Fatalf("history %d: a client was told of %v, and less is taken for the newest", seed, h.newest)
+				t.Fatalf("history %d: %v was acknowledged to a client, but the bounds contradict that", seed, h.newestAcked)
 			}
 		}
-		told, moves = told+h.told, moves+h.turn
+		boundsGiven, moves = boundsGiven+h.boundsGiven, moves+h.failoverID
 	}
-	if int64(told) < moves/5 {
-		t.Errorf("a bound was told in %d of %d moves", told, moves)
+	if int64(boundsGiven) < moves/5 {
+		t.Errorf("an upper bound was given in only %d of %d failovers", boundsGiven, moves)
 	}
 }
 
-// The check finds what is left out.
-func TestBoundsThatAreTooLowAreFound(t *testing.T) {
-	for name, spoil := range map[string]func(*acks){
-		"lives that ended are forgotten": func(h *acks) { h.forgetsLives = true },
-		"stamps lie ahead":               func(h *acks) { h.stampsLate = true },
-		"reports of an earlier turn":     func(h *acks) { h.countsOld = true },
-		"more is claimed than was told":  func(h *acks) { h.claimsMore = true },
+// The check of the history must detect each injected fault.
+func TestHistoryDetectsWrongBounds(t *testing.T) {
+	for name, injectFault := range map[string]func(*history){
+		"ended incarnations are forgotten":              func(h *history) { h.forgetsIncarnations = true },
+		"stamps are in the future":                      func(h *history) { h.stampsLate = true },
+		"reports for an earlier failover count":         func(h *history) { h.countsOld = true },
+		"the lower bound exceeds what was acknowledged": func(h *history) { h.claimsMore = true },
 	} {
 		found := false
 		for seed := uint64(0); seed < 4000 && !found; seed++ {
-			h := newAcks(seed)
-			spoil(h)
+			h := newHistory(seed)
+			injectFault(h)
 			for i := 0; i < 400 && !found; i++ {
 				found = !h.step()
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
 
-// Of many services each pooler is asked for some, the same ones for a while, and all
-// together for all.
-func TestWantedAreSpread(t *testing.T) {
+// Of many services each pooler must be asked to observe some, the same ones for a while, and all
+// poolers together all of them.
+func TestObservedServicesAreSpreadOverPoolers(t *testing.T) {
 	r := NewReaders()
 	var services []string
 	for i := range 60 {
@@ -240,22 +241,22 @@
 	asked := map[string]bool{}
 	for i := range 40 {
 		pooler := fmt.Sprint("pooler-", i)
-		slices.Reverse(services) // they are not in order
+		slices.Reverse(services) // the order must not matter
 		r.SetLedServices(services)
 		first := r.Wanted(pooler, 10*observeRotation)
 		if len(first) != maxServicesToObserve {
-			t.Fatalf("%s is asked for %d services", pooler, len(first))
+			t.Fatalf("%s is asked to observe %d services", pooler, len(first))
 		}
 		slices.Reverse(services)
 		r.SetLedServices(services)
 		if again := r.Wanted(pooler, 11*observeRotation-1); !slices.Equal(first, again) {
-			t.Errorf("%s is asked for %v, and for %v soon after", pooler, first, again)
+			t.Errorf("%s is asked to observe %v, and soon after %v", pooler, first, again)
 		}
 		for _, service := range first {
 			asked[service] = true
 		}
 	}
 	if len(asked) != len(services) {
-		t.Errorf("%d of %d services are asked for", len(asked), len(services))
+		t.Errorf("only %d of %d services are observed", len(asked), len(services))
 	}
 }
--- a/internal/failover/paced_test.go
+++ b/internal/failover/attempts_test.go
@@ -10,8 +10,9 @@
 	"indigowalk/internal/kernel"
 )
 
-// A time that is remembered of a database that left is not the next one's of that name.
-func TestTimesOfWhatIsOverAreDropped(t *testing.T) {
+// A time kept for a database that has left must not be taken for that of a later one with the
+// same name.
+func TestOldAttemptsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), Config{}, nil, nil, nil, nil)
 		for day := range 1000 {
@@ -20,10 +21,10 @@
 			time.Sleep(24 * time.Hour)
 		}
 		if n := len(c.attempts); n > 2 {
-			t.Errorf("%d times are remembered", n)
+			t.Errorf("%d attempts are kept", n)
 		}
 		if span := c.elapsedSinceFirst("gone database-0"); span > kernel.Second {
-			t.Errorf("a database has just gone, but for %d s", span/kernel.Second)
+			t.Errorf("a database has just gone, but %d s are reported", span/kernel.Second)
 		}
 	})
 }
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -7,50 +7,50 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Copy is what a replica answered once it was paused.
+// Copy is what a replica reported once it was paused.
 type Copy struct {
 	ID       string                `json:"id"`
 	Received lineprotocol.Position `json:"received"`
 	Draining bool                  `json:"draining,omitempty"`
 }
 
-// AbsentReplica is a replica that did not answer, or has ended.
+// AbsentReplica is a replica that did not respond, or that is gone.
 type AbsentReplica struct {
 	ID   string `json:"id"`
 	Gone bool   `json:"gone,omitempty"`
-	// Limit is the furthest position at which it may hold an acknowledged
-	// commit; nil if none is known.
+	// Limit is the furthest position at which it may hold an acknowledged commit; nil if none is
+	// known.
 	Limit *lineprotocol.Position `json:"limit,omitempty"`
 }
 
 // Situation is all that the choice of the next primary depends on.
 type Situation struct {
-	SyncReplicas   int      `json:"sync"` // sync_replicas
-	Copies []Copy   `json:"copies"`
-	Absent []AbsentReplica `json:"absent,omitempty"` // every other replica of the service
-	// PrimaryPosition is the old primary's own position, asked after every pooler had left
-	// it; nil if it did not answer.
+	SyncReplicas int             `json:"sync"` // sync_replicas
+	Copies       []Copy          `json:"copies"`
+	Absent       []AbsentReplica `json:"absent,omitempty"` // all other replicas of the service
+	// PrimaryPosition is the old primary's own position, queried after every pooler had left it;
+	// nil if it did not respond.
 	PrimaryPosition *lineprotocol.Position `json:"held,omitempty"`
-	// ChosenPosition is what the one held that was chosen before in this turn, and could
-	// not be promoted; nil if none was.
+	// ChosenPosition is the position of the replica that was chosen earlier in this failover and
+	// could not be promoted; nil if none was.
 	ChosenPosition *lineprotocol.Position `json:"floor,omitempty"`
-	// MinPosition is what databases that are forgotten by now may have held.
+	// MinPosition is a position up to which databases that have since been removed may have held
+	// commits.
 	MinPosition lineprotocol.Position `json:"least"`
-	// Acked covers every commit that a client was told of; nil if that is not
-	// known.
+	// Acked covers every commit that was acknowledged to a client; nil if no bound is known.
 	Acked *lineprotocol.Position `json:"acked,omitempty"`
-	// AckedLowerBound is a position that a commit has at least of which a client was told; nil
-	// if none is known.
+	// AckedLowerBound is a position that some acknowledged commit has reached at least; nil if
+	// none is known.
 	AckedLowerBound *lineprotocol.Position `json:"certain,omitempty"`
-	// FirstHeartbeatsElapsed says that the first beat of every replica that receives has had its time,
-	// however late it is.
+	// FirstHeartbeatsElapsed says that the longest delay of a first heartbeat has passed, so that
+	// every replica that receives commits has been heard.
 	FirstHeartbeatsElapsed bool `json:"beats_due,omitempty"`
 }
 
-// ChoiceKind is the kind of record of a choice.
+// ChoiceKind is the kind of recorded event that holds a Choice.
 const ChoiceKind = "choice"
 
-// Choice is the record of one.
+// Choice records one choice of a primary.
 type Choice struct {
 	Service   string    `json:"svc"`
 	Epoch     int64     `json:"epoch"`
@@ -59,30 +59,30 @@
 	Accepted  bool      `json:"accepted,omitempty"` // an operator accepted that commits may be lost
 }
 
-// Why nobody may be promoted yet.
+// Reasons why no replica may be promoted yet.
 const (
-	noReplicaResponds = "no replica answers"
-	replicasBehindPrimary = "no replica that stays holds all that the primary does"
+	noReplicaResponds         = "no replica responds"
+	replicasBehindPrimary     = "no replica that is not draining holds all commits of the primary"
 	unresponsiveMayHoldCommit = "a replica that does not answer may hold an acknowledged commit"
-	removedMayHaveHeldCommit   = "a database that is gone may have held an acknowledged commit"
-	awaitingFirstHeartbeat   = "a replica that is not known yet may hold an acknowledged commit"
-	acknowledgedCommitMissing   = "an acknowledged commit is on no replica that is known"
-	allHoldersRemoved          = "acknowledged commits may be lost: all databases that may have held them are gone"
+	removedMayHaveHeldCommit  = "a database that is gone may have held an acknowledged commit"
+	awaitingFirstHeartbeat    = "a replica that is not known yet may hold an acknowledged commit"
+	acknowledgedCommitMissing = "an acknowledged commit is on no replica that is known"
+	allHoldersRemoved         = "acknowledged commits may be lost: all databases that may have held them are gone"
 )
 
-// Choose picks the replica to promote, or says why none may be yet.
+// Choose picks the replica to promote, or returns why none may be promoted yet.
 //
-// A commit that was acknowledged is on Sync replicas at least. The furthest of
-// those that answered holds it unless Sync others may hold more: replicas that
-// are absent, but for those whose limit it has reached. What forgotten
-// databases may have held it must hold too. Where it is known how far the commits
-// reach that clients were told of, whoever has received as much will do, rather
-// one that stays. If nobody who is known has, a replica may that has sent no beat yet:
-// it is waited for as long as a first beat may take, or without end where a client
-// was certainly told of more than anybody has. Once somebody was chosen in this turn,
-// whoever has received as much will do: the poolers have left the old primary, and
-// nobody writes at the chosen one before it is known to lead. If the old primary answered, a
-// replica that stays and has all that it holds will do alone.
+// An acknowledged commit is on at least SyncReplicas replicas. The most advanced of those that
+// responded holds it unless SyncReplicas others may be further ahead: absent replicas, except for
+// those whose limit it has reached. It must also hold what removed databases may have held. If an
+// upper bound of the acknowledged commits is known, any replica that has received as much is
+// eligible; one that is not draining is preferred. If no known replica has received as much, one
+// may have that has not sent a heartbeat yet: it is waited for as long as a first heartbeat may
+// take, or without limit if a commit is known to have been acknowledged that no known replica
+// has. Once a replica was chosen in this failover, any that has received as much is eligible: the
+// poolers have left the old primary, and nobody writes to the chosen one before it is known to
+// lead. If the old primary responded, a single replica that is not draining and has everything
+// that it holds is enough.
 func Choose(s Situation) (id, refusal string) {
 	copies := byPosition(s.Copies)
 	if len(copies) == 0 {
@@ -93,7 +93,7 @@
 		return copies[0].ID, ""
 	}
 	if s.PrimaryPosition != nil {
-		// Of equals, one that stays comes first.
+		// Of equal positions, one that is not draining sorts first.
 		if best.Less(*s.PrimaryPosition) || copies[0].Draining {
 			return "", replicasBehindPrimary
 		}
@@ -111,7 +111,7 @@
 		return "", removedMayHaveHeldCommit
 	case len(ahead) >= sync:
 		return "", unresponsiveMayHoldCommit
-	case s.SyncReplicas == 0: // no replica has to have a commit that was acknowledged
+	case s.SyncReplicas == 0: // no replica is required to have an acknowledged commit
 	case s.AckedLowerBound != nil && best.Less(*s.AckedLowerBound):
 		return "", acknowledgedCommitMissing
 	case s.Acked != nil && best.Less(*s.Acked) && !s.FirstHeartbeatsElapsed:
@@ -120,7 +120,8 @@
 	return copies[0].ID, ""
 }
 
-// byPosition sorts copies, the furthest first, and of equals one that stays.
+// byPosition returns the replicas sorted by position, the most advanced first; of equal ones,
+// those that are not draining come first.
 func byPosition(copies []Copy) []Copy {
 	copies = slices.Clone(copies)
 	slices.SortStableFunc(copies, func(a, b Copy) int {
@@ -140,7 +141,7 @@
 	return copies
 }
 
-// MostAdvanced returns the copy that has received the most, "" if there is none.
+// MostAdvanced returns the ID of the replica that has received the most, "" if there is none.
 func MostAdvanced(copies []Copy) string {
 	if len(copies) == 0 {
 		return ""
@@ -148,8 +149,9 @@
 	return byPosition(copies)[0].ID
 }
 
-// mostAdvancedReaching returns the first of the copies, the furthest first, that has
-// reached a position, one that stays before any that leaves; "" if none has.
+// mostAdvancedReaching returns the most advanced replica that has reached the position,
+// preferring those that are not draining; "" if none has. The replicas must be sorted by
+// byPosition.
 func mostAdvancedReaching(copies []Copy, position lineprotocol.Position) (id string) {
 	for _, c := range copies {
 		switch {
@@ -164,7 +166,7 @@
 	return id
 }
 
-// positionText is a position that may not be known, as it is logged.
+// positionText formats a position, which may be unknown, for the log.
 func positionText(p *lineprotocol.Position) string {
 	if p == nil {
 		return "not known"
@@ -177,7 +179,7 @@
 	return slices.DeleteFunc(slices.Clone(s.Absent), func(a AbsentReplica) bool { return a.Limit != nil && !of.Less(*a.Limit) })
 }
 
-// mostAdvancedPosition is the position of the replica that has received the most.
+// mostAdvancedPosition returns the position of the replica that has received the most.
 func (s Situation) mostAdvancedPosition() (best lineprotocol.Position) {
 	for _, c := range s.Copies {
 		if best.Less(c.Received) {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,6 +1,6 @@
-// Package failover moves the lead of a service from one database to another:
-// when the primary fails and when it is to be replaced. It works only in the
-// control state's primary, under its lease, and the epoch is its fence.
+// Package failover moves the leadership of a service from one database to another, both when the
+// primary fails and when it is being replaced. It acts only in the primary of the control state,
+// while that holds its lease; the epoch is the fencing token.
 package failover
 
 import (
@@ -19,53 +19,53 @@
 	"indigowalk/internal/kernel"
 )
 
-// retryInterval is between two tries at the same step.
+// retryInterval is the pause between two attempts at the same step.
 const retryInterval = 100 * kernel.Millisecond
 
-// busyRetryInterval is before a database that has no slot free is asked again.
+// busyRetryInterval is the pause before a database that has no free slot is asked again.
 const busyRetryInterval = 15 * kernel.Millisecond
 
-// Errors of this layer.
+// Errors of this package.
 var (
-	errRetryLater     = errors.New("failover: not yet")
+	errRetryLater = errors.New("failover: not yet")
 	errNotRunning = errors.New("failover: the chosen database does not run")
 )
 
-// Config is what a failover manager is built from.
+// Config configures a Manager.
 type Config struct {
-	Name        string // duty holder
-	Platform    string
-	Leaderless    bool // databases are all alike: none leads
-	ReaderLease kernel.Micros
-	Dialer      dbconn.Dialer
-	RequestTimeout     kernel.Micros // for one answer of a database
-	HeartbeatWait    kernel.Micros // for the beat of a promoted database, before it is asked
-	FirstHeartbeatTimeout   kernel.Micros // the longest that a replica may receive before its first beat is taken
+	Name                  string // the name by which this node identifies itself as the duty holder
+	Platform              string
+	Leaderless            bool // the databases are all alike and none is a leader
+	ReaderLease           kernel.Micros
+	Dialer                dbconn.Dialer
+	RequestTimeout        kernel.Micros // for one response of a database
+	HeartbeatWait         kernel.Micros // how long to wait for the heartbeat of a promoted database before querying it
+	FirstHeartbeatTimeout kernel.Micros // the longest that a replica may receive commits before its first heartbeat is processed
 }
 
-// Manager moves leads, at the control state's primary.
+// Manager carries out failovers in the primary of the control state.
 type Manager struct {
 	k        *kernel.Kernel
 	cfg      Config
-	state        *controlstate.Replica
-	registry      *discovery.Registry
+	state    *controlstate.Replica
+	registry *discovery.Registry
 	health   *health.Monitor
 	readers  *Readers
 	platform *platform
 
 	databases *controlstate.Decoded[discovery.Database]
-	leaders     *controlstate.Decoded[Lead]
+	leaders   *controlstate.Decoded[Lead]
 	poolers   *controlstate.Decoded[int64]
 
-	mu                 sync.Mutex
-	busy               map[string]bool          // services being moved by this process
-	attempts              map[string]kernel.Micros // when what is paced was last tried
-	waitReasons              map[string]string        // why a service's move waits
-	resumed              map[string]*resumeState        // by service
-	cached               *snapshot                // the control state of seenEpoch and seenSeq
+	mu                     sync.Mutex
+	busy                   map[string]bool          // services that this process is working on
+	attempts               map[string]kernel.Micros // when each rate-limited action was last attempted
+	waitReasons            map[string]string        // why a service's failover is waiting, by service
+	resumed                map[string]*resumeState  // by service
+	cached                 *snapshot                // the control state as of cachedEpoch and cachedSeq
 	cachedEpoch, cachedSeq int64
-	cachedConfig            json.RawMessage // that the snapshot's configuration was read from
-	progress           kernel.Bell
+	cachedConfig           json.RawMessage // from which the cached snapshot's configuration was decoded
+	progress               kernel.Bell
 }
 
 // New returns a failover manager.
@@ -78,7 +78,7 @@
 	}
 }
 
-// Serve compares what is with what is wanted whenever either may have changed.
+// Serve reconciles the actual state with the desired state whenever either may have changed.
 func (c *Manager) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		vc, hc, ac, pc := c.state.Changed(), c.health.Changed(), c.registry.Changed(), c.progress.Wait()
@@ -133,7 +133,7 @@
 	}
 }
 
-// runExclusive runs one piece of work at a time for each service.
+// runExclusive runs f in the background unless work for the same service is already running.
 func (c *Manager) runExclusive(svc string, f func() error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +156,7 @@
 	}()
 }
 
-// adoptLeader notes who leads a service that nobody has moved yet.
+// adoptLeader records the leader of a service for which there has been no failover yet.
 func (c *Manager) adoptLeader(ctx context.Context, s *snapshot, svc string) error {
 	var found []string
 	for _, d := range s.replicas(svc, "") {
@@ -176,8 +176,8 @@
 	})
 }
 
-// returnedLeader finds the lead that crashed and is back, as the primary that it
-// was: with its log, and nobody promoted meanwhile.
+// returnedLeader returns the ID of the leader if it crashed and has come back as the same
+// primary: with its log, and with no other database promoted in the meantime.
 func (s *snapshot) returnedLeader(l Lead) string {
 	for _, d := range s.services[l.Service] {
 		if d.HadID(l.ID) && s.observed[d.ID].Role == "primary" {
@@ -187,8 +187,8 @@
 	return ""
 }
 
-// oldPrimary finds the database that a service is led away from, also under the id
-// with which it returned.
+// oldPrimary returns the database that a failover moves the service away from, also if it has
+// returned under a new ID.
 func (s *snapshot) oldPrimary(l Lead) (discovery.Database, bool) {
 	id := l.ID
 	if back := s.returnedLeader(l); back != "" {
@@ -198,7 +198,7 @@
 	return d, ok
 }
 
-// restoreLeader gives the lead back to a database that returned under a new id.
+// restoreLeader makes a database the leader again that has returned under a new ID.
 func (c *Manager) restoreLeader(ctx context.Context, s *snapshot, l Lead, id string) error {
 	err := c.updateLeader(ctx, l.Service, func(now *Lead) error {
 		if now.Turn == l.Turn && now.ID == l.ID && !now.PlatformCalled {
@@ -217,9 +217,9 @@
 	return nil
 }
 
-// needsFailover: of the databases of a service the lead is down, drains or is gone,
-// and someone could follow. One that leaves too follows only where there is no
-// lead at all.
+// needsFailover reports whether the leader is down, draining or gone and another database of the
+// service could take over. A database that is itself draining takes over only if there is no
+// running leader.
 func needsFailover(dbs []discovery.Database, lead string, up func(id string) bool) bool {
 	runs := false
 	for _, d := range dbs {
--- a/internal/failover/lead.go
+++ b/internal/failover/lead.go
@@ -12,54 +12,57 @@
 	"indigowalk/internal/discovery"
 )
 
-// Lead says which database leads a service. It is control state, and the
-// durable intent of a move.
+// Lead is the control state's record of which database leads a service, and the durable intent of
+// a failover.
 type Lead struct {
-	Service string `json:"svc"`
-	ID      string `json:"id"`
-	Term    int64  `json:"term"`
-	Turn    int64  `json:"turn"` // rises with every move
-	Moving  bool   `json:"moving,omitempty"`
-	Failed  bool   `json:"failed,omitempty"` // moving, and the old lead does not answer
-	To      string `json:"to,omitempty"`
-	PlatformCalled  bool   `json:"called,omitempty"` // the platform may have been called in this turn
-	PauseTerm    int64  `json:"hold,omitempty"`   // term at which the replicas are paused
-	Floor   string `json:"floor,omitempty"`  // of a turn in which a choice was made: covers every acknowledged commit
-	Least   string `json:"least,omitempty"`  // whoever is promoted holds this: databases that are gone may have
-	// Waived covers the acknowledged commits whose loss was accepted, if any are certain.
+	Service        string `json:"svc"`
+	ID             string `json:"id"`
+	Term           int64  `json:"term"`
+	Turn           int64  `json:"turn"`             // increases with every failover
+	Moving         bool   `json:"moving,omitempty"` // a failover is in progress
+	Failed         bool   `json:"failed,omitempty"` // a failover is in progress because the old leader failed
+	To             string `json:"to,omitempty"`     // the database that was chosen
+	PlatformCalled bool   `json:"called,omitempty"` // the platform may have been called in this failover
+	PauseTerm      int64  `json:"hold,omitempty"`   // term at which the replicas are paused
+	Floor          string `json:"floor,omitempty"`  // position of the chosen database, if a choice was made; covers every acknowledged commit
+	Least          string `json:"least,omitempty"`  // minimum position of any later leader: databases that are gone may have held commits up to it
+	// Waived covers the acknowledged commits whose loss was accepted, if any are known for
+	// certain.
 	Waived string `json:"waived,omitempty"`
-	// Accepted is the last order by which an operator accepted a loss.
+	// Accepted is the latest request by which an operator accepted a loss.
 	Accepted LossAcceptance `json:"accepted,omitzero"`
 }
 
-// completed is the lead once a database leads in a term and nothing moves.
+// completed returns the record after a failover is complete: the database leads in this term.
 func (l Lead) completed(id string, term int64) Lead {
 	return Lead{Service: l.Service, ID: id, Term: term, Turn: l.Turn, Least: l.Least, Waived: l.Waived, Accepted: l.Accepted}
 }
 
+// keyPrefix starts the keys of the control state's entries that hold leaders.
 const keyPrefix = "lead/"
 
-// Key is the entry that holds a service's lead.
+// Key returns the key of the entry that holds a service's leader.
 func Key(service string) string { return keyPrefix + service }
 
-// Holds tells whether an entry holds a lead.
+// Holds reports whether the key is of an entry that holds a leader.
 func Holds(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
-// Decoder returns what picks the leads out of the control state.
+// Decoder returns a decoder of the leaders in the control state.
 func Decoder() *controlstate.Decoded[Lead] { return controlstate.NewDecoded[Lead](keyPrefix) }
 
-// Decode picks the leads out of the control state, once.
+// Decode returns the leaders in the control state, by service. It is meant for single use; a
+// Decoder is cheaper for repeated use.
 func Decode(entries map[string]json.RawMessage) (map[string]Lead, error) {
 	return Decoder().Of(entries)
 }
 
-// updateLeader changes the lead of a service.
+// updateLeader applies a change to the leader of a service.
 func (c *Manager) updateLeader(ctx context.Context, svc string, change func(*Lead) error) error {
 	return c.updateService(ctx, svc, func(l *Lead, _ map[string]discovery.Database) error { return change(l) })
 }
 
-// updateService changes the lead of a service and its databases in one step; those that
-// are deleted from the map are removed, and recorded as departed.
+// updateService changes the leader of a service and its databases in one atomic update; databases
+// that are deleted from the map are removed and recorded as departed.
 func (c *Manager) updateService(ctx context.Context, svc string, change func(*Lead, map[string]discovery.Database) error) error {
 	return c.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		all, err := c.databases.Of(entries)
--- a/internal/failover/leaving.go
+++ b/internal/failover/leaving.go
@@ -12,16 +12,16 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// shutdownGrace is how long after its leaving a database may still receive: it
-// tells first and ends then.
+// shutdownGrace is how long after deregistering a database may still receive commits: it
+// deregisters first and then shuts down.
 const shutdownGrace = kernel.Second
 
-// remaining picks the databases that neither drain nor are gone.
+// remaining returns the databases that are neither draining nor gone.
 func remaining(dbs []discovery.Database) []discovery.Database {
 	return filter(dbs, func(d discovery.Database) bool { return !d.Draining && !d.Gone })
 }
 
-// notGone picks the databases that are not gone.
+// notGone returns the databases that are not gone.
 func notGone(dbs []discovery.Database) []discovery.Database {
 	return filter(dbs, func(d discovery.Database) bool { return !d.Gone })
 }
@@ -30,7 +30,7 @@
 	return slices.DeleteFunc(slices.Clone(dbs), func(d discovery.Database) bool { return !ok(d) })
 }
 
-// splitByPaused tells the replicas that are paused, with their positions, from those
+// splitByPaused splits the replicas into those that are paused, with their positions, and those
 // that are absent.
 func splitByPaused(replicas []discovery.Database, paused map[string]lineprotocol.Position) (copies []Copy, absent []AbsentReplica) {
 	for _, d := range replicas {
@@ -47,8 +47,9 @@
 	return copies, absent
 }
 
-// recordLimits notes the limits of databases that were paused at these positions.
-// One that neither drains nor is gone may restart at any time and receive.
+// recordLimits records the limits of databases that were paused at these positions. A database
+// that is neither draining nor gone gets none, since it may restart at any time and receive
+// commits.
 func recordLimits(known map[string]discovery.Database, paused map[string]lineprotocol.Position) {
 	for id, pos := range paused {
 		if d, ok := known[id]; ok && (d.Draining || d.Gone) {
@@ -58,7 +59,7 @@
 	}
 }
 
-// clearLimits clears the limits of databases that are about to receive again.
+// clearLimits clears the limits of databases that are about to receive commits again.
 func clearLimits(known map[string]discovery.Database) {
 	for id, d := range known {
 		if !d.Gone {
@@ -68,9 +69,9 @@
 	}
 }
 
-// removeGone removes databases that are gone. Whoever is promoted later must hold
-// what they may have held: up to their limits, and not past a position that
-// covered every acknowledged commit after they had ended.
+// removeGone removes databases that are gone. Any database that is promoted later must hold what
+// they may have held: commits up to their limits, but not past a position that covered every
+// acknowledged commit after they had ended.
 func removeGone(l *Lead, known map[string]discovery.Database, covered lineprotocol.Position) {
 	least, _ := lineprotocol.ParsePosition(l.Least)
 	for id, d := range known {
@@ -88,9 +89,9 @@
 	}
 }
 
-// hasCaughtUpReplica tells whether a replica that stays has received what the primary
-// held when it was asked, which is told too. Those that stay are told CONTINUE,
-// which answers what STAT does and takes no slot.
+// hasCaughtUpReplica reports whether one of the given replicas has received everything that the
+// primary held when it was queried, and returns that position. The replicas are sent CONTINUE,
+// which returns the same data as STAT and takes no slot.
 func (c *Manager) hasCaughtUpReplica(ctx context.Context, lead discovery.Database, stay []discovery.Database) (bool, lineprotocol.Position, error) {
 	row, err := c.execute(ctx, lead, "STAT")
 	if err != nil {
@@ -103,7 +104,7 @@
 	defer closeAll(conns)
 	for tries := 0; tries < 3 && len(conns) > 0; tries++ {
 		if tries > 0 {
-			time.Sleep(busyRetryInterval.Duration()) // what is on its way arrives
+			time.Sleep(busyRetryInterval.Duration()) // let commits in flight arrive
 		}
 		for _, r := range c.executeOnAll(conns, "CONTINUE") {
 			if !r.primary && !r.received.Less(row.received) {
@@ -114,11 +115,11 @@
 	return false, row.received, nil
 }
 
-// reconcileLeaving keeps the next move from depending on databases that leave, while the
-// service has a lead: no commit is to rest on them alone. One that is gone is
-// forgotten, with what the lead held after it had ended. One that drains is
-// paused, and its limit noted, as long as a replica that stays receives; if
-// none does it receives again.
+// reconcileLeaving keeps the next failover from depending on databases that are leaving, while
+// the service has a leader: no commit may be held by them alone. One that is gone is removed, and
+// what the leader held after it had ended is recorded. One that is draining is paused, and its
+// limit recorded, as long as a replica that is not draining receives commits; if none does, it
+// receives them again.
 func (c *Manager) reconcileLeaving(ctx context.Context, s *snapshot, l Lead) error {
 	lead, there := s.databases[l.ID]
 	if !there {
@@ -158,8 +159,8 @@
 	if !ok {
 		return c.resumeLeaving(ctx, l, leaving)
 	}
-	// One with a limit receives again if a CONTINUE of before its draining came
-	// late, or it restarted: it is paused anew.
+	// A replica that has a limit receives commits again if a CONTINUE that was sent before it
+	// started draining arrived late, or if it restarted: it is paused again.
 	rows := c.executeAll(ctx, filter(leaving, func(d discovery.Database) bool { return d.Limit != "" }), "STAT")
 	_, err = c.pauseReplicas(ctx, l, filter(leaving, func(d discovery.Database) bool {
 		r, answered := rows[d.ID]
@@ -168,9 +169,9 @@
 	return err
 }
 
-// pauseLeaving pauses, once the lead has failed, the replicas that leave: they may
-// end before every pooler has left the lead, and nobody could say then what they
-// held. It returns the term at which they are paused.
+// pauseLeaving pauses draining replicas as soon as the leader has failed: they may shut down
+// before every pooler has left the leader, and then nobody could tell what they held. It returns
+// the term at which the replicas are paused.
 func (c *Manager) pauseLeaving(ctx context.Context, s *snapshot, l Lead) int64 {
 	leaving := filter(s.replicas(l.Service, l.ID), func(d discovery.Database) bool {
 		return d.Draining && !d.Gone && d.Limit == "" && c.health.Up(d.ID)
@@ -185,8 +186,8 @@
 	return max(hold, l.PauseTerm)
 }
 
-// pauseReplicas has replicas stop receiving, at a term that it returns, and notes how far
-// they got.
+// pauseReplicas makes replicas stop receiving commits, at a term that it returns, and records how
+// far they got.
 func (c *Manager) pauseReplicas(ctx context.Context, l Lead, leaving []discovery.Database) (hold int64, err error) {
 	conns := c.openAll(ctx, leaving)
 	defer closeAll(conns)
@@ -202,7 +203,7 @@
 		}
 	}
 	if len(paused) < len(conns) {
-		c.clearAttempt("tend " + l.Service) // the old primary, which has not stepped down yet
+		c.clearAttempt("tend " + l.Service) // one of them is the old primary, which has not stepped down yet
 	}
 	err = c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
 		if len(paused) > 0 && now.ID == l.ID && now.Turn == l.Turn && now.Moving == l.Moving && now.To == "" {
@@ -214,7 +215,7 @@
 	return hold, err
 }
 
-// resumeLeaving has paused replicas receive again, where no other does.
+// resumeLeaving makes paused draining replicas receive commits again when no other replica does.
 func (c *Manager) resumeLeaving(ctx context.Context, l Lead, leaving []discovery.Database) error {
 	rows := c.executeAll(ctx, leaving, "STAT")
 	held := filter(leaving, func(d discovery.Database) bool { return d.Limit != "" || rows[d.ID].pausedTerm != 0 })
@@ -223,7 +224,7 @@
 	}
 	err := c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
 		if now.ID != l.ID || now.Turn != l.Turn || now.Moving {
-			return fmt.Errorf("%w: the lead moves", errRetryLater)
+			return fmt.Errorf("%w: a failover has begun or the leader has changed", errRetryLater)
 		}
 		clearLimits(known)
 		return ctx.Err()
--- a/internal/failover/model_moves_test.go
+++ b/internal/failover/model_moves_test.go
@@ -8,15 +8,15 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-func (m *model) follows(covered lineprotocol.Position) bool {
-	m.goOn()
+func (m *model) hasCaughtUpReplica(covered lineprotocol.Position) bool {
+	m.resumeReplicas()
 	return slices.ContainsFunc(remaining(m.replicas(m.lead.ID)), func(d discovery.Database) bool {
 		n := m.node(d.ID)
 		return m.up(d.ID) && !n.primary && !n.pos().Less(covered)
 	})
 }
 
-func (m *model) tend() {
+func (m *model) reconcileLeaving() {
 	p := m.node(m.lead.ID)
 	if !m.up(p.id) || !p.primary {
 		return
@@ -25,7 +25,7 @@
 	if m.interrupted() {
 		return
 	}
-	ok := m.follows(covered)
+	ok := m.hasCaughtUpReplica(covered)
 	gone := map[string]discovery.Database{}
 	for _, d := range replicas {
 		if d.Gone {
@@ -50,7 +50,7 @@
 	recordLimits(m.known, m.pause(filter(leaving, func(d discovery.Database) bool { return d.Limit == "" })))
 }
 
-// pause pauses those that can be reached and returns how far they got.
+// pause pauses the nodes that can be reached and returns their positions.
 func (m *model) pause(dbs []discovery.Database) map[string]lineprotocol.Position {
 	paused := map[string]lineprotocol.Position{}
 	for _, d := range dbs {
@@ -62,13 +62,13 @@
 			return nil
 		}
 	}
-	// Who ended or crashed meanwhile is not paused any more, unless it leaves.
+	// A node that ended or crashed meanwhile is no longer paused, unless it is draining.
 	return paused
 }
 
-func (m *model) move() {
+func (m *model) advanceFailover() {
 	if !m.lead.Moving {
-		if p := m.node(m.lead.ID); m.up(p.id) && p.primary && !m.follows(p.pos()) {
+		if p := m.node(m.lead.ID); m.up(p.id) && p.primary && !m.hasCaughtUpReplica(p.pos()) {
 			return
 		}
 		m.lead.Moving, m.lead.To, m.lead.Floor, m.lead.PlatformCalled, m.lead.Turn = true, "", "", false, m.lead.Turn+1
@@ -91,20 +91,20 @@
 		return
 	}
 	m.lead = Lead{Service: "s", ID: to.id, Term: to.term, Turn: m.lead.Turn, Least: m.lead.Least}
-	m.quiet = false
-	m.goOn()
+	m.writesStopped = false
+	m.resumeReplicas()
 }
 
-// decide pauses, compares and chooses; true once there is a choice.
+// decide pauses the replicas, compares their positions and chooses; true once there is a choice.
 func (m *model) decide() bool {
 	if !m.up(m.lead.ID) && m.r.IntN(2) == 0 {
-		early := m.pause(filter(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.Limit == "" }))
-		if early == nil {
+		pausedEarly := m.pause(filter(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.Limit == "" }))
+		if pausedEarly == nil {
 			return false
 		}
-		recordLimits(m.known, early)
+		recordLimits(m.known, pausedEarly)
 	}
-	m.quiet = true // every pooler has left the old primary
+	m.writesStopped = true // every pooler has left the old primary
 	old := m.lead.ID
 	for _, d := range m.list() {
 		if d.HadID(m.lead.ID) && m.node(d.ID).primary {
@@ -121,18 +121,18 @@
 		sit.PrimaryPosition = &held
 	}
 	certain := newestOf(m.acked)
-	if m.bounds && (m.calm || m.r.IntN(2) == 0) {
-		acked := m.bound(m.acked)
+	if m.boundsKnown && (m.managerOnly || m.r.IntN(2) == 0) {
+		acked := m.upperBound(m.acked)
 		sit.Acked = &acked
-		if m.r.IntN(2) == 0 { // it is not known to the last commit
+		if m.r.IntN(2) == 0 { // the bound may be lower than the last commit
 			certain = newestOf(m.acked[:max(0, len(m.acked)-1)])
 		}
 	}
-	sit.AckedLowerBound, sit.FirstHeartbeatsElapsed = &certain, m.beats(m.beatsDue())
+	sit.AckedLowerBound, sit.FirstHeartbeatsElapsed = &certain, m.firstHeartbeats(m.allHeard())
 	replicas := filter(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.ID != old })
 	for _, d := range replicas {
 		if n := m.node(d.ID); m.up(d.ID) && n.primary && m.lead.PlatformCalled && n.term > m.lead.Term {
-			m.settleOn(d.ID, n.pos())
+			m.commitChoice(d.ID, n.pos())
 			return true
 		} else if m.up(d.ID) && n.primary && n.term < m.lead.Term {
 			n.primary = false
@@ -145,31 +145,31 @@
 	sit.Copies, sit.Absent = splitByPaused(replicas, paused)
 	to, _ := m.choose(sit)
 	if to != "" {
-		m.settleOn(to, paused[to])
+		m.commitChoice(to, paused[to])
 		return true
 	}
 	recordLimits(m.known, paused)
 	if sit.PrimaryPosition != nil && m.lead.PlatformCalled {
-		m.settleOn(old, *sit.PrimaryPosition)
+		m.commitChoice(old, *sit.PrimaryPosition)
 		return true
 	}
 	if sit.PrimaryPosition != nil {
-		m.lead.Moving, m.quiet = false, false
-		m.goOn()
+		m.lead.Moving, m.writesStopped = false, false
+		m.resumeReplicas()
 	}
 	return false
 }
 
-func (m *model) settleOn(to string, floor lineprotocol.Position) {
+func (m *model) commitChoice(to string, floor lineprotocol.Position) {
 	m.lead.To, m.lead.PlatformCalled, m.lead.Floor = to, true, floor.String()
 	removeGone(&m.lead, m.known, floor)
 	m.free(m.known)
 }
 
-// promote is what the platform does, and where the history is checked.
+// promote is what the platform does; it is also where the history is checked.
 func (m *model) promote(to *node) {
-	if m.wrong == "" && !m.holds(to.log) {
-		m.wrong = fmt.Sprintf("%s was promoted with %d commits up to %v, of %d acknowledged", to.id, len(to.log), to.pos(), len(m.acked))
+	if m.violation == "" && !m.holds(to.log) {
+		m.violation = fmt.Sprintf("%s was promoted with %d commits up to %v, although %d were acknowledged", to.id, len(to.log), to.pos(), len(m.acked))
 	}
 	m.term++
 	to.primary, to.term, to.paused = true, m.term, false
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -18,45 +18,45 @@
 	log                   []lineprotocol.Position // one commit each
 	term                  int64
 	primary, runs, paused bool
-	forGood               bool // it does not return
-	control, linked       bool // can be reached by the failover manager, by the lead
-	unheard               bool // it receives, and its first beat is on its way
-	ends                  bool // its leaving is over
+	lostForGood           bool // it does not return
+	control, linked       bool // can be reached by the failover manager, by the leader
+	unheard               bool // it receives commits, and its first heartbeat is still in flight
+	shutDown              bool // it has shut down for good after draining
 }
 
 func (n *node) pos() lineprotocol.Position { return newestOf(n.log) }
 
-// model is one service, its databases and its failover manager, of which one step is
-// taken at a time; any other thing may happen between two.
+// model is one service with its databases and its failover manager, which takes one step at a
+// time; any other event may happen between two of its steps.
 type model struct {
-	r       *rand.Rand
-	kind    bool // every loss is one that the control side can know to be borne
-	lostOne bool // for good, without a word
-	nodes   []*node
-	known   map[string]discovery.Database
-	lead    Lead
-	term    int64
-	count   int
-	quiet   bool // no pooler writes: all have left the old primary
-	bounds  bool // how far acknowledged commits reach may be known
-	calm    bool // nothing but the failover manager moves
-
-	acked []lineprotocol.Position
-	wrong string
-
-	// What the failover manager does, to be replaced by what is wrong.
-	choose func(Situation) (string, string)
-	free   func(map[string]discovery.Database)
-	keeps  func(old discovery.Database) bool // a database at its address is the same one
-	bound  func(acked []lineprotocol.Position) lineprotocol.Position
-	beats  func(due bool) bool // what is taken for the time that first beats have had
+	r              *rand.Rand
+	tolerable      bool // every failure is one that the manager can know to be tolerated
+	lostOneForGood bool // a database was lost for good, without deregistering
+	nodes          []*node
+	known          map[string]discovery.Database
+	lead           Lead
+	term           int64
+	count          int
+	writesStopped  bool // no pooler writes: all have left the old primary
+	boundsKnown    bool // a bound of the acknowledged commits may be known
+	managerOnly    bool // only the failover manager acts
+
+	acked     []lineprotocol.Position
+	violation string
+
+	// The failover manager's decisions, which tests replace by wrong ones.
+	choose          func(Situation) (string, string)
+	free            func(map[string]discovery.Database)
+	sameDatabase    func(old discovery.Database) bool // whether a new database at its address is the same one
+	upperBound      func(acked []lineprotocol.Position) lineprotocol.Position
+	firstHeartbeats func(due bool) bool // whether first heartbeats are taken to have arrived
 }
 
-func newModel(seed uint64, kind bool) *model {
+func newModel(seed uint64, tolerable bool) *model {
 	m := &model{
-		r: rand.New(rand.NewPCG(seed, 1)), kind: kind, known: map[string]discovery.Database{}, term: 1,
-		choose: Choose, free: clearLimits, keeps: func(old discovery.Database) bool { return !old.Draining },
-		bounds: seed/2%2 == 0, bound: newestOf, beats: func(due bool) bool { return due },
+		r: rand.New(rand.NewPCG(seed, 1)), tolerable: tolerable, known: map[string]discovery.Database{}, term: 1,
+		choose: Choose, free: clearLimits, sameDatabase: func(old discovery.Database) bool { return !old.Draining },
+		boundsKnown: seed/2%2 == 0, upperBound: newestOf, firstHeartbeats: func(due bool) bool { return due },
 	}
 	for range 3 {
 		m.add(m.count, nil)
@@ -90,7 +90,7 @@
 	return &node{}
 }
 
-// primary is the running database that leads the newest term.
+// primary returns the running database that leads the newest term.
 func (m *model) primary() *node {
 	for _, n := range m.nodes {
 		if n.runs && n.primary && n.term == m.term {
@@ -110,8 +110,8 @@
 	return out
 }
 
-// spread gives the primary's log to those that receive and tells whether any did.
-func (m *model) spread(p *node, late bool) (received bool) {
+// replicate replicates the primary's log to those that receive and reports whether any did.
+func (m *model) replicate(p *node, late bool) (received bool) {
 	for _, n := range m.nodes {
 		if n == p || !n.runs || n.paused || !n.linked || !p.linked || late && m.r.IntN(4) == 0 {
 			continue
@@ -121,14 +121,14 @@
 		}
 		n.primary, n.log, received = false, slices.Clone(p.log), true
 	}
-	if received && p.term == m.term && !m.quiet {
+	if received && p.term == m.term && !m.writesStopped {
 		m.acknowledge(p)
 	}
 	return received
 }
 
-// acknowledge answers what was under way at the primary too. A client is told of
-// a commit only in the term in which it was made.
+// acknowledge also acknowledges what was in progress at the primary. A commit is acknowledged to
+// a client only in the term in which it was made.
 func (m *model) acknowledge(p *node) {
 	told := map[lineprotocol.Position]bool{}
 	for _, e := range m.acked {
@@ -137,7 +137,7 @@
 	m.acked = slices.DeleteFunc(slices.Clone(p.log), func(e lineprotocol.Position) bool { return e.Term != p.term && !told[e] })
 }
 
-// holds tells whether a log has every acknowledged commit.
+// holds reports whether a log has every acknowledged commit.
 func (m *model) holds(log []lineprotocol.Position) bool {
 	in := map[lineprotocol.Position]bool{}
 	for _, e := range log {
@@ -146,16 +146,16 @@
 	return !slices.ContainsFunc(m.acked, func(e lineprotocol.Position) bool { return !in[e] })
 }
 
-// spared tells whether a database may be lost: another holds everything.
-func (m *model) spared(lost *node) bool {
+// redundant reports whether a database may be lost because another holds everything.
+func (m *model) redundant(lost *node) bool {
 	return slices.ContainsFunc(m.nodes, func(n *node) bool {
-		return n != lost && !n.forGood && !n.ends && !m.known[n.id].Draining && m.holds(n.log)
+		return n != lost && !n.lostForGood && !n.shutDown && !m.known[n.id].Draining && m.holds(n.log)
 	})
 }
 
-// happen is anything but the failover manager.
-func (m *model) happen() {
-	if m.calm {
+// randomEvent is one random event outside the failover manager.
+func (m *model) randomEvent() {
+	if m.managerOnly {
 		return
 	}
 	n := m.nodes[m.r.IntN(len(m.nodes))]
@@ -165,42 +165,42 @@
 	d, known := m.known[n.id]
 	switch e := m.r.IntN(16); {
 	case e < 4: // a commit
-		if p := m.primary(); p != nil && p.id == m.lead.ID && !m.quiet {
-			if m.kind && !slices.ContainsFunc(m.nodes, func(n *node) bool { return n != p && n.runs && !n.paused && n.linked && p.linked && !n.primary }) {
+		if p := m.primary(); p != nil && p.id == m.lead.ID && !m.writesStopped {
+			if m.tolerable && !slices.ContainsFunc(m.nodes, func(n *node) bool { return n != p && n.runs && !n.paused && n.linked && p.linked && !n.primary }) {
 				return
 			}
 			p.log = append(p.log, lineprotocol.Position{Term: p.term, Number: int64(len(p.log)) + 1})
-			m.spread(p, !m.kind)
+			m.replicate(p, !m.tolerable)
 		}
 	case e < 6:
 		if p := m.primary(); p != nil {
-			m.spread(p, true)
+			m.replicate(p, true)
 		}
 	case e == 6 && len(remaining(m.list())) > 1 && known && n.runs:
 		d.Draining = true
 		m.known[n.id] = d
-	case e == 7 && n.runs && d.Draining: // it ends, and says so or not
-		if m.kind && (n.id == m.lead.To || d.Limit == "" && (m.lead.Moving || !m.up(m.lead.ID) || n.id == m.lead.ID) || !m.spared(n)) {
+	case e == 7 && n.runs && d.Draining: // it shuts down, and deregisters or not
+		if m.tolerable && (n.id == m.lead.To || d.Limit == "" && (m.lead.Moving || !m.up(m.lead.ID) || n.id == m.lead.ID) || !m.redundant(n)) {
 			return
 		}
-		n.runs, n.ends = false, true
-		if m.r.IntN(3) > 0 || m.kind {
+		n.runs, n.shutDown = false, true
+		if m.r.IntN(3) > 0 || m.tolerable {
 			d.Gone = true
 			m.known[n.id] = d
 		}
-		if m.kind && d.Limit == "" {
-			m.calm = true // for a moment
-			m.tend()
-			m.calm = false
+		if m.tolerable && d.Limit == "" {
+			m.managerOnly = true // temporarily
+			m.reconcileLeaving()
+			m.managerOnly = false
 		}
-	case e == 8 && n.ends && known && !d.Gone && m.r.IntN(2) == 0: // another at its address
-		m.settle(n, m.add(n.addr, nil))
+	case e == 8 && n.shutDown && known && !d.Gone && m.r.IntN(2) == 0: // another database at its address
+		m.register(n, m.add(n.addr, nil))
 	case (e == 9 || e == 14) && n.runs && !d.Draining:
 		n.runs, n.paused = false, false
-		n.forGood = m.r.IntN(4) == 0 && (!m.kind || !m.lostOne && !m.lead.Moving && m.spared(n))
-		m.lostOne = m.lostOne || n.forGood
-	case e == 10 && !n.runs && !n.forGood && !n.ends:
-		m.comeBack(n)
+		n.lostForGood = m.r.IntN(4) == 0 && (!m.tolerable || !m.lostOneForGood && !m.lead.Moving && m.redundant(n))
+		m.lostOneForGood = m.lostOneForGood || n.lostForGood
+	case e == 10 && !n.runs && !n.lostForGood && !n.shutDown:
+		m.restart(n)
 	case e == 11:
 		n.control = m.r.IntN(3) > 0
 	case e == 12:
@@ -211,38 +211,38 @@
 			delete(m.known, n.id)
 		}
 	case e == 15:
-		m.hear(n)
+		m.processFirstHeartbeat(n)
 	}
 }
 
-// hear has the first beat of a database be taken.
-func (m *model) hear(n *node) {
+// processFirstHeartbeat processes the first heartbeat of a database.
+func (m *model) processFirstHeartbeat(n *node) {
 	if n.unheard && n.runs {
 		m.known[n.id] = discovery.Database{ID: n.id, Service: "s", Address: fmt.Sprint(n.addr)}
 		n.unheard = false
 	}
 }
 
-// beatsDue tells whether every database that received has been heard. One that is lost
-// before its first beat never is: what rested on it and the primary alone, and nobody is
-// certain of, is beyond the model once that beat has had its time.
-func (m *model) beatsDue() bool {
+// allHeard reports whether every database that received commits has been heard. One that is lost
+// before its first heartbeat never is: a commit that was held by it and the primary alone, and
+// that is in no known lower bound, is beyond the model once that heartbeat is overdue.
+func (m *model) allHeard() bool {
 	return !slices.ContainsFunc(m.nodes, func(n *node) bool { return n.unheard })
 }
 
-func (m *model) comeBack(n *node) {
+func (m *model) restart(n *node) {
 	back := m.add(n.addr, n.log)
 	back.primary, back.term = n.primary && n.term == m.term, n.term
-	n.ends, n.forGood = true, true
-	m.settle(n, back)
+	n.shutDown, n.lostForGood = true, true
+	m.register(n, back)
 }
 
-// settle is what discovery makes of a database at another's address.
-func (m *model) settle(n, back *node) {
+// register is what discovery does with a database at another's address.
+func (m *model) register(n, back *node) {
 	old, now := m.known[n.id], m.known[back.id]
 	if n.unheard {
-		n.unheard = false // nobody knows that it was another life
-	} else if m.keeps(old) {
+		n.unheard = false // nobody knows that it was another incarnation
+	} else if m.sameDatabase(old) {
 		now = now.SuccessorOf(old)
 		delete(m.known, n.id)
 	} else {
@@ -252,29 +252,29 @@
 	m.known[back.id] = now
 }
 
-// interrupted lets things happen between two steps; at times the failover manager
-// loses its lease.
+// interrupted lets events happen between two steps; at times it reports that the failover manager
+// has lost its lease.
 func (m *model) interrupted() bool {
 	for m.r.IntN(3) == 0 {
-		m.happen()
+		m.randomEvent()
 	}
-	return !m.calm && m.r.IntN(20) == 0
+	return !m.managerOnly && m.r.IntN(20) == 0
 }
 
-// step has the failover manager look once and do what is to be done.
+// step lets the failover manager examine the service once and act on it.
 func (m *model) step() {
 	for _, d := range m.list() {
 		if d.HadID(m.lead.ID) && m.node(d.ID).primary && !m.lead.PlatformCalled {
 			m.lead = Lead{Service: "s", ID: d.ID, Term: m.lead.Term, Turn: m.lead.Turn, Least: m.lead.Least}
-			m.quiet = false
-			m.goOn()
+			m.writesStopped = false
+			m.resumeReplicas()
 			return
 		}
 	}
 	if m.lead.Moving || needsFailover(m.list(), m.lead.ID, m.up) {
-		m.move()
+		m.advanceFailover()
 	} else {
-		m.tend()
+		m.reconcileLeaving()
 	}
 }
 
@@ -282,7 +282,7 @@
 	return filter(m.list(), func(d discovery.Database) bool { return d.ID != besides })
 }
 
-func (m *model) goOn() {
+func (m *model) resumeReplicas() {
 	for _, d := range remaining(m.replicas(m.lead.ID)) {
 		if m.up(d.ID) {
 			m.node(d.ID).paused = false
@@ -290,54 +290,53 @@
 	}
 }
 
-// play takes steps at random, and then, with all that can return returned,
-// steps of the failover manager alone.
+// play takes random steps. Then every node that can return returns, and the failover manager
+// alone takes steps.
 func (m *model) play(steps int) {
 	for range steps {
-		if m.happen(); m.r.IntN(3) == 0 {
+		if m.randomEvent(); m.r.IntN(3) == 0 {
 			m.step()
 		}
 	}
 	for _, n := range slices.Clone(m.nodes) {
 		n.control, n.linked = true, true
-		m.hear(n)
-		if !n.runs && !n.forGood && !n.ends {
-			m.comeBack(n)
+		m.processFirstHeartbeat(n)
+		if !n.runs && !n.lostForGood && !n.shutDown {
+			m.restart(n)
 		}
 	}
-	m.calm = true
+	m.managerOnly = true
 	for range 12 {
 		m.step()
 		if p := m.primary(); p != nil {
-			m.spread(p, false)
+			m.replicate(p, false)
 		}
 	}
 }
 
-// verdict says what rule the play broke.
+// verdict returns which rule the play violated, "" if none.
 func (m *model) verdict() string {
-	if p := m.node(m.lead.ID); m.wrong == "" && m.kind && (m.lead.Moving || !p.runs || !p.primary) {
-		return fmt.Sprintf("no lead is found: %+v of %+v", m.lead, m.list())
+	if p := m.node(m.lead.ID); m.violation == "" && m.tolerable && (m.lead.Moving || !p.runs || !p.primary) {
+		return fmt.Sprintf("no leader is found: %+v of %+v", m.lead, m.list())
 	}
-	if m.wrong == "" && m.bounds && m.left() && !m.node(m.lead.ID).primary {
-		return fmt.Sprintf("no lead is found, though one that holds everything runs: %+v of %+v", m.lead, m.list())
+	if m.violation == "" && m.boundsKnown && m.left() && !m.node(m.lead.ID).primary {
+		return fmt.Sprintf("no leader is found, though a database that holds everything is running: %+v of %+v", m.lead, m.list())
 	}
-	return m.wrong
+	return m.violation
 }
 
-// left tells whether a database that runs holds every acknowledged commit.
+// left reports whether a running database holds every acknowledged commit.
 func (m *model) left() bool {
 	return slices.ContainsFunc(m.nodes, func(n *node) bool { return n.runs && m.up(n.id) && m.holds(n.log) && !m.known[n.id].Gone })
 }
 
 const schedules, steps = 2000, 120
 
-// CONFINED: however databases leave, crash and return, and wherever the
-// failover manager is interrupted, nobody is promoted who lacks an acknowledged commit.
-// Where every loss can be known to be borne, a lead is found in the end, and so it
-// is where it is known how far acknowledged commits reach and a database that holds
-// them runs.
-func TestConfined(t *testing.T) {
+// Invariant CONFINED: however databases leave, crash and return, and wherever the failover
+// manager is interrupted, no database may be promoted that lacks an acknowledged commit. A leader
+// must be found in the end where every failure can be known to be tolerated, and also where a
+// bound of the acknowledged commits is known and a database that holds them is running.
+func TestNoAcknowledgedCommitIsLostByFailover(t *testing.T) {
 	moves := int64(0)
 	for seed := range uint64(schedules) {
 		m := newModel(seed, seed%2 == 0)
@@ -348,12 +347,12 @@
 		moves += m.term - 1
 	}
 	if moves < schedules {
-		t.Errorf("%d promotions in all", moves)
+		t.Errorf("only %d promotions in all", moves)
 	}
 }
 
-// The checker finds each wrong decision.
-func TestWrongDecisionsAreFound(t *testing.T) {
+// The model must detect each wrong decision.
+func TestModelDetectsWrongDecisions(t *testing.T) {
 	ask := func(change func(*Situation)) func(*model) {
 		return func(m *model) {
 			m.choose = func(s Situation) (string, string) {
@@ -363,33 +362,33 @@
 			}
 		}
 	}
-	for name, spoil := range map[string]func(*model){
-		"the absent are not waited for": ask(func(s *Situation) { s.Absent = nil }),
-		"the forgotten held nothing":    ask(func(s *Situation) { s.MinPosition = lineprotocol.Position{} }),
-		"everyone is waited for": ask(func(s *Situation) {
+	for name, injectFault := range map[string]func(*model){
+		"absent replicas are not waited for":               ask(func(s *Situation) { s.Absent = nil }),
+		"removed databases are taken to have held nothing": ask(func(s *Situation) { s.MinPosition = lineprotocol.Position{} }),
+		"limits are ignored": ask(func(s *Situation) {
 			for i := range s.Absent {
 				s.Absent[i].Limit = nil
 			}
 		}),
 		"acknowledged commits are bounded too low": func(m *model) {
-			m.bounds, m.bound = true, func(acked []lineprotocol.Position) lineprotocol.Position {
+			m.boundsKnown, m.upperBound = true, func(acked []lineprotocol.Position) lineprotocol.Position {
 				return newestOf(acked[:max(0, len(acked)-1)])
 			}
 		},
-		"a first beat is not waited for":                     func(m *model) { m.beats = func(bool) bool { return true } },
-		"what a client was certainly told of is passed over": ask(func(s *Situation) { s.AckedLowerBound = nil }),
-		"limits outlast their pause":                         func(m *model) { m.free = func(map[string]discovery.Database) {} },
-		"who leaves does not take its log":                   func(m *model) { m.keeps = func(discovery.Database) bool { return true } },
+		"a first heartbeat is not waited for":                func(m *model) { m.firstHeartbeats = func(bool) bool { return true } },
+		"the lower bound of acknowledged commits is ignored": ask(func(s *Situation) { s.AckedLowerBound = nil }),
+		"limits outlast the pause":                           func(m *model) { m.free = func(map[string]discovery.Database) {} },
+		"a draining database's log is taken to remain":       func(m *model) { m.sameDatabase = func(discovery.Database) bool { return true } },
 	} {
 		found := ""
 		for seed := uint64(0); seed < 4*schedules && found == ""; seed++ {
 			m := newModel(seed, seed%2 == 0)
-			spoil(m)
+			injectFault(m)
 			m.play(steps)
 			found = m.verdict()
 		}
 		if t.Log(name, ":", found); found == "" {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
--- a/internal/failover/move.go
+++ b/internal/failover/move.go
@@ -13,8 +13,8 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// advanceFailover takes the next step of a advanceFailover; a successor of this process takes it
-// from wherever it stands.
+// advanceFailover starts the failover of a service if one is needed, and carries out its next
+// step. Whoever takes over from this process continues from the recorded state.
 func (c *Manager) advanceFailover(ctx context.Context, svc string) error {
 	s, err := c.loadSnapshot()
 	if err != nil {
@@ -28,7 +28,7 @@
 		old, there := s.databases[l.ID]
 		failed := !there || old.Gone || !c.health.Up(l.ID)
 		if !failed {
-			// The lead serves on until somebody can take over at once.
+			// The leader keeps serving until a replica can take over at once.
 			if ok, _, err := c.hasCaughtUpReplica(ctx, old, remaining(s.replicas(svc, l.ID))); err == nil && !ok {
 				c.setWaitReason(svc, replicasBehindPrimary, Situation{})
 				return errRetryLater
@@ -76,8 +76,7 @@
 	}
 }
 
-// chooseTarget pauses the replicas, compares what they hold and makes the choice
-// durable.
+// chooseTarget pauses the replicas, compares their positions and makes the choice durable.
 func (c *Manager) chooseTarget(ctx context.Context, s *snapshot, l *Lead) error {
 	if err := c.awaitReadersAndPauseLeaving(ctx, s, l); err != nil {
 		return err
@@ -107,11 +106,11 @@
 		return err
 	}
 	if sit.PrimaryPosition != nil && l.PlatformCalled {
-		// Whoever was chosen is lost, and the old primary is back: it alone holds
-		// everything, and is made the primary as any other would be.
+		// The chosen database is lost and the old primary is back: it alone holds everything, and
+		// is promoted like any other.
 		return c.commitChoice(ctx, s, l, old.ID, p.newestTerm, p.pauseTerm, *sit.PrimaryPosition)
 	}
-	if sit.PrimaryPosition != nil || alive && !old.Draining { // let them catch up
+	if sit.PrimaryPosition != nil || alive && !old.Draining { // let the replicas catch up
 		c.executeAll(ctx, remaining(replicas), "CONTINUE")
 		if !l.PlatformCalled {
 			if err := c.cancelFailover(ctx, l, refusal); err != nil {
@@ -122,26 +121,27 @@
 	return fmt.Errorf("%w: %s", errRetryLater, refusal)
 }
 
-// awaitReadersAndPauseLeaving waits until poolers have left the old primary. From then on no commit of it
-// is acknowledged to a client, even if a replica is woken by a CONTINUE that comes late;
-// what was acknowledged before is held by the replicas that are asked. What the poolers
-// have under way at a primary that answers ends before those are paused.
+// awaitReadersAndPauseLeaving waits until poolers have left the old primary. From then on no
+// commit of it is acknowledged to a client, even if a late CONTINUE resumes a replica; what was
+// acknowledged before is held by the replicas that are queried. If the old primary has failed,
+// draining replicas are paused meanwhile; if it still responds, they are paused only after the
+// poolers' outstanding statements there have ended.
 func (c *Manager) awaitReadersAndPauseLeaving(ctx context.Context, s *snapshot, l *Lead) error {
-	early := make(chan int64, 1)
+	pauseTerm := make(chan int64, 1)
 	go func(l Lead) {
 		if !l.Failed {
-			early <- l.PauseTerm
+			pauseTerm <- l.PauseTerm
 			return
 		}
-		early <- c.pauseLeaving(ctx, s, l)
+		pauseTerm <- c.pauseLeaving(ctx, s, l)
 	}(*l)
 	err := c.awaitReadersLeft(ctx, *l)
-	l.PauseTerm = <-early
+	l.PauseTerm = <-pauseTerm
 	return err
 }
 
-// situation is what is known of a choice before the replicas are asked, and the newest
-// term that was heard of.
+// situation returns what is known about the choice before the replicas are queried, and the
+// newest known term.
 func (c *Manager) situation(ctx context.Context, s *snapshot, l Lead, old discovery.Database, alive bool) (sit Situation, newest int64) {
 	sit = Situation{SyncReplicas: s.syncReplicas(l.Service)}
 	sit.MinPosition, _ = lineprotocol.ParsePosition(l.Least)
@@ -165,34 +165,34 @@
 	return sit, newest
 }
 
-// pauseResult is what replicas answered that were pauseResult.
+// pauseResult is what the paused replicas reported.
 type pauseResult struct {
-	newestTerm   int64 // term that any knows
-	pauseTerm     int64 // term at which they are paused
-	received map[string]lineprotocol.Position
-	promoted string // who was promoted in this turn, and ended before that was known
+	newestTerm int64 // newest term that any of them knows
+	pauseTerm  int64 // term at which they are paused
+	received   map[string]lineprotocol.Position
+	promoted   string // a database promoted in this failover whose promotion was not recorded yet
 }
 
-// pauseAll pauses replicas at a new term. PAUSE takes no slot and answers what STAT
-// does, also at a primary, which it does not pause; the positions told at log-in name
-// the terms. STAT, for which an overloaded replica has no slot, is asked only of those
-// that are not paused then.
+// pauseAll pauses replicas at a new term. PAUSE takes no slot and returns the same data as STAT,
+// also at a primary, which it does not pause; the positions received at login contain the terms.
+// STAT, for which an overloaded replica has no slot, is sent only to those that are not paused
+// then.
 func (c *Manager) pauseAll(conns map[string]*dbconn.Conn, l Lead, newest int64) pauseResult {
 	p := pauseResult{newestTerm: newest, received: map[string]lineprotocol.Position{}}
 	p.pauseTerm = max(newest, l.PauseTerm, loginTerm(conns)) + 1
 	rows := c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(p.pauseTerm, 10))
-	rest := maps.Clone(conns)
-	maps.DeleteFunc(rest, func(id string, _ *dbconn.Conn) bool { return rows[id].pausedTerm == p.pauseTerm })
-	if len(rest) > 0 {
+	notPaused := maps.Clone(conns)
+	maps.DeleteFunc(notPaused, func(id string, _ *dbconn.Conn) bool { return rows[id].pausedTerm == p.pauseTerm })
+	if len(notPaused) > 0 {
 		held := int64(0)
-		for id, row := range c.executeOnAll(rest, "STAT") {
+		for id, row := range c.executeOnAll(notPaused, "STAT") {
 			if row.primary && l.PlatformCalled && row.term > l.Term {
 				p.promoted, p.received[id] = id, row.received
 				return p
 			}
 			p.newestTerm, held = max(p.newestTerm, row.term), max(held, row.pausedTerm)
 			if row.primary && row.term < l.Term {
-				// It led before, and has not heard who followed it.
+				// A former leader that has not learned of its successor.
 				c.executeOn(conns[id], "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 			}
 		}
@@ -208,17 +208,18 @@
 	return p
 }
 
-// decideTarget chooses, or says why nobody can be chosen; a loss that was accepted is let pass.
+// decideTarget chooses a replica, or returns why none can be chosen; a refusal is overridden if
+// an operator accepted the loss.
 func (c *Manager) decideTarget(l *Lead, sit Situation) (to, refusal string) {
 	to, refusal = Choose(sit)
 	accepted := to == "" && l.Accepted.Turn == l.Turn && canAcceptLoss(refusal)
 	if accepted {
 		to = MostAdvanced(sit.Copies)
-		l.Least = "" // it is accepted that this may be lost
+		l.Least = "" // the operator accepted that these commits may be lost
 		if sit.AckedLowerBound != nil {
 			l.Waived = sit.AckedLowerBound.String()
 		}
-		c.k.Log.Warn("chosen though acknowledged commits may be lost", "service", l.Service, "to", to, "why", refusal, "accepted by", l.Accepted.By)
+		c.k.Log.Warn("choosing a primary although acknowledged commits may be lost", "service", l.Service, "to", to, "why", refusal, "accepted by", l.Accepted.By)
 	}
 	epoch, _ := c.state.Lease()
 	c.k.Recorder.Add(ChoiceKind, Choice{l.Service, epoch, sit, to, accepted})
@@ -228,8 +229,8 @@
 	return to, refusal
 }
 
-// recordLeavingLimits notes the limits of databases that leave while nobody leads: they need
-// not be heard afterwards.
+// recordLeavingLimits records the limits of leaving databases while there is no leader, so that
+// they need not respond afterwards.
 func (c *Manager) recordLeavingLimits(ctx context.Context, l Lead, received map[string]lineprotocol.Position) error {
 	return c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
 		if now.Turn == l.Turn && now.Moving && now.To == "" {
@@ -239,9 +240,9 @@
 	})
 }
 
-// commitChoice makes the choice durable, unless a database has joined since the look
-// that it rests on. The promotion lets every replica receive
-// again, so no limit holds any longer but that of the databases that are gone.
+// commitChoice makes the choice durable, unless a database has joined since the snapshot on which
+// it is based. The promotion lets every replica receive commits again, so no limit remains valid
+// except those of databases that are gone.
 func (c *Manager) commitChoice(ctx context.Context, s *snapshot, l *Lead, to string, newest, hold int64, floor lineprotocol.Position) error {
 	err := c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
 		if !now.Moving || now.Turn != l.Turn {
@@ -268,48 +269,49 @@
 	return err
 }
 
-// setWaitReason notes why a move waits, and logs it once for each reason.
+// setWaitReason records why a service's failover is waiting, and logs each reason once.
 func (c *Manager) setWaitReason(svc, reason string, sit Situation) {
-	text, best := reason, sit.mostAdvancedPosition()
+	detail, best := reason, sit.mostAdvancedPosition()
 	for _, a := range sit.mayBeAhead(best) {
-		text += "; " + a.ID
+		detail += "; " + a.ID
 		if a.Gone {
-			text += ", gone"
+			detail += ", gone"
 		}
 	}
 	if best.Less(sit.MinPosition) {
-		text += fmt.Sprintf("; %s was held, %s is left", sit.MinPosition, best)
+		detail += fmt.Sprintf("; %s was held, %s is left", sit.MinPosition, best)
 	}
 	if reason == acknowledgedCommitMissing {
-		text += fmt.Sprintf("; %s was acknowledged, %s is left", sit.AckedLowerBound, best)
+		detail += fmt.Sprintf("; %s was acknowledged, %s is left", sit.AckedLowerBound, best)
 	}
 	c.mu.Lock()
-	said := c.waitReasons[svc] == text
-	c.waitReasons[svc] = text
+	unchanged := c.waitReasons[svc] == detail
+	c.waitReasons[svc] = detail
 	c.mu.Unlock()
-	if !said {
+	if !unchanged {
 		c.k.Log.Info("move waits", "service", svc, "why", reason, "answered", sit.Copies, "absent", sit.Absent, "least", sit.MinPosition.String(), "acked", positionText(sit.Acked), "certain", positionText(sit.AckedLowerBound))
 	}
 }
 
-// clearWaitReason notes that a service's move waits no longer.
+// clearWaitReason records that a service's failover is no longer waiting.
 func (c *Manager) clearWaitReason(svc string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waitReasons, svc)
 }
 
-// Waits tells, by service, why a move of its lead waits.
+// Waits returns, by service, why its failover is waiting.
 func (c *Manager) Waits() map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.waitReasons)
 }
 
-// cancelFailover ends a move, before anyone was promoted, whose old primary serves.
+// cancelFailover ends a failover before any database was promoted, because the old primary still
+// serves.
 func (c *Manager) cancelFailover(ctx context.Context, l *Lead, why string) error {
 	c.clearWaitReason(l.Service)
-	c.k.Log.Info("move called off", "service", l.Service, "why", why)
+	c.k.Log.Info("failover cancelled", "service", l.Service, "why", why)
 	return c.updateLeader(ctx, l.Service, func(now *Lead) error {
 		if now.Turn == l.Turn && !now.PlatformCalled {
 			now.Moving, now.Failed = false, false
--- a/internal/failover/platform.go
+++ b/internal/failover/platform.go
@@ -13,10 +13,10 @@
 	"indigowalk/internal/kernel"
 )
 
-// platform makes the calls that are the duty of one node. Each call leaves once,
-// on a connection of its own: net/http may send a request a second time only on
-// a connection that it has used before, or with a body that it can get again.
-// What is given up is cut off rather than delivered later.
+// platform makes the calls of which one node at a time has the duty. Each call is sent once, on a
+// connection of its own: net/http may resend a request only on a connection that it has used
+// before, or with a body that it can obtain again. An abandoned call is cut off rather than
+// delivered later.
 type platform struct {
 	client *http.Client
 	addr   string
@@ -40,9 +40,8 @@
 	}
 }
 
-// failover has the platform make a database the primary of its service;
-// errNotRunning says that it refused. After any other error the call may have
-// been carried out.
+// failover makes the platform promote a database to the primary of its service; errNotRunning
+// says that the platform refused. After any other error the call may have been carried out.
 func (p *platform) failover(ctx context.Context, fence int64, service, id string) error {
 	body, err := json.Marshal(map[string]string{"svc": service, "id": id})
 	if err != nil {
@@ -67,5 +66,5 @@
 	case a.StatusCode == http.StatusConflict:
 		return errNotRunning
 	}
-	return fmt.Errorf("failover: platform answers %d", a.StatusCode)
+	return fmt.Errorf("failover: platform responded with status %d", a.StatusCode)
 }
--- a/internal/failover/call_test.go
+++ b/internal/failover/platform_call_test.go
@@ -10,17 +10,17 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// DutyInItsTerm: the platform is not called outside the term in which the move
-// was looked at, whatever lease runs now.
-func TestDutyInItsTerm(t *testing.T) {
+// The platform must not be called outside the term in which the failover was examined, whatever
+// lease is held now.
+func TestPlatformIsNotCalledOutsideTheTerm(t *testing.T) {
 	c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
 	if err := c.callPlatform(t.Context(), Lead{}); !errors.Is(err, errRetryLater) || len(c.k.Counters.Snapshot()) != 0 {
-		t.Errorf("called: %v, %v", err, c.k.Counters.Snapshot())
+		t.Errorf("the platform was called, or the error is wrong: %v, %v", err, c.k.Counters.Snapshot())
 	}
 }
 
-// A database that was promoted without what the choice rested on is found.
-func TestPromotedHoldsFloor(t *testing.T) {
+// A database that was promoted without what the choice was based on must be reported.
+func TestPromotionBelowChosenPositionIsReported(t *testing.T) {
 	for text, want := range map[string]int{"2.9": 0, "2.8": 0, "2.7": 1} {
 		c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
 		received, _ := lineprotocol.ParsePosition(text)
--- a/internal/failover/platform_test.go
+++ b/internal/failover/platform_test.go
@@ -14,22 +14,22 @@
 	"indigowalk/internal/kernel"
 )
 
-// Invariant DUTY-ONCE: a call to the platform leaves once, whatever becomes of
-// its connection. The stand-in answers the first request of a connection and
-// then, as each way has it, resets the connection while it is at rest, or at the
-// next request; or it ends the first without an answer.
-func TestDUTYONCEACallLeavesOnce(t *testing.T) {
+// Invariant DUTY-ONCE: a call to the platform must be sent once, whatever happens to its
+// connection. The simulated platform responds to the first requests of a connection and then,
+// depending on the case, resets the connection while it is idle or at the next request; or it
+// ends the first request without a response.
+func TestPlatformCallIsSentOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		answers int  // requests of a connection that are answered
-		rest    bool // it is reset at rest, after the last answer
+		answers int  // requests of a connection that get a response
+		rest    bool // the connection is reset while idle, after the last response
 		calls   int
-		fail    int // calls that get no answer
+		fail    int // calls that get no response
 	}{
-		"never breaks":             {100, false, 3, 0},
-		"reset at rest":            {1, true, 3, 0},
-		"reset at the second":      {1, false, 3, 0},
-		"reset without an answer":  {0, false, 3, 3},
-		"reset before it is asked": {0, true, 3, 3},
+		"never breaks":                {100, false, 3, 0},
+		"reset while idle":            {1, true, 3, 0},
+		"reset at the second request": {1, false, 3, 0},
+		"reset without a response":    {0, false, 3, 3},
+		"reset before the request":    {0, true, 3, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -59,7 +59,7 @@
 					}
 					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
-				io.Copy(io.Discard, io.LimitReader(conn, 1)) // until the far end has its answer, or asks again
+				io.Copy(io.Discard, io.LimitReader(conn, 1)) // until the far end has its response, or sends another request
 			}
 			go func() {
 				for {
@@ -92,8 +92,8 @@
 	}
 }
 
-// A call that is given up before the platform has read it is cut off.
-func TestDUTYONCEWhatIsGivenUpIsNotDeliveredLater(t *testing.T) {
+// A call that is abandoned before the platform has read it must be cut off.
+func TestAbandonedPlatformCallIsNotDelivered(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -118,6 +118,6 @@
 	}
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.Copy(io.Discard, in); err == nil {
-		t.Error("the connection ended as if all had been said")
+		t.Error("the connection ended as if the request was complete")
 	}
 }
--- a/internal/failover/promotion.go
+++ b/internal/failover/promotion.go
@@ -14,15 +14,15 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// promote has the platform make the chosen database the primary, waits until
-// it leads, and makes that known.
+// promote makes the platform promote the chosen database, waits until it leads, and records it as
+// the leader.
 func (c *Manager) promote(ctx context.Context, s *snapshot, l Lead) error {
 	if err := c.awaitReadersLeft(ctx, l); err != nil {
 		return err
 	}
 	to, there := s.databases[l.To]
 	err := errNotRunning
-	was := c.registry.Soft()[l.To]
+	before := c.registry.Soft()[l.To]
 	if there {
 		err = c.callPlatform(ctx, l)
 	}
@@ -37,11 +37,11 @@
 	if err != nil {
 		return err
 	}
-	over := l.Term
+	supersededTerm := l.Term
 	if to.ID == l.ID || to.HadID(l.ID) {
-		over-- // the primary of before needs no new term to lead again
+		supersededTerm-- // the previous primary can lead again without a new term
 	}
-	if l.Term, err = c.awaitPromotion(ctx, l, to, was, over); err != nil {
+	if l.Term, err = c.awaitPromotion(ctx, l, to, before, supersededTerm); err != nil {
 		return err
 	}
 	old := l.ID
@@ -70,14 +70,15 @@
 	return nil
 }
 
-// awaitPromotion waits until the database leads a newer term. Its own beat,
-// which a change of role sends at once, tells; if none comes it is asked.
-func (c *Manager) awaitPromotion(ctx context.Context, l Lead, to discovery.Database, was discovery.ObservedState, over int64) (int64, error) {
+// awaitPromotion waits until the database leads a newer term and returns that term. The database
+// reports this by its own heartbeat, which it sends at once when its role changes; if none
+// arrives it is queried.
+func (c *Manager) awaitPromotion(ctx context.Context, l Lead, to discovery.Database, before discovery.ObservedState, supersededTerm int64) (int64, error) {
 	end := c.k.Clock.Now() + 3*kernel.Second
 	for c.k.Clock.Now() < end && ctx.Err() == nil {
 		changed := c.registry.Changed()
-		if now := c.registry.Soft()[to.ID]; now.Role == "primary" && was.Role == "replica" {
-			return over + 1, nil
+		if now := c.registry.Soft()[to.ID]; now.Role == "primary" && before.Role == "replica" {
+			return supersededTerm + 1, nil
 		}
 		t := time.NewTimer(c.cfg.HeartbeatWait.Duration())
 		select {
@@ -88,7 +89,7 @@
 		}
 		if row, err := c.execute(ctx, to, "STAT"); err != nil {
 			return 0, err
-		} else if row.primary && row.term > over {
+		} else if row.primary && row.term > supersededTerm {
 			c.checkPromotedPosition(l, row)
 			return row.term, nil
 		}
@@ -96,72 +97,74 @@
 	return 0, errRetryLater
 }
 
-// checkPromotedPosition checks that a database that was promoted holds what the choice rested on.
+// checkPromotedPosition checks that a promoted database holds what the choice was based on.
 func (c *Manager) checkPromotedPosition(l Lead, row statRow) {
 	floor, known := lineprotocol.ParsePosition(l.Floor)
 	c.k.Invariants.Check(!known || !row.received.Less(floor), invariant.PromotedHoldsFloor,
-		"%s leads %s at %s, chosen at %s", l.To, l.Service, row.received, l.Floor)
+		"%s leads %s at position %s but was chosen at position %s", l.To, l.Service, row.received, l.Floor)
 }
 
-// reconcileReplicas makes a replica of every database that leads without being the lead,
-// and looks after those that leave.
+// reconcileReplicas resumes paused replicas, makes every database step down that acts as the
+// primary without being the leader, and handles those that are leaving.
 func (c *Manager) reconcileReplicas(ctx context.Context, s *snapshot, l Lead) {
 	c.resumeReplicas(ctx, s, l)
-	ending := false
+	leaving := false
 	for _, d := range s.replicas(l.Service, l.ID) {
-		ending = ending || d.Gone || d.Draining
+		leaving = leaving || d.Gone || d.Draining
 		if s.observed[d.ID].Role == "primary" && l.Term != 0 && !d.Gone && c.attemptDue("demote "+d.ID) {
 			go c.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 		}
 	}
-	if ending && c.attemptDue("tend "+l.Service) {
+	if leaving && c.attemptDue("tend "+l.Service) {
 		c.runExclusive(l.Service, func() error { return c.reconcileLeaving(ctx, s, l) })
 	}
 }
 
-// attemptRetention is for how long the time at which something was last tried is remembered.
-// What it was of may be over; it is longer than any pace.
+// attemptRetention is how long the time of an attempt is kept. It is longer than any retry
+// interval; what was attempted may be over by then.
 const attemptRetention = 600 * kernel.Second
 
-// dropOldAttempts drops the times of what was last tried long ago. The caller holds c.mu.
+// dropOldAttempts drops the times of attempts made long ago. The caller holds c.mu.
 func (c *Manager) dropOldAttempts(now kernel.Micros) {
 	maps.DeleteFunc(c.attempts, func(_ string, at kernel.Micros) bool { return now-at > attemptRetention })
 }
 
-// attemptDue paces what is repeated until it has worked.
-func (c *Manager) attemptDue(what string) bool {
+// attemptDue limits an action that is repeated until it succeeds to once a second; it reports
+// whether the action is due, and if so records the attempt.
+func (c *Manager) attemptDue(action string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
 	c.dropOldAttempts(now)
-	if now-c.attempts[what] < kernel.Second && c.attempts[what] != 0 {
+	if now-c.attempts[action] < kernel.Second && c.attempts[action] != 0 {
 		return false
 	}
-	c.attempts[what] = now
+	c.attempts[action] = now
 	return true
 }
 
-// clearAttempt has what is paced done once more without waiting.
-func (c *Manager) clearAttempt(what string) {
+// clearAttempt makes a rate-limited action due at once.
+func (c *Manager) clearAttempt(action string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.attempts, what)
+	delete(c.attempts, action)
 }
 
-// elapsedSinceFirst tells how long ago it was asked that first, if it is asked again and again.
-func (c *Manager) elapsedSinceFirst(what string) kernel.Micros {
+// elapsedSinceFirst returns the time since it was first called with this key, provided that calls
+// are repeated within attemptRetention.
+func (c *Manager) elapsedSinceFirst(action string) kernel.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
 	c.dropOldAttempts(now)
-	if c.attempts[what] == 0 {
-		c.attempts[what] = now
+	if c.attempts[action] == 0 {
+		c.attempts[action] = now
 	}
-	return now - c.attempts[what]
+	return now - c.attempts[action]
 }
 
-// callPlatform asks the platform, as the holder of the duty, only in the term in which
-// the move was looked at, and well within the lease.
+// callPlatform calls the platform as the duty holder, only in the term in which the failover was
+// examined, and well within the lease.
 func (c *Manager) callPlatform(ctx context.Context, l Lead) error {
 	epoch, left := controlstate.TermOf(ctx).Lease()
 	wait := min(left-100*kernel.Millisecond, kernel.Second)
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -12,45 +12,46 @@
 	"indigowalk/internal/lineprotocol"
 )
 
+// leaseHolder is what is known of one pooler.
 type leaseHolder struct {
-	incarnation  int64
-	leaseEnd kernel.Micros
-	lastHeard kernel.Micros
-	// removing says that its registration is being removed: it is granted nothing and
-	// heard no more until that is done.
+	incarnation int64
+	leaseEnd    kernel.Micros
+	lastHeard   kernel.Micros
+	// removing says that its registration is being removed: until that is done it is granted no
+	// lease and its reports are refused.
 	removing bool
 	Report
 }
 
-// Readers knows which poolers may still read at a primary: those that hold a
-// read lease and have not acknowledged leaving.
+// Readers tracks which poolers may still read at a primary: those that hold a read lease and have
+// not acknowledged leaving.
 type Readers struct {
-	mu           sync.Mutex
-	epoch        int64
-	poolers      map[string]*leaseHolder
-	acks ackTracker
-	bell         kernel.Bell
+	mu      sync.Mutex
+	epoch   int64
+	poolers map[string]*leaseHolder
+	acks    ackTracker
+	bell    kernel.Bell
 }
 
-// Report is what a pooler tells of the primaries with a poll.
+// Report is what a pooler reports about the primaries with a poll.
 type Report struct {
-	// Left holds, by service, the turn at which the pooler has left the old
-	// primary: it acknowledges none of that one's commits any more.
+	// Left holds, by service, the number of the failover for which the pooler has left the old
+	// primary: it no longer acknowledges any commit of that primary.
 	Left map[string]int64
-	// Acked holds, by service that it has left, a position that covers every
-	// commit that it has acknowledged to a client.
+	// Acked holds, by service that it has left, a position that covers every commit that it has
+	// acknowledged to a client.
 	Acked map[string]lineprotocol.Position
 	// Certain holds, by service that it has left, a position that one of those commits has
-	// at least.
+	// reached at least.
 	Certain map[string]lineprotocol.Position
 }
 
-// NewReaders returns an empty set.
+// NewReaders returns an empty set of poolers.
 func NewReaders() *Readers { return &Readers{poolers: map[string]*leaseHolder{}} }
 
-// Heard notes what a pooler reports, at that time. An earlier life of the pooler is
-// refused, and the newest returned; so is one whose registration is being removed, with
-// no life to tell.
+// Heard records what a pooler reported at that time. A report of an earlier incarnation of the
+// pooler is refused, and the newest incarnation returned; so is the report of a pooler whose
+// registration is being removed, with no incarnation returned.
 func (r *Readers) Heard(pooler string, life int64, report Report, now kernel.Micros) (newest int64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,8 +64,8 @@
 	}
 	fresh := d == nil || life > d.incarnation
 	if fresh {
-		// A new life holds no lease of the one before, whose last
-		// acknowledgements nobody reports any more.
+		// A new incarnation does not hold the lease of the previous one, whose last
+		// acknowledgements are no longer reported by anybody.
 		d = &leaseHolder{incarnation: life}
 		r.poolers[pooler] = d
 		r.acks.unreportedUntil = max(r.acks.unreportedUntil, now)
@@ -76,8 +77,8 @@
 	return life, true
 }
 
-// Grant notes that the pooler's lease runs until then. It must be called before
-// the grant is sent.
+// Grant records that the pooler's lease runs until then. It must be called before the grant is
+// sent.
 func (r *Readers) Grant(pooler string, life int64, until kernel.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +90,7 @@
 	return true
 }
 
-// Count is how many poolers held a lease at that time or later.
+// Count returns how many poolers hold a lease that ends after that time.
 func (r *Readers) Count(at kernel.Micros) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,8 +102,8 @@
 	return n
 }
 
-// AllLeft tells whether every pooler has left the service's old primary at that
-// turn or holds no lease any more, and if not, how long the leases run.
+// AllLeft reports whether every pooler has left the service's old primary for that failover or
+// holds no lease any more, and if not, how long the leases still run.
 func (r *Readers) AllLeft(service string, turn int64, now kernel.Micros) (bool, kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,11 +116,10 @@
 	return wait == 0, wait
 }
 
-// MarkExpired lists the poolers of which nothing was heard, and whose leases have been over, for
-// a span. From now on they are
-// neither heard nor granted anything, until Forget is called once their registrations
-// have been removed: a lease that no registration tells of would not be waited for by the
-// next primary.
+// MarkExpired lists the poolers that have not polled, and whose leases have been over, for a time
+// span. From now on their reports are refused and they are granted nothing until RemoveExpired is
+// called once their registrations have been removed: the next primary would not wait for a lease
+// without a registration.
 func (r *Readers) MarkExpired(now, span kernel.Micros) (poolers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,22 +135,22 @@
 	return poolers
 }
 
-// RemoveExpired drops poolers whose registrations have been removed.
+// RemoveExpired removes poolers whose registrations have been removed.
 func (r *Readers) RemoveExpired(poolers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, pooler := range poolers {
 		if d := r.poolers[pooler]; d != nil && d.removing {
-			// What it acknowledged nobody reports any more.
+			// Nobody reports any more what it acknowledged.
 			r.acks.unreportedUntil = max(r.acks.unreportedUntil, d.leaseEnd)
 			delete(r.poolers, pooler)
 		}
 	}
 }
 
-// Term starts a term of the control state's primary, once: any pooler that was ever
-// registered may hold a lease of the primary before, for that span. A term that
-// another has followed is not begun again: it knows fewer poolers.
+// Term starts a term of the control state's primary, once: any pooler that was ever registered
+// may hold a lease of the previous primary, for that duration. A term that has been followed by
+// another is not started again, since it knows fewer poolers.
 func (r *Readers) Term(epoch int64, registered map[string]int64, now, lease kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,27 +163,27 @@
 	}
 }
 
-// InTerm tells whether the term of that epoch has started.
+// InTerm reports whether the term of that epoch is the current one.
 func (r *Readers) InTerm(epoch int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.epoch == epoch
 }
 
-// Changed closes when a pooler acknowledges something.
+// Changed returns a channel that is closed when a pooler's acknowledgements change.
 func (r *Readers) Changed() <-chan struct{} { return r.bell.Wait() }
 
-// proxyPrefix starts the entries of the control state that register poolers: a
-// pooler is entered there before it is granted its first lease, so that whoever
-// takes over knows whom to wait for.
+// proxyPrefix starts the keys of the control state's entries that register poolers: a pooler is
+// registered before it is granted its first lease, so that the next primary knows which poolers
+// to wait for.
 const proxyPrefix = "carrier/"
 
-// Registered picks the poolers, with their lives, out of the control state.
+// Registered returns the registered poolers in the control state, with their incarnations.
 func Registered(entries map[string]json.RawMessage) (map[string]int64, error) {
 	return controlstate.Pick[int64](entries, proxyPrefix)
 }
 
-// Register returns the change of the control state that enters a pooler's life.
+// Register returns the change of the control state that registers an incarnation of a pooler.
 func Register(pooler string, life int64) map[string]json.RawMessage {
 	return map[string]json.RawMessage{proxyPrefix + pooler: json.RawMessage(fmt.Sprint(life))}
 }
@@ -197,7 +197,7 @@
 	return removed
 }
 
-// IsRegistered tells whether that life of the pooler, or a later one, is entered.
+// IsRegistered reports whether that incarnation of the pooler, or a later one, is registered.
 func IsRegistered(entries map[string]json.RawMessage, pooler string, life int64) bool {
 	var known int64
 	return json.Unmarshal(entries[proxyPrefix+pooler], &known) == nil && known >= life
--- a/internal/failover/readers_test.go
+++ b/internal/failover/readers_test.go
@@ -7,40 +7,40 @@
 	"indigowalk/internal/kernel"
 )
 
-func TestReadersThatAreGoneAreForgotten(t *testing.T) {
+func TestExpiredReadersAreRemoved(t *testing.T) {
 	const span = 10 * kernel.Second
 	now := 100 * kernel.Second
 	r := NewReaders()
 	r.Term(1, map[string]int64{"cut off": 4, "dead": 7, "polls": 2}, now, kernel.Second)
 	if gone := r.MarkExpired(now+span, span); gone != nil {
-		t.Fatalf("%v are gone while leases of the term before may run", gone)
+		t.Fatalf("%v are expired while leases of the previous term may run", gone)
 	}
 	now += span + 2*kernel.Second
 	r.Heard("polls", 2, Report{}, now)
 	r.Heard("new", 1, Report{}, now)
 	gone := r.MarkExpired(now, span)
 	if want := []string{"cut off", "dead"}; !slices.Equal(gone, want) {
-		t.Fatalf("%v are gone, want %v", gone, want)
+		t.Fatalf("%v are expired, want %v", gone, want)
 	}
 	if newest, ok := r.Heard("cut off", 4, Report{}, now); ok || newest != 0 || r.Grant("cut off", 4, now+kernel.Second) {
-		t.Error("a pooler was heard, or granted a lease, while its registration is being removed")
+		t.Error("a pooler's report was accepted, or a lease granted, while its registration is being removed")
 	}
 	if again := r.MarkExpired(now, span); !slices.Equal(again, gone) {
-		t.Errorf("%v are gone at the next look, want %v: the removal may have failed", again, gone)
+		t.Errorf("%v are expired at the next check, want %v: the removal may have failed", again, gone)
 	}
 	r.RemoveExpired(gone)
 	if _, wait := r.AllLeft("service", 1, now); wait != 0 {
-		t.Errorf("a move waits %d for poolers that are gone", wait)
+		t.Errorf("a failover waits %d for removed poolers", wait)
 	}
 	if _, ok := r.Heard("cut off", 4, Report{}, now); !ok || !r.Grant("cut off", 4, now+kernel.Second) {
-		t.Error("a pooler that was forgotten is not taken in again")
+		t.Error("a removed pooler is not accepted again")
 	}
 	if gone := r.MarkExpired(now, span); gone != nil {
-		t.Errorf("%v are gone that have just been heard", gone)
+		t.Errorf("%v are expired although they have just reported", gone)
 	}
 }
 
-func TestForgettingIsOfTheTermThatFoundThemGone(t *testing.T) {
+func TestRemovalOfExpiredReadersEndsWithTheTerm(t *testing.T) {
 	const span = 10 * kernel.Second
 	now := 100 * kernel.Second
 	r := NewReaders()
@@ -49,6 +49,6 @@
 	r.Term(2, map[string]int64{"back": 4}, now+2*span, kernel.Second)
 	r.RemoveExpired(gone)
 	if left, _ := r.AllLeft("service", 1, now+2*span); left {
-		t.Error("a lease of the term before is not waited for")
+		t.Error("a lease of the previous term is not waited for")
 	}
 }
--- a/internal/failover/forget.go
+++ b/internal/failover/removal.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// removalLeases is for how many leases a carrier polls no more until it is forgotten.
+	// removalLeases is after how many lease durations without a poll a proxy is removed.
 	removalLeases = 24
-	// Names of this work among the services that are worked on, which it can't have.
+	// Keys of this work for runExclusive, which no service name can equal.
 	readerRemovalKey   = "\x00readers"
 	databaseRemovalKey = "\x00databases"
 )
 
-// removeReaders removes the registrations of carriers that are gone. One that comes back
-// registers anew before it is granted a lease.
+// removeReaders removes the registrations of proxies that no longer poll. One that comes back
+// registers again before it is granted a lease.
 func (c *Manager) removeReaders(ctx context.Context) {
 	gone := c.readers.MarkExpired(c.k.Clock.Now(), removalLeases*c.cfg.ReaderLease)
 	if len(gone) == 0 {
@@ -29,12 +29,13 @@
 		}
 		c.readers.RemoveExpired(gone)
 		c.k.Counters.Add("failover.carriers_forgotten", int64(len(gone)))
-		c.k.Log.Info("carriers forgotten", "names", gone)
+		c.k.Log.Info("removed the registrations of proxies that no longer poll", "names", gone)
 		return nil
 	})
 }
 
-// removeDatabases forgets databases that are gone, where they held nothing.
+// removeDatabases removes databases that are gone, where databases hold no commits that another
+// could lack.
 func (c *Manager) removeDatabases(ctx context.Context, s *snapshot) {
 	var gone []string
 	for id, d := range s.databases {
--- a/internal/failover/wake.go
+++ b/internal/failover/resume.go
@@ -6,22 +6,21 @@
 	"indigowalk/internal/discovery"
 )
 
-// resumeState is which replicas of a service have answered CONTINUE since its last
-// move, or since this process took the control state over.
+// resumeState tells which replicas of a service have acknowledged CONTINUE since its last
+// failover, or since this process became the primary of the control state.
 type resumeState struct {
 	epoch, failoverID int64
-	acknowledged    map[string]bool // by database
+	acknowledged      map[string]bool // by database
 }
 
-// resumeReplicas says CONTINUE to every replica that stays until it has answered once: what
-// was said right after a move, or when it was called off, may have got lost with
-// its connection or with the process that was to say it, and a replica that stays
-// paused receives nothing for ever. Saying it again does no harm, nor does a late
-// one: once a move has begun, no commit of the old primary counts (distribution,
-// Subscriber.Covers).
+// resumeReplicas sends CONTINUE to every replica that is not leaving until it has acknowledged
+// one: the CONTINUE sent right after a failover, or when that was cancelled, may have been lost
+// with its connection or with the process that was to send it, and a replica that stays paused
+// never receives anything. Repeating it does no harm, nor does a late one: once a failover has
+// begun, no commit of the old primary counts (see package distribution).
 func (c *Manager) resumeReplicas(ctx context.Context, s *snapshot, l Lead) {
 	if l.Turn == 0 {
-		return // nobody was ever paused
+		return // no replica was ever paused
 	}
 	epoch, _ := c.state.Lease()
 	c.mu.Lock()
@@ -30,14 +29,14 @@
 		w = &resumeState{epoch, l.Turn, map[string]bool{}}
 		c.resumed[l.Service] = w
 	}
-	var asleep []discovery.Database
+	var pending []discovery.Database
 	for _, d := range s.replicas(l.Service, l.ID) {
 		if !d.Draining && !d.Gone && !w.acknowledged[d.ID] {
-			asleep = append(asleep, d)
+			pending = append(pending, d)
 		}
 	}
 	c.mu.Unlock()
-	for _, d := range asleep {
+	for _, d := range pending {
 		if c.health.Up(d.ID) && c.attemptDue("wake "+d.ID) {
 			go func() {
 				if row, err := c.execute(ctx, d, "CONTINUE"); err == nil && row.pausedTerm == 0 {
--- a/internal/failover/snapshot.go
+++ b/internal/failover/snapshot.go
@@ -7,18 +7,19 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// snapshot is what one look at the control state shows.
+// snapshot is a decoded state of the control state, together with what the databases last
+// reported.
 type snapshot struct {
 	databases map[string]discovery.Database
 	known     map[string]bool // databases by id
 	services  map[string][]discovery.Database
-	leaders     map[string]Lead
+	leaders   map[string]Lead
 	conf      *routeconfig.Configuration
-	observed      map[string]discovery.ObservedState
+	observed  map[string]discovery.ObservedState
 	poolers   map[string]int64
 }
 
-// loadSnapshot decodes the control state, once for each change of it.
+// loadSnapshot returns the current snapshot. The control state is decoded once per change.
 func (c *Manager) loadSnapshot() (*snapshot, error) {
 	state, err := c.state.Durable()
 	if err != nil {
@@ -54,17 +55,19 @@
 	return &s, nil
 }
 
-// replicas lists the databases of a service besides one.
-func (s *snapshot) replicas(service, besides string) []discovery.Database {
+// replicas lists the databases of a service except one.
+func (s *snapshot) replicas(service, except string) []discovery.Database {
 	var out []discovery.Database
 	for _, d := range s.services[service] {
-		if d.ID != besides {
+		if d.ID != except {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
+// syncReplicas returns how many replicas must have a commit before it is acknowledged; 1 if the
+// service is not configured.
 func (s *snapshot) syncReplicas(service string) int {
 	if s.conf != nil {
 		for _, svc := range s.conf.Services {
--- a/internal/health/coordinator.go
+++ b/internal/health/coordinator.go
@@ -6,7 +6,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// Notice tells that a database is down as of a local generation.
+// Notice says that a database is down, as of a local generation.
 type Notice struct {
 	Database   string
 	Generation int64
@@ -15,24 +15,25 @@
 // Outcome is what a coordinator did with a report or notice.
 type Outcome int
 
+// health is the state of one database.
 type health struct {
-	up         bool
-	generation int64
-	checking   bool
-	localFault        bool          // the check is for a fault of a session here
-	nextCheck        kernel.Micros // of the next check while down
-	quietUntil       kernel.Micros // until then peers' notices call for no check
-	reporters    []string      // peers that told of it of late, a few
-	lastReported     kernel.Micros // when the last of them did
+	up           bool
+	generation   int64
+	checking     bool
+	localFault   bool          // the running check is for a fault seen by a local session
+	nextCheck    kernel.Micros // when the next check is due while down
+	quietUntil   kernel.Micros // until then peers' notices cause no check
+	reporters    []string      // a bounded number of peers that reported it down recently
+	lastReported kernel.Micros // when the last of them did
 }
 
-// Coordinator is the state machine by itself: no clock, network or
-// goroutines, so that recordings can be played through it.
+// Coordinator is the state machine by itself, without clock, network or goroutines, so that
+// recordings can be replayed through it.
 type Coordinator struct {
 	state map[string]*health
 }
 
-// NewCoordinator returns a coordinator that holds every database as up.
+// NewCoordinator returns a coordinator that considers every database up.
 func NewCoordinator() *Coordinator { return &Coordinator{state: map[string]*health{}} }
 
 func (c *Coordinator) entry(id string) *health {
@@ -44,7 +45,7 @@
 	return h
 }
 
-// Up tells whether the database is held as up, and its generation.
+// Up reports whether the database is considered up, and returns its generation.
 func (c *Coordinator) Up(id string) (bool, int64) {
 	if h := c.state[id]; h != nil {
 		return h.up, h.generation
@@ -52,7 +53,7 @@
 	return true, 0
 }
 
-// Report takes a fault seen by a local session bound under a generation.
+// Report processes a fault seen by a local session that was bound under a generation.
 func (c *Coordinator) Report(id string, generation int64) Outcome {
 	h := c.entry(id)
 	switch {
@@ -65,7 +66,7 @@
 	return MarkedDown
 }
 
-// PeerNotice takes a peer's notice; it says whether a check is called for.
+// PeerNotice processes a peer's notice; the outcome says whether a check is needed.
 func (c *Coordinator) PeerNotice(id string) Outcome {
 	if !c.entry(id).up {
 		return AlreadyDown
@@ -73,8 +74,8 @@
 	return CheckNeeded
 }
 
-// Checked takes the result of an own check that started under a generation.
-// It reports whether the state changed.
+// Checked processes the result of a local check that started under a generation. It reports
+// whether the state changed.
 func (c *Coordinator) Checked(id string, generation int64, ok bool) bool {
 	h := c.entry(id)
 	if generation != h.generation || h.up == ok {
@@ -86,7 +87,7 @@
 	return true
 }
 
-// Down lists the databases held as down.
+// Down lists the databases that are considered down.
 func (c *Coordinator) Down() []string {
 	var out []string
 	for id, h := range c.state {
@@ -97,11 +98,10 @@
 	return out
 }
 
-// Forget drops a database that is gone.
+// Forget removes the state of a database that is gone.
 func (c *Coordinator) Forget(id string) { delete(c.state, id) }
 
-// Binding is a session's hold on a database. It must not be used before Bind
-// nor after Release.
+// Binding binds a session to a database. It must not be used before Bind or after Release.
 type Binding struct {
 	mu         sync.Mutex
 	database   string
@@ -109,7 +109,7 @@
 	unbound    chan struct{}
 }
 
-// Unbound closes when a notice has unbound the session.
+// Unbound returns a channel that is closed when a notice has unbound the session.
 func (b *Binding) Unbound() <-chan struct{} { return b.unbound }
 
 // Bound returns the bound database, or "" once a notice has unbound it.
@@ -119,7 +119,8 @@
 	return b.database, b.generation
 }
 
-// apply applies a notice by the paper's rule for sessions.
+// apply applies a notice. The session takes the newer generation, ignores older notices, and is
+// unbound by a notice about its own database, as in the paper named in the package comment.
 func (b *Binding) apply(n Notice) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -133,8 +134,8 @@
 	}
 }
 
-// Event is an input of the coordinator: a "report" or "doubt" of a session, a
-// peer's "notice", or the result of an own check ("checked").
+// Event is an input of the coordinator: a "report" or "doubt" (an uncertain fault) of a session,
+// a peer's "notice", or the result of a local check ("checked").
 type Event struct {
 	Kind       string `json:"kind"`
 	Database   string `json:"db"`
@@ -142,7 +143,7 @@
 	OK         bool   `json:"ok,omitempty"`
 }
 
-// Apply feeds the coordinator an event; it reports whether a state changed.
+// Apply processes an event; it reports whether a state changed.
 func (c *Coordinator) Apply(e Event) (changed bool) {
 	switch e.Kind {
 	case "report":
@@ -153,10 +154,10 @@
 	return false
 }
 
-// Outcomes.
+// Outcomes of a report or notice.
 const (
 	MarkedDown  Outcome = iota // the database is now down
-	StaleReport                  // older generation than the coordinator's
-	AlreadyDown                // down already
-	CheckNeeded                // a peer's notice: counts only after an own check
+	StaleReport                // of an older generation than the coordinator's
+	AlreadyDown                // was down already
+	CheckNeeded                // a peer's notice, which counts only after a local check
 )
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,9 +1,9 @@
-// Package health is the health coordinator: it holds, for each database,
-// an up or down state and a local generation, from the faults that this
-// process's own sessions report and from the notices of its peers.
+// Package health is the health coordinator: it keeps, for each database, an up or down state and
+// a local generation, based on the faults that this process's own sessions report and on the
+// notices of its peers.
 //
-// The algorithm is the client-side session coordination of Petrauskas and
-// Baronas (2019); docs/design.md says what was kept and what was changed.
+// The algorithm is the client-side session coordination of Petrauskas and Baronas (2019);
+// docs/design.md says what was kept and what was changed.
 package health
 
 import (
@@ -16,60 +16,60 @@
 	"indigowalk/internal/kernel"
 )
 
-// Checker tries whether a database answers.
+// Checker checks whether a database responds.
 type Checker func(ctx context.Context, id string) bool
 
-// Config is what a health coordinator is built from.
+// Config configures a Monitor.
 type Config struct {
-	Interval     kernel.Micros // between checks of a database that is down
-	FirstCheck        kernel.Micros // until the first check after a local report
-	Check        Checker
-	Self         string          // address under which peers hear of this process
-	Peers        func() []string // in the order in which they are told
-	ControlNodes func() []string // of the peers, those that may move a lead
-	Send         func(addrs []string, kind string, body any)
-	AcceptNotices         func() bool // whether peers' notices matter to this process now
-	NoticeRate         float64     // bytes a microsecond that telling peers may take, 0 for no bound
+	Interval      kernel.Micros // between checks of a database that is down
+	FirstCheck    kernel.Micros // delay of the first check after a local report
+	Check         Checker
+	Self          string          // address by which peers know this process
+	Peers         func() []string // in the order in which they are notified
+	ControlNodes  func() []string // those peers that may start a failover
+	Send          func(addrs []string, kind string, body any)
+	AcceptNotices func() bool // whether peers' notices matter to this process now
+	NoticeRate    float64     // bytes per microsecond that notices may use, 0 for no limit
 }
 
-// EventKind is the kind of record of an event.
+// EventKind is the kind of recorded event that holds an Event.
 const EventKind = "health"
 
 // NoticeKind is the kind of datagram that carries notices.
 const NoticeKind = "fault"
 
-// Notices that are due together share a datagram: they are gathered for a
-// moment, and told in parts of a bounded size.
+// Notices that are due together share a datagram: they are collected for a short time and sent in
+// parts of a bounded size.
 const (
-	gatherDelay     = 5 * kernel.Millisecond
-	maxNotices = 64
+	gatherDelay = 5 * kernel.Millisecond
+	maxNotices  = 64
 )
 
-// Where many processes see the same fault at once, a few need to tell it: each
-// waits a random while, the longer the more peers there are, and one that has
-// meanwhile heard the notice from others does not repeat it. Telling many takes
-// a while itself: it goes on in parts, and whoever hears between two of them
-// that its seniors tell the same leaves the rest to them. The most senior
-// maxReporters hear of none, so that some always tell all.
+// Where many processes detect the same fault at once, only a few need to send it: each waits a
+// random delay that grows with the number of peers, and one that has received the notice from
+// others in the meantime does not repeat it. Notifying many peers takes time itself: it proceeds
+// in batches, and a process that learns between two of them that higher-ranked processes send the
+// same notice leaves the rest to them. The highest-ranked ones defer to nobody, so that some
+// process always notifies all peers.
 const (
-	delayPerPeer = kernel.Millisecond / 4
-	echoWindow    = 200 * kernel.Millisecond
-	enoughReporters  = 2
-	peersPerBatch  = 24 // peers told in one part
-	maxReporters = 8  // remembered for one database
+	delayPerPeer    = kernel.Millisecond / 4
+	echoWindow      = 200 * kernel.Millisecond
+	enoughReporters = 2
+	peersPerBatch   = 24 // peers notified in one batch
+	maxReporters    = 8  // kept for one database
 )
 
-// Whoever's own link is full finds database after database silent, and telling
-// hundreds of peers of each would keep it full. So telling takes a part of the
-// link at most, as an average over a while: what is found meanwhile waits and is
-// told together.
+// A process whose own link is saturated finds one database after another unresponsive, and
+// notifying hundreds of peers of each would keep the link saturated. So notices use at most a
+// share of the link, averaged over a time window: faults detected meanwhile wait and are sent
+// together.
 const (
-	budgetWindow    = 2 * kernel.Second
+	budgetWindow      = 2 * kernel.Second
 	noticeHeaderBytes = 110 // bytes of a datagram, and of each database in it
-	noticeEntryBytes = 18
+	noticeEntryBytes  = 18
 )
 
-// Monitor runs a coordinator beside the sessions of one process.
+// Monitor runs a coordinator for the sessions of one process.
 type Monitor struct {
 	k   *kernel.Kernel
 	cfg Config
@@ -77,18 +77,19 @@
 	events chan Event
 
 	mu sync.Mutex
-	// known are the databases that there are; nil as long as nobody said. What comes of
-	// any other, late, is about one that is gone: a verdict on it would never be lifted.
-	known    map[string]bool
-	coordinator        *Coordinator
-	bindings map[string]map[*Binding]struct{}
-	budget   byteBudget
-	faults   outbox // for all peers
-	suspicions   outbox // for the control nodes
-	bell     kernel.Bell
+	// known is the set of existing databases; nil as long as it has not been set. Late events
+	// about any other database are about one that is gone: a state set by them would never be
+	// cleared.
+	known       map[string]bool
+	coordinator *Coordinator
+	bindings    map[string]map[*Binding]struct{}
+	budget      byteBudget
+	faults      outbox // for all peers
+	suspicions  outbox // for the control nodes
+	bell        kernel.Bell
 }
 
-// New returns a health coordinator.
+// New returns a health monitor.
 func New(k *kernel.Kernel, cfg Config) *Monitor {
 	return &Monitor{
 		k: k, cfg: cfg, coordinator: NewCoordinator(),
@@ -96,14 +97,14 @@
 	}
 }
 
-// State tells whether the database is held as up, and its generation.
+// State reports whether the database is considered up, and returns its generation.
 func (s *Monitor) State(id string) (bool, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.coordinator.Up(id)
 }
 
-// Up tells whether the database is held as up.
+// Up reports whether the database is considered up.
 func (s *Monitor) Up(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +112,7 @@
 	return up
 }
 
-// Down lists the databases held as down, with their generations.
+// Down returns the databases that are considered down, with their generations.
 func (s *Monitor) Down() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +123,7 @@
 	return out
 }
 
-// Changed closes at the next change of any database's state.
+// Changed returns a channel that is closed at the next change of any database's state.
 func (s *Monitor) Changed() <-chan struct{} { return s.bell.Wait() }
 
 // Bind binds a session to a database that is up.
@@ -147,15 +148,14 @@
 	}
 }
 
-// Report hands in a fault, asynchronously. A report that finds the queue full
-// is dropped: whoever meets the same fault next reports again. Sure faults
-// (silence, refusal) count at once. One broken connection alone may be that
-// connection's own trouble: such a fault counts after an own check, which a
-// database that crashed fails at once. Control nodes hear of a doubt right away: their
-// own check then runs beside this one.
-func (s *Monitor) Report(id string, generation int64, sure bool) {
+// Report submits a fault asynchronously. A report that finds the queue full is dropped: the next
+// session that meets the same fault reports it again. Certain faults (no response, connection
+// refused) count at once. A single broken connection may be a problem of that connection only:
+// such a fault counts after a local check, which a crashed database fails at once. Control nodes
+// are notified of such a suspicion right away, so that their own check runs in parallel.
+func (s *Monitor) Report(id string, generation int64, certain bool) {
 	kind := "report"
-	if !sure {
+	if !certain {
 		kind = "doubt"
 	}
 	s.post(Event{Kind: kind, Database: id, Generation: generation})
@@ -169,7 +169,7 @@
 	}
 }
 
-// HandleNotices takes a peer's datagram.
+// HandleNotices processes a peer's datagram.
 func (s *Monitor) HandleNotices(from string, body json.RawMessage) {
 	var n notice
 	if json.Unmarshal(body, &n) != nil || len(n.Databases) == 0 || slices.Contains(n.Databases, "") {
@@ -181,8 +181,8 @@
 	}
 }
 
-// Heard takes a peer's notice, however it came. One that tells nothing new is
-// only counted.
+// Heard processes a peer's notice, however it was received. One that contains nothing new is only
+// counted.
 func (s *Monitor) Heard(from, id string) {
 	if !s.cfg.AcceptNotices() {
 		return
@@ -200,16 +200,16 @@
 	if len(h.reporters) < maxReporters && !slices.Contains(h.reporters, from) {
 		h.reporters = append(h.reporters, from)
 	}
-	idle := !h.up || h.checking || now < h.quietUntil
+	redundant := !h.up || h.checking || now < h.quietUntil
 	s.mu.Unlock()
-	if idle {
+	if redundant {
 		s.k.Counters.Add("health.notices", 1)
 		return
 	}
 	s.post(Event{Kind: "notice", Database: id})
 }
 
-// Serve works off reports, notices and checks until ctx ends.
+// Serve processes reports, notices and checks until ctx ends.
 func (s *Monitor) Serve(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -226,6 +226,7 @@
 	}
 }
 
+// handleEvent processes one event and starts the checks and notifications that it calls for.
 func (s *Monitor) handleEvent(ctx context.Context, e Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,7 +261,7 @@
 		h.checking = false
 		h.nextCheck = s.k.Clock.Now() + s.cfg.Interval
 		h.quietUntil = s.k.Clock.Now() + s.cfg.Interval/4
-		own := h.localFault
+		localFault := h.localFault
 		h.localFault = false
 		if !s.coordinator.Apply(e) {
 			return
@@ -271,13 +272,14 @@
 			return
 		}
 		s.handleDown(e.Database, e.Generation)
-		if own {
+		if localFault {
 			s.faults.add(s, ctx, e.Database, s.cfg.Peers, 2)
 		}
 	}
 }
 
-// handleDown tells the local sessions, under the local generation.
+// handleDown notifies the local sessions that a database is down, under the local generation. The
+// caller holds s.mu.
 func (s *Monitor) handleDown(id string, generation int64) {
 	s.k.Counters.Add("health.marked_down", 1)
 	s.k.Log.Info("database down", "id", id, "generation", generation)
@@ -287,7 +289,7 @@
 	s.bell.Ring()
 }
 
-// nextCheck is the time until a check is due.
+// nextCheck returns the time until a check is due.
 func (s *Monitor) nextCheck() kernel.Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -300,6 +302,7 @@
 	return wait
 }
 
+// startChecks starts the checks that are due.
 func (s *Monitor) startChecks(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -311,6 +314,7 @@
 	}
 }
 
+// check starts a check of a database unless one is running. The caller holds s.mu.
 func (s *Monitor) check(ctx context.Context, id string) {
 	h := s.coordinator.entry(id)
 	if h.checking {
@@ -328,8 +332,8 @@
 	}()
 }
 
-// Keep says which databases there are. What is known of any other is dropped, and
-// reports, notices and checks of it that are under way count for nothing.
+// Keep sets which databases exist. The state of any other is dropped, and reports, notices and
+// checks of it that are in progress are ignored.
 func (s *Monitor) Keep(known map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -341,8 +345,8 @@
 	}
 }
 
-// isKnown tells whether there is such a database, and counts what is about another. The
-// caller holds the lock.
+// isKnown reports whether the database exists, and counts events about any other. The caller
+// holds s.mu.
 func (s *Monitor) isKnown(id string) bool {
 	if s.known == nil || s.known[id] {
 		return true
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -20,29 +20,29 @@
 		t.Fatalf("first report: %v", got)
 	}
 	if got := c.Report("a", 0); got != AlreadyDown {
-		t.Errorf("doubled report: %v", got)
+		t.Errorf("repeated report: %v", got)
 	}
 	if !c.Checked("a", 0, true) {
-		t.Fatal("a check that succeeds changes nothing")
+		t.Fatal("a successful check did not change the state")
 	}
 	if up, gen := c.Up("a"); !up || gen != 1 {
 		t.Fatalf("after recovery: up %v generation %d", up, gen)
 	}
 	if got := c.Report("a", 0); got != StaleReport {
-		t.Errorf("a report from before the recovery: %v", got)
+		t.Errorf("report from before the recovery: %v", got)
 	}
 	if up, _ := c.Up("a"); !up {
-		t.Error("the late report took a running database down")
+		t.Error("the late report marked a running database down")
 	}
 	if got := c.Report("a", 1); got != MarkedDown {
-		t.Errorf("a fault of the present generation: %v", got)
+		t.Errorf("fault of the current generation: %v", got)
 	}
 	if c.Checked("a", 0, true) {
-		t.Error("a check that began under an older generation counted")
+		t.Error("a check that began under an older generation changed the state")
 	}
 }
 
-func TestSessionTakesNoticesByGeneration(t *testing.T) {
+func TestSessionAppliesNoticesByGeneration(t *testing.T) {
 	b := &Binding{database: "a", generation: 3, unbound: make(chan struct{})}
 	b.apply(Notice{"a", 2})
 	if db, _ := b.Bound(); db != "a" {
@@ -62,7 +62,7 @@
 	}
 }
 
-// pooler returns a running health coordinator whose checks answer as running says.
+// pooler returns a running monitor whose checks succeed while running is true.
 func pooler(t *testing.T, running *atomic.Bool, checks *atomic.Int64, sent func(kind string)) *Monitor {
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c := New(k, Config{
@@ -83,14 +83,14 @@
 	return c
 }
 
-func TestPeerNoticeCountsOnlyAfterOwnCheck(t *testing.T) {
+func TestPeerNoticeCountsOnlyAfterLocalCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
 		var checks, sent atomic.Int64
 		running.Store(true)
 		c := pooler(t, &running, &checks, func(string) { sent.Add(1) })
 		body, _ := json.Marshal(notice{[]string{"a"}})
-		for range 3 { // doubled on the way
+		for range 3 { // duplicated by the network
 			c.HandleNotices("p1", body)
 		}
 		synctest.Wait()
@@ -106,7 +106,7 @@
 			t.Error("the check failed, yet the database is up or the session bound")
 		}
 		if sent.Load() != 0 {
-			t.Error("a peer's notice was passed on to peers")
+			t.Error("a peer's notice was relayed to peers")
 		}
 		c.HandleNotices("p1", []byte("{"))
 		running.Store(true)
@@ -118,7 +118,7 @@
 	})
 }
 
-func TestOwnFaultMarksAtOnceAndTellsPeers(t *testing.T) {
+func TestLocalFaultMarksDownAtOnceAndNotifiesPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
 		var checks, sent atomic.Int64
@@ -156,13 +156,13 @@
 		c.Report("a", 0, false)
 		time.Sleep(100 * time.Millisecond)
 		if c.Up("a") || sent.Load() != 4 {
-			t.Errorf("up %v, %d datagrams: a fault of an own session is told", c.Up("a"), sent.Load())
+			t.Errorf("up %v, %d datagrams: a fault of a local session must be sent to peers", c.Up("a"), sent.Load())
 		}
 	})
 }
 
-// Faults of many databases that come together are told together, and a notice
-// that tells nothing new causes no check.
+// Faults of many databases that occur together must share datagrams, and a notice that contains
+// nothing new must cause no check.
 func TestManyFaultsShareDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
@@ -182,9 +182,9 @@
 		c.HandleNotices("p1", body)
 		synctest.Wait()
 		if n := checks.Load() - before; n != 0 {
-			t.Errorf("%d checks of databases that are held as down already", n)
+			t.Errorf("%d checks of databases that are already down", n)
 		}
-		// What two peers tell while this pooler is about to needs no third.
+		// What two peers report while this pooler is about to send it needs no third sender.
 		before = sent.Load()
 		c.Report("seen by all", 0, true)
 		body, _ = json.Marshal(notice{[]string{"seen by all"}})
@@ -192,28 +192,29 @@
 		c.HandleNotices("p2", body)
 		time.Sleep(80 * time.Millisecond)
 		if n := sent.Load() - before; n != 0 {
-			t.Errorf("%d datagrams repeat what all have heard", n)
+			t.Errorf("%d datagrams repeat what enough peers have reported", n)
 		}
 	})
 }
 
-// Telling many takes a while; whoever hears meanwhile that its seniors tell the
-// same leaves the rest to them, and the most senior one goes on.
-func TestTellingIsLeftToSeniors(t *testing.T) {
+// Notifying many peers takes a while; a process that learns meanwhile that higher-ranked
+// processes send the same notice must leave the rest to them, and the highest-ranked one must go
+// on.
+func TestSendingIsLeftToHigherRankedPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
 		var checks, sent atomic.Int64
 		c := pooler(t, &running, &checks, func(string) { sent.Add(1) })
 		c.cfg.Peers = func() []string { return make([]string, 240) }
-		var senior, junior []string
+		var higher, lower []string
 		for i := range 40 {
 			if addr := fmt.Sprint("p", i); rank(addr, "a") < rank(c.cfg.Self, "a") {
-				senior = append(senior, addr)
+				higher = append(higher, addr)
 			} else {
-				junior = append(junior, addr)
+				lower = append(lower, addr)
 			}
 		}
-		tell := func(id string, from []string) int64 {
+		notify := func(id string, from []string) int64 {
 			before := sent.Load()
 			c.Report(id, 0, true)
 			for range 1000 { // until the first part is sent
@@ -229,45 +230,45 @@
 			time.Sleep(30 * time.Millisecond)
 			return sent.Load() - before
 		}
-		if n := tell("a", junior); n != 240 {
-			t.Errorf("%d of 240 peers told, though only juniors tell the same", n)
+		if n := notify("a", lower); n != 240 {
+			t.Errorf("%d of 240 peers notified, though only lower-ranked processes report the same", n)
 		}
 		c.Keep(map[string]bool{})
 		c.Keep(map[string]bool{"a": true})
-		if n := tell("a", senior); n > 2*peersPerBatch {
-			t.Errorf("%d peers told beside two seniors", n)
+		if n := notify("a", higher); n > 2*peersPerBatch {
+			t.Errorf("%d peers notified although two higher-ranked processes report the same", n)
 		}
 	})
 }
 
-// A node that finds one database after another silent, as one does whose own
-// link is full, tells its peers no more than its share of the link carries.
-func TestTellingTakesAShareOfTheLink(t *testing.T) {
+// A node that finds one database after another unresponsive, as one with a saturated link does,
+// must notify its peers with no more than its share of the link.
+func TestNoticesUseAShareOfTheLink(t *testing.T) {
 	p := byteBudget{}
 	const rate = 0.05 // bytes a microsecond: 50 KB a second
-	told := 0.0
+	sentBytes := 0.0
 	for now := kernel.Micros(kernel.Second); now < 21*kernel.Second; now += 10 * kernel.Millisecond {
 		if p.available(now, rate) {
 			const all = 92 * (noticeHeaderBytes + noticeEntryBytes)
 			p.bytes -= all
-			told += all
+			sentBytes += all
 		}
 	}
-	if told > 22*50_000 || told < 18*50_000 {
-		t.Errorf("%.0f bytes in 20 s at 50 KB a second", told)
+	if sentBytes > 22*50_000 || sentBytes < 18*50_000 {
+		t.Errorf("%.0f bytes in 20 s at 50 KB a second", sentBytes)
 	}
 	if !(&byteBudget{}).available(0, 0) {
-		t.Error("nothing is told on a link that is not known")
+		t.Error("nothing may be sent on a link of unknown speed")
 	}
 }
 
-// A database that was forgotten while it was being checked, or while a report of it was
-// under way, is not held as down afterwards.
-func TestForgottenDatabaseStaysForgotten(t *testing.T) {
+// A database that was removed while it was being checked, or while a report of it was in
+// progress, must not be considered down afterwards.
+func TestRemovedDatabaseStaysRemoved(t *testing.T) {
 	for name, late := range map[string]func(m *Monitor){
 		"a check that ends later": func(m *Monitor) { m.post(Event{Kind: "checked", Database: "a"}) },
 		"a late report":           func(m *Monitor) { m.Report("a", 0, true) },
-		"a late doubt":            func(m *Monitor) { m.Report("a", 0, false) },
+		"a late suspicion":        func(m *Monitor) { m.Report("a", 0, false) },
 		"a late notice":           func(m *Monitor) { m.Heard("10.0.0.2:7441", "a") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -284,13 +285,13 @@
 				m.Report("a", 0, true)
 				time.Sleep(time.Second)
 				if m.Up("a") {
-					t.Fatal("a database that fails is not held as down")
+					t.Fatal("a failing database is not considered down")
 				}
 				m.Keep(map[string]bool{"b": true})
 				late(m)
 				time.Sleep(5 * time.Second)
 				if down := m.Down(); len(down) > 0 {
-					t.Errorf("held as down: %v", down)
+					t.Errorf("considered down: %v", down)
 				}
 			})
 		})
--- a/internal/health/telling.go
+++ b/internal/health/notices.go
@@ -9,18 +9,19 @@
 	"indigowalk/internal/kernel"
 )
 
+// notice is the body of a datagram of NoticeKind.
 type notice struct {
 	Databases []string `json:"d"`
 }
 
-// byteBudget holds the bytes that may be told yet. Its fields are guarded by the
-// health coordinator's mutex.
+// byteBudget is the number of bytes that may be sent now. Its fields are guarded by the monitor's
+// mutex.
 type byteBudget struct {
-	bytes float64
-	updated    kernel.Micros
+	bytes   float64
+	updated kernel.Micros
 }
 
-// available tells whether something may be told now.
+// available refills the budget and reports whether anything may be sent now.
 func (p *byteBudget) available(now kernel.Micros, rate float64) bool {
 	if rate == 0 {
 		return true
@@ -30,7 +31,7 @@
 	return p.bytes > 0
 }
 
-// rank orders the tellers of a database's fault; lower ones are senior.
+// rank orders the processes that report a database's fault; lower values take precedence.
 func rank(addr, id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(addr))
@@ -38,11 +39,11 @@
 	return h.Sum64()
 }
 
-// outbox gathers notices. Its fields are guarded by the health coordinator's mutex.
+// outbox collects notices. Its fields are guarded by the monitor's mutex.
 type outbox struct{ ids []string }
 
-// add puts a notice among those that leave next. They are sent so many times:
-// a lost one costs a peer a fault of its own, a doubled one nothing.
+// add queues a notice and schedules the sending of the queue. Each is sent the given number of
+// times: a lost notice costs a peer a fault of its own, a duplicate costs nothing.
 func (o *outbox) add(s *Monitor, ctx context.Context, id string, to func() []string, times int) {
 	o.ids = append(o.ids, id)
 	if len(o.ids) > 1 {
@@ -64,7 +65,7 @@
 		s.mu.Unlock()
 		for n := range times {
 			if n > 0 && !s.budgetAvailable() {
-				return // a lost notice costs less than a full link
+				return // a lost notice costs less than a saturated link
 			}
 			ids = s.unreported(ids, func(string, string) bool { return true })
 			s.sendNotices(ctx, ids, to())
@@ -75,15 +76,16 @@
 	}()
 }
 
+// budgetAvailable reports whether notices may be sent now.
 func (s *Monitor) budgetAvailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.available(s.k.Clock.Now(), s.cfg.NoticeRate)
 }
 
-// sendNotices sends notices to peers, part by part.
+// sendNotices sends notices to peers, in batches.
 func (s *Monitor) sendNotices(ctx context.Context, ids, peers []string) {
-	senior := func(from, id string) bool { return rank(from, id) < rank(s.cfg.Self, id) }
+	precedes := func(from, id string) bool { return rank(from, id) < rank(s.cfg.Self, id) }
 	for part := range slices.Chunk(peers, peersPerBatch) {
 		for some := range slices.Chunk(ids, maxNotices) {
 			s.cfg.Send(part, NoticeKind, notice{some})
@@ -94,12 +96,11 @@
 		if len(ids) == 0 || len(peers) > peersPerBatch && !kernel.Sleep(ctx, kernel.Millisecond) {
 			return
 		}
-		ids = s.unreported(slices.Clone(ids), senior)
+		ids = s.unreported(slices.Clone(ids), precedes)
 	}
 }
 
-// unreported leaves out what enough others, of those that count, have told of
-// late.
+// unreported removes the databases that enough of the counted peers have reported recently.
 func (s *Monitor) unreported(ids []string, counts func(from, id string) bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/health/plugin.go
+++ b/internal/health/plugin.go
@@ -11,17 +11,17 @@
 	"indigowalk/internal/settings"
 )
 
-// notificationOrder is that in which peers are told: those that may move a lead first, and
-// of the others each process begins with another.
+// notificationOrder returns the order in which peers are notified: first those that may start a
+// failover; among the others each process starts at a random one.
 func notificationOrder(controlNodes, poolers []string) []string {
-	at := 0
+	start := 0
 	if len(poolers) > 0 {
-		at = rand.IntN(len(poolers))
+		start = rand.IntN(len(poolers))
 	}
-	return slices.Concat(controlNodes, poolers[at:], poolers[:at])
+	return slices.Concat(controlNodes, poolers[start:], poolers[:start])
 }
 
-// noticeLinkShare is the part of the link that telling peers of faults may take.
+// noticeLinkShare is the share of the link that notices of faults may use.
 const noticeLinkShare = 0.2
 
 func init() {
@@ -30,31 +30,31 @@
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
 			ring := kernel.Need[*membership.Ring](k)
-			heed := func() bool { return true }
+			acceptNotices := func() bool { return true }
 			if k.Role == "control" {
-				// A control node has no sessions; it only needs to know for the
+				// A control node has no sessions; it needs the state of databases only for the
 				// failover manager, which works in the control state's primary.
-				v, leads := kernel.Need[*controlstate.Replica](k), s.Deploy != settings.API
-				heed = func() bool {
+				v, hasFailovers := kernel.Need[*controlstate.Replica](k), s.Deploy != settings.API
+				acceptNotices = func() bool {
 					_, left := v.Lease()
-					return leads && left > 0
+					return hasFailovers && left > 0
 				}
 			}
-			// Where no lead is ever moved, control nodes need not hear.
-			carrier, movers := "pooler", func() []string { return ring.Peers("control") }
+			// Where there are no failovers, control nodes need no notices.
+			proxyRole, controlNodes := "pooler", func() []string { return ring.Peers("control") }
 			if s.Deploy == settings.API {
-				carrier, movers = "gateway", func() []string { return nil }
+				proxyRole, controlNodes = "gateway", func() []string { return nil }
 			}
 			c := New(k, Config{
-				Interval:     settings.Span(s.CheckMs),
-				FirstCheck:        settings.Span(s.CheckMs) / 10,
-				Check:        func(ctx context.Context, id string) bool { return kernel.Need[Checker](k)(ctx, id) },
-				Self:         ring.Self().Addr,
-				Peers:        func() []string { return notificationOrder(movers(), ring.Peers(carrier)) },
-				ControlNodes: movers,
-				Send:         ring.Tell,
-				AcceptNotices:         heed,
-				NoticeRate:         noticeLinkShare * s.NetMbps / 8,
+				Interval:      settings.Span(s.CheckMs),
+				FirstCheck:    settings.Span(s.CheckMs) / 10,
+				Check:         func(ctx context.Context, id string) bool { return kernel.Need[Checker](k)(ctx, id) },
+				Self:          ring.Self().Addr,
+				Peers:         func() []string { return notificationOrder(controlNodes(), ring.Peers(proxyRole)) },
+				ControlNodes:  controlNodes,
+				Send:          ring.Tell,
+				AcceptNotices: acceptNotices,
+				NoticeRate:    noticeLinkShare * s.NetMbps / 8,
 			})
 			ring.Handle(NoticeKind, c.HandleNotices)
 			kernel.Offer(k, c)
--- a/internal/readrouting/readrouting.go
+++ b/internal/readrouting/readrouting.go
@@ -1,9 +1,8 @@
 // Package readrouting picks the database for a statement.
 //
-// The position rule: the position in an answer of a primary, dated by when
-// its statement was sent, covers every commit acknowledged before that time.
-// A replica that has reached a position dated after a read's bound is
-// therefore fresh enough for the read.
+// Freshness rule: the position in a primary's response, dated by when its statement was sent,
+// covers every commit acknowledged before that time. A replica that has reached a position dated
+// after the oldest time that a read may see is therefore fresh enough for the read.
 package readrouting
 
 import (
@@ -20,85 +19,89 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// Choice is where a statement may go.
+// Choice is the database that a statement may go to.
 type Choice struct {
 	Database discovery.Database
-	Primary  bool                  // under the read lease, with no position asked for
+	Primary  bool                  // under the read lease, without a required position
 	After    lineprotocol.Position // what a replica must have reached
 }
 
-// Request describes a statement that is to be placed.
+// Request describes a statement that is to be routed.
 type Request struct {
 	Service  string
 	Type     string // of the route
 	Stale    kernel.Micros
-	Received kernel.Micros         // when its first byte was here at the latest
+	Received kernel.Micros         // no earlier than the arrival of its first byte
 	Last     lineprotocol.Position // the session's own last commit
-	Write    bool                  // or a plain transaction
-	Avoid    map[string]bool       // tried in vain
+	Write    bool                  // a write or a plain transaction
+	Avoid    map[string]bool       // databases that were tried without success
 }
 
 // Candidates is what a choice is made from.
 type Candidates struct {
 	Databases []discovery.Database
 	Lead      failover.Lead
-	Leased    bool // the read lease covers the lead now
+	Leased    bool // the read lease covers the leader now
 	Zone      string
 	Up        func(id string) bool
 	Busy      func(id string) int
-	Idle      func(id string) bool // a connection to it waits for use
+	Idle      func(id string) bool // whether an idle connection to the database is available
 }
 
+// observation is a position of a primary and when the statement was sent that returned it.
 type observation struct {
 	sent kernel.Micros
 	pos  lineprotocol.Position
 }
 
-// Observations that are kept: spaced by observationSpacing, none older than observationRetention.
+// Observations kept: at least observationSpacing apart, none older than observationRetention.
 const (
-	observationSpacing  = 40 * kernel.Millisecond
+	observationSpacing   = 40 * kernel.Millisecond
 	observationRetention = 10 * kernel.Second
 )
 
-// lagBackoff is for how long a replica that answered LAGGING is passed over at
-// first; it doubles up to maxLagBackoff while it keeps doing so.
+// A replica that answered LAGGING is skipped for lagBackoff at first; the time doubles up to
+// maxLagBackoff while it keeps lagging.
 const (
 	lagBackoff    = 100 * kernel.Millisecond
 	maxLagBackoff = 800 * kernel.Millisecond
 )
 
+// lagState says until when a lagging replica is skipped, and the current backoff.
 type lagState struct{ until, backoff kernel.Micros }
 
-// How answers' times weigh: each database's pace is its answers' time over
-// what is usual on their route, of late; a pace not heard of for a while latencyDecay
-// to the usual, so that a slow database is tried again.
+// Weights of response times: the relative latency of a database is the time of its responses over
+// what is typical of their route, averaged over recent ones. It decays to the typical value when
+// there are no new responses, so that a slow database is tried again.
 const (
 	latencyWeight = 0.15
-	latencyDecay      = 1500 * kernel.Millisecond
+	latencyDecay  = 1500 * kernel.Millisecond
 )
 
+// relativeLatency is a smoothed ratio of response times to typical ones, as of a time.
 type relativeLatency struct {
 	ratio float64
 	at    kernel.Micros
 }
 
-func (p relativeLatency) current(now kernel.Micros) float64 {
-	if p.at == 0 {
+// current returns the ratio after decay; 1 if there is none.
+func (l relativeLatency) current(now kernel.Micros) float64 {
+	if l.at == 0 {
 		return 1
 	}
-	return 1 + (p.ratio-1)*math.Exp(-float64(now-p.at)/float64(latencyDecay))
+	return 1 + (l.ratio-1)*math.Exp(-float64(now-l.at)/float64(latencyDecay))
 }
 
-// Router remembers observations of the primaries, and who lags.
+// Router keeps observations of the primaries and tracks which replicas lag.
 type Router struct {
 	clock kernel.Clock
 
-	mu   sync.Mutex
+	mu           sync.Mutex
 	observations map[string][]observation
-	// By database; what is not used any more is dropped at the sweep.
+	// By database; entries that are no longer used are dropped at the sweep.
 	lagging   map[string]lagState
-	latencies  map[string]relativeLatency
-	sweep kernel.Sweep
+	latencies map[string]relativeLatency
+	sweep     kernel.Sweep
 
 	typical latency.Usual
 }
@@ -110,7 +113,7 @@
 	}
 }
 
-// Observe notes a position that covers all commits acknowledged before sent.
+// Observe records a position that covers all commits acknowledged before sent.
 func (a *Router) Observe(service string, sent kernel.Micros, pos lineprotocol.Position) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -125,8 +128,8 @@
 	a.observations[service] = append(list[first:], observation{sent, pos})
 }
 
-// covering returns the oldest position dated at or after t: of those that
-// serve, the one that replicas are most likely to have reached.
+// covering returns the oldest position dated at or after t: of those that are fresh enough, the
+// one that replicas are most likely to have reached.
 func (a *Router) covering(service string, t kernel.Micros) (lineprotocol.Position, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -138,7 +141,7 @@
 	return lineprotocol.Position{}, false
 }
 
-// Lagging notes that a replica has not reached a position yet.
+// Lagging records that a replica has not reached a position yet.
 func (a *Router) Lagging(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -160,7 +163,7 @@
 	return a.clock.Now() < a.lagging[id].until
 }
 
-// Took notes how long a read of the route took at a database.
+// Took records how long a read of the route took at a database.
 func (a *Router) Took(route, id string, span kernel.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -174,7 +177,7 @@
 	a.latencies[id] = relativeLatency{r + latencyWeight*(float64(span)/max(usual, 1)-r), now}
 }
 
-// Usual is how long a read of the route usually takes, 0 if none was seen.
+// Usual returns how long a read of the route typically takes, 0 if there was none.
 func (a *Router) Usual(route string) kernel.Micros {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -187,7 +190,7 @@
 	return a.latencies[id].current(a.clock.Now())
 }
 
-// Pick returns a choice, or false if there is none at present.
+// Pick returns the database for a statement, or false if there is none at present.
 func (a *Router) Pick(q Request, s Candidates) (Choice, bool) {
 	if q.Type != routeconfig.Primary && !q.Write {
 		if c, ok := a.pickReplica(q, s); ok {
@@ -205,19 +208,19 @@
 	return Choice{}, false
 }
 
-// Why there is no choice.
+// Reasons why there is no choice.
 const (
-	NoLeader        = "no_lead_known"
-	FailoverInProgress     = "lead_moves"
-	NoLease       = "no_lease"
-	LeaderDown      = "lead_held_as_down"
-	LeaderNotListed   = "lead_not_among_databases"
-	NoReplica     = "no_replica_fresh_and_up"
-	NoObservation = "no_position_of_primary_known"
+	NoLeader           = "no_lead_known"
+	FailoverInProgress = "lead_moves"
+	NoLease            = "no_lease"
+	LeaderDown         = "lead_held_as_down"
+	LeaderNotListed    = "lead_not_among_databases"
+	NoReplica          = "no_replica_fresh_and_up"
+	NoObservation      = "no_position_of_primary_known"
 )
 
-// Explain tells why there was no choice, as things are now: what keeps the primary from
-// being used and, for reads that a replica may serve, what keeps those.
+// Explain returns why there is no choice at present: why the primary cannot be used and, for
+// reads that a replica may serve, why no replica can.
 func (a *Router) Explain(q Request, s Candidates) string {
 	if q.Type == routeconfig.Primary || q.Write {
 		return primaryReason(s)
@@ -229,7 +232,7 @@
 	return replicas + " and " + primaryReason(s)
 }
 
-// primaryReason tells what keeps the primary from being used.
+// primaryReason returns why the primary cannot be used.
 func primaryReason(s Candidates) string {
 	switch {
 	case s.Lead.ID == "":
@@ -244,6 +247,8 @@
 	return LeaderNotListed
 }
 
+// pickReplica returns the replica with the lowest expected cost that is up and may be fresh
+// enough.
 func (a *Router) pickReplica(q Request, s Candidates) (Choice, bool) {
 	pos, ok := a.covering(q.Service, q.Received-q.Stale)
 	if !ok {
@@ -257,9 +262,9 @@
 		if d.ID == s.Lead.ID || d.Draining || q.Avoid[d.ID] || !s.Up(d.ID) || a.isLagging(d.ID) {
 			continue
 		}
-		// The wait to expect: this pooler's own share of the busy slots, at the
-		// database's pace. Another zone is like half a statement more, a
-		// connection that must be opened first like a whole one.
+		// The expected wait: this pooler's own share of the busy slots, at the database's
+		// relative latency. Another zone costs like half a statement more, a connection that must
+		// be opened first like a whole one.
 		c := a.latencyOf(d.ID) * (1 + float64(s.Busy(d.ID)) + 0.2*rand.Float64())
 		if !s.Idle(d.ID) {
 			c++
--- a/internal/readrouting/readrouting_test.go
+++ b/internal/readrouting/readrouting_test.go
@@ -38,15 +38,15 @@
 			t.Errorf("%s: %q after %v (%v)", what, c.Database.ID, c.After, ok)
 		}
 	}
-	expect("the oldest that is young enough, in the zone", "near", pos(8))
+	expect("the oldest position that is fresh enough, in the own zone", "near", pos(8))
 	busy["near"] = 3
-	expect("the less busy", "far", pos(8))
+	expect("the less busy replica", "far", pos(8))
 	busy["near"] = 0
 	for range 20 {
 		a.Took("route", "far", 10*ms)
 		a.Took("route", "near", 50*ms)
 	}
-	expect("the quicker, though in another zone", "far", pos(8))
+	expect("the faster replica, though in another zone", "far", pos(8))
 	q.Type, q.Last = "nearest", pos(12)
 	expect("the session's own commit", "far", pos(12))
 	a.Lagging("far")
@@ -57,7 +57,7 @@
 	expect("nobody", "", lineprotocol.Position{})
 	down["near"], s.Leased = false, true
 	q.Received += 1100 * ms
-	expect("no observation is young enough", "p", lineprotocol.Position{})
+	expect("no observation is fresh enough", "p", lineprotocol.Position{})
 	q.Received -= 1100 * ms
 	q.Type = "primary"
 	expect("a primary route", "p", lineprotocol.Position{})
--- a/internal/readrouting/forget_test.go
+++ b/internal/readrouting/sweep_test.go
@@ -7,8 +7,9 @@
 	"indigowalk/internal/kernel"
 )
 
-// A process outlives many generations of databases and routes.
-func TestWhatWasSeenOfDatabasesThatWentIsDropped(t *testing.T) {
+// A process outlives many generations of databases and routes; what it keeps of gone ones must
+// not grow.
+func TestStateOfUnusedDatabasesIsDropped(t *testing.T) {
 	clock := &fixed{}
 	a := New(clock)
 	for day := range 1000 {
@@ -17,6 +18,6 @@
 		a.Took("p.ledger", fmt.Sprint("replica-", day), 3*kernel.Millisecond)
 	}
 	if n := len(a.lagging) + len(a.latencies); n > 4 {
-		t.Errorf("%d things are remembered of databases that went", n)
+		t.Errorf("%d entries of unused databases are kept", n)
 	}
 }
