--- a/internal/failover/acknowledged.go
+++ b/internal/failover/acknowledged.go
@@ -72,17 +72,17 @@
 func (r *Readers) Wanted(pooler string, now kernel.Micros) (services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.acks.unreportedUntil
+	unreportedUntil := r.acks.unreportedUntil
 	for _, d := range r.poolers {
 		if d.leaseEnd <= now {
-			lost = max(lost, d.leaseEnd)
+			unreportedUntil = max(unreportedUntil, d.leaseEnd)
 		}
 	}
-	all := r.acks.services
-	first := int(crc32.ChecksumIEEE([]byte(pooler))>>1) + int(now/observeRotation)*maxServicesToObserve
-	for i := range all {
-		service := all[(first+i)%len(all)]
-		if s, known := r.acks.observed[service]; (!known || s.before < lost) && len(services) < maxServicesToObserve {
+	candidates := r.acks.services
+	offset := int(crc32.ChecksumIEEE([]byte(pooler))>>1) + int(now/observeRotation)*maxServicesToObserve
+	for i := range candidates {
+		service := candidates[(offset+i)%len(candidates)]
+		if s, known := r.acks.observed[service]; (!known || s.before < unreportedUntil) && len(services) < maxServicesToObserve {
 			services = append(services, service)
 		}
 	}
@@ -93,38 +93,38 @@
 // AcknowledgedUpperBound returns a position that covers every commit of the service that was
 // acknowledged to a client, once every pooler has left its primary for that failover or holds no
 // lease any more; false if no such position is known.
-func (r *Readers) AcknowledgedUpperBound(service string, turn int64) (lineprotocol.Position, bool) {
+func (r *Readers) AcknowledgedUpperBound(service string, failoverID int64) (lineprotocol.Position, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.acks.unreportedUntil
-	var most lineprotocol.Position
+	unreportedUntil := r.acks.unreportedUntil
+	var bound lineprotocol.Position
 	for _, d := range r.poolers {
-		if d.Left[service] < turn {
-			lost = max(lost, d.leaseEnd)
-		} else if acked := d.Acked[service]; most.Less(acked) {
-			most = acked
+		if d.Left[service] < failoverID {
+			unreportedUntil = max(unreportedUntil, d.leaseEnd)
+		} else if acked := d.Acked[service]; bound.Less(acked) {
+			bound = acked
 		}
 	}
 	s, known := r.acks.observed[service]
-	if !known || s.before < lost {
+	if !known || s.before < unreportedUntil {
 		return lineprotocol.Position{}, false
 	}
-	if most.Less(s.position) {
-		most = s.position
+	if bound.Less(s.position) {
+		bound = s.position
 	}
-	return most, true
+	return bound, true
 }
 
 // AcknowledgedLowerBound returns a position that some acknowledged commit of the service has
 // reached at least, according to the poolers that have left its primary for that failover; false
 // if they reported none. Other poolers may have acknowledged later commits.
-func (r *Readers) AcknowledgedLowerBound(service string, turn int64) (most lineprotocol.Position, known bool) {
+func (r *Readers) AcknowledgedLowerBound(service string, failoverID int64) (bound lineprotocol.Position, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.poolers {
-		if at, any := d.Certain[service]; any && d.Left[service] >= turn && !at.Less(most) {
-			most, known = at, true
+		if at, any := d.Certain[service]; any && d.Left[service] >= failoverID && !at.Less(bound) {
+			bound, known = at, true
 		}
 	}
-	return most, known
+	return bound, known
 }
--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -88,7 +88,7 @@
 			report.Certain = map[string]lineprotocol.Position{"svc": c.certain}
 		}
 	}
-	saw := Sighting{Term: c.term, Stamp: c.stamp, At: map[string]lineprotocol.Position{"svc": c.seen}}
+	observation := Sighting{Term: c.term, Stamp: c.stamp, At: map[string]lineprotocol.Position{"svc": c.seen}}
 	if h.r.IntN(4) == 0 {
 		return // the poll is lost
 	}
@@ -98,7 +98,7 @@
 		return
 	}
 	if c.stamp > 0 && c.seen.Number > 0 {
-		h.readers.Sighted(saw)
+		h.readers.Sighted(observation)
 	}
 	if !h.readers.Grant(c.name, c.incarnation, h.now+historyLease) {
 		return
--- a/internal/failover/attempts_test.go
+++ b/internal/failover/attempts_test.go
@@ -17,7 +17,7 @@
 		c := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), Config{}, nil, nil, nil, nil)
 		for day := range 1000 {
 			c.elapsedSinceFirst(fmt.Sprint("gone database-", day%2))
-			c.attemptDue(fmt.Sprint("wake database-", day))
+			c.attemptDue(fmt.Sprint("resume database-", day))
 			time.Sleep(24 * time.Hour)
 		}
 		if n := len(c.attempts); n > 2 {
--- a/internal/failover/choose_test.go
+++ b/internal/failover/choose_test.go
@@ -11,29 +11,29 @@
 	at := func(n int64) lineprotocol.Position { return lineprotocol.Position{Term: 1, Number: n} }
 	held := at(9)
 	pos := func(n int64) *lineprotocol.Position { p := at(n); return &p }
-	silent, gone := []AbsentReplica{{ID: "x"}}, []AbsentReplica{{ID: "x", Gone: true}}
+	unresponsive, gone := []AbsentReplica{{ID: "x"}}, []AbsentReplica{{ID: "x", Gone: true}}
 	for _, c := range []struct {
 		name string
 		s    Situation
 		want string
 	}{
-		{"no replica responds", Situation{SyncReplicas: 1, Absent: append(silent, AbsentReplica{ID: "y"})}, ""},
+		{"no replica responds", Situation{SyncReplicas: 1, Absent: append(unresponsive, AbsentReplica{ID: "y"})}, ""},
 		{"the most advanced", Situation{SyncReplicas: 1, Copies: []Copy{{"a", at(5), false}, {"b", at(7), false}}}, "b"},
-		{"one of two", Situation{Absent: silent, SyncReplicas: 1, Copies: []Copy{{"a", at(5), false}}}, ""},
-		{"one of two, two in sync", Situation{Absent: silent, SyncReplicas: 2, Copies: []Copy{{"a", at(5), false}}}, "a"},
-		{"one of two, the primary holds no more", Situation{Absent: silent, SyncReplicas: 1, PrimaryPosition: &held, Copies: []Copy{{"a", at(9), false}}}, "a"},
+		{"one of two", Situation{Absent: unresponsive, SyncReplicas: 1, Copies: []Copy{{"a", at(5), false}}}, ""},
+		{"one of two, two in sync", Situation{Absent: unresponsive, SyncReplicas: 2, Copies: []Copy{{"a", at(5), false}}}, "a"},
+		{"one of two, the primary holds no more", Situation{Absent: unresponsive, SyncReplicas: 1, PrimaryPosition: &held, Copies: []Copy{{"a", at(9), false}}}, "a"},
 		{"the primary holds more", Situation{SyncReplicas: 1, PrimaryPosition: &held, Copies: []Copy{{"a", at(8), false}, {"b", at(8), false}}}, ""},
 		{"only a draining replica holds as much as the primary", Situation{SyncReplicas: 1, PrimaryPosition: &held, Copies: []Copy{{"a", at(9), true}, {"b", at(8), false}}}, ""},
 		{"only a draining replica holds it", Situation{SyncReplicas: 1, Copies: []Copy{{"a", at(9), true}, {"b", at(8), false}}}, "a"},
 		{"the unresponsive one was paused no further", Situation{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", Limit: pos(5)}}, Copies: []Copy{{"a", at(5), false}}}, "a"},
 		{"the unresponsive one was paused further", Situation{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", Limit: pos(6)}}, Copies: []Copy{{"a", at(5), false}}}, ""},
 		{"one is gone", Situation{SyncReplicas: 1, Absent: gone, Copies: []Copy{{"a", at(5), false}}}, ""},
-		{"two in sync, one gone and one unresponsive", Situation{SyncReplicas: 2, Absent: append(gone, silent...), Copies: []Copy{{"a", at(5), false}}}, ""},
+		{"two in sync, one gone and one unresponsive", Situation{SyncReplicas: 2, Absent: append(gone, unresponsive...), Copies: []Copy{{"a", at(5), false}}}, ""},
 		{"less than a removed one held", Situation{SyncReplicas: 1, MinPosition: at(6), Copies: []Copy{{"a", at(5), false}}}, ""},
 		{"as much as a removed one held", Situation{SyncReplicas: 1, MinPosition: at(6), Copies: []Copy{{"a", at(6), false}}}, "a"},
-		{"as much as the one chosen before", Situation{SyncReplicas: 1, ChosenPosition: pos(5), Absent: silent, Copies: []Copy{{"a", at(5), false}}}, "a"},
+		{"as much as the one chosen before", Situation{SyncReplicas: 1, ChosenPosition: pos(5), Absent: unresponsive, Copies: []Copy{{"a", at(5), false}}}, "a"},
 		{"as much, but it is draining, and the primary responds", Situation{SyncReplicas: 1, ChosenPosition: pos(9), PrimaryPosition: &held, Copies: []Copy{{"a", at(9), true}}}, "a"},
-		{"less than the one chosen before", Situation{SyncReplicas: 1, ChosenPosition: pos(6), Absent: silent, Copies: []Copy{{"a", at(5), false}}}, ""},
+		{"less than the one chosen before", Situation{SyncReplicas: 1, ChosenPosition: pos(6), Absent: unresponsive, Copies: []Copy{{"a", at(5), false}}}, ""},
 		{"an acknowledged commit is on no known replica", Situation{SyncReplicas: 1, AckedLowerBound: pos(6), FirstHeartbeatsElapsed: true, Copies: []Copy{{"a", at(5), false}}}, ""},
 		{"the best position is that of the acknowledged commits", Situation{SyncReplicas: 1, AckedLowerBound: pos(5), Acked: pos(5), Copies: []Copy{{"a", at(5), false}}}, "a"},
 		{"a replica whose first heartbeat is late may hold more", Situation{SyncReplicas: 1, AckedLowerBound: pos(5), Acked: pos(6), Copies: []Copy{{"a", at(5), false}}}, ""},
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -27,8 +27,8 @@
 
 // Errors of this package.
 var (
-	errRetryLater = errors.New("failover: not yet")
-	errNotRunning = errors.New("failover: the chosen database does not run")
+	errRetryLater = errors.New("failover: preconditions not met yet")
+	errNotRunning = errors.New("failover: the chosen database is not running")
 )
 
 // Config configures a Manager.
@@ -200,9 +200,9 @@
 
 // restoreLeader makes a database the leader again that has returned under a new ID.
 func (c *Manager) restoreLeader(ctx context.Context, s *snapshot, l Lead, id string) error {
-	err := c.updateLeader(ctx, l.Service, func(now *Lead) error {
-		if now.Turn == l.Turn && now.ID == l.ID && !now.PlatformCalled {
-			*now = now.completed(id, now.Term)
+	err := c.updateLeader(ctx, l.Service, func(current *Lead) error {
+		if current.Turn == l.Turn && current.ID == l.ID && !current.PlatformCalled {
+			*current = current.completed(id, current.Term)
 		}
 		return nil
 	})
@@ -210,7 +210,7 @@
 		return err
 	}
 	c.clearWaitReason(l.Service)
-	c.k.Log.Info("lead returned", "service", l.Service, "was", l.ID, "id", id)
+	c.k.Log.Info("the leader has returned under a new ID", "service", l.Service, "was", l.ID, "id", id)
 	if l.Moving {
 		c.executeAll(ctx, remaining(s.replicas(l.Service, id)), "CONTINUE")
 	}
--- a/internal/failover/leaving.go
+++ b/internal/failover/leaving.go
@@ -73,7 +73,7 @@
 // they may have held: commits up to their limits, but not past a position that covered every
 // acknowledged commit after they had ended.
 func removeGone(l *Lead, known map[string]discovery.Database, covered lineprotocol.Position) {
-	least, _ := lineprotocol.ParsePosition(l.Least)
+	minPosition, _ := lineprotocol.ParsePosition(l.Least)
 	for id, d := range known {
 		if !d.Gone {
 			continue
@@ -82,8 +82,8 @@
 		if limit, ok := lineprotocol.ParsePosition(d.Limit); ok && limit.Less(held) {
 			held = limit
 		}
-		if least.Less(held) {
-			least, l.Least = held, held.String()
+		if minPosition.Less(held) {
+			minPosition, l.Least = held, held.String()
 		}
 		delete(known, id)
 	}
@@ -92,15 +92,15 @@
 // hasCaughtUpReplica reports whether one of the given replicas has received everything that the
 // primary held when it was queried, and returns that position. The replicas are sent CONTINUE,
 // which returns the same data as STAT and takes no slot.
-func (c *Manager) hasCaughtUpReplica(ctx context.Context, lead discovery.Database, stay []discovery.Database) (bool, lineprotocol.Position, error) {
-	row, err := c.execute(ctx, lead, "STAT")
+func (c *Manager) hasCaughtUpReplica(ctx context.Context, leader discovery.Database, candidates []discovery.Database) (bool, lineprotocol.Position, error) {
+	row, err := c.execute(ctx, leader, "STAT")
 	if err != nil {
 		return false, lineprotocol.Position{}, err
 	}
 	if !row.primary {
 		return false, lineprotocol.Position{}, errRetryLater
 	}
-	conns := c.openAll(ctx, filter(stay, func(d discovery.Database) bool { return c.health.Up(d.ID) }))
+	conns := c.openAll(ctx, filter(candidates, func(d discovery.Database) bool { return c.health.Up(d.ID) }))
 	defer closeAll(conns)
 	for tries := 0; tries < 3 && len(conns) > 0; tries++ {
 		if tries > 0 {
@@ -121,7 +121,7 @@
 // limit recorded, as long as a replica that is not draining receives commits; if none does, it
 // receives them again.
 func (c *Manager) reconcileLeaving(ctx context.Context, s *snapshot, l Lead) error {
-	lead, there := s.databases[l.ID]
+	leader, there := s.databases[l.ID]
 	if !there {
 		return errRetryLater
 	}
@@ -130,12 +130,12 @@
 	for _, d := range replicas {
 		ended[d.ID] = d.Gone && (d.Limit != "" || c.elapsedSinceFirst("gone "+d.ID) > shutdownGrace)
 	}
-	ok, covered, err := c.hasCaughtUpReplica(ctx, lead, remaining(replicas))
+	ok, covered, err := c.hasCaughtUpReplica(ctx, leader, remaining(replicas))
 	if err != nil {
 		return err
 	}
-	if err := c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
-		if now.ID != l.ID {
+	if err := c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
+		if current.ID != l.ID {
 			return nil
 		}
 		gone := map[string]discovery.Database{}
@@ -145,13 +145,13 @@
 				delete(known, id)
 			}
 		}
-		removeGone(now, gone, covered)
+		removeGone(current, gone, covered)
 		return nil
 	}); err != nil {
 		return err
 	}
-	for id, forgotten := range ended {
-		if forgotten {
+	for id, hasEnded := range ended {
+		if hasEnded {
 			c.clearAttempt("gone " + id)
 		}
 	}
@@ -179,51 +179,51 @@
 	if len(leaving) == 0 {
 		return l.PauseTerm
 	}
-	hold, err := c.pauseReplicas(ctx, l, leaving)
+	pauseTerm, err := c.pauseReplicas(ctx, l, leaving)
 	if err != nil {
 		c.k.Counters.Add("failover.early_pause_failed", 1)
 	}
-	return max(hold, l.PauseTerm)
+	return max(pauseTerm, l.PauseTerm)
 }
 
 // pauseReplicas makes replicas stop receiving commits, at a term that it returns, and records how
 // far they got.
-func (c *Manager) pauseReplicas(ctx context.Context, l Lead, leaving []discovery.Database) (hold int64, err error) {
+func (c *Manager) pauseReplicas(ctx context.Context, l Lead, leaving []discovery.Database) (pauseTerm int64, err error) {
 	conns := c.openAll(ctx, leaving)
 	defer closeAll(conns)
-	hold = max(l.Term, l.PauseTerm, loginTerm(conns))
+	pauseTerm = max(l.Term, l.PauseTerm, loginTerm(conns))
 	for _, r := range c.executeOnAll(conns, "STAT") {
-		hold = max(hold, r.term, r.pausedTerm)
+		pauseTerm = max(pauseTerm, r.term, r.pausedTerm)
 	}
-	hold++
+	pauseTerm++
 	paused := map[string]lineprotocol.Position{}
-	for id, r := range c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(hold, 10)) {
-		if r.pausedTerm == hold {
+	for id, r := range c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(pauseTerm, 10)) {
+		if r.pausedTerm == pauseTerm {
 			paused[id] = r.received
 		}
 	}
 	if len(paused) < len(conns) {
-		c.clearAttempt("tend " + l.Service) // one of them is the old primary, which has not stepped down yet
+		c.clearAttempt("leaving " + l.Service) // one of them is the old primary, which has not stepped down yet
 	}
-	err = c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
-		if len(paused) > 0 && now.ID == l.ID && now.Turn == l.Turn && now.Moving == l.Moving && now.To == "" {
-			now.PauseTerm = hold
+	err = c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
+		if len(paused) > 0 && current.ID == l.ID && current.Turn == l.Turn && current.Moving == l.Moving && current.To == "" {
+			current.PauseTerm = pauseTerm
 			recordLimits(known, paused)
 		}
 		return nil
 	})
-	return hold, err
+	return pauseTerm, err
 }
 
 // resumeLeaving makes paused draining replicas receive commits again when no other replica does.
 func (c *Manager) resumeLeaving(ctx context.Context, l Lead, leaving []discovery.Database) error {
 	rows := c.executeAll(ctx, leaving, "STAT")
-	held := filter(leaving, func(d discovery.Database) bool { return d.Limit != "" || rows[d.ID].pausedTerm != 0 })
-	if len(held) == 0 {
+	paused := filter(leaving, func(d discovery.Database) bool { return d.Limit != "" || rows[d.ID].pausedTerm != 0 })
+	if len(paused) == 0 {
 		return nil
 	}
-	err := c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
-		if now.ID != l.ID || now.Turn != l.Turn || now.Moving {
+	err := c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
+		if current.ID != l.ID || current.Turn != l.Turn || current.Moving {
 			return fmt.Errorf("%w: a failover has begun or the leader has changed", errRetryLater)
 		}
 		clearLimits(known)
@@ -233,6 +233,6 @@
 		return err
 	}
 	c.k.Counters.Add("failover.leaving_needed", 1)
-	c.executeAll(ctx, held, "CONTINUE")
+	c.executeAll(ctx, paused, "CONTINUE")
 	return nil
 }
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -319,14 +319,14 @@
 	if p := m.node(m.lead.ID); m.violation == "" && m.tolerable && (m.lead.Moving || !p.runs || !p.primary) {
 		return fmt.Sprintf("no leader is found: %+v of %+v", m.lead, m.list())
 	}
-	if m.violation == "" && m.boundsKnown && m.left() && !m.node(m.lead.ID).primary {
+	if m.violation == "" && m.boundsKnown && m.holderRunning() && !m.node(m.lead.ID).primary {
 		return fmt.Sprintf("no leader is found, though a database that holds everything is running: %+v of %+v", m.lead, m.list())
 	}
 	return m.violation
 }
 
-// left reports whether a running database holds every acknowledged commit.
-func (m *model) left() bool {
+// holderRunning reports whether a running database holds every acknowledged commit.
+func (m *model) holderRunning() bool {
 	return slices.ContainsFunc(m.nodes, func(n *node) bool { return n.runs && m.up(n.id) && m.holds(n.log) && !m.known[n.id].Gone })
 }
 
--- a/internal/failover/move.go
+++ b/internal/failover/move.go
@@ -145,8 +145,8 @@
 func (c *Manager) situation(ctx context.Context, s *snapshot, l Lead, old discovery.Database, alive bool) (sit Situation, newest int64) {
 	sit = Situation{SyncReplicas: s.syncReplicas(l.Service)}
 	sit.MinPosition, _ = lineprotocol.ParsePosition(l.Least)
-	if floor, ok := lineprotocol.ParsePosition(l.Floor); ok {
-		sit.ChosenPosition = &floor
+	if position, ok := lineprotocol.ParsePosition(l.Floor); ok {
+		sit.ChosenPosition = &position
 	}
 	if acked, known := c.readers.AcknowledgedUpperBound(l.Service, l.Turn); known {
 		sit.Acked = &acked
@@ -155,7 +155,7 @@
 	if certain, known := c.readers.AcknowledgedLowerBound(l.Service, l.Turn); known && waived.Less(certain) {
 		sit.AckedLowerBound = &certain
 	}
-	sit.FirstHeartbeatsElapsed = c.elapsedSinceFirst(fmt.Sprintf("first beats %s %d", l.Service, l.Turn)) > c.cfg.FirstHeartbeatTimeout
+	sit.FirstHeartbeatsElapsed = c.elapsedSinceFirst(fmt.Sprintf("first heartbeats %s %d", l.Service, l.Turn)) > c.cfg.FirstHeartbeatTimeout
 	newest = l.Term
 	if alive {
 		if row, err := c.execute(ctx, old, "STAT"); err == nil && row.primary {
@@ -184,19 +184,19 @@
 	notPaused := maps.Clone(conns)
 	maps.DeleteFunc(notPaused, func(id string, _ *dbconn.Conn) bool { return rows[id].pausedTerm == p.pauseTerm })
 	if len(notPaused) > 0 {
-		held := int64(0)
+		maxPausedTerm := int64(0)
 		for id, row := range c.executeOnAll(notPaused, "STAT") {
 			if row.primary && l.PlatformCalled && row.term > l.Term {
 				p.promoted, p.received[id] = id, row.received
 				return p
 			}
-			p.newestTerm, held = max(p.newestTerm, row.term), max(held, row.pausedTerm)
+			p.newestTerm, maxPausedTerm = max(p.newestTerm, row.term), max(maxPausedTerm, row.pausedTerm)
 			if row.primary && row.term < l.Term {
 				// A former leader that has not learned of its successor.
 				c.executeOn(conns[id], "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 			}
 		}
-		p.pauseTerm = max(p.pauseTerm, p.newestTerm, held) + 1
+		p.pauseTerm = max(p.pauseTerm, p.newestTerm, maxPausedTerm) + 1
 		rows = c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(p.pauseTerm, 10))
 	}
 	for id, row := range rows {
@@ -232,8 +232,8 @@
 // recordLeavingLimits records the limits of leaving databases while there is no leader, so that
 // they need not respond afterwards.
 func (c *Manager) recordLeavingLimits(ctx context.Context, l Lead, received map[string]lineprotocol.Position) error {
-	return c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
-		if now.Turn == l.Turn && now.Moving && now.To == "" {
+	return c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
+		if current.Turn == l.Turn && current.Moving && current.To == "" {
 			recordLimits(known, received)
 		}
 		return nil
@@ -243,9 +243,9 @@
 // commitChoice makes the choice durable, unless a database has joined since the snapshot on which
 // it is based. The promotion lets every replica receive commits again, so no limit remains valid
 // except those of databases that are gone.
-func (c *Manager) commitChoice(ctx context.Context, s *snapshot, l *Lead, to string, newest, hold int64, floor lineprotocol.Position) error {
-	err := c.updateService(ctx, l.Service, func(now *Lead, known map[string]discovery.Database) error {
-		if !now.Moving || now.Turn != l.Turn {
+func (c *Manager) commitChoice(ctx context.Context, s *snapshot, l *Lead, to string, newest, pauseTerm int64, position lineprotocol.Position) error {
+	err := c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
+		if !current.Moving || current.Turn != l.Turn {
 			return errRetryLater
 		}
 		for id := range known {
@@ -253,18 +253,18 @@
 				return fmt.Errorf("%w: %s has joined", errRetryLater, id)
 			}
 		}
-		now.To, now.PlatformCalled, now.Term, now.PauseTerm, now.Floor = to, true, newest, hold, floor.String()
-		if now.Accepted.Turn == now.Turn && l.Least == "" {
-			now.Least, now.Waived = "", l.Waived
+		current.To, current.PlatformCalled, current.Term, current.PauseTerm, current.Floor = to, true, newest, pauseTerm, position.String()
+		if current.Accepted.Turn == current.Turn && l.Least == "" {
+			current.Least, current.Waived = "", l.Waived
 		}
-		removeGone(now, known, floor)
+		removeGone(current, known, position)
 		clearLimits(known)
-		*l = *now
+		*l = *current
 		return nil
 	})
 	if err == nil {
 		c.clearWaitReason(l.Service)
-		c.k.Log.Info("next lead chosen", "service", l.Service, "to", to, "superseding", newest, "received", floor.String())
+		c.k.Log.Info("next lead chosen", "service", l.Service, "to", to, "superseding", newest, "received", position.String())
 	}
 	return err
 }
@@ -312,9 +312,9 @@
 func (c *Manager) cancelFailover(ctx context.Context, l *Lead, why string) error {
 	c.clearWaitReason(l.Service)
 	c.k.Log.Info("failover cancelled", "service", l.Service, "why", why)
-	return c.updateLeader(ctx, l.Service, func(now *Lead) error {
-		if now.Turn == l.Turn && !now.PlatformCalled {
-			now.Moving, now.Failed = false, false
+	return c.updateLeader(ctx, l.Service, func(current *Lead) error {
+		if current.Turn == l.Turn && !current.PlatformCalled {
+			current.Moving, current.Failed = false, false
 		}
 		return nil
 	})
--- a/internal/failover/promotion.go
+++ b/internal/failover/promotion.go
@@ -27,9 +27,9 @@
 		err = c.callPlatform(ctx, l)
 	}
 	if errors.Is(err, errNotRunning) {
-		return c.updateLeader(ctx, l.Service, func(now *Lead) error {
-			if now.Turn == l.Turn && now.To == l.To {
-				now.To = ""
+		return c.updateLeader(ctx, l.Service, func(current *Lead) error {
+			if current.Turn == l.Turn && current.To == l.To {
+				current.To = ""
 			}
 			return nil
 		})
@@ -45,9 +45,9 @@
 		return err
 	}
 	old := l.ID
-	err = c.updateLeader(ctx, l.Service, func(now *Lead) error {
-		if now.Turn == l.Turn && now.To == l.To {
-			*now = now.completed(l.To, l.Term)
+	err = c.updateLeader(ctx, l.Service, func(current *Lead) error {
+		if current.Turn == l.Turn && current.To == l.To {
+			*current = current.completed(l.To, l.Term)
 		}
 		return nil
 	})
@@ -55,7 +55,7 @@
 		return err
 	}
 	c.k.Log.Info("lead moved", "service", l.Service, "from", old, "to", l.To, "term", l.Term)
-	c.clearAttempt("tend " + l.Service)
+	c.clearAttempt("leaving " + l.Service)
 	others := s.replicas(l.Service, l.To)
 	for _, d := range others {
 		if d.ID == old {
@@ -115,7 +115,7 @@
 			go c.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 		}
 	}
-	if leaving && c.attemptDue("tend "+l.Service) {
+	if leaving && c.attemptDue("leaving "+l.Service) {
 		c.runExclusive(l.Service, func() error { return c.reconcileLeaving(ctx, s, l) })
 	}
 }
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -52,21 +52,21 @@
 // Heard records what a pooler reported at that time. A report of an earlier incarnation of the
 // pooler is refused, and the newest incarnation returned; so is the report of a pooler whose
 // registration is being removed, with no incarnation returned.
-func (r *Readers) Heard(pooler string, life int64, report Report, now kernel.Micros) (newest int64, ok bool) {
+func (r *Readers) Heard(pooler string, incarnation int64, report Report, now kernel.Micros) (newest int64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := r.poolers[pooler]
 	if d != nil && d.removing {
 		return 0, false
 	}
-	if d != nil && life < d.incarnation {
+	if d != nil && incarnation < d.incarnation {
 		return d.incarnation, false
 	}
-	fresh := d == nil || life > d.incarnation
+	fresh := d == nil || incarnation > d.incarnation
 	if fresh {
 		// A new incarnation does not hold the lease of the previous one, whose last
 		// acknowledgements are no longer reported by anybody.
-		d = &leaseHolder{incarnation: life}
+		d = &leaseHolder{incarnation: incarnation}
 		r.poolers[pooler] = d
 		r.acks.unreportedUntil = max(r.acks.unreportedUntil, now)
 	}
@@ -74,16 +74,16 @@
 		r.bell.Ring()
 	}
 	d.Report, d.lastHeard = report, now
-	return life, true
+	return incarnation, true
 }
 
 // Grant records that the pooler's lease runs until then. It must be called before the grant is
 // sent.
-func (r *Readers) Grant(pooler string, life int64, until kernel.Micros) bool {
+func (r *Readers) Grant(pooler string, incarnation int64, until kernel.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := r.poolers[pooler]
-	if d == nil || d.incarnation != life || d.removing {
+	if d == nil || d.incarnation != incarnation || d.removing {
 		return false
 	}
 	d.leaseEnd = max(d.leaseEnd, until)
@@ -104,12 +104,12 @@
 
 // AllLeft reports whether every pooler has left the service's old primary for that failover or
 // holds no lease any more, and if not, how long the leases still run.
-func (r *Readers) AllLeft(service string, turn int64, now kernel.Micros) (bool, kernel.Micros) {
+func (r *Readers) AllLeft(service string, failoverID int64, now kernel.Micros) (bool, kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var wait kernel.Micros
 	for _, d := range r.poolers {
-		if d.leaseEnd > now && d.Left[service] < turn {
+		if d.leaseEnd > now && d.Left[service] < failoverID {
 			wait = max(wait, d.leaseEnd-now)
 		}
 	}
@@ -158,8 +158,8 @@
 		return
 	}
 	r.epoch, r.poolers, r.acks = epoch, map[string]*leaseHolder{}, ackTracker{unreportedUntil: now}
-	for pooler, life := range registered {
-		r.poolers[pooler] = &leaseHolder{incarnation: life, leaseEnd: now + lease}
+	for pooler, incarnation := range registered {
+		r.poolers[pooler] = &leaseHolder{incarnation: incarnation, leaseEnd: now + lease}
 	}
 }
 
@@ -184,8 +184,8 @@
 }
 
 // Register returns the change of the control state that registers an incarnation of a pooler.
-func Register(pooler string, life int64) map[string]json.RawMessage {
-	return map[string]json.RawMessage{proxyPrefix + pooler: json.RawMessage(fmt.Sprint(life))}
+func Register(pooler string, incarnation int64) map[string]json.RawMessage {
+	return map[string]json.RawMessage{proxyPrefix + pooler: json.RawMessage(fmt.Sprint(incarnation))}
 }
 
 // Unregister returns the change of the control state that removes poolers.
@@ -198,7 +198,7 @@
 }
 
 // IsRegistered reports whether that incarnation of the pooler, or a later one, is registered.
-func IsRegistered(entries map[string]json.RawMessage, pooler string, life int64) bool {
+func IsRegistered(entries map[string]json.RawMessage, pooler string, incarnation int64) bool {
 	var known int64
-	return json.Unmarshal(entries[proxyPrefix+pooler], &known) == nil && known >= life
+	return json.Unmarshal(entries[proxyPrefix+pooler], &known) == nil && known >= incarnation
 }
--- a/internal/failover/removal.go
+++ b/internal/failover/removal.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// removeDatabases removes databases that are gone, where databases hold no commits that another
-// could lack.
+// removeDatabases removes databases that are gone. It is used where no database leads, so that
+// they held no commits that the others lack.
 func (c *Manager) removeDatabases(ctx context.Context, s *snapshot) {
 	var gone []string
 	for id, d := range s.databases {
--- a/internal/failover/resume.go
+++ b/internal/failover/resume.go
@@ -37,7 +37,7 @@
 	}
 	c.mu.Unlock()
 	for _, d := range pending {
-		if c.health.Up(d.ID) && c.attemptDue("wake "+d.ID) {
+		if c.health.Up(d.ID) && c.attemptDue("resume "+d.ID) {
 			go func() {
 				if row, err := c.execute(ctx, d, "CONTINUE"); err == nil && row.pausedTerm == 0 {
 					c.mu.Lock()
--- a/internal/failover/statements.go
+++ b/internal/failover/statements.go
@@ -20,7 +20,7 @@
 func loginTerm(conns map[string]*dbconn.Conn) (term int64) {
 	for _, conn := range conns {
 		if pos, ok := lineprotocol.ParsePosition(conn.Login); ok {
-			term = max(term, pos.Term) // newest term that the database knows
+			term = max(term, pos.Term)
 		}
 	}
 	return term
@@ -30,7 +30,7 @@
 type statRow struct {
 	primary    bool
 	received   lineprotocol.Position
-	term       int64 // newest it knows of
+	term       int64 // newest term that the database knows
 	pausedTerm int64 // term at which it is paused; 0 if it is not
 }
 
