--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -22,7 +22,7 @@
 	certain         lineprotocol.Position
 	stamp           kernel.Micros // of the last response that it received
 	term            int64
-	seen            lineprotocol.Position
+	observed        lineprotocol.Position
 	known           int64 // incarnation that is registered in the control state
 }
 
@@ -34,7 +34,7 @@
 	now          kernel.Micros
 	term         int64
 	failoverID   int64
-	moving       bool
+	inFailover   bool
 	lastNumber   int64
 	newestAcked  lineprotocol.Position // newest commit that was acknowledged to a client
 	readers      *Readers
@@ -77,18 +77,18 @@
 
 // poll lets a pooler poll; the poll or its response may be lost.
 func (h *history) poll(c *simPooler) {
-	asked := h.now
+	sentAt := h.now
 	if c.learnedFailover > c.left && h.r.IntN(2) == 0 {
 		c.left = c.learnedFailover
 	}
 	report := Report{}
-	if c.left > 0 && h.moving && c.left == h.failoverID {
+	if c.left > 0 && h.inFailover && c.left == h.failoverID {
 		report = Report{Left: map[string]int64{"svc": c.left}, Acked: map[string]lineprotocol.Position{"svc": c.acked}}
 		if c.certain.Number > 0 {
 			report.Certain = map[string]lineprotocol.Position{"svc": c.certain}
 		}
 	}
-	observation := Sighting{Term: c.term, Stamp: c.stamp, At: map[string]lineprotocol.Position{"svc": c.seen}}
+	observation := Sighting{Term: c.term, Stamp: c.stamp, At: map[string]lineprotocol.Position{"svc": c.observed}}
 	if h.r.IntN(4) == 0 {
 		return // the poll is lost
 	}
@@ -97,7 +97,7 @@
 	if _, ok := h.readers.Heard(c.name, c.incarnation, received(report), h.now); !ok {
 		return
 	}
-	if c.stamp > 0 && c.seen.Number > 0 {
+	if c.stamp > 0 && c.observed.Number > 0 {
 		h.readers.Sighted(observation)
 	}
 	if !h.readers.Grant(c.name, c.incarnation, h.now+historyLease) {
@@ -111,8 +111,8 @@
 		return // the response is lost
 	}
 	h.now += kernel.Micros(h.r.IntN(3))
-	c.leaseEnd, c.stamp, c.term, c.seen = asked+historyLease, stamp, h.term, lineprotocol.Position{}
-	if h.moving {
+	c.leaseEnd, c.stamp, c.term, c.observed = sentAt+historyLease, stamp, h.term, lineprotocol.Position{}
+	if h.inFailover {
 		c.learnedFailover = h.failoverID
 	}
 }
@@ -125,12 +125,12 @@
 
 // serve lets a pooler run a statement at the primary and acknowledge a commit.
 func (h *history) serve(c *simPooler) {
-	if h.now >= c.leaseEnd || c.learnedFailover == h.failoverID && h.moving {
+	if h.now >= c.leaseEnd || c.learnedFailover == h.failoverID && h.inFailover {
 		return
 	}
 	if h.r.IntN(2) == 0 {
 		h.lastNumber++
-		if c.left < h.failoverID || !h.moving {
+		if c.left < h.failoverID || !h.inFailover {
 			h.newestAcked = lineprotocol.Position{Term: 1, Number: h.lastNumber}
 			c.certain = c.acked.Next()
 			if h.claimsMore {
@@ -140,7 +140,7 @@
 		}
 	}
 	if c.stamp > 0 {
-		c.seen = lineprotocol.Position{Term: 1, Number: h.lastNumber}
+		c.observed = lineprotocol.Position{Term: 1, Number: h.lastNumber}
 	}
 }
 
@@ -161,9 +161,9 @@
 		h.restart(c)
 	case e == 33 && h.r.IntN(10) == 0:
 		h.takeOver()
-	case e == 34 && !h.moving:
-		h.failoverID, h.moving = h.failoverID+1, true
-	case e > 34 && h.moving:
+	case e == 34 && !h.inFailover:
+		h.failoverID, h.inFailover = h.failoverID+1, true
+	case e > 34 && h.inFailover:
 		left, _ := h.readers.AllLeft("svc", h.failoverID, h.now)
 		if !left {
 			return true
@@ -182,7 +182,7 @@
 		if known {
 			h.boundsGiven++
 		}
-		h.moving = false // another database leads, or the failover is cancelled
+		h.inFailover = false // another database leads, or the failover is cancelled
 	}
 	if h.forgetsIncarnations {
 		h.readers.acks.unreportedUntil = 0
@@ -193,7 +193,7 @@
 // Whichever poolers, polls and control nodes are lost, an upper bound that is given must cover
 // every commit that was acknowledged to a client; and it must be given often enough.
 func TestAcknowledgedBoundsHoldUnderLoss(t *testing.T) {
-	boundsGiven, moves := 0, int64(0)
+	boundsGiven, failovers := 0, int64(0)
 	for seed := range uint64(2000) {
 		h := newHistory(seed)
 		for range 400 {
@@ -201,10 +201,10 @@
 				t.Fatalf("history %d: %v was acknowledged to a client, but the bounds contradict that", seed, h.newestAcked)
 			}
 		}
-		boundsGiven, moves = boundsGiven+h.boundsGiven, moves+h.failoverID
+		boundsGiven, failovers = boundsGiven+h.boundsGiven, failovers+h.failoverID
 	}
-	if int64(boundsGiven) < moves/5 {
-		t.Errorf("an upper bound was given in only %d of %d failovers", boundsGiven, moves)
+	if int64(boundsGiven) < failovers/5 {
+		t.Errorf("an upper bound was given in only %d of %d failovers", boundsGiven, failovers)
 	}
 }
 
--- a/internal/failover/model_moves_test.go
+++ b/internal/failover/model_moves_test.go
@@ -36,7 +36,7 @@
 	removeGone(&m.lead, gone, covered)
 	leaving := filter(replicas, func(d discovery.Database) bool { return d.Draining && !d.Gone })
 	if !ok {
-		m.free(m.known)
+		m.clearLimits(m.known)
 		if m.interrupted() {
 			return
 		}
@@ -163,7 +163,7 @@
 func (m *model) commitChoice(to string, floor lineprotocol.Position) {
 	m.lead.To, m.lead.PlatformCalled, m.lead.Floor = to, true, floor.String()
 	removeGone(&m.lead, m.known, floor)
-	m.free(m.known)
+	m.clearLimits(m.known)
 }
 
 // promote is what the platform does; it is also where the history is checked.
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -46,7 +46,7 @@
 
 	// The failover manager's decisions, which tests replace by wrong ones.
 	choose          func(Situation) (string, string)
-	free            func(map[string]discovery.Database)
+	clearLimits     func(map[string]discovery.Database)
 	sameDatabase    func(old discovery.Database) bool // whether a new database at its address is the same one
 	upperBound      func(acked []lineprotocol.Position) lineprotocol.Position
 	firstHeartbeats func(due bool) bool // whether first heartbeats are taken to have arrived
@@ -55,7 +55,7 @@
 func newModel(seed uint64, tolerable bool) *model {
 	m := &model{
 		r: rand.New(rand.NewPCG(seed, 1)), tolerable: tolerable, known: map[string]discovery.Database{}, term: 1,
-		choose: Choose, free: clearLimits, sameDatabase: func(old discovery.Database) bool { return !old.Draining },
+		choose: Choose, clearLimits: clearLimits, sameDatabase: func(old discovery.Database) bool { return !old.Draining },
 		boundsKnown: seed/2%2 == 0, upperBound: newestOf, firstHeartbeats: func(due bool) bool { return due },
 	}
 	for range 3 {
@@ -130,11 +130,11 @@
 // acknowledge also acknowledges what was in progress at the primary. A commit is acknowledged to
 // a client only in the term in which it was made.
 func (m *model) acknowledge(p *node) {
-	told := map[lineprotocol.Position]bool{}
+	acknowledged := map[lineprotocol.Position]bool{}
 	for _, e := range m.acked {
-		told[e] = true
+		acknowledged[e] = true
 	}
-	m.acked = slices.DeleteFunc(slices.Clone(p.log), func(e lineprotocol.Position) bool { return e.Term != p.term && !told[e] })
+	m.acked = slices.DeleteFunc(slices.Clone(p.log), func(e lineprotocol.Position) bool { return e.Term != p.term && !acknowledged[e] })
 }
 
 // holds reports whether a log has every acknowledged commit.
@@ -337,17 +337,17 @@
 // must be found in the end where every failure can be known to be tolerated, and also where a
 // bound of the acknowledged commits is known and a database that holds them is running.
 func TestNoAcknowledgedCommitIsLostByFailover(t *testing.T) {
-	moves := int64(0)
+	promotions := int64(0)
 	for seed := range uint64(schedules) {
 		m := newModel(seed, seed%2 == 0)
 		m.play(steps)
 		if v := m.verdict(); v != "" {
 			t.Fatalf("schedule %d: %s", seed, v)
 		}
-		moves += m.term - 1
+		promotions += m.term - 1
 	}
-	if moves < schedules {
-		t.Errorf("only %d promotions in all", moves)
+	if promotions < schedules {
+		t.Errorf("only %d promotions in all", promotions)
 	}
 }
 
@@ -377,7 +377,7 @@
 		},
 		"a first heartbeat is not waited for":                func(m *model) { m.firstHeartbeats = func(bool) bool { return true } },
 		"the lower bound of acknowledged commits is ignored": ask(func(s *Situation) { s.AckedLowerBound = nil }),
-		"limits outlast the pause":                           func(m *model) { m.free = func(map[string]discovery.Database) {} },
+		"limits outlast the pause":                           func(m *model) { m.clearLimits = func(map[string]discovery.Database) {} },
 		"a draining database's log is taken to remain":       func(m *model) { m.sameDatabase = func(discovery.Database) bool { return true } },
 	} {
 		found := ""
