--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -85,8 +85,8 @@
 
 // Errors of this package.
 var (
-	ErrUnavailable = errors.New("discovery: the registry cannot be changed now")
-	ErrMalformed   = errors.New("discovery: malformed heartbeat")
+	ErrUnavailable = errors.New("discovery: can't be changed now")
+	ErrMalformed   = errors.New("discovery: malformed beat")
 )
 
 // Registry is the registry of databases at a control node.
@@ -144,7 +144,7 @@
 	}
 	switch {
 	case have == nil && late:
-		return fmt.Errorf("%w: delayed heartbeat of an unknown database", ErrUnavailable)
+		return fmt.Errorf("%w: a delayed beat of a database that is not known", ErrUnavailable)
 	case have != nil && (old.Gone || old.unchangedBy(want) || late && (old.Draining || !want.Draining)):
 		return nil
 	}
--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -32,8 +32,8 @@
 
 // Errors of rejected requests.
 var (
-	ErrNoName     = errors.New("failover: the operator who accepts the loss must be named, in at most 200 bytes")
-	ErrNotWaiting = errors.New("failover: no failover of that service and number is waiting for a database")
+	ErrNoName     = errors.New("failover: who accepts the loss must be named") // or the name exceeds maxNameLength
+	ErrNotWaiting = errors.New("failover: no move of that service and turn waits for a database")
 )
 
 // maxNameLength bounds the stored name of the operator, in bytes.
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -61,8 +61,8 @@
 
 // Reasons why no replica may be promoted yet.
 const (
-	noReplicaResponds         = "no replica responds"
-	replicasBehindPrimary     = "no replica that is not draining holds all commits of the primary"
+	noReplicaResponds         = "no replica answers"
+	replicasBehindPrimary     = "no replica that stays holds all that the primary does"
 	unresponsiveMayHoldCommit = "a replica that does not answer may hold an acknowledged commit"
 	removedMayHaveHeldCommit  = "a database that is gone may have held an acknowledged commit"
 	awaitingFirstHeartbeat    = "a replica that is not known yet may hold an acknowledged commit"
--- a/internal/failover/leaving.go
+++ b/internal/failover/leaving.go
@@ -224,7 +224,7 @@
 	}
 	err := c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
 		if current.ID != l.ID || current.Turn != l.Turn || current.Moving {
-			return fmt.Errorf("%w: a failover has begun or the leader has changed", errRetryLater)
+			return fmt.Errorf("%w: the lead moves", errRetryLater)
 		}
 		clearLimits(known)
 		return ctx.Err()
--- a/internal/failover/move.go
+++ b/internal/failover/move.go
@@ -219,7 +219,7 @@
 		if sit.AckedLowerBound != nil {
 			l.Waived = sit.AckedLowerBound.String()
 		}
-		c.k.Log.Warn("choosing a primary although acknowledged commits may be lost", "service", l.Service, "to", to, "why", refusal, "accepted by", l.Accepted.By)
+		c.k.Log.Warn("chosen though acknowledged commits may be lost", "service", l.Service, "to", to, "why", refusal, "accepted by", l.Accepted.By)
 	}
 	epoch, _ := c.state.Lease()
 	c.k.Recorder.Add(ChoiceKind, Choice{l.Service, epoch, sit, to, accepted})
