--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -11,54 +11,54 @@
 	"indigowalk/internal/rpc"
 )
 
-// AcceptOp is the call by which an operator accepts that acknowledged commits of a
-// service may be lost.
+// AcceptOp is the RPC by which an operator accepts that acknowledged commits of a service may be
+// lost.
 const AcceptOp = "failover.accept_loss"
 
-// AcceptLoss is the order of an operator who knows that a database which a move
-// waits for does not come back.
+// AcceptLoss is the request of an operator who knows that a database that a failover waits for
+// will not come back.
 type AcceptLoss struct {
 	Service string `json:"svc"`
-	Turn    int64  `json:"turn"` // of the move that waits
-	By      string `json:"by"`   // who gives it, for the record
+	Turn    int64  `json:"turn"` // number of the failover that is waiting
+	By      string `json:"by"`   // the operator, for the record
 }
 
-// Accepted is the record of such an order. It stays with the lead.
-type Accepted struct {
+// LossAcceptance records such a request. It is kept with the leader.
+type LossAcceptance struct {
 	Turn int64  `json:"turn"`
 	By   string `json:"by"`
-	AtMs int64  `json:"at_ms"` // time of day, in milliseconds since 1970
+	AtMs int64  `json:"at_ms"` // Unix time in milliseconds
 }
 
-// Errors of an order that is not taken.
+// Errors of rejected requests.
 var (
-	ErrNoName     = errors.New("failover: who accepts the loss must be named")
+	ErrNoName     = errors.New("failover: who accepts the loss must be named") // or the name exceeds maxNameLength
 	ErrNotWaiting = errors.New("failover: no move of that service and turn waits for a database")
 )
 
-// longestName bounds what is kept of who gave an order.
-const longestName = 200
+// maxNameLength bounds the stored name of the operator, in bytes.
+const maxNameLength = 200
 
-// listen takes orders through the endpoint.
-func (c *Manager) listen(b *rpc.Endpoint) {
+// registerHandlers registers the operators' requests at the RPC endpoint.
+func (c *Manager) registerHandlers(b *rpc.Endpoint) {
 	rpc.On(b, AcceptOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, c.Accept(ctx, q) })
 }
 
-// Accept takes an order for the move that waits now, and no other: the next one
-// waits again. Given twice, it is taken once.
+// Accept records a request for the failover that is waiting now, and for no other: the next one
+// waits again. A repeated request has no further effect.
 func (c *Manager) Accept(ctx context.Context, q AcceptLoss) error {
-	if q.By == "" || len(q.By) > longestName {
+	if q.By == "" || len(q.By) > maxNameLength {
 		return ErrNoName
 	}
-	if _, err := c.v.Term(); err != nil {
+	if _, err := c.state.Term(); err != nil {
 		return err
 	}
-	err := c.edit(ctx, q.Service, func(l *Lead, _ map[string]discovery.Database) error {
+	err := c.updateService(ctx, q.Service, func(l *Lead, _ map[string]discovery.Database) error {
 		if !l.Moving || l.Turn != q.Turn || q.Turn == 0 || l.To != "" {
 			return ErrNotWaiting
 		}
 		if l.Accepted.Turn != q.Turn {
-			l.Accepted = Accepted{q.Turn, q.By, time.Now().UnixMilli()}
+			l.Accepted = LossAcceptance{q.Turn, q.By, time.Now().UnixMilli()}
 		}
 		return nil
 	})
@@ -75,10 +75,10 @@
 	return nil
 }
 
-// acceptable tells whether an operator may have the choice made all the same.
-func acceptable(refusal string) bool {
+// canAcceptLoss reports whether an operator may override this refusal to choose a primary.
+func canAcceptLoss(refusal string) bool {
 	switch refusal {
-	case someoneSilent, someoneGone, lost, beatAwaited, nobodyHolds:
+	case unresponsiveMayHoldCommit, removedMayHaveHeldCommit, allHoldersRemoved, awaitingFirstHeartbeat, acknowledgedCommitMissing:
 		return true
 	}
 	return false
--- /dev/null
+++ b/internal/failover/attempts_test.go
@@ -0,0 +1,30 @@
+package failover
+
+import (
+	"fmt"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"indigowalk/internal/kernel"
+)
+
+// A time kept for a database that has left must not be taken for that of a later one with the
+// same name.
+func TestOldAttemptsAreDropped(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), Config{}, nil, nil, nil, nil)
+		for day := range 1000 {
+			c.elapsedSinceFirst(fmt.Sprint("gone database-", day%2))
+			c.attemptDue(fmt.Sprint("resume database-", day))
+			time.Sleep(24 * time.Hour)
+		}
+		if n := len(c.attempts); n > 2 {
+			t.Errorf("%d attempts are kept", n)
+		}
+		if span := c.elapsedSinceFirst("gone database-0"); span > kernel.Second {
+			t.Errorf("a database has just gone, but %d s are reported", span/kernel.Second)
+		}
+	})
+}
--- a/internal/failover/promotion.go
+++ b/internal/failover/promotion.go
@@ -14,22 +14,22 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// promote has the platform make the chosen database the primary, waits until
-// it leads, and makes that known.
+// promote makes the platform promote the chosen database, waits until it leads, and records it as
+// the leader.
 func (c *Manager) promote(ctx context.Context, s *snapshot, l Lead) error {
-	if err := c.awaitLeft(ctx, l); err != nil {
+	if err := c.awaitReadersLeft(ctx, l); err != nil {
 		return err
 	}
 	to, there := s.databases[l.To]
 	err := errNotRunning
-	was := c.acc.Soft()[l.To]
+	before := c.registry.Soft()[l.To]
 	if there {
-		err = c.call(ctx, l)
+		err = c.callPlatform(ctx, l)
 	}
 	if errors.Is(err, errNotRunning) {
-		return c.save(ctx, l.Service, func(now *Lead) error {
-			if now.Turn == l.Turn && now.To == l.To {
-				now.To = ""
+		return c.updateLeader(ctx, l.Service, func(current *Lead) error {
+			if current.Turn == l.Turn && current.To == l.To {
+				current.To = ""
 			}
 			return nil
 		})
@@ -37,17 +37,17 @@
 	if err != nil {
 		return err
 	}
-	over := l.Term
-	if to.ID == l.ID || to.Had(l.ID) {
-		over-- // the primary of before needs no new term to lead again
+	supersededTerm := l.Term
+	if to.ID == l.ID || to.HadID(l.ID) {
+		supersededTerm-- // the previous primary can lead again without a new term
 	}
-	if l.Term, err = c.awaitPromotion(ctx, l, to, was, over); err != nil {
+	if l.Term, err = c.awaitPromotion(ctx, l, to, before, supersededTerm); err != nil {
 		return err
 	}
 	old := l.ID
-	err = c.save(ctx, l.Service, func(now *Lead) error {
-		if now.Turn == l.Turn && now.To == l.To {
-			*now = now.settled(l.To, l.Term)
+	err = c.updateLeader(ctx, l.Service, func(current *Lead) error {
+		if current.Turn == l.Turn && current.To == l.To {
+			*current = current.completed(l.To, l.Term)
 		}
 		return nil
 	})
@@ -55,118 +55,121 @@
 		return err
 	}
 	c.k.Log.Info("lead moved", "service", l.Service, "from", old, "to", l.To, "term", l.Term)
-	c.again("tend " + l.Service)
+	c.clearAttempt("leaving " + l.Service)
 	others := s.replicas(l.Service, l.To)
 	for _, d := range others {
 		if d.ID == old {
-			go c.ask(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
+			go c.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 		}
 	}
-	for _, d := range staying(others) {
+	for _, d := range remaining(others) {
 		if d.ID != old {
-			go c.ask(ctx, d, "CONTINUE")
+			go c.execute(ctx, d, "CONTINUE")
 		}
 	}
 	return nil
 }
 
-// awaitPromotion waits until the database leads a newer term. Its own beat,
-// which a change of role sends at once, tells; if none comes it is asked.
-func (c *Manager) awaitPromotion(ctx context.Context, l Lead, to discovery.Database, was discovery.Soft, over int64) (int64, error) {
+// awaitPromotion waits until the database leads a newer term and returns that term. The database
+// reports this by its own heartbeat, which it sends at once when its role changes; if none
+// arrives it is queried.
+func (c *Manager) awaitPromotion(ctx context.Context, l Lead, to discovery.Database, before discovery.ObservedState, supersededTerm int64) (int64, error) {
 	end := c.k.Clock.Now() + 3*kernel.Second
 	for c.k.Clock.Now() < end && ctx.Err() == nil {
-		changed := c.acc.Changed()
-		if now := c.acc.Soft()[to.ID]; now.Role == "primary" && was.Role == "replica" {
-			return over + 1, nil
+		changed := c.registry.Changed()
+		if now := c.registry.Soft()[to.ID]; now.Role == "primary" && before.Role == "replica" {
+			return supersededTerm + 1, nil
 		}
-		t := time.NewTimer(c.cfg.BeatWait.Duration())
+		t := time.NewTimer(c.cfg.HeartbeatWait.Duration())
 		select {
 		case <-changed:
 			t.Stop()
 			continue
 		case <-t.C:
 		}
-		if row, err := c.ask(ctx, to, "STAT"); err != nil {
+		if row, err := c.execute(ctx, to, "STAT"); err != nil {
 			return 0, err
-		} else if row.primary && row.term > over {
-			c.watchPromoted(l, row)
+		} else if row.primary && row.term > supersededTerm {
+			c.checkPromotedPosition(l, row)
 			return row.term, nil
 		}
 	}
-	return 0, errNotYet
+	return 0, errRetryLater
 }
 
-// watchPromoted checks that a database that was promoted holds what the choice rested on.
-func (c *Manager) watchPromoted(l Lead, row statRow) {
+// checkPromotedPosition checks that a promoted database holds what the choice was based on.
+func (c *Manager) checkPromotedPosition(l Lead, row statRow) {
 	floor, known := lineprotocol.ParsePosition(l.Floor)
 	c.k.Invariants.Check(!known || !row.received.Less(floor), invariant.PromotedHoldsFloor,
-		"%s leads %s at %s, chosen at %s", l.To, l.Service, row.received, l.Floor)
+		"%s leads %s at position %s but was chosen at position %s", l.To, l.Service, row.received, l.Floor)
 }
 
-// tidy makes a replica of every database that leads without being the lead,
-// and looks after those that leave.
-func (c *Manager) tidy(ctx context.Context, s *snapshot, l Lead) {
-	c.wake(ctx, s, l)
-	ending := false
+// reconcileReplicas resumes paused replicas, makes every database step down that acts as the
+// primary without being the leader, and handles those that are leaving.
+func (c *Manager) reconcileReplicas(ctx context.Context, s *snapshot, l Lead) {
+	c.resumeReplicas(ctx, s, l)
+	leaving := false
 	for _, d := range s.replicas(l.Service, l.ID) {
-		ending = ending || d.Gone || d.Draining
-		if s.soft[d.ID].Role == "primary" && l.Term != 0 && !d.Gone && c.due("demote "+d.ID) {
-			go c.ask(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
+		leaving = leaving || d.Gone || d.Draining
+		if s.observed[d.ID].Role == "primary" && l.Term != 0 && !d.Gone && c.attemptDue("demote "+d.ID) {
+			go c.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 		}
 	}
-	if ending && c.due("tend "+l.Service) {
-		c.spawn(l.Service, func() error { return c.tend(ctx, s, l) })
+	if leaving && c.attemptDue("leaving "+l.Service) {
+		c.runExclusive(l.Service, func() error { return c.reconcileLeaving(ctx, s, l) })
 	}
 }
 
-// pacedKept is for how long the time at which something was last tried is remembered.
-// What it was of may be over; it is longer than any pace.
-const pacedKept = 600 * kernel.Second
+// attemptRetention is how long the time of an attempt is kept. It is longer than any retry
+// interval; what was attempted may be over by then.
+const attemptRetention = 600 * kernel.Second
 
-// dropPaced drops the times of what was last tried long ago. The caller holds c.mu.
-func (c *Manager) dropPaced(now kernel.Micros) {
-	maps.DeleteFunc(c.tried, func(_ string, at kernel.Micros) bool { return now-at > pacedKept })
+// dropOldAttempts drops the times of attempts made long ago. The caller holds c.mu.
+func (c *Manager) dropOldAttempts(now kernel.Micros) {
+	maps.DeleteFunc(c.attempts, func(_ string, at kernel.Micros) bool { return now-at > attemptRetention })
 }
 
-// due paces what is repeated until it has worked.
-func (c *Manager) due(what string) bool {
+// attemptDue limits an action that is repeated until it succeeds to once a second; it reports
+// whether the action is due, and if so records the attempt.
+func (c *Manager) attemptDue(action string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
-	c.dropPaced(now)
-	if now-c.tried[what] < kernel.Second && c.tried[what] != 0 {
+	c.dropOldAttempts(now)
+	if now-c.attempts[action] < kernel.Second && c.attempts[action] != 0 {
 		return false
 	}
-	c.tried[what] = now
+	c.attempts[action] = now
 	return true
 }
 
-// again has what is paced done once more without waiting.
-func (c *Manager) again(what string) {
+// clearAttempt makes a rate-limited action due at once.
+func (c *Manager) clearAttempt(action string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.tried, what)
+	delete(c.attempts, action)
 }
 
-// since tells how long ago it was asked that first, if it is asked again and again.
-func (c *Manager) since(what string) kernel.Micros {
+// elapsedSinceFirst returns the time since it was first called with this key, provided that calls
+// are repeated within attemptRetention.
+func (c *Manager) elapsedSinceFirst(action string) kernel.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
-	c.dropPaced(now)
-	if c.tried[what] == 0 {
-		c.tried[what] = now
+	c.dropOldAttempts(now)
+	if c.attempts[action] == 0 {
+		c.attempts[action] = now
 	}
-	return now - c.tried[what]
+	return now - c.attempts[action]
 }
 
-// call asks the platform, as the holder of the duty, only in the term in which
-// the move was looked at, and well within the lease.
-func (c *Manager) call(ctx context.Context, l Lead) error {
+// callPlatform calls the platform as the duty holder, only in the term in which the failover was
+// examined, and well within the lease.
+func (c *Manager) callPlatform(ctx context.Context, l Lead) error {
 	epoch, left := controlstate.TermOf(ctx).Lease()
 	wait := min(left-100*kernel.Millisecond, kernel.Second)
 	if wait < 100*kernel.Millisecond {
-		return errNotYet
+		return errRetryLater
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
--- a/internal/readrouting/forget_test.go
+++ b/internal/readrouting/sweep_test.go
@@ -7,8 +7,9 @@
 	"indigowalk/internal/kernel"
 )
 
-// A process outlives many generations of databases and routes.
-func TestWhatWasSeenOfDatabasesThatWentIsDropped(t *testing.T) {
+// A process outlives many generations of databases and routes; what it keeps of gone ones must
+// not grow.
+func TestStateOfUnusedDatabasesIsDropped(t *testing.T) {
 	clock := &fixed{}
 	a := New(clock)
 	for day := range 1000 {
@@ -16,7 +17,7 @@
 		a.Lagging(fmt.Sprint("replica-", day))
 		a.Took("p.ledger", fmt.Sprint("replica-", day), 3*kernel.Millisecond)
 	}
-	if n := len(a.lag) + len(a.pace); n > 4 {
-		t.Errorf("%d things are remembered of databases that went", n)
+	if n := len(a.lagging) + len(a.latencies); n > 4 {
+		t.Errorf("%d entries of unused databases are kept", n)
 	}
 }
