--- a/internal/failover/acknowledged.go
+++ b/internal/failover/acknowledged.go
@@ -8,32 +8,33 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// acknowledged is what bounds, for each service, the commits that clients were
-// told of. A pooler that has left a primary reports what it acknowledged itself.
-// What a pooler acknowledged that reports no more, since it ended or its lease ran
-// out, is covered by a sighting: the position in an answer of the primary to a
-// statement that was sent later covers every commit acknowledged before.
-type acknowledged struct {
-	lost     kernel.Micros // until when poolers acknowledged that are no more
-	services []string      // with a primary
-	sighted  map[string]sighted
+// ackTracker holds what bounds, for each service, the commits that were acknowledged to clients.
+// A pooler that has left a primary reports what it acknowledged itself. Commits acknowledged by a
+// pooler that no longer reports, because it ended or its lease expired, are covered by an
+// observation: the position in a primary's response to a statement that was sent later covers
+// every commit acknowledged before.
+type ackTracker struct {
+	unreportedUntil kernel.Micros // poolers that no longer report may have acknowledged commits until then
+	services        []string      // those that have a primary
+	observed        map[string]coveringPosition
 }
 
-// sighted is a position that covers every commit acknowledged before a time.
-type sighted struct {
+// coveringPosition is a position that covers every commit acknowledged before a time.
+type coveringPosition struct {
 	before   kernel.Micros
 	position lineprotocol.Position
 }
 
-// Sighting is what a pooler saw at primaries after it had the answer that bore
-// that stamp.
+// Sighting is what a pooler observed at primaries after it received the poll response with this
+// stamp.
 type Sighting struct {
-	Term  int64                            // in which the stamp was made
-	Stamp kernel.Micros                    // clock of the control node that made it
-	At    map[string]lineprotocol.Position // newest, by service
+	Term  int64                            // in which the stamp was issued
+	Stamp kernel.Micros                    // clock of the control node that issued it
+	At    map[string]lineprotocol.Position // newest observed position, by service
 }
 
-// Sighted notes what a pooler saw. A stamp of another term is of another clock.
+// Sighted records what a pooler observed. Observations stamped in another term are ignored, since
+// their stamp is of another node's clock.
 func (r *Readers) Sighted(s Sighting) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,47 +42,47 @@
 		return
 	}
 	for service, position := range s.At {
-		if known, ok := r.acknowledged.sighted[service]; ok && s.Stamp <= known.before {
+		if known, ok := r.acks.observed[service]; ok && s.Stamp <= known.before {
 			continue
 		}
-		if r.acknowledged.sighted == nil {
-			r.acknowledged.sighted = map[string]sighted{}
+		if r.acks.observed == nil {
+			r.acks.observed = map[string]coveringPosition{}
 		}
-		r.acknowledged.sighted[service] = sighted{s.Stamp, position}
+		r.acks.observed[service] = coveringPosition{s.Stamp, position}
 	}
 }
 
-// Led notes which services have a primary.
-func (r *Readers) Led(services []string) {
+// SetLedServices sets the services that have a primary.
+func (r *Readers) SetLedServices(services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.acknowledged.services = slices.Sorted(slices.Values(services))
+	r.acks.services = slices.Sorted(slices.Values(services))
 }
 
 const (
-	// mostWanted bounds the services that one pooler is asked sightings of.
-	mostWanted = 16
-	// wantedFor is for how long it is asked for the same ones, if they stay wanted: it
-	// need not be told them again.
-	wantedFor = 2 * kernel.Second
+	// maxServicesToObserve bounds the services that one pooler is asked to observe.
+	maxServicesToObserve = 16
+	// observeRotation is how long a pooler is asked for the same services, as long as
+	// observations of them are needed, so that the list does not have to be sent again.
+	observeRotation = 2 * kernel.Second
 )
 
-// Wanted lists services of which a sighting later than now would bound what poolers
-// acknowledged that are no more. Poolers are asked for different ones.
+// Wanted lists services for which an observation later than now would bound what was acknowledged
+// by poolers that no longer report. Different poolers are asked for different services.
 func (r *Readers) Wanted(pooler string, now kernel.Micros) (services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.acknowledged.lost
+	unreportedUntil := r.acks.unreportedUntil
 	for _, d := range r.poolers {
-		if d.until <= now {
-			lost = max(lost, d.until)
+		if d.leaseEnd <= now {
+			unreportedUntil = max(unreportedUntil, d.leaseEnd)
 		}
 	}
-	all := r.acknowledged.services
-	first := int(crc32.ChecksumIEEE([]byte(pooler))>>1) + int(now/wantedFor)*mostWanted
-	for i := range all {
-		service := all[(first+i)%len(all)]
-		if s, known := r.acknowledged.sighted[service]; (!known || s.before < lost) && len(services) < mostWanted {
+	candidates := r.acks.services
+	offset := int(crc32.ChecksumIEEE([]byte(pooler))>>1) + int(now/observeRotation)*maxServicesToObserve
+	for i := range candidates {
+		service := candidates[(offset+i)%len(candidates)]
+		if s, known := r.acks.observed[service]; (!known || s.before < unreportedUntil) && len(services) < maxServicesToObserve {
 			services = append(services, service)
 		}
 	}
@@ -89,41 +90,41 @@
 	return services
 }
 
-// Acknowledged returns a position that covers every commit of the service that a
-// client was told of, once every pooler has left its primary at that turn or
-// holds no lease any more; false if none is known.
-func (r *Readers) Acknowledged(service string, turn int64) (lineprotocol.Position, bool) {
+// AcknowledgedUpperBound returns a position that covers every commit of the service that was
+// acknowledged to a client, once every pooler has left its primary for that failover or holds no
+// lease any more; false if no such position is known.
+func (r *Readers) AcknowledgedUpperBound(service string, failoverID int64) (lineprotocol.Position, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.acknowledged.lost
-	var most lineprotocol.Position
+	unreportedUntil := r.acks.unreportedUntil
+	var bound lineprotocol.Position
 	for _, d := range r.poolers {
-		if d.Left[service] < turn {
-			lost = max(lost, d.until)
-		} else if acked := d.Acked[service]; most.Less(acked) {
-			most = acked
+		if d.Left[service] < failoverID {
+			unreportedUntil = max(unreportedUntil, d.leaseEnd)
+		} else if acked := d.Acked[service]; bound.Less(acked) {
+			bound = acked
 		}
 	}
-	s, known := r.acknowledged.sighted[service]
-	if !known || s.before < lost {
+	s, known := r.acks.observed[service]
+	if !known || s.before < unreportedUntil {
 		return lineprotocol.Position{}, false
 	}
-	if most.Less(s.position) {
-		most = s.position
+	if bound.Less(s.position) {
+		bound = s.position
 	}
-	return most, true
+	return bound, true
 }
 
-// Certain returns a position that a commit of the service has at least of which a client
-// was told, by the poolers that have left its primary at that turn; false if they told of
-// none. Others may have told of later ones.
-func (r *Readers) Certain(service string, turn int64) (most lineprotocol.Position, known bool) {
+// AcknowledgedLowerBound returns a position that some acknowledged commit of the service has
+// reached at least, according to the poolers that have left its primary for that failover; false
+// if they reported none. Other poolers may have acknowledged later commits.
+func (r *Readers) AcknowledgedLowerBound(service string, failoverID int64) (bound lineprotocol.Position, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.poolers {
-		if at, any := d.Certain[service]; any && d.Left[service] >= turn && !at.Less(most) {
-			most, known = at, true
+		if at, any := d.Certain[service]; any && d.Left[service] >= failoverID && !at.Less(bound) {
+			bound, known = at, true
 		}
 	}
-	return most, known
+	return bound, known
 }
--- /dev/null
+++ b/internal/failover/platform_call_test.go
@@ -0,0 +1,32 @@
+package failover
+
+import (
+	"errors"
+	"log/slog"
+	"testing"
+
+	"indigowalk/internal/invariant"
+	"indigowalk/internal/kernel"
+	"indigowalk/internal/lineprotocol"
+)
+
+// The platform must not be called outside the term in which the failover was examined, whatever
+// lease is held now.
+func TestPlatformIsNotCalledOutsideTheTerm(t *testing.T) {
+	c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
+	if err := c.callPlatform(t.Context(), Lead{}); !errors.Is(err, errRetryLater) || len(c.k.Counters.Snapshot()) != 0 {
+		t.Errorf("the platform was called, or the error is wrong: %v, %v", err, c.k.Counters.Snapshot())
+	}
+}
+
+// A database that was promoted without what the choice was based on must be reported.
+func TestPromotionBelowChosenPositionIsReported(t *testing.T) {
+	for text, want := range map[string]int{"2.9": 0, "2.8": 0, "2.7": 1} {
+		c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
+		received, _ := lineprotocol.ParsePosition(text)
+		c.checkPromotedPosition(Lead{Service: "s", To: "a", Floor: "2.8"}, statRow{received: received})
+		if n := c.k.Invariants.Counts()[invariant.PromotedHoldsFloor]; n != want {
+			t.Errorf("%s: %d violations", text, n)
+		}
+	}
+}
