--- a/internal/controlapi/failures.go
+++ b/internal/controlapi/failures.go
@@ -38,8 +38,8 @@
 			return
 		}
 		r.failures.Add(failurelog.Failure{
-			ID: request.Method + " " + request.URL.Path, Route: request.RemoteAddr, Answer: strconv.Itoa(recorder.status),
-			Cause: failureCause(recorder.status), Took: r.k.Clock.Now() - began,
+			ID: request.Method + " " + request.URL.Path, Route: request.RemoteAddr, Response: strconv.Itoa(recorder.status),
+			Cause: failureCause(recorder.status), Duration: r.k.Clock.Now() - began,
 			Attempts: []failurelog.Attempt{{Result: recorder.response.Err}},
 		})
 	})
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -63,8 +63,8 @@
 				cfg.OnPosition = kernel.Need[*readrouting.Router](k).Observe
 			case "gateway":
 				balancer := kernel.Need[*loadbalance.Balancer](k)
-				cfg.OnCosts = balancer.Told
-				cfg.Observations = func() map[string]Observation { return toObservations(balancer.Seen()) }
+				cfg.OnCosts = balancer.UpdateClusterCosts
+				cfg.Observations = func() map[string]Observation { return toObservations(balancer.TakeObservations()) }
 			}
 			subscriber := NewSubscriber(k, kernel.Need[*rpc.Endpoint](k), cfg)
 			kernel.Offer(k, subscriber)
@@ -90,13 +90,13 @@
 }
 
 // toObservations converts a load balancer's statistics to the form in which polls report them.
-func toObservations(stats map[string]loadbalance.Sight) map[string]Observation {
+func toObservations(stats map[string]loadbalance.Observation) map[string]Observation {
 	if len(stats) == 0 {
 		return nil
 	}
 	out := make(map[string]Observation, len(stats))
 	for id, seen := range stats {
-		out[id] = Observation{seen.Answers, int(100 * seen.Paces), seen.Failures}
+		out[id] = Observation{seen.Responses, int(100 * seen.RelativeLatency), seen.Failures}
 	}
 	return out
 }
--- a/internal/failurelog/failurelog.go
+++ b/internal/failurelog/failurelog.go
@@ -32,9 +32,9 @@
 	Route    string        `json:"route,omitempty"`
 	Service  string        `json:"service,omitempty"`
 	Tenant   string        `json:"tenant,omitempty"`
-	Answer   string        `json:"answer"` // code or status returned to the client
+	Response string        `json:"answer"` // code or status returned to the client
 	Cause    string        `json:"cause"`
-	Took     kernel.Micros `json:"took_us"`  // from reading the request to responding
+	Duration kernel.Micros `json:"took_us"`  // from reading the request to responding
 	Revision int64         `json:"revision"` // of the configuration in force
 	Attempts []Attempt     `json:"attempts,omitempty"`
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,7 +56,7 @@
 	balancer *loadbalance.Balancer
 	health   *health.Monitor
 	ring     *membership.Ring
-	again    *retrybudget.Allowance
+	again    *retrybudget.Budget
 	quota    *quota.Client
 	failures *failurelog.Log
 	stalls   *kernel.Stalls
@@ -80,7 +80,7 @@
 	Balancer *loadbalance.Balancer
 	Health   *health.Monitor
 	Ring     *membership.Ring
-	Retries  *retrybudget.Allowance
+	Retries  *retrybudget.Budget
 	Quota    *quota.Client
 	Failures *failurelog.Log
 	Stalls   *kernel.Stalls
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -193,10 +193,10 @@
 		changed, health := j.t.control.Changed(), j.t.health.Changed()
 		a, err := j.send()
 		if err == nil {
-			j.t.again.First(j.service)
+			j.t.again.CountRequest(j.service)
 			return a, nil
 		}
-		if exhausted := new(quota.Exhausted); errors.As(err, &exhausted) {
+		if exhausted := new(quota.ExhaustedError); errors.As(err, &exhausted) {
 			return nil, j.overQuota(exhausted)
 		}
 		if j.now() >= min(j.giveUp, j.deadline-margin) {
@@ -222,7 +222,7 @@
 
 // second sends the request once more, to another database, if it may.
 func (j *job) second(keep float64) (*attempt, bool) {
-	if j.rest != nil || j.tries >= j.route.Tries || j.left() < 4*margin || j.t.over() || j.abandoned() || !j.t.again.Again(j.service, keep) {
+	if j.rest != nil || j.tries >= j.route.Tries || j.left() < 4*margin || j.t.over() || j.abandoned() || !j.t.again.AllowRetry(j.service, keep) {
 		return nil, false
 	}
 	for range 3 {
@@ -256,7 +256,7 @@
 	}
 	var ch <-chan httpconn.Result
 	if err = errors.Join(t.control.MaySend(db.ID), j.permit.Check()); err == nil {
-		j.permit.Sent()
+		j.permit.Spend()
 		ch, err = conn.Send(j.request(db.ID), j.id, j.left())
 	}
 	if err != nil {
@@ -293,7 +293,7 @@
 // quietAfter is how long an answer may take before another database is asked too;
 // false if none may be.
 func (j *job) quietAfter() (kernel.Micros, bool) {
-	usual := j.t.balancer.Usual(j.route.Host + j.route.Prefix)
+	usual := j.t.balancer.TypicalLatency(j.route.Host + j.route.Prefix)
 	if !j.safe() || j.tries >= j.route.Tries || usual <= 0 {
 		return 0, false
 	}
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -32,7 +32,7 @@
 		return j.busy("whether the key holds is not known here")
 	}
 	j.tenant = tenant
-	j.permit = j.t.quota.Permit(tenant.Name, quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
+	j.permit = j.t.quota.NewPermit(tenant.Name, quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
 	j.rank = tenant.Prio*tenantRanks + min(j.route.Prio, tenantRanks-1)
 	return nil
 }
@@ -54,12 +54,12 @@
 
 // admit has the next sending of the request counted under its tenant's limit.
 func (j *job) admit() error {
-	return j.permit.Take(min(j.giveUp-j.now(), longestQuotaWait))
+	return j.permit.Acquire(min(j.giveUp-j.now(), longestQuotaWait))
 }
 
 // overQuota is the answer where nothing is left of a tenant's quota. The request has
 // not run and will not.
-func (j *job) overQuota(e *quota.Exhausted) *refusal {
+func (j *job) overQuota(e *quota.ExhaustedError) *refusal {
 	j.t.k.Counters.Add("gateway.over_quota", 1)
-	return &refusal{http.StatusTooManyRequests, "over the tenant's limit", e.ComeBack}
+	return &refusal{http.StatusTooManyRequests, "over the tenant's limit", e.RetryAfter}
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -44,8 +44,8 @@
 // record puts a request that was not served into the failure log.
 func (j *job) record(answer, why string) {
 	f := failurelog.Failure{
-		ID: j.id, Route: j.in.Host, Service: j.service, Answer: answer, Cause: strings.ReplaceAll(why, " ", "_"),
-		Took: j.now() - j.received, Revision: j.revision, Attempts: j.failed,
+		ID: j.id, Route: j.in.Host, Service: j.service, Response: answer, Cause: strings.ReplaceAll(why, " ", "_"),
+		Duration: j.now() - j.received, Revision: j.revision, Attempts: j.failed,
 	}
 	if j.route != nil {
 		f.Route = j.route.Host + j.route.Prefix
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -53,7 +53,7 @@
 			kernel.Offer(k, st)
 			kernel.Offer(k, connpool.Updater(func(dbs map[string]discovery.Database) {
 				st.Stock(dbs)
-				r.Keep(dbs)
+				r.Prune(dbs)
 			}))
 			kernel.Offer(k, connpool.Counts(st.Counts))
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
@@ -61,7 +61,7 @@
 				err := st.Check(ctx, id)
 				// A database that is full resets a check as it does a request. What
 				// requests show meanwhile outranks it.
-				return connpool.Stands(err) || errors.Is(err, connpool.ErrBroken) && r.Answered(id) >= began
+				return connpool.Stands(err) || errors.Is(err, connpool.ErrBroken) && r.LastServed(id) >= began
 			})
 			k.Supervise("httpconn", st.Serve)
 			return nil
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -16,15 +16,15 @@
 	updated kernel.Micros
 }
 
-// Usual holds the moving average of the response times of each route. It is not safe for
+// Averages holds the moving average of the response times of each route. It is not safe for
 // concurrent use.
-type Usual struct {
+type Averages struct {
 	averages map[string]average
 	sweep    kernel.Sweep
 }
 
 // Add records the response time span of a route and returns its average, in microseconds.
-func (u *Usual) Add(route string, span, now kernel.Micros) float64 {
+func (u *Averages) Add(route string, span, now kernel.Micros) float64 {
 	if u.averages == nil {
 		u.averages = map[string]average{}
 	}
@@ -39,5 +39,5 @@
 	return usual
 }
 
-// Of returns the average response time of a route in microseconds, 0 if none was recorded.
-func (u *Usual) Of(route string) float64 { return u.averages[route].span }
+// Average returns the average response time of a route in microseconds, 0 if none was recorded.
+func (u *Averages) Average(route string) float64 { return u.averages[route].span }
--- a/internal/loadbalance/loadbalance.go
+++ b/internal/loadbalance/loadbalance.go
@@ -63,10 +63,10 @@
 
 	mu           sync.Mutex
 	databases    map[string]*databaseStats // by ID
-	typical      latency.Usual
+	typical      latency.Averages
 	subsets      map[string]subset       // by service
 	clusterCosts map[string]reportedCost // as reported for all nodes
-	observed     map[string]Sight        // since they were last taken
+	observed     map[string]Observation  // since they were last taken
 }
 
 // reportedCost is the cost of a request at a database, from the observations of all nodes.
@@ -75,26 +75,26 @@
 	updated kernel.Micros
 }
 
-// Sight is what this node observed of a database: the number of responses, the sum of
+// Observation is what this node observed of a database: the number of responses, the sum of
 // their relative latencies, and the number of failed requests.
-type Sight struct {
-	Answers  int
-	Paces    float64
-	Failures int
+type Observation struct {
+	Responses       int
+	RelativeLatency float64
+	Failures        int
 }
 
-// Seen returns the observations made since it was last called, by database ID.
-func (r *Balancer) Seen() map[string]Sight {
+// TakeObservations returns the observations made since it was last called, by database ID.
+func (r *Balancer) TakeObservations() map[string]Observation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	taken := r.observed
-	r.observed = map[string]Sight{}
+	r.observed = map[string]Observation{}
 	return taken
 }
 
-// Told takes in the costs that were computed from the observations of all nodes, by
+// UpdateClusterCosts takes in the costs that were computed from the observations of all nodes, by
 // database ID, in hundredths of a typical response time.
-func (r *Balancer) Told(costs map[string]int) {
+func (r *Balancer) UpdateClusterCosts(costs map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -116,7 +116,7 @@
 func New(clock kernel.Clock) *Balancer {
 	return &Balancer{
 		clock: clock, databases: map[string]*databaseStats{}, subsets: map[string]subset{},
-		clusterCosts: map[string]reportedCost{}, observed: map[string]Sight{},
+		clusterCosts: map[string]reportedCost{}, observed: map[string]Observation{},
 	}
 }
 
@@ -254,7 +254,7 @@
 func (r *Balancer) Pick(route string, s Candidates) (discovery.Database, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now, typical := r.clock.Now(), r.typical.Of(route)
+	now, typical := r.clock.Now(), r.typical.Average(route)
 	l := r.subsetOf(s)
 	var best discovery.Database
 	lowest, found := 0.0, false
@@ -316,8 +316,8 @@
 		st.relativeLatency = relativeLatency + latencyWeight*(min(float64(now-began)/max(typical, 1), maxRelativeLatency)-relativeLatency)
 		st.latencyAt, st.lastServed = now, now
 		observation := r.observed[id]
-		observation.Answers++
-		observation.Paces += min(float64(now-began)/max(typical, 1), maxRelativeLatency)
+		observation.Responses++
+		observation.RelativeLatency += min(float64(now-began)/max(typical, 1), maxRelativeLatency)
 		r.observed[id] = observation
 		st.failureRate, st.failureAt = failureRate*(1-failureWeight), now
 	case Full:
@@ -341,15 +341,15 @@
 	Unused                // the request was not sent
 )
 
-// Usual returns the typical response time of a route, 0 if there was no response yet.
-func (r *Balancer) Usual(route string) kernel.Micros {
+// TypicalLatency returns the typical response time of a route, 0 if there was no response yet.
+func (r *Balancer) TypicalLatency(route string) kernel.Micros {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return kernel.Micros(r.typical.Of(route))
+	return kernel.Micros(r.typical.Average(route))
 }
 
-// Answered returns when a database last served a request of this node, 0 if never.
-func (r *Balancer) Answered(id string) kernel.Micros {
+// LastServed returns when a database last served a request of this node, 0 if never.
+func (r *Balancer) LastServed(id string) kernel.Micros {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if st := r.databases[id]; st != nil {
@@ -358,9 +358,9 @@
 	return 0
 }
 
-// Keep drops the state of databases that no longer exist. Observations of a database with
+// Prune drops the state of databases that no longer exist. Observations of a database with
 // requests in flight stay.
-func (r *Balancer) Keep(current map[string]discovery.Database) {
+func (r *Balancer) Prune(current map[string]discovery.Database) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, st := range r.databases {
--- a/internal/loadbalance/loadbalance_test.go
+++ b/internal/loadbalance/loadbalance_test.go
@@ -100,7 +100,7 @@
 	}
 	c := &clock{kernel.Second}
 	r, s := New(c), candidates(0, 1, 8, 0)
-	r.Told(map[string]int{"i-3": 900})
+	r.UpdateClusterCosts(map[string]int{"i-3": 900})
 	for range 200 {
 		if d, _ := r.Pick("r", s); d.ID == "i-3" {
 			t.Fatal("the cost reported for all nodes is ignored")
--- a/internal/pooler/tenant.go
+++ b/internal/pooler/tenant.go
@@ -65,7 +65,7 @@
 	if j.tenant == nil {
 		return nil
 	}
-	return j.s.d.quota.Permit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
+	return j.s.d.quota.NewPermit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
 }
 
 // admit has the next sending of the statement counted; an answer says that there is
@@ -75,12 +75,12 @@
 	if aim == 0 {
 		aim = j.left()
 	}
-	err := j.permit.Take(min(kernel.Micros(quotaShare*float64(aim)), longestQuotaWait, j.left()))
-	var exhausted *quota.Exhausted
+	err := j.permit.Acquire(min(kernel.Micros(quotaShare*float64(aim)), longestQuotaWait, j.left()))
+	var exhausted *quota.ExhaustedError
 	if !errors.As(err, &exhausted) {
 		return nil
 	}
 	j.s.d.k.Counters.Add("pooler.over_quota", 1)
 	j.s.trace.because(causeQuota)
-	return refusal(lineprotocol.Retry, hint(exhausted.ComeBack), j.s.state())
+	return refusal(lineprotocol.Retry, hint(exhausted.RetryAfter), j.s.state())
 }
--- a/internal/pooler/trace.go
+++ b/internal/pooler/trace.go
@@ -69,7 +69,7 @@
 		name string
 	}{
 		{distribution.ErrNoLease, "no lease on the primary"}, {distribution.ErrLeft, "the database has left"},
-		{quota.ErrEnded, "the slice of the quota ended"}, {dbconn.ErrQuiet, "no answer yet, sent a second time"},
+		{quota.ErrAdmissionEnded, "the slice of the quota ended"}, {dbconn.ErrQuiet, "no answer yet, sent a second time"},
 		{dbconn.ErrUnbound, "the database is held as down"}, {dbconn.ErrEnding, "the process ends"},
 		{connpool.ErrDeadline, "deadline"}, {connpool.ErrSilent, "silent"}, {connpool.ErrBroken, "connection broken"},
 		{connpool.ErrRejected, "rejected"},
@@ -88,7 +88,7 @@
 func (s *session) record(id string, a *lineprotocol.Answer) {
 	t := &s.trace
 	f := failurelog.Failure{
-		ID: id, Route: s.database, Answer: a.Code, Cause: t.cause, Took: s.d.k.Clock.Now() - t.began, Attempts: t.attempts,
+		ID: id, Route: s.database, Response: a.Code, Cause: t.cause, Duration: s.d.k.Clock.Now() - t.began, Attempts: t.attempts,
 	}
 	if f.Cause == "" {
 		f.Cause = causeDatabase
--- a/internal/pooler/work.go
+++ b/internal/pooler/work.go
@@ -222,7 +222,7 @@
 			if err := j.permit.Check(); err != nil {
 				return err
 			}
-			j.permit.Sent()
+			j.permit.Spend()
 			return write()
 		}
 		if gated {
@@ -403,7 +403,7 @@
 // withheld tells whether a statement was not sent for a reason that is not the
 // database's.
 func withheld(err error) bool {
-	return errors.Is(err, distribution.ErrNoLease) || errors.Is(err, quota.ErrEnded)
+	return errors.Is(err, distribution.ErrNoLease) || errors.Is(err, quota.ErrAdmissionEnded)
 }
 
 // judge decides what becomes of a database's answer outside a transaction; nil has
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -93,13 +93,13 @@
 // of which nothing is counted any more.
 const previousTermLease = -1
 
-// Exhausted is the error that a tenant's quota is used up.
-type Exhausted struct {
-	ComeBack kernel.Micros // when to try again
+// ExhaustedError is the error that a tenant's quota is used up.
+type ExhaustedError struct {
+	RetryAfter kernel.Micros // when to try again
 }
 
-func (e *Exhausted) Error() string {
-	return fmt.Sprintf("quota: over the limit, more in %d ms", e.ComeBack.Millis())
+func (e *ExhaustedError) Error() string {
+	return fmt.Sprintf("quota: over the limit, more in %d ms", e.RetryAfter.Millis())
 }
 
 // Admit takes one operation from what is held of a tenant, and waits at most for wait until
@@ -117,7 +117,7 @@
 		}
 		if !c.awaitChange(a, end) {
 			c.k.Counters.Add("quota.refused", 1)
-			return Admission{}, &Exhausted{c.retryAfter(a)}
+			return Admission{}, &ExhaustedError{c.retryAfter(a)}
 		}
 	}
 }
@@ -371,7 +371,7 @@
 		c.enterTerm(resp.Term)
 	}
 	if c.k.Recorder != nil {
-		c.k.Recorder.Add(AskedKind, CallRecord{req.Proxy, req.Incarnation, req.Seq, requestedAt})
+		c.k.Recorder.Add(RequestedKind, CallRecord{req.Proxy, req.Incarnation, req.Seq, requestedAt})
 	}
 	c.lease = resp.Lease
 	until := requestedAt + resp.Lease - leaseMargin
@@ -429,21 +429,21 @@
 	}
 }
 
-// Use is what a proxy holds and needs of one tenant's quota.
-type Use struct {
+// TenantUsage is what a proxy holds and needs of one tenant's quota.
+type TenantUsage struct {
 	Held int64   `json:"held"`  // operations
 	PerS float64 `json:"per_s"` // wanted operations per second, averaged
 }
 
-// Uses returns the use of each tenant that was used recently, by tenant.
-func (c *Client) Uses() map[string]Use {
+// Usage returns the use of each tenant that was used recently, by tenant.
+func (c *Client) Usage() map[string]TenantUsage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
-	out := map[string]Use{}
+	out := map[string]TenantUsage{}
 	for tenant, a := range c.allotments {
 		a.expire(now)
-		out[tenant] = Use{a.held() + a.previousFree, a.rateAt(now)}
+		out[tenant] = TenantUsage{a.held() + a.previousFree, a.rateAt(now)}
 	}
 	return out
 }
--- a/internal/quota/client_test.go
+++ b/internal/quota/client_test.go
@@ -54,11 +54,11 @@
 func (f *fixture) spend(tenant string, limit Limit) (bool, time.Duration) {
 	began := time.Now()
 	a, err := f.client.Admit(tenant, limit, 100*kernel.Millisecond)
-	var exhausted *Exhausted
+	var exhausted *ExhaustedError
 	switch {
 	case err == nil:
 		f.client.Spend(a)
-	case !errors.As(err, &exhausted) || exhausted.ComeBack < minRetryAfter:
+	case !errors.As(err, &exhausted) || exhausted.RetryAfter < minRetryAfter:
 		f.Errorf("refused with %v", err)
 	}
 	return err == nil, time.Since(began)
@@ -102,7 +102,7 @@
 			f.Errorf("%d requests for 1,000 operations, of which %d waited", f.requests.Load(), waited)
 		}
 		time.Sleep(2 * time.Second)
-		if held := f.client.Uses()["ann"].Held; held != 0 {
+		if held := f.client.Usage()["ann"].Held; held != 0 {
 			f.Errorf("held when idle: %v", held)
 		}
 	})
@@ -183,7 +183,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if held := f.client.Uses()["ann"].Held; served < 10 || served > 70 || held != 0 {
+		if held := f.client.Usage()["ann"].Held; served < 10 || served > 70 || held != 0 {
 			f.Errorf("%d served while the ledger was unreachable, %d held at the end", served, held)
 		}
 		f.unreachable = false
@@ -221,7 +221,7 @@
 		}
 		f.client.Return(b)
 		time.Sleep(testLease.Duration())
-		if held := f.client.Uses()["ann"].Held; held != 0 {
+		if held := f.client.Usage()["ann"].Held; held != 0 {
 			f.Errorf("held when idle: %v", held)
 		}
 	})
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -20,8 +20,8 @@
 	Changed() <-chan struct{}
 }
 
-// Holder runs the ledger of the current term, if this control node is the primary.
-type Holder struct {
+// LedgerServer runs the ledger of the current term, if this control node is the primary.
+type LedgerServer struct {
 	k         *kernel.Kernel
 	replica   controlState
 	lease     kernel.Micros
@@ -33,14 +33,14 @@
 	configEntry json.RawMessage // entry with the configuration of those limits
 }
 
-// NewHolder returns one that has no ledger yet.
-func NewHolder(k *kernel.Kernel, replica controlState, lease kernel.Micros, tolerance Tolerance) *Holder {
-	return &Holder{k: k, replica: replica, lease: lease, tolerance: tolerance}
+// NewLedgerServer returns one that has no ledger yet.
+func NewLedgerServer(k *kernel.Kernel, replica controlState, lease kernel.Micros, tolerance Tolerance) *LedgerServer {
+	return &LedgerServer{k: k, replica: replica, lease: lease, tolerance: tolerance}
 }
 
 // Serve creates a ledger at the start of each term, without waiting for a request, since the
 // first lease of a ledger counts from its creation. It runs until ctx ends.
-func (h *Holder) Serve(ctx context.Context) error {
+func (h *LedgerServer) Serve(ctx context.Context) error {
 	startedTerm := int64(0)
 	for ctx.Err() == nil {
 		changed := h.replica.Changed()
@@ -63,7 +63,7 @@
 
 // runOpening sees a ledger through its opening period, which is its first lease, or its term
 // if that is shorter. The ledger grants early if that is safe.
-func (h *Holder) runOpening(ctx context.Context, term *controlstate.Term, ledger *Ledger) {
+func (h *LedgerServer) runOpening(ctx context.Context, term *controlstate.Term, ledger *Ledger) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(term.Context(), cancel)()
@@ -92,7 +92,7 @@
 
 // mayGrantEarly reports whether slices of at most one term may be outstanding, so that a new
 // ledger may grant during its first lease.
-func (h *Holder) mayGrantEarly() bool {
+func (h *LedgerServer) mayGrantEarly() bool {
 	state, err := h.replica.Durable()
 	if err != nil {
 		return false
@@ -106,7 +106,7 @@
 }
 
 // writeOpening writes an opening record to the control state, unless one of a later term is there.
-func (h *Holder) writeOpening(ctx context.Context, record openingRecord) error {
+func (h *LedgerServer) writeOpening(ctx context.Context, record openingRecord) error {
 	raw, err := json.Marshal(record)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 
 // currentTerm returns the current term and its ledger with the latest limits. The error is
 // errNoLedger if this node is not the primary.
-func (h *Holder) currentTerm() (*controlstate.Term, *Ledger, error) {
+func (h *LedgerServer) currentTerm() (*controlstate.Term, *Ledger, error) {
 	term, err := h.replica.Term()
 	if err != nil {
 		return nil, nil, errNoLedger
@@ -144,7 +144,7 @@
 }
 
 // updateLimits passes the limits of a control state to the ledger, if they are newer.
-func (h *Holder) updateLimits(now kernel.Micros, state controlstate.State) error {
+func (h *LedgerServer) updateLimits(now kernel.Micros, state controlstate.State) error {
 	if state.Seq <= h.stateSeq {
 		return nil
 	}
@@ -171,7 +171,7 @@
 
 // onTake handles the request of a proxy. The response is sent only within the term in which
 // it was made: the next ledger may not allow for anything granted after that.
-func (h *Holder) onTake(_ context.Context, req sliceRequest) (any, error) {
+func (h *LedgerServer) onTake(_ context.Context, req sliceRequest) (any, error) {
 	term, ledger, err := h.currentTerm()
 	if errors.Is(err, errNoLedger) {
 		return sliceResponse{}, nil
@@ -193,14 +193,14 @@
 		return sliceResponse{}, nil
 	}
 	if h.k.Recorder != nil {
-		h.k.Recorder.Add(TakenKind, CallRecord{Carrier: req.Proxy, Life: req.Incarnation, Seq: req.Seq})
+		h.k.Recorder.Add(ReceivedKind, CallRecord{Proxy: req.Proxy, Incarnation: req.Incarnation, Seq: req.Seq})
 	}
 	return a, nil
 }
 
 // Accounts returns the accounts of the current ledger by tenant, nil if this node has no
 // ledger.
-func (h *Holder) Accounts() map[string]Account {
+func (h *LedgerServer) Accounts() map[string]Account {
 	term, ledger, err := h.currentTerm()
 	if err != nil || !term.Valid() {
 		return nil
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -35,7 +35,7 @@
 // first lease: slices of two terms may be outstanding then.
 func TestMayGrantEarly(t *testing.T) {
 	e := &entries{current: map[string]json.RawMessage{}}
-	h := NewHolder(nil, e, kernel.Second, strict)
+	h := NewLedgerServer(nil, e, kernel.Second, strict)
 	for _, step := range []struct {
 		name   string
 		record openingRecord
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -282,10 +282,10 @@
 
 // Account is the state of a tenant's account, for display.
 type Account struct {
-	Stock    float64 `json:"stock"`
-	Out      int64   `json:"out"`     // in slices
-	Holders  int     `json:"holders"` // number of holders of slices with operations
-	Capacity float64 `json:"capacity"`
+	Stock       float64 `json:"stock"`
+	Outstanding int64   `json:"out"`     // in slices
+	Holders     int     `json:"holders"` // number of holders of slices with operations
+	Capacity    float64 `json:"capacity"`
 }
 
 // Accounts returns the accounts of all tenants that proxies have reported, by tenant.
@@ -296,7 +296,7 @@
 	for tenant, a := range l.accounts {
 		limit := l.limits[tenant]
 		l.advance(a, now, limit)
-		view := Account{Stock: a.stock, Out: a.outstanding, Capacity: l.capacity(now, limit)}
+		view := Account{Stock: a.stock, Outstanding: a.outstanding, Capacity: l.capacity(now, limit)}
 		for _, s := range a.slices {
 			if s.held > 0 {
 				view.Holders++
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -35,11 +35,11 @@
 		t.Errorf("an unknown slice: %+v", s)
 	}
 	take(t, l, now, sliceRequest{"a", 5, 2, []Holding{{Tenant: "ann", Held: 50, Returned: 50}}})
-	if a := l.Accounts(now)["ann"]; a.Out != 4 || a.Stock != 16 || a.Holders != 1 {
+	if a := l.Accounts(now)["ann"]; a.Outstanding != 4 || a.Stock != 16 || a.Holders != 1 {
 		t.Errorf("after claiming to hold more than was granted: %+v", a)
 	}
 	take(t, l, now, sliceRequest{"a", 5, 3, []Holding{{Tenant: "ann", Held: 1, Returned: 50}}})
-	if a := l.Accounts(now)["ann"]; a.Out != 1 || a.Stock != 19 {
+	if a := l.Accounts(now)["ann"]; a.Outstanding != 1 || a.Stock != 19 {
 		t.Errorf("after returning more than was granted: %+v", a)
 	}
 	for _, c := range []struct {
@@ -107,11 +107,11 @@
 	l, now := newOpenLedger(Limit{PerS: 10, Burst: 20})
 	take(t, l, now, sliceRequest{"a", 1, 1, []Holding{{Tenant: "ann", Want: 10}}})
 	l.SetLimits(now, map[string]Limit{"ann": {PerS: 1, Burst: 4}})
-	if a := l.Accounts(now)["ann"]; a.Stock != 0 || a.Out != 10 || a.Capacity != 4 {
+	if a := l.Accounts(now)["ann"]; a.Stock != 0 || a.Outstanding != 10 || a.Capacity != 4 {
 		t.Errorf("under the lower limit: %+v", a)
 	}
 	now += testLease
-	if a := l.Accounts(now)["ann"]; a.Stock > 0.61 || a.Out != 0 {
+	if a := l.Accounts(now)["ann"]; a.Stock > 0.61 || a.Outstanding != 0 {
 		t.Errorf("after the lease of the slice ended: %+v", a)
 	}
 	l.SetLimits(now, map[string]Limit{})
@@ -169,12 +169,12 @@
 		if got := tolerance.Capacity(c.limit); got != c.capacity {
 			t.Errorf("%+v: capacity %v, not %v", c.limit, got, c.capacity)
 		}
-		if got := tolerance.Most(c.limit); got < c.maxOperations-1e-6 || got > c.maxOperations+1e-6 {
+		if got := tolerance.MaxOperations(c.limit); got < c.maxOperations-1e-6 || got > c.maxOperations+1e-6 {
 			t.Errorf("%+v: most %v, not %v", c.limit, got, c.maxOperations)
 		}
 	}
 	for _, limit := range []Limit{{215, 215}, {1, 0}} {
-		if sum := tolerance.Capacity(limit) + tolerance.OpeningCapacity(limit); sum > tolerance.Most(limit)-tolerance.allowed(limit)+limit.Burst-6 {
+		if sum := tolerance.Capacity(limit) + tolerance.OpeningCapacity(limit); sum > tolerance.MaxOperations(limit)-tolerance.allowed(limit)+limit.Burst-6 {
 			t.Errorf("%+v: %v for one term and the next together", limit, sum)
 		}
 	}
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -61,8 +61,8 @@
 	return t.Excess*t.allowed(l) + slackShare*t.Slack
 }
 
-// Most returns the maximum number of operations in a window that the tolerance permits.
-func (t Tolerance) Most(l Limit) float64 {
+// MaxOperations returns the maximum number of operations in a window that the tolerance permits.
+func (t Tolerance) MaxOperations(l Limit) float64 {
 	return t.allowed(l)*(1+t.Excess) + t.Slack
 }
 
--- a/internal/quota/permit.go
+++ b/internal/quota/permit.go
@@ -6,8 +6,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// ErrEnded is returned if the admission of a request expired before the request was sent.
-var ErrEnded = errors.New("quota: the admission has ended")
+// ErrAdmissionEnded is returned if the admission of a request expired before the request was sent.
+var ErrAdmissionEnded = errors.New("quota: the admission has ended")
 
 // Permit is the admission of one request over all its attempts, each of which uses one
 // operation. A nil Permit belongs to a request that is not counted. A Permit is not safe for
@@ -20,18 +20,18 @@
 	admitted  bool // the admission is valid and not used yet
 }
 
-// Permit returns a permit that has not been admitted yet. It returns nil if there is no
+// NewPermit returns a permit that has not been admitted yet. It returns nil if there is no
 // limit.
-func (c *Client) Permit(tenant string, limit Limit) *Permit {
+func (c *Client) NewPermit(tenant string, limit Limit) *Permit {
 	if limit.Unlimited() {
 		return nil
 	}
 	return &Permit{client: c, tenant: tenant, limit: limit}
 }
 
-// Take admits the next attempt, unless it already is admitted. It waits at most for wait. It
+// Acquire admits the next attempt, unless it already is admitted. It waits at most for wait. It
 // fails only if the quota is used up; the error says when to try again.
-func (p *Permit) Take(wait kernel.Micros) (err error) {
+func (p *Permit) Acquire(wait kernel.Micros) (err error) {
 	if p == nil || p.admitted && p.Check() == nil {
 		return nil
 	}
@@ -49,11 +49,11 @@
 	if p == nil || p.client.k.Clock.Now() < p.admission.Until {
 		return nil
 	}
-	return ErrEnded
+	return ErrAdmissionEnded
 }
 
-// Sent records that the admitted attempt was sent, or may have been.
-func (p *Permit) Sent() {
+// Spend records that the admitted attempt was sent, or may have been.
+func (p *Permit) Spend() {
 	if p == nil || !p.admitted {
 		return
 	}
--- a/internal/quota/plugin.go
+++ b/internal/quota/plugin.go
@@ -16,7 +16,7 @@
 		Name: "quota-holder", Rank: 75, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			h := NewHolder(k, kernel.Need[*controlstate.Replica](k), settings.Span(s.QuotaLeaseMs), Tolerance{
+			h := NewLedgerServer(k, kernel.Need[*controlstate.Replica](k), settings.Span(s.QuotaLeaseMs), Tolerance{
 				Window: kernel.Micros(s.QuotaWindowS) * kernel.Second, Excess: s.QuotaExcess, Slack: s.QuotaSlack,
 			})
 			rpc.On(kernel.Need[*rpc.Endpoint](k), takeOp, h.onTake)
--- a/internal/readrouting/readrouting.go
+++ b/internal/readrouting/readrouting.go
@@ -103,7 +103,7 @@
 	latencies map[string]relativeLatency
 	sweep     kernel.Sweep
 
-	typical latency.Usual
+	typical latency.Averages
 }
 
 // New returns a router without observations.
@@ -181,7 +181,7 @@
 func (a *Router) Usual(route string) kernel.Micros {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return kernel.Micros(a.typical.Of(route))
+	return kernel.Micros(a.typical.Average(route))
 }
 
 func (a *Router) latencyOf(id string) float64 {
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -10,10 +10,10 @@
 // buckets is the number of buckets that a sliding window is divided into.
 const buckets = 20
 
-// Allowance is a retry budget per service. In every window, the retries of this node to
+// Budget is a retry budget per service. In every window, the retries of this node to
 // a service stay within a fixed share of its own initial requests to that service. The
 // same bound then holds for all nodes together, without any coordination.
-type Allowance struct {
+type Budget struct {
 	clock      kernel.Clock
 	ratio      func() float64
 	bucketSpan kernel.Micros
@@ -30,12 +30,12 @@
 }
 
 // New returns a budget that allows, in each window, ratio retries per initial request.
-func New(clock kernel.Clock, ratio func() float64, window kernel.Micros) *Allowance {
-	return &Allowance{clock: clock, ratio: ratio, bucketSpan: max(window/buckets, 1), services: map[string]*counts{}}
+func New(clock kernel.Clock, ratio func() float64, window kernel.Micros) *Budget {
+	return &Budget{clock: clock, ratio: ratio, bucketSpan: max(window/buckets, 1), services: map[string]*counts{}}
 }
 
 // countsOf returns the counts of a service, advanced to the current time.
-func (a *Allowance) countsOf(service string) *counts {
+func (a *Budget) countsOf(service string) *counts {
 	c := a.services[service]
 	if c == nil {
 		c = &counts{}
@@ -62,19 +62,19 @@
 // newestIndex returns the index of the newest bucket.
 func (c *counts) newestIndex() int { return int(c.latest % (buckets + 1)) }
 
-// First counts an initial request to a service.
-func (a *Allowance) First(service string) {
+// CountRequest counts an initial request to a service.
+func (a *Budget) CountRequest(service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c := a.countsOf(service)
 	c.initial[c.newestIndex()]++
 }
 
-// Again reports whether a retry may be sent now, and counts it if so. The share reserve of
+// AllowRetry reports whether a retry may be sent now, and counts it if so. The share reserve of
 // the budget is left for more urgent retries. The oldest bucket is only partly inside the
 // window: its retries are counted and its initial requests are not, so that the bound
 // holds in any case.
-func (a *Allowance) Again(service string, reserve float64) bool {
+func (a *Budget) AllowRetry(service string, reserve float64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c := a.countsOf(service)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -35,11 +35,11 @@
 		}
 		c.now += rand.N(40 * pause)
 		if rnd.IntN(3) > 0 {
-			a.First("s")
+			a.CountRequest("s")
 			initial = append(initial, c.now)
 			continue
 		}
-		if a.Again("s", 0) {
+		if a.AllowRetry("s", 0) {
 			retries = append(retries, c.now)
 			if n, m := within(retries), within(initial); float64(n) > ratio*float64(m) {
 				t.Fatalf("%d retries in a window with %d initial requests", n, m)
@@ -49,7 +49,7 @@
 	if float64(len(retries)) < 0.8*ratio*float64(len(initial)) {
 		t.Errorf("only %d of about %.0f retries were allowed", len(retries), ratio*float64(len(initial)))
 	}
-	if a.Again("other", 0) {
+	if a.AllowRetry("other", 0) {
 		t.Error("a service uses the retry budget of another")
 	}
 }
--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	most := rule.Most(quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
+	most := rule.MaxOperations(quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
 	at := a.at[tenant.Name]
 	for first, i := 0, 0; i < len(at); i++ {
 		for at[i].Sub(at[first]) > rule.Window.Duration() || at[first].Before(since) {
--- a/internal/tools/failures.go
+++ b/internal/tools/failures.go
@@ -67,7 +67,7 @@
 func (r *FailureReport) Print(w io.Writer) {
 	for _, f := range r.Failures {
 		fmt.Fprintf(w, "%s %s %s: %s on %q answered %s after %d ms: %s", f.At.UTC().Format(time.StampMilli), f.Role, f.Node,
-			f.ID, f.Route, f.Answer, f.Took.Millis(), f.Cause)
+			f.ID, f.Route, f.Response, f.Duration.Millis(), f.Cause)
 		if f.Service != "" {
 			fmt.Fprintf(w, "; service %s, configuration %d", f.Service, f.Revision)
 		}
--- a/internal/tools/quota.go
+++ b/internal/tools/quota.go
@@ -144,13 +144,13 @@
 		var s quota.SentRecord
 		err = json.Unmarshal(r.Body, &s)
 		n.sent = append(n.sent, operation{s.Tenant, n.name, r.At})
-	case quota.AskedKind:
+	case quota.RequestedKind:
 		var call quota.CallRecord
 		err = json.Unmarshal(r.Body, &call)
-		asked := call.Asked
-		call.Asked = 0
+		asked := call.RequestedAt
+		call.RequestedAt = 0
 		n.calls = append(n.calls, answeredCall{call, asked, r.At})
-	case quota.TakenKind:
+	case quota.ReceivedKind:
 		var call quota.CallRecord
 		err = json.Unmarshal(r.Body, &call)
 		c.taken[call] = reading{n, r.At}
@@ -295,7 +295,7 @@
 		if known && limit.Unlimited() {
 			return math.Inf(1)
 		}
-		most = max(most, l.Tolerance.Most(limit))
+		most = max(most, l.Tolerance.MaxOperations(limit))
 	}
 	return most
 }
--- a/internal/tools/quota_test.go
+++ b/internal/tools/quota_test.go
@@ -71,10 +71,10 @@
 func (f *fleet) call(carrier, ledger int, at kernel.Micros) {
 	f.calls++
 	c := f.carriers[carrier]
-	call := quota.CallRecord{Carrier: c.node, Life: 1, Seq: f.calls}
-	f.ledgers[ledger].add(f.T, at+kernel.Millisecond, quota.TakenKind, call)
-	call.Asked = at + c.ahead
-	c.add(f.T, at+2*kernel.Millisecond, quota.AskedKind, call)
+	call := quota.CallRecord{Proxy: c.node, Incarnation: 1, Seq: f.calls}
+	f.ledgers[ledger].add(f.T, at+kernel.Millisecond, quota.ReceivedKind, call)
+	call.RequestedAt = at + c.ahead
+	c.add(f.T, at+2*kernel.Millisecond, quota.RequestedKind, call)
 }
 
 func (f *fleet) send(carrier int, tenant string, at kernel.Micros) {
--- a/internal/tools/replay.go
+++ b/internal/tools/replay.go
@@ -106,7 +106,7 @@
 			return "", err
 		}
 		return p.choice(c), nil
-	case quota.SentKind, quota.AskedKind, quota.TakenKind, quota.LimitsKind, failurelog.Kind:
+	case quota.SentKind, quota.RequestedKind, quota.ReceivedKind, quota.LimitsKind, failurelog.Kind:
 		return "", nil // they tell something only beside those of other nodes
 	}
 	return "", fmt.Errorf("unknown kind %q", r.Kind)
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -49,7 +49,7 @@
 	Down      map[string]int64              `json:"down,omitempty"`   // with the generation
 	Conns     map[string][2]int             `json:"conns,omitempty"`  // open and idle, by database
 	Quotas    map[string]quota.Account      `json:"quotas,omitempty"` // by tenant, on the primary
-	Uses      map[string]quota.Use          `json:"uses,omitempty"`   // by tenant, on a pooler or gateway
+	Uses      map[string]quota.TenantUsage  `json:"uses,omitempty"`   // by tenant, on a pooler or gateway
 	Counters  map[string]int64              `json:"counters"`
 }
 
@@ -76,7 +76,7 @@
 	if k.Role != "control" {
 		r.Epoch, _, r.Rev, r.LeaseUs = kernel.Need[*distribution.Subscriber](k).Version()
 		r.Conns = kernel.Need[connpool.Counts](k)()
-		r.Uses = kernel.Need[*quota.Client](k).Uses()
+		r.Uses = kernel.Need[*quota.Client](k).Usage()
 		return r, nil
 	}
 	v := kernel.Need[*controlstate.Replica](k)
@@ -116,7 +116,7 @@
 	if r.Leads, err = failover.Decode(state.Entries); err != nil {
 		return err
 	}
-	r.Quotas = kernel.Need[*quota.Holder](k).Accounts()
+	r.Quotas = kernel.Need[*quota.LedgerServer](k).Accounts()
 	r.Waits = kernel.Need[*failover.Manager](k).Waits()
 	r.Roles = map[string]string{}
 	for id, soft := range kernel.Need[*discovery.Registry](k).Soft() {
--- a/internal/tools/status.go
+++ b/internal/tools/status.go
@@ -227,7 +227,7 @@
 		}
 		if (all || isEmpty || only != "") && named(only, t.Name) {
 			lines = append(lines, fmt.Sprintf("  tenant %s: %.1f of %.1f in stock, %d in slices of %d nodes; %.1f operations a second wanted of %.1f allowed",
-				t.Name, a.Stock, a.Capacity, a.Out, a.Holders, demand[t.Name], t.RatePerS))
+				t.Name, a.Stock, a.Capacity, a.Outstanding, a.Holders, demand[t.Name], t.RatePerS))
 		}
 	}
 	fmt.Fprintf(w, "tenants: %d, %d with a limit, %d with nothing in stock\n", len(p.Config.Tenants), limited, empty)
