--- a/internal/controlapi/controlapi_test.go
+++ b/internal/controlapi/controlapi_test.go
@@ -91,7 +91,7 @@
 		if epoch, left := term.Lease(); term.Valid() || epoch != 0 || left != 0 || term.Context().Err() == nil {
 			t.Errorf("the first term is still valid: epoch %d, %d us, %v", epoch, left, term.Context().Err())
 		}
-		if now, err := at(first).Term(); err != nil || now.Began() <= term.Began() || world.Fetch() != 2 {
+		if now, err := at(first).Term(); err != nil || now.FirstEpoch() <= term.FirstEpoch() || world.Fetch() != 2 {
 			t.Errorf("the later term: %v, version %d", err, world.Fetch())
 		}
 	})
--- a/internal/controlstate/candidacy.go
+++ b/internal/controlstate/candidacy.go
@@ -11,9 +11,9 @@
 	"indigowalk/internal/kernel"
 )
 
-// tryStand makes one attempt at a new view: it collects promises from the witnesses, copies the
+// tryCampaign makes one attempt at a new view: it collects promises from the witnesses, copies the
 // state to the view's backups, and then has the witnesses accept the view.
-func (v *Replica) tryStand(ctx context.Context) error {
+func (v *Replica) tryCampaign(ctx context.Context) error {
 	c, err := v.newCandidacy()
 	if err != nil {
 		return err
@@ -35,10 +35,10 @@
 	v.mu.Lock()
 	v.lastProposed = c.view
 	v.mu.Unlock()
-	if !accepted(ask(ctx, v, voters, "controlstate.accept", func(addr string) any { return acceptRequest{c.view, disks[addr]} }, accepted)) {
+	if !accepted(callAll(ctx, v, voters, "controlstate.accept", func(addr string) any { return acceptRequest{c.view, disks[addr]} }, accepted)) {
 		return errors.New("no majority accepted the view")
 	}
-	return v.lead(c, state, start, voters)
+	return v.becomePrimary(c, state, start, voters)
 }
 
 // candidacy is one attempt to form a view.
@@ -55,12 +55,12 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
-	if v.active && !v.leads(now) || !v.mayCampaign() {
+	if v.active && !v.holdsLease(now) || !v.mayCampaign() {
 		// The term ended since the caller checked: another node may have been primary
 		// meanwhile, so the state held here may be outdated.
 		return c, ErrNotPrimary
 	}
-	c = candidacy{epoch: v.nextEpoch(), known: v.seen, wasActive: v.active}
+	c = candidacy{epoch: v.nextEpoch(), known: v.newestView, wasActive: v.active}
 	if v.lastProposed.Epoch > c.known.Epoch {
 		c.known = v.lastProposed
 	}
@@ -209,7 +209,7 @@
 // the previous lease can't be renewed meanwhile.
 func (v *Replica) replicateState(ctx context.Context, state State, c candidacy, disks map[string]string) ([]Member, error) {
 	saved := make(chan error, 1)
-	go func() { saved <- v.onDisk(ctx, func() error { return v.store.SaveState(state) }) }()
+	go func() { saved <- v.writeStateToDisk(ctx, func() error { return v.store.SaveState(state) }) }()
 	backups, err := v.copyToBackups(ctx, state, c.known, disks)
 	if err := <-saved; err != nil {
 		if c.wasActive {
@@ -220,15 +220,15 @@
 	return backups, err
 }
 
-// lead makes this control node the primary of an accepted view.
-func (v *Replica) lead(c candidacy, state State, start kernel.Micros, voters []string) error {
+// becomePrimary makes this control node the primary of an accepted view.
+func (v *Replica) becomePrimary(c candidacy, state State, start kernel.Micros, voters []string) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.seen.Epoch > c.epoch || c.wasActive && !v.active {
+	if v.newestView.Epoch > c.epoch || c.wasActive && !v.active {
 		return errors.New("no longer primary")
 	}
-	v.k.Invariants.Check(state.Seq >= v.durable, invariant.StateKept,
-		"primary of epoch %d has state up to change %d, but change %d was already durable", c.epoch, state.Seq, v.durable)
+	v.k.Invariants.Check(state.Seq >= v.durableSeq, invariant.StateKept,
+		"primary of epoch %d has state up to change %d, but change %d was already durable", c.epoch, state.Seq, v.durableSeq)
 	v.leaseEnd, v.renewAt = start+v.lease, start+v.lease/3
 	if !v.active {
 		v.beginTerm(c.epoch)
@@ -237,11 +237,11 @@
 		}
 		v.renewAt = v.members.primarySince // renew at once, to learn which other control nodes take part
 	}
-	v.active, v.state, v.seen = true, state, c.view
+	v.active, v.state, v.newestView = true, state, c.view
 	v.takeoverAt = v.leaseEnd
-	clear(v.missed)
+	clear(v.missedRenewals)
 	if c.view.inTransition() {
-		v.poke() // form the next view, which drops the previous set of witnesses
+		v.wakeUp() // form the next view, which drops the previous set of witnesses
 	}
 	v.k.Counters.Add("controlstate.epochs", 1)
 	v.k.Log.Info("primary", "epoch", c.epoch, "backups", memberNames(c.view.Backups), "witnesses", len(c.view.Witnesses), "prior", len(c.view.Prior))
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -21,8 +21,8 @@
 	ErrUnavailable = errors.New("controlstate: control state can't be written now")
 )
 
-// callWait is the timeout of one call to another control node.
-const callWait = 300 * kernel.Millisecond
+// callTimeout is the timeout of one call to another control node.
+const callTimeout = 300 * kernel.Millisecond
 
 // Config holds the settings and dependencies of a Replica.
 type Config struct {
@@ -33,7 +33,7 @@
 	Lease             kernel.Micros
 	WitnessTimeout    kernel.Micros          // a witness unreachable for longer than this is replaced
 	CatchupTimeout    kernel.Micros          // how long to wait for as many control nodes as the tolerated failures require
-	Losses            int                    // control nodes that may be lost at once, together with their disks
+	FailuresTolerated int                    // control nodes that may be lost at once, together with their disks
 	ControlNodes      func() []string        // internal addresses of the control nodes believed to be alive
 	MembershipChanged func() <-chan struct{} // closed when the set of live control nodes changes
 	// Reachable reports whether a control node responds to this one, or to others that are
@@ -52,10 +52,10 @@
 	self     Member
 
 	// mu guards the fields in memory; it is never held during disk or network I/O.
-	mu      sync.Mutex
-	witness witness
-	state   State // stored on this disk; on the active primary also on the disks of all backups
-	seen    View  // newest view known
+	mu         sync.Mutex
+	witness    witness
+	state      State // stored on this disk; on the active primary also on the disks of all backups
+	newestView View  // newest view known
 	// lastProposed is the last view that this control node asked witnesses to accept. Some may
 	// have accepted it, so the next attempt starts from it unless a newer view is known.
 	lastProposed      View
@@ -67,29 +67,29 @@
 	leaseEnd          kernel.Micros
 	renewAt           kernel.Micros
 	members           memberPolicy
-	missed            map[string]int // consecutive renewals that a control node did not answer
-	leaving           bool           // Leave was called
-	standAt           kernel.Micros  // earliest time of the next campaign after a failed one or a loss of the lease
+	missedRenewals    map[string]int // consecutive renewals that a control node did not answer
+	draining          bool           // Leave was called
+	nextCampaignAt    kernel.Micros  // earliest time of the next campaign after a failed one or a loss of the lease
 	nextAnnounceAt    kernel.Micros
 	voidedEpoch       int64 // epoch of a view whose primary lost its disk and thereby its lease
-	tried             int64 // highest epoch campaigned for or learned from others
-	durable           int64 // sequence number of the newest change known to be durable
-	queue             []*update
+	highestEpochTried int64 // highest epoch campaigned for or learned from others
+	durableSeq        int64 // sequence number of the newest change known to be durable
+	queue             []*pendingUpdate
 	// A large state is copied to other control nodes (staged) before a view is formed.
-	staging    bool
-	stagedAt   []string // control nodes that hold the staged state, or nearly all of it
-	stagedTill kernel.Micros
-	small      bool // already logged that there are fewer witnesses than the tolerated failures require
+	staging               bool
+	stagedOn              []string // control nodes that hold the staged state, or nearly all of it
+	stagedUntil           kernel.Micros
+	warnedTooFewWitnesses bool // already logged that there are fewer witnesses than the tolerated failures require
 
-	refusing atomic.Bool // the last write to the disk failed
-	stalled  atomic.Bool // the disk has not completed a request for a while
+	diskRefusing atomic.Bool // the last write to the disk failed
+	diskStalled  atomic.Bool // the disk has not completed a request for a while
 
-	writing kernel.Gate // serializes writes and view changes
-	stating kernel.Gate // serializes writes of the state to disk
-	voting  kernel.Gate // serializes writes of the witness register to disk
-	intake  intake
-	changed kernel.Bell
-	wake    chan struct{}
+	writeGate    kernel.Gate // serializes writes and view changes
+	stateGate    kernel.Gate // serializes writes of the state to disk
+	registerGate kernel.Gate // serializes writes of the witness register to disk
+	intake       snapshotReceiver
+	changed      kernel.Bell
+	wake         chan struct{}
 }
 
 // Open opens the store and registers the RPC handlers through which this control node takes part
@@ -102,9 +102,9 @@
 	self := Member{cfg.Name, b.Addr(), st.Disk}
 	v := &Replica{
 		k: k, endpoint: b, cfg: cfg, lease: cfg.Lease, store: st,
-		self: self, members: newMemberPolicy(self, cfg), missed: map[string]int{},
-		wake: make(chan struct{}, 1), writing: kernel.NewGate(), stating: kernel.NewGate(), voting: kernel.NewGate(),
-		intake: intake{gate: kernel.NewGate()},
+		self: self, members: newMemberPolicy(self, cfg), missedRenewals: map[string]int{},
+		wake: make(chan struct{}, 1), writeGate: kernel.NewGate(), stateGate: kernel.NewGate(), registerGate: kernel.NewGate(),
+		intake: snapshotReceiver{gate: kernel.NewGate()},
 	}
 	now := k.Clock.Now()
 	v.witness = witness{lease: cfg.Lease}
@@ -128,11 +128,11 @@
 	if v.state, err = st.LoadState(); err != nil {
 		return nil, err
 	}
-	v.seen = v.witness.reg.Accepted
-	v.takeoverAt = v.members.takeoverTime(v.seen, now)
-	if st.torn > 0 {
+	v.newestView = v.witness.reg.Accepted
+	v.takeoverAt = v.members.takeoverTime(v.newestView, now)
+	if st.tornBytes > 0 {
 		k.Counters.Add("controlstate.torn_tails", 1)
-		k.Log.Warn("truncated an incomplete last record of the store", "bytes", st.torn)
+		k.Log.Warn("truncated an incomplete last record of the store", "bytes", st.tornBytes)
 	}
 	rpc.On(b, "controlstate.promise", v.onPromise)
 	rpc.On(b, "controlstate.accept", v.onAccept)
@@ -153,7 +153,7 @@
 func (v *Replica) Witnesses() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return union(v.seen.quorumSets()...)
+	return union(v.newestView.quorumSets()...)
 }
 
 // Self returns this control node as a member.
@@ -166,8 +166,8 @@
 	return v.witness.abstains
 }
 
-// Heard returns, on the primary, the time since each control node last granted a lease renewal.
-func (v *Replica) Heard() map[string]kernel.Micros {
+// SinceLastContact returns, on the primary, the time since each control node last granted a lease renewal.
+func (v *Replica) SinceLastContact() map[string]kernel.Micros {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now, out := v.k.Clock.Now(), map[string]kernel.Micros{}
@@ -181,16 +181,16 @@
 func (v *Replica) Primary() (View, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.seen, v.leads(v.k.Clock.Now())
+	return v.newestView, v.holdsLease(v.k.Clock.Now())
 }
 
-// Known returns the internal address of the newest view's primary and whether that is another
+// KnownPrimary returns the internal address of the newest view's primary and whether that is another
 // control node that itself contacted this one within the last lease period. A primary known
 // from earlier, or only from a third party, may have failed or been superseded.
-func (v *Replica) Known() (string, bool) {
+func (v *Replica) KnownPrimary() (string, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	addr := v.seen.Primary.Addr
+	addr := v.newestView.Primary.Addr
 	return addr, addr != v.self.Addr && v.k.Clock.Now() < v.primaryAliveUntil
 }
 
@@ -200,13 +200,13 @@
 // that node knows the primary; if the primary has failed, its successor is one of the members.
 // Referral returns "" if there is no such node.
 func (v *Replica) Referral() string {
-	if addr, known := v.Known(); known {
+	if addr, known := v.KnownPrimary(); known {
 		return addr
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	others := slices.DeleteFunc(union(backupAddrs(v.seen), v.seen.Witnesses), func(addr string) bool {
-		return addr == v.self.Addr || addr == v.seen.Primary.Addr
+	others := slices.DeleteFunc(union(backupAddrs(v.newestView), v.newestView.Witnesses), func(addr string) bool {
+		return addr == v.self.Addr || addr == v.newestView.Primary.Addr
 	})
 	if len(others) == 0 {
 		return ""
@@ -229,28 +229,28 @@
 func (v *Replica) Durable() (State, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.leads(v.k.Clock.Now()) {
+	if !v.holdsLease(v.k.Clock.Now()) {
 		return State{}, ErrNotPrimary
 	}
-	return State{v.seen.Epoch, v.state.Seq, v.state.Entries, v.state.revisions}, nil
+	return State{v.newestView.Epoch, v.state.Seq, v.state.Entries, v.state.revisions}, nil
 }
 
-// poke makes Serve run its next step at once.
-func (v *Replica) poke() {
+// wakeUp makes Serve run its next step at once.
+func (v *Replica) wakeUp() {
 	select {
 	case v.wake <- struct{}{}:
 	default:
 	}
 }
 
-// has returns a predicate that reports whether an address responded.
-func has[A any](got map[string]A) func(string) bool {
+// hasKey returns a predicate that reports whether an address responded.
+func hasKey[A any](got map[string]A) func(string) bool {
 	return func(addr string) bool { _, ok := got[addr]; return ok }
 }
 
-// ask calls several control nodes concurrently, each with its own request, and returns the
+// callAll calls several control nodes concurrently, each with its own request, and returns the
 // responses received once enough reports true, or once all calls have succeeded or failed.
-func ask[A any](ctx context.Context, v *Replica, addrs []string, op string, request func(addr string) any, enough func(map[string]A) bool) map[string]A {
+func callAll[A any](ctx context.Context, v *Replica, addrs []string, op string, request func(addr string) any, enough func(map[string]A) bool) map[string]A {
 	type callResult struct {
 		addr   string
 		answer A
@@ -260,7 +260,7 @@
 	for _, addr := range addrs {
 		go func() {
 			result := callResult{addr: addr}
-			result.err = v.endpoint.Call(ctx, addr, op, request(addr), &result.answer, callWait)
+			result.err = v.endpoint.Call(ctx, addr, op, request(addr), &result.answer, callTimeout)
 			ch <- result
 		}()
 	}
@@ -281,7 +281,7 @@
 	if v.Abstains() {
 		go v.recoverWitness(ctx)
 	}
-	go v.watchDisk(ctx)
+	go v.probeDisk(ctx)
 	for {
 		changed := v.cfg.MembershipChanged()
 		v.reconcile(ctx)
@@ -306,7 +306,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.active {
-		v.standAt = min(v.standAt, v.k.Clock.Now()+20*kernel.Millisecond)
+		v.nextCampaignAt = min(v.nextCampaignAt, v.k.Clock.Now()+20*kernel.Millisecond)
 	}
 }
 
@@ -326,8 +326,8 @@
 // waits half a lease longer, so that it campaigns only if no other member has: it then holds
 // state that others may have lost, and hands over once they have a copy.
 func (v *Replica) campaignNotBefore() kernel.Micros {
-	at := max(v.takeoverAt, v.standAt)
-	if v.leaving {
+	at := max(v.takeoverAt, v.nextCampaignAt)
+	if v.draining {
 		at += v.lease / 2
 	}
 	return at
@@ -335,7 +335,7 @@
 
 // mayCampaign reports whether this control node holds the state of the newest view.
 func (v *Replica) mayCampaign() bool {
-	return v.members.mayCampaign(v.seen, v.cfg.Bootstrap && !v.witness.abstains)
+	return v.members.mayCampaign(v.newestView, v.cfg.Bootstrap && !v.witness.abstains)
 }
 
 // reconcile carries out the actions that are due. The desired condition is one primary with an
@@ -343,12 +343,12 @@
 func (v *Replica) reconcile(ctx context.Context) {
 	v.mu.Lock()
 	now := v.k.Clock.Now()
-	active, leads := v.active, v.leads(now)
+	active, leads := v.active, v.holdsLease(now)
 	renew := active && now >= v.renewAt
 	electionDue := !active && now >= v.campaignNotBefore()
-	mayCampaign := v.mayCampaign() && !v.stalled.Load()
-	newViewWanted := leads && now >= v.standAt && (max(v.tried, v.state.Epoch) > v.seen.Epoch || v.members.wantsNewView(v.seen, now))
-	announce := electionDue && !mayCampaign && v.seen.Epoch > 0 && now >= v.nextAnnounceAt
+	mayCampaign := v.mayCampaign() && !v.diskStalled.Load()
+	newViewWanted := leads && now >= v.nextCampaignAt && (max(v.highestEpochTried, v.state.Epoch) > v.newestView.Epoch || v.members.wantsNewView(v.newestView, now))
+	announce := electionDue && !mayCampaign && v.newestView.Epoch > 0 && now >= v.nextAnnounceAt
 	if announce {
 		v.nextAnnounceAt = now + v.lease
 	}
@@ -361,10 +361,10 @@
 		v.renew(ctx)
 	}
 	switch wanted := newViewWanted || electionDue && mayCampaign; {
-	case wanted && v.staged():
+	case wanted && v.readyForView():
 		v.campaign(ctx)
 	case wanted:
-		v.stageSoon(ctx)
+		v.startStaging(ctx)
 	case announce:
 		v.announceView(ctx)
 	}
@@ -376,24 +376,24 @@
 // needed.
 func (v *Replica) Leave(ctx context.Context) {
 	v.mu.Lock()
-	v.leaving = true
+	v.draining = true
 	v.mu.Unlock()
 	for retry := true; retry; retry = kernel.Sleep(ctx, 20*kernel.Millisecond) {
 		v.mu.Lock()
-		view, active := v.seen, v.active
+		view, active := v.newestView, v.active
 		v.mu.Unlock()
 		switch {
 		case active:
-			if v.writing.Enter(ctx) != nil {
+			if v.writeGate.Enter(ctx) != nil {
 				return
 			}
 			v.handOver("leaving")
-			v.writing.Leave()
+			v.writeGate.Leave()
 		case view.Epoch == 0 || !view.Has(v.self) && !slices.Contains(union(view.quorumSets()...), v.self.Addr):
 			return
 		case view.Primary.Addr != v.self.Addr:
 			var response leaveResponse
-			if v.endpoint.Call(ctx, view.Primary.Addr, "controlstate.leaving", v.self, &response, callWait) == nil {
+			if v.endpoint.Call(ctx, view.Primary.Addr, "controlstate.leaving", v.self, &response, callTimeout) == nil {
 				v.mu.Lock()
 				v.observe(response.View)
 				v.mu.Unlock()
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -53,8 +53,8 @@
 			}
 			s := open(t, dir)
 			defer s.Close()
-			if st, err := s.LoadState(); err != nil || st.Seq != 7 || len(st.Entries) != 0 || s.Disk != disk || s.Fresh {
-				t.Fatalf("%d bytes of the last write: state %+v %v, disk %q fresh %v", cut, st, err, s.Disk, s.Fresh)
+			if st, err := s.LoadState(); err != nil || st.Seq != 7 || len(st.Entries) != 0 || s.Disk != disk || s.Created {
+				t.Fatalf("%d bytes of the last write: state %+v %v, disk %q fresh %v", cut, st, err, s.Disk, s.Created)
 			}
 		}
 		check(last[:cut])
@@ -149,7 +149,7 @@
 		}
 	}
 	s.Close()
-	if fi, err := os.Stat(path); err != nil || fi.Size() > 3*compactAbove {
+	if fi, err := os.Stat(path); err != nil || fi.Size() > 3*compactThreshold {
 		t.Errorf("after 6 MB of changes the size of the store is %d bytes", fi.Size())
 	}
 	// Power was lost before the new file was renamed: it is left behind, incomplete.
@@ -161,7 +161,7 @@
 	if reg, found, rerr := s.loadRegister(); err != nil || rerr != nil || !found || reg.Promised != 5 || st.Seq != 100 || len(st.Entries["a"]) != len(text) {
 		t.Errorf("read back %d entries at %d, %+v %v %v", len(st.Entries), st.Seq, reg, err, rerr)
 	}
-	s.unsure = true // as after a failed sync: the next write compacts the store first
+	s.needsCompaction = true // as after a failed sync: the next write compacts the store first
 	if err := s.Append(Change{4, 101, map[string]json.RawMessage{"a": nil}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlstate/crash_test.go
+++ b/internal/controlstate/crash_test.go
@@ -278,11 +278,11 @@
 	whole()
 	change(map[string]json.RawMessage{"a": json.RawMessage(`"some text"`), "b": json.RawMessage(`1`)})
 	change(map[string]json.RawMessage{"a": nil, "c": json.RawMessage(`{"x":[1,2]}`)})
-	s.size, s.compactedSize = compactAbove+1, 1 // so that it is compacted
+	s.size, s.compactedSize = compactThreshold+1, 1 // so that it is compacted
 	change(map[string]json.RawMessage{"b": json.RawMessage(`2`)})
 	change(map[string]json.RawMessage{"b": json.RawMessage(`3`)})
 	whole()
-	s.unsure = true // as after a failed sync
+	s.needsCompaction = true // as after a failed sync
 	change(map[string]json.RawMessage{"b": json.RawMessage(`4`)})
 	if err := s.Close(); err != nil {
 		d.t.Fatal(err)
--- a/internal/controlstate/decoded_test.go
+++ b/internal/controlstate/decoded_test.go
@@ -19,12 +19,12 @@
 // When the entries change, only those that differ are decoded again, and maps returned
 // earlier stay unchanged.
 func TestOnlyChangedEntriesAreDecoded(t *testing.T) {
-	d := NewDecoded[countingValue]("a/")
+	d := NewDecodeCache[countingValue]("a/")
 	entries := map[string]json.RawMessage{"a/1": json.RawMessage("1"), "a/2": json.RawMessage("2"), "b/1": json.RawMessage("7")}
 	decode := func(want, cost int) map[string]countingValue {
 		t.Helper()
 		before := decodeCount
-		got, err := d.Of(entries)
+		got, err := d.Decode(entries)
 		if err != nil || len(got) != want || decodeCount-before != cost {
 			t.Errorf("%v %v after %d decodings, want %d entries after %d", got, err, decodeCount-before, want, cost)
 		}
@@ -43,7 +43,7 @@
 	}
 	entries = maps.Clone(entries)
 	entries["a/3"] = json.RawMessage("{")
-	if _, err := d.Of(entries); err == nil {
+	if _, err := d.Decode(entries); err == nil {
 		t.Error("a malformed entry is ignored")
 	}
 	entries["a/3"] = json.RawMessage("3")
--- a/internal/controlstate/disk.go
+++ b/internal/controlstate/disk.go
@@ -8,24 +8,24 @@
 	"indigowalk/internal/kernel"
 )
 
-// onDisk runs a write of the state to the disk; these writes run one at a time. A stalled
+// writeStateToDisk runs a write of the state to the disk; these writes run one at a time. A stalled
 // disk blocks only this write and no other work of the control node.
-func (v *Replica) onDisk(ctx context.Context, write func() error) error {
-	if err := v.stating.Enter(ctx); err != nil {
+func (v *Replica) writeStateToDisk(ctx context.Context, write func() error) error {
+	if err := v.stateGate.Enter(ctx); err != nil {
 		return err
 	}
-	defer v.stating.Leave()
+	defer v.stateGate.Leave()
 	return v.recordDiskResult(write())
 }
 
 // recordDiskResult counts failed disk writes, logs when they begin and end, and returns err.
 func (v *Replica) recordDiskResult(err error) error {
-	if err != nil && !errors.Is(err, errOldEpoch) {
+	if err != nil && !errors.Is(err, errStaleEpoch) {
 		v.k.Counters.Add("controlstate.disk_refused", 1)
-		if !v.refusing.Swap(true) {
+		if !v.diskRefusing.Swap(true) {
 			v.k.Log.Warn("disk writes fail", "error", err)
 		}
-	} else if v.refusing.Swap(false) {
+	} else if v.diskRefusing.Swap(false) {
 		v.k.Log.Info("disk writes succeed again")
 	}
 	return err
@@ -38,10 +38,10 @@
 // probeKey is the key of the record that is written to check that the disk responds.
 const probeKey = "alive"
 
-// watchDisk writes a small record once per lease duration, so that a disk that stalls or
+// probeDisk writes a small record once per lease duration, so that a disk that stalls or
 // fails is detected before a change needs it: a primary then hands over, and a backup is
 // replaced.
-func (v *Replica) watchDisk(ctx context.Context) {
+func (v *Replica) probeDisk(ctx context.Context) {
 	for n := 0; kernel.Sleep(ctx, v.lease); n++ {
 		done := make(chan error, 1)
 		go func() { done <- v.recordDiskResult(v.store.Save(probeKey, n)) }()
@@ -63,7 +63,7 @@
 // setDiskStalled records whether the disk is usable: err is nil if it is. A primary whose
 // disk becomes unusable hands over.
 func (v *Replica) setDiskStalled(err error) {
-	if v.stalled.Swap(err != nil) == (err != nil) {
+	if v.diskStalled.Swap(err != nil) == (err != nil) {
 		return
 	}
 	if err == nil {
@@ -80,10 +80,10 @@
 // saveRegister writes the witness's current register to disk; a vote counts only after
 // that.
 func (v *Replica) saveRegister(ctx context.Context) error {
-	if err := v.voting.Enter(ctx); err != nil {
+	if err := v.registerGate.Enter(ctx); err != nil {
 		return err
 	}
-	defer v.voting.Leave()
+	defer v.registerGate.Leave()
 	v.mu.Lock()
 	reg := v.witness.reg
 	v.mu.Unlock()
--- a/internal/controlstate/election.go
+++ b/internal/controlstate/election.go
@@ -20,10 +20,10 @@
 // which primary to refer callers to.
 func (v *Replica) renew(ctx context.Context) {
 	v.mu.Lock()
-	view, start := v.seen, v.k.Clock.Now()
+	view, start := v.newestView, v.k.Clock.Now()
 	v.renewAt = start + v.lease/3
 	if v.state.Epoch == view.Epoch {
-		v.durable = max(v.durable, v.state.Seq)
+		v.durableSeq = max(v.durableSeq, v.state.Seq)
 	}
 	v.mu.Unlock()
 	voters := union(view.quorumSets()...)
@@ -51,7 +51,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.active || v.seen.Epoch != view.Epoch {
+	if !v.active || v.newestView.Epoch != view.Epoch {
 		return
 	}
 	v.k.Counters.Add("controlstate.renew_failed", 1)
@@ -62,7 +62,7 @@
 func (v *Replica) extendLease(view View, start kernel.Micros) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.active && v.seen.Epoch == view.Epoch {
+	if v.active && v.newestView.Epoch == view.Epoch {
 		v.leaseEnd = max(v.leaseEnd, start+v.lease)
 		v.takeoverAt = v.leaseEnd
 	}
@@ -75,33 +75,33 @@
 // sendRenewal sends the renewal to one control node and records whether it takes part.
 func (v *Replica) sendRenewal(ctx context.Context, addr string, view View) (response renewResponse) {
 	v.mu.Lock()
-	durable := v.durable
+	durable := v.durableSeq
 	v.mu.Unlock()
-	err := v.endpoint.Call(ctx, addr, "controlstate.renew", renewRequest{view, durable}, &response, callWait)
+	err := v.endpoint.Call(ctx, addr, "controlstate.renew", renewRequest{view, durable}, &response, callTimeout)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	i := slices.IndexFunc(view.Backups, func(b Member) bool { return b.Addr == addr })
 	switch {
 	case err == nil && i >= 0 && response.Disk != view.Backups[i].Disk:
 		// It restarted with an empty disk before it missed enough renewals.
-		v.missed[addr] = maxMissedRenewals
+		v.missedRenewals[addr] = maxMissedRenewals
 	case err == nil && !response.Stalled:
-		delete(v.missed, addr)
+		delete(v.missedRenewals, addr)
 	default:
-		v.missed[addr]++
+		v.missedRenewals[addr]++
 	}
-	if i >= 0 && v.missed[addr] >= maxMissedRenewals && v.active && v.seen.Epoch == view.Epoch {
+	if i >= 0 && v.missedRenewals[addr] >= maxMissedRenewals && v.active && v.newestView.Epoch == view.Epoch {
 		// An unusable backup is replaced before a write depends on it.
-		delete(v.missed, addr)
-		v.shun(addr)
+		delete(v.missedRenewals, addr)
+		v.excludeBackup(addr)
 	}
 	if err == nil && response.Granted && !response.Stalled {
 		v.members.lastHeard[addr] = v.k.Clock.Now()
 	}
-	if err == nil && !response.Granted && v.active && v.seen.Epoch == view.Epoch {
+	if err == nil && !response.Granted && v.active && v.newestView.Epoch == view.Epoch {
 		// It promised a later epoch to a candidate that failed, or learned of one while
 		// recovering its register: it only takes part in a view of a later epoch.
-		v.tried = max(v.tried, response.Promised)
+		v.highestEpochTried = max(v.highestEpochTried, response.Promised)
 	}
 	return response
 }
@@ -118,14 +118,14 @@
 // campaign tries to become the primary of a new epoch or, as primary, to form another view. After
 // a failure it schedules the next attempt with jitter.
 func (v *Replica) campaign(ctx context.Context) {
-	if v.writing.Enter(ctx) != nil {
+	if v.writeGate.Enter(ctx) != nil {
 		return
 	}
-	defer v.writing.Leave()
-	if err := v.tryStand(ctx); err != nil {
+	defer v.writeGate.Leave()
+	if err := v.tryCampaign(ctx); err != nil {
 		v.k.Counters.Add("controlstate.stood_in_vain", 1)
 		v.mu.Lock()
-		v.standAt = v.k.Clock.Now() + v.lease/24 + rand.N(v.lease/12)
+		v.nextCampaignAt = v.k.Clock.Now() + v.lease/24 + rand.N(v.lease/12)
 		v.mu.Unlock()
 	}
 }
@@ -168,9 +168,9 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.tried = max(v.tried, epoch)
+	v.highestEpochTried = max(v.highestEpochTried, epoch)
 	for _, response := range responses {
-		v.tried = max(v.tried, response.Promised)
+		v.highestEpochTried = max(v.highestEpochTried, response.Promised)
 	}
 	return responses
 }
@@ -209,7 +209,7 @@
 
 // nextEpoch returns an epoch above every one that this control node knows of.
 func (v *Replica) nextEpoch() int64 {
-	return max(v.witness.reg.Promised, v.seen.Epoch, v.state.Epoch, v.tried) + 1
+	return max(v.witness.reg.Promised, v.newestView.Epoch, v.state.Epoch, v.highestEpochTried) + 1
 }
 
 func memberNames(members []Member) []string {
@@ -222,15 +222,15 @@
 
 // observe records a view if it is newer than those known.
 func (v *Replica) observe(view View) {
-	if view.Epoch == v.seen.Epoch && view.Epoch > 0 {
-		v.k.Invariants.Check(view.Primary == v.seen.Primary, invariant.OnePrimary,
-			"epoch %d has two primaries: %v and %v", view.Epoch, v.seen.Primary, view.Primary)
+	if view.Epoch == v.newestView.Epoch && view.Epoch > 0 {
+		v.k.Invariants.Check(view.Primary == v.newestView.Primary, invariant.OnePrimary,
+			"epoch %d has two primaries: %v and %v", view.Epoch, v.newestView.Primary, view.Primary)
 	}
-	if view.Epoch > v.seen.Epoch || len(v.seen.Witnesses) == 0 {
-		if v.active && view.Epoch > v.seen.Epoch {
+	if view.Epoch > v.newestView.Epoch || len(v.newestView.Witnesses) == 0 {
+		if v.active && view.Epoch > v.newestView.Epoch {
 			v.leaseEnd = 0
 		}
-		v.seen, v.primaryAliveUntil = view, 0
+		v.newestView, v.primaryAliveUntil = view, 0
 		v.takeoverAt = max(v.takeoverAt, v.members.takeoverTime(view, v.k.Clock.Now()))
 		v.changed.Ring()
 	}
@@ -240,11 +240,11 @@
 // can succeed it, since only members may campaign.
 func (v *Replica) announceView(ctx context.Context) {
 	v.mu.Lock()
-	view := v.seen
+	view := v.newestView
 	v.mu.Unlock()
 	for _, addr := range union([]string{view.Primary.Addr}, backupAddrs(view)) {
 		if addr != v.self.Addr {
-			go v.endpoint.Call(ctx, addr, "controlstate.tell", view, nil, callWait)
+			go v.endpoint.Call(ctx, addr, "controlstate.tell", view, nil, callTimeout)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 
 // onPromise handles a candidate's request for a promise; a granted one is answered once it is on disk.
 func (v *Replica) onPromise(ctx context.Context, q promiseRequest) (any, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	v.mu.Lock()
 	a, err := v.witness.promise(v.k.Clock.Now(), q)
@@ -283,7 +283,7 @@
 		v.k.Counters.Add("controlstate.other_disk_refused", 1)
 		return nil, errors.New("the promise was made on another disk")
 	}
-	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	v.mu.Lock()
 	a, err := v.witness.accept(v.k.Clock.Now(), q.View)
@@ -307,19 +307,19 @@
 func (v *Replica) onRenew(ctx context.Context, q renewRequest) (any, error) {
 	v.mu.Lock()
 	now := v.k.Clock.Now()
-	if q.View.Epoch < v.seen.Epoch || len(q.View.Witnesses) == 0 {
+	if q.View.Epoch < v.newestView.Epoch || len(q.View.Witnesses) == 0 {
 		v.k.Counters.Add("controlstate.old_epoch_refused", 1)
 		a := renewResponse{Promised: v.witness.reg.Promised}
 		v.mu.Unlock()
 		return a, nil
 	}
 	a, changed := v.witness.renew(now, q.View)
-	a.Disk, a.Stalled = v.self.Disk, v.stalled.Load()
-	v.durable = max(v.durable, q.Durable)
+	a.Disk, a.Stalled = v.self.Disk, v.diskStalled.Load()
+	v.durableSeq = max(v.durableSeq, q.Durable)
 	v.notePrimaryAlive(now, q.View)
 	v.mu.Unlock()
 	if changed {
-		ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+		ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 		defer cancel()
 		if err := v.saveRegister(ctx); err != nil {
 			return nil, err
@@ -331,7 +331,7 @@
 // notePrimaryAlive records that the view's primary is active.
 func (v *Replica) notePrimaryAlive(now kernel.Micros, view View) {
 	v.observe(view)
-	if view.Epoch == v.seen.Epoch && !v.active {
+	if view.Epoch == v.newestView.Epoch && !v.active {
 		if now >= v.primaryAliveUntil {
 			v.changed.Ring() // callers can be referred to a primary again
 		}
@@ -353,28 +353,28 @@
 	return registerResponse{v.witness.reg, v.witness.abstains}, nil
 }
 
-var errOldEpoch = errors.New("old epoch")
+var errStaleEpoch = errors.New("old epoch")
 
 // onWrite handles a change sent by the primary to a backup: the backup applies it on disk and in
 // memory if it directly follows its state in the same epoch.
 func (v *Replica) onWrite(ctx context.Context, c Change) (any, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
-	err := v.onDisk(ctx, func() error {
+	err := v.writeStateToDisk(ctx, func() error {
 		v.mu.Lock()
 		have := v.state
 		fits := c.Epoch == have.Epoch && c.Seq == have.Seq+1 && !v.active
 		v.mu.Unlock()
 		if !fits {
-			return errOldEpoch
+			return errStaleEpoch
 		}
 		if err := v.store.Append(c); err != nil {
 			return err
 		}
-		return v.replace(have.With(c.Entries))
+		return v.adoptState(have.With(c.Entries))
 	})
 	if err != nil {
-		return nil, v.refused(err)
+		return nil, v.countRejection(err)
 	}
 	return struct{}{}, nil
 }
@@ -384,9 +384,9 @@
 func (v *Replica) onSucceed(_ context.Context, q epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if q.Epoch == v.seen.Epoch {
-		v.takeoverAt, v.standAt = 0, 0
-		v.poke()
+	if q.Epoch == v.newestView.Epoch {
+		v.takeoverAt, v.nextCampaignAt = 0, 0
+		v.wakeUp()
 	}
 	return struct{}{}, nil
 }
@@ -396,11 +396,11 @@
 func (v *Replica) onVoidLease(_ context.Context, q epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if q.Epoch != v.seen.Epoch || !v.seen.Has(v.self) || v.active {
-		return nil, errOldEpoch
+	if q.Epoch != v.newestView.Epoch || !v.newestView.Has(v.self) || v.active {
+		return nil, errStaleEpoch
 	}
-	v.voidedEpoch, v.takeoverAt, v.standAt = q.Epoch, 0, 0
-	v.poke()
+	v.voidedEpoch, v.takeoverAt, v.nextCampaignAt = q.Epoch, 0, 0
+	v.wakeUp()
 	return struct{}{}, nil
 }
 
@@ -417,8 +417,8 @@
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
 	v.members.noteLeaving(m.Addr, now)
-	if v.active && slices.ContainsFunc(v.seen.Backups, m.same) {
-		v.poke()
+	if v.active && slices.ContainsFunc(v.newestView.Backups, m.same) {
+		v.wakeUp()
 	}
-	return leaveResponse{v.seen, v.leads(now) && v.members.safeToRemove(v.seen, m, now)}, nil
+	return leaveResponse{v.newestView, v.holdsLease(now) && v.members.safeToRemove(v.newestView, m, now)}, nil
 }
--- a/internal/controlstate/export_test.go
+++ b/internal/controlstate/export_test.go
@@ -12,4 +12,4 @@
 }
 
 // TryCampaign makes one attempt at a new view without the checks that precede it in Serve.
-func (v *Replica) TryCampaign(ctx context.Context) error { return v.tryStand(ctx) }
+func (v *Replica) TryCampaign(ctx context.Context) error { return v.tryCampaign(ctx) }
--- a/internal/controlstate/fulldisk_test.go
+++ b/internal/controlstate/fulldisk_test.go
@@ -46,7 +46,7 @@
 				return s.SaveState(st.With(map[string]json.RawMessage{"b": text}))
 			},
 			"a compaction": func(s *Store, st State) error {
-				s.unsure = true
+				s.needsCompaction = true
 				return s.Append(Change{st.Epoch, st.Seq + 1, map[string]json.RawMessage{"b": text}})
 			},
 		} {
@@ -136,7 +136,7 @@
 				want = i + 1
 			}
 		}
-		if got, err := s.LoadState(); err != nil || !got.equal(states[want]) || (s.Disk == id) != (cut >= diskRecordEnd) || s.Fresh != (cut < diskRecordEnd) {
+		if got, err := s.LoadState(); err != nil || !got.equal(states[want]) || (s.Disk == id) != (cut >= diskRecordEnd) || s.Created != (cut < diskRecordEnd) {
 			t.Fatalf("truncated at byte %d: seq %d of disk %s, %v", cut, got.Seq, s.Disk, err)
 		}
 		s.Close()
--- a/internal/controlstate/growth_test.go
+++ b/internal/controlstate/growth_test.go
@@ -87,13 +87,13 @@
 			w.s = s
 		}
 	}
-	if maxSize > compactAbove+8<<10 {
+	if maxSize > compactThreshold+8<<10 {
 		t.Errorf("the store grew to %d bytes", maxSize)
 	}
 	if got, err := w.s.LoadState(); err != nil || got.Seq != w.state.Seq || len(got.Entries) > 300 || !got.equal(w.state) {
 		t.Errorf("after 12000 changes: seq %d with %d entries, %v", got.Seq, len(got.Entries), err)
 	}
-	if seq := w.state.Seq - minRevisions + 1; !w.state.Knows(seq) || len(w.state.Since(w.state.Seq-1)) != 4 {
+	if seq := w.state.Seq - minRevisions + 1; !w.state.KnowsChangesSince(seq) || len(w.state.ChangedSince(w.state.Seq-1)) != 4 {
 		t.Errorf("the changes since %d are not known", seq)
 	}
 }
--- a/internal/controlstate/membership.go
+++ b/internal/controlstate/membership.go
@@ -26,7 +26,7 @@
 
 func newMemberPolicy(self Member, cfg Config) memberPolicy {
 	return memberPolicy{
-		self: self, tolerated: cfg.Losses, lease: cfg.Lease, witnessTimeout: min(cfg.WitnessTimeout, max(cfg.Lease, cfg.CatchupTimeout-2*cfg.Lease)), catchupTimeout: cfg.CatchupTimeout,
+		self: self, tolerated: cfg.FailuresTolerated, lease: cfg.Lease, witnessTimeout: min(cfg.WitnessTimeout, max(cfg.Lease, cfg.CatchupTimeout-2*cfg.Lease)), catchupTimeout: cfg.CatchupTimeout,
 		lastHeard: map[string]kernel.Micros{}, excluded: map[string]kernel.Micros{}, leaveNoticeAt: map[string]kernel.Micros{}, copyFailingSince: map[string]kernel.Micros{},
 	}
 }
@@ -34,8 +34,8 @@
 // excludeFor is how long a failed control node is not used as a backup if there is another.
 const excludeFor = 2 * kernel.Second
 
-// shun excludes a control node from being a backup for a while, if there is another.
-func (m *memberPolicy) shun(addr string, now kernel.Micros) { m.excluded[addr] = now + excludeFor }
+// exclude excludes a control node from being a backup for a while, if there is another.
+func (m *memberPolicy) exclude(addr string, now kernel.Micros) { m.excluded[addr] = now + excludeFor }
 
 func (m *memberPolicy) isExcluded(addr string, now kernel.Micros) bool { return now < m.excluded[addr] }
 
@@ -109,11 +109,11 @@
 	return set
 }
 
-// largeEnough reports whether the witnesses tolerate the required failures: the survivors of each
+// witnessesSuffice reports whether the witnesses tolerate the required failures: the survivors of each
 // set must include one of any majority. A previous set that is too small is dropped by the next
 // view, which is formed at once. A live control node that is not yet a witness is waited for
 // without limit, control nodes that do not exist only for catchupTimeout.
-func (m *memberPolicy) largeEnough(view View, now kernel.Micros) bool {
+func (m *memberPolicy) witnessesSuffice(view View, now kernel.Micros) bool {
 	if len(view.Prior) > 0 && len(view.Prior) < 2*m.tolerated {
 		return false
 	}
@@ -123,7 +123,7 @@
 // noteLeaving records that a control node is shutting down.
 func (m *memberPolicy) noteLeaving(addr string, now kernel.Micros) {
 	m.leaveNoticeAt[addr] = now
-	m.shun(addr, now)
+	m.exclude(addr, now)
 }
 
 // isLeaving reports whether the control node announced within the last lease period that it is
@@ -133,16 +133,16 @@
 	return ok && now-at < m.lease
 }
 
-// failed records that a control node did not take a copy of the state.
-func (m *memberPolicy) failed(addr string, now kernel.Micros) {
+// copyFailed records that a control node did not take a copy of the state.
+func (m *memberPolicy) copyFailed(addr string, now kernel.Micros) {
 	if _, ok := m.copyFailingSince[addr]; !ok {
 		m.copyFailingSince[addr] = now
 	}
-	m.shun(addr, now)
+	m.exclude(addr, now)
 }
 
-// took records that a control node took a copy of the state.
-func (m *memberPolicy) took(addr string) {
+// copySucceeded records that a control node copySucceeded a copy of the state.
+func (m *memberPolicy) copySucceeded(addr string) {
 	delete(m.copyFailingSince, addr)
 	delete(m.excluded, addr)
 }
@@ -223,10 +223,10 @@
 	})
 }
 
-// candidates returns the control nodes to which a copy of the state is offered, in order of
+// backupCandidates returns the control nodes to which a copy of the state is offered, in order of
 // preference: the backups of the last view, then other live nodes, then unresponsive ones; excluded
 // ones come last.
-func (m *memberPolicy) candidates(last View, live []string, responded func(addr string) bool, now kernel.Micros) []string {
+func (m *memberPolicy) backupCandidates(last View, live []string, responded func(addr string) bool, now kernel.Micros) []string {
 	lastBackups := backupAddrs(last)
 	rank := func(addr string) int {
 		r := 0
@@ -247,5 +247,5 @@
 	return order
 }
 
-// copies returns the desired number of backups.
-func (m *memberPolicy) copies() int { return max(1, m.tolerated) }
+// backupCount returns the desired number of backups.
+func (m *memberPolicy) backupCount() int { return max(1, m.tolerated) }
--- a/internal/controlstate/membership_model_test.go
+++ b/internal/controlstate/membership_model_test.go
@@ -200,7 +200,7 @@
 		// A member of an older view wins the vote of a witness with an empty disk.
 		"EmptyAbstains": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
-			m[0].members.shun(m[1].addr, w.now)
+			m[0].members.exclude(m[1].addr, w.now)
 			w.formViewUnheardBy(m[0], m[1])
 			m[0].wipe(w)
 			w.powerCycle()
--- a/internal/controlstate/model_test.go
+++ b/internal/controlstate/model_test.go
@@ -135,7 +135,7 @@
 	if n.reg.Promised == 0 && len(n.reg.Accepted.Witnesses) == 0 {
 		n.witness.abstains = w.disabledGuard != "EmptyAbstains"
 	}
-	n.members = newMemberPolicy(Member{n.addr, n.addr, n.disk}, Config{Losses: w.f, Lease: modelLease, WitnessTimeout: modelWitnessTimeout, CatchupTimeout: modelCatchupTimeout})
+	n.members = newMemberPolicy(Member{n.addr, n.addr, n.disk}, Config{FailuresTolerated: w.f, Lease: modelLease, WitnessTimeout: modelWitnessTimeout, CatchupTimeout: modelCatchupTimeout})
 	n.newestView = n.reg.Accepted
 	n.active, n.leaseEnd, n.highestEpochTried, n.nextCampaignAt, n.lastProposed, n.missedRenewals = false, 0, 0, 0, View{}, map[string]int{}
 	n.takeoverAt = n.members.takeoverTime(n.newestView, w.now)
@@ -215,7 +215,7 @@
 	if n.attempt != nil || n.pendingWrite != nil || !n.holdsLease(w.now) || n.epoch != n.newestView.Epoch || w.writes == 60 {
 		return false
 	}
-	if !w.guardHolds("EnoughBackups", n.members.enoughBackups(n.newestView, w.now)) || !w.guardHolds("LargeEnough", n.members.largeEnough(n.newestView, w.now)) {
+	if !w.guardHolds("EnoughBackups", n.members.enoughBackups(n.newestView, w.now)) || !w.guardHolds("LargeEnough", n.members.witnessesSuffice(n.newestView, w.now)) {
 		return false
 	}
 	n.pendingWrite = &pendingWrite{n.newestView, 1 << w.writes, backupAddrs(n.newestView)}
@@ -233,7 +233,7 @@
 			return
 		}
 		n.pendingWrite = nil
-		n.members.shun(addr, w.now)
+		n.members.exclude(addr, w.now)
 		n.campaign(w)
 		return
 	}
@@ -316,7 +316,7 @@
 		}
 		if i >= 0 && (n.missedRenewals[addr] >= maxMissedRenewals || o != nil && w.disabledGuard != "RenewalNamesDisk" && o.disk != view.Backups[i].Disk) {
 			delete(n.missedRenewals, addr)
-			n.members.shun(addr, w.now)
+			n.members.exclude(addr, w.now)
 		}
 	}
 	if majorityOfEach(view.quorumSets(), func(addr string) bool { return granted[addr] }) && n.active && n.newestView.Epoch == view.Epoch {
--- a/internal/controlstate/model_votes_test.go
+++ b/internal/controlstate/model_votes_test.go
@@ -61,7 +61,7 @@
 }
 
 func (s *attempt) promise(w *model, n *node) {
-	won := majorityOfEach(s.sets, has(s.disks))
+	won := majorityOfEach(s.sets, hasKey(s.disks))
 	if len(s.pending) > 0 && !won {
 		addr := s.pending[0]
 		s.pending = s.pending[1:]
@@ -86,7 +86,7 @@
 	}
 	unreachable := slices.DeleteFunc(n.members.suspects(s.known, s.responses), func(addr string) bool { return w.reachable(n, addr) != nil })
 	if w.disabledGuard == "GoneIsShown" {
-		unreachable = n.members.nonVotersOf(s.known.establishedWitnesses(), has(s.disks), nil)
+		unreachable = n.members.nonVotersOf(s.known.establishedWitnesses(), hasKey(s.disks), nil)
 	}
 	if view, ok := n.members.succession(s.known, s.view, s.responses, unreachable); !won && ok {
 		s.view, s.sets, won = view, view.quorumSets(), true
@@ -102,23 +102,23 @@
 		return
 	}
 	n.epoch = s.view.Epoch
-	s.phase, s.pending = 1, n.members.candidates(s.known, w.reachablePeers(n), has(s.disks), w.now)
+	s.phase, s.pending = 1, n.members.backupCandidates(s.known, w.reachablePeers(n), hasKey(s.disks), w.now)
 }
 
 func (s *attempt) copy(w *model, n *node) {
-	if len(s.pending) > 0 && len(s.view.Backups) < n.members.copies() {
+	if len(s.pending) > 0 && len(s.view.Backups) < n.members.backupCount() {
 		addr := s.pending[0]
 		s.pending = s.pending[1:]
 		if o := w.reachable(n, addr); o != nil && s.view.Epoch > o.epoch && !o.holdsLease(w.now) && !o.leaving {
 			o.epoch, o.content = s.view.Epoch, n.content
 			s.view.Backups = append(slices.Clone(s.view.Backups), o.self())
-			n.members.took(addr)
+			n.members.copySucceeded(addr)
 		} else {
-			n.members.failed(addr, w.now)
+			n.members.copyFailed(addr, w.now)
 		}
 		return
 	}
-	if len(s.view.Backups) == 0 || !w.guardHolds("EnoughBackups", n.members.enoughCopies(backupAddrs(s.view), slices.Collect(maps.Keys(s.disks)), has(s.disks), w.now)) {
+	if len(s.view.Backups) == 0 || !w.guardHolds("EnoughBackups", n.members.enoughCopies(backupAddrs(s.view), slices.Collect(maps.Keys(s.disks)), hasKey(s.disks), w.now)) {
 		n.fail(w)
 		return
 	}
--- a/internal/controlstate/plugin.go
+++ b/internal/controlstate/plugin.go
@@ -23,7 +23,7 @@
 				Lease:             settings.Span(s.ControlLeaseMs),
 				WitnessTimeout:    settings.Span(s.WitnessAwayMs),
 				CatchupTimeout:    kernel.Micros(s.CatchupS) * kernel.Second,
-				Losses:            int(s.TolerateHosts),
+				FailuresTolerated: int(s.TolerateHosts),
 				ControlNodes:      func() []string { return ring.Peers("control") },
 				Reachable:         ring.Reachable,
 				MembershipChanged: ring.Changed,
--- a/internal/controlstate/recovery.go
+++ b/internal/controlstate/recovery.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		for _, b := range newest.Backups {
-			if v.endpoint.Call(ctx, b.Addr, "controlstate.void", epochRequest{newest.Epoch}, nil, callWait) == nil {
+			if v.endpoint.Call(ctx, b.Addr, "controlstate.void", epochRequest{newest.Epoch}, nil, callTimeout) == nil {
 				v.k.Log.Info("gave up the lease held before the disk was lost", "epoch", newest.Epoch)
 				return
 			}
@@ -73,7 +73,7 @@
 // fetchRegisters requests the registers of control nodes until enough reports true, and records
 // contact with the nodes that responded.
 func (v *Replica) fetchRegisters(ctx context.Context, from []string, enough func(got map[string]registerResponse) bool) map[string]registerResponse {
-	responses := ask(ctx, v, from, "controlstate.register", func(string) any { return struct{}{} }, enough)
+	responses := callAll(ctx, v, from, "controlstate.register", func(string) any { return struct{}{} }, enough)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.witness.noteContact(slices.Collect(maps.Keys(responses))...)
@@ -87,7 +87,7 @@
 // may adopt. If they know a newer view it reads again from that view's witnesses, up to 8 times.
 func (v *Replica) rebuildRegister(ctx context.Context) (register, error) {
 	v.mu.Lock()
-	view := v.seen
+	view := v.newestView
 	v.mu.Unlock()
 	for hop := 0; hop < 8; hop++ {
 		from := union(view.Witnesses, view.Prior, v.cfg.ControlNodes(), v.cfg.Seeds())
--- a/internal/controlstate/revisions.go
+++ b/internal/controlstate/revisions.go
@@ -31,14 +31,14 @@
 	return s
 }
 
-// Knows reports whether all changes after a sequence number are known.
-func (s State) Knows(seq int64) bool {
+// KnowsChangesSince reports whether all changes after a sequence number are known.
+func (s State) KnowsChangesSince(seq int64) bool {
 	return seq >= s.revisions.completeAfter && (seq < s.revisions.gapFrom || seq >= s.revisions.gapTo)
 }
 
-// Since lists the keys of the entries that were modified or deleted after a known sequence
+// ChangedSince lists the keys of the entries that were modified or deleted after a known sequence
 // number.
-func (s State) Since(seq int64) (keys []string) {
+func (s State) ChangedSince(seq int64) (keys []string) {
 	listed := map[string]bool{}
 	for r := s.revisions.newest; r != nil && r.seq > seq; r = r.prev {
 		for _, key := range r.keys {
--- a/internal/controlstate/revisions_test.go
+++ b/internal/controlstate/revisions_test.go
@@ -70,11 +70,11 @@
 					continue
 				}
 				for seq, earlier := range history {
-					if seq > m.Seq || !m.Knows(seq) {
+					if seq > m.Seq || !m.KnowsChangesSince(seq) {
 						continue
 					}
 					listed := map[string]bool{}
-					for _, key := range m.Since(seq) {
+					for _, key := range m.ChangedSince(seq) {
 						listed[key] = true
 					}
 					for k := range 3 {
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlstate/snapshot.go
@@ -141,8 +141,8 @@
 	errDigestMismatch = errors.New("snapshot does not match its digest or the local base state")
 )
 
-// intake receives snapshots, one at a time. Its gate must be held to use it.
-type intake struct {
+// snapshotReceiver receives snapshots, one at a time. Its gate must be held to use it.
+type snapshotReceiver struct {
 	gate          kernel.Gate
 	id            snapshotID
 	count         int // number of chunks
@@ -158,7 +158,7 @@
 }
 
 // addChunk adds a chunk to the snapshot and reports whether the snapshot is complete.
-func (in *intake) addChunk(p chunk, now kernel.Micros) (complete bool, err error) {
+func (in *snapshotReceiver) addChunk(p chunk, now kernel.Micros) (complete bool, err error) {
 	if p.Count < 1 || p.Index < 0 || p.Index >= p.Count || len(p.Data) > chunkBytes || crc32.ChecksumIEEE(p.Data) != p.Checksum {
 		return false, errChunk
 	}
@@ -181,11 +181,11 @@
 	return in.next == in.count, nil
 }
 
-func (in *intake) reset() { in.id, in.count, in.next, in.data = snapshotID{}, 0, 0, nil }
+func (in *snapshotReceiver) reset() { in.id, in.count, in.next, in.data = snapshotID{}, 0, 0, nil }
 
 // assemble returns the entries of the snapshot's state, built from the chunks and, for a
 // difference, from its base: the staged state or this control node's current one.
-func (in *intake) assemble(own State) (map[string]json.RawMessage, error) {
+func (in *snapshotReceiver) assemble(own State) (map[string]json.RawMessage, error) {
 	parts, err := decodeEntries(in.data)
 	if err != nil {
 		return nil, err
@@ -215,7 +215,7 @@
 // onOffer tells a sender which state this control node has and which chunk of the offered
 // snapshot it expects next.
 func (v *Replica) onOffer(ctx context.Context, id snapshotID) (any, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	in := &v.intake
 	if err := in.gate.Enter(ctx); err != nil {
@@ -232,7 +232,7 @@
 	if in.staged.Epoch > own.Epoch {
 		a.Seq, a.Sum = in.staged.Seq, in.stagedDigest
 	} else {
-		a.Seq, a.Sum, a.LastChanged = own.Seq, digest(encodeEntries(own.Entries)), own.Since(own.Seq-1)
+		a.Seq, a.Sum, a.LastChanged = own.Seq, digest(encodeEntries(own.Entries)), own.ChangedSince(own.Seq-1)
 	}
 	return a, nil
 }
@@ -241,7 +241,7 @@
 // backup. The state is installed and acknowledged only once it is complete and on disk; a
 // state whose epoch is not above that of this control node's current one is rejected.
 func (v *Replica) onCopy(ctx context.Context, p chunk) (any, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	in := &v.intake
 	if err := in.gate.Enter(ctx); err != nil {
@@ -258,17 +258,17 @@
 		return a, nil
 	}
 	if v.rejectsEpoch(p.Epoch) {
-		return nil, v.refused(errOldEpoch)
+		return nil, v.countRejection(errStaleEpoch)
 	}
 	complete, err := in.addChunk(p, v.k.Clock.Now())
 	if err != nil {
-		return nil, v.refused(err)
+		return nil, v.countRejection(err)
 	}
 	if !complete {
 		return copyResponse{Next: in.next}, nil
 	}
 	if err := v.installSnapshot(ctx, own); err != nil {
-		return nil, v.refused(err)
+		return nil, v.countRejection(err)
 	}
 	a := copyResponse{Next: in.count}
 	if !in.id.Stage {
@@ -284,7 +284,7 @@
 func (v *Replica) rejectsEpoch(epoch int64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return epoch <= v.state.Epoch || v.leads(v.k.Clock.Now()) || v.leaving
+	return epoch <= v.state.Epoch || v.holdsLease(v.k.Clock.Now()) || v.draining
 }
 
 // installSnapshot stages a complete snapshot, or makes it the current state, on disk and in
@@ -301,9 +301,9 @@
 		in.staged, in.stagedDigest = s, in.id.Digest
 		return nil
 	}
-	err = v.onDisk(ctx, func() error {
+	err = v.writeStateToDisk(ctx, func() error {
 		if v.rejectsEpoch(s.Epoch) {
-			return errOldEpoch
+			return errStaleEpoch
 		}
 		if err := v.store.SaveState(s); err != nil {
 			return err
@@ -311,7 +311,7 @@
 		v.mu.Lock()
 		current := v.state
 		v.mu.Unlock()
-		return v.replace(s.withHistoryOf(current))
+		return v.adoptState(s.withHistoryOf(current))
 	})
 	if err == nil {
 		in.staged, in.stagedDigest = State{}, ""
@@ -319,22 +319,22 @@
 	return err
 }
 
-// replace makes a state that is on disk the current one, unless this control node has
+// adoptState makes a state that is on disk the current one, unless this control node has
 // meanwhile begun to campaign for a later epoch.
-func (v *Replica) replace(s State) error {
+func (v *Replica) adoptState(s State) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.state.Epoch > s.Epoch {
-		return errOldEpoch
+		return errStaleEpoch
 	}
 	v.state = s
 	return nil
 }
 
-// refused counts rejected changes and chunks by their cause, and returns err.
-func (v *Replica) refused(err error) error {
+// countRejection counts rejected changes and chunks by their cause, and returns err.
+func (v *Replica) countRejection(err error) error {
 	switch {
-	case errors.Is(err, errOldEpoch):
+	case errors.Is(err, errStaleEpoch):
 		v.k.Counters.Add("controlstate.old_epoch_refused", 1)
 	case errors.Is(err, errChunk), errors.Is(err, errTransfer), errors.Is(err, errEncoding), errors.Is(err, errDigestMismatch):
 		v.k.Counters.Add("controlstate.chunk_refused", 1)
--- a/internal/controlstate/snapshot_send.go
+++ b/internal/controlstate/snapshot_send.go
@@ -34,14 +34,14 @@
 		return []byte{}
 	}
 	since := have.Seq - 1
-	if !s.state.Knows(since) {
+	if !s.state.KnowsChangesSince(since) {
 		since = have.Seq
 	}
-	if have.Seq == 0 || !s.state.Knows(since) {
+	if have.Seq == 0 || !s.state.KnowsChangesSince(since) {
 		return nil
 	}
 	differing := map[string]json.RawMessage{}
-	for _, key := range append(s.state.Since(since), have.LastChanged...) {
+	for _, key := range append(s.state.ChangedSince(since), have.LastChanged...) {
 		differing[key] = s.state.Entries[key]
 	}
 	return encodeEntries(differing)
@@ -57,14 +57,14 @@
 		return v.sendChunks(ctx, addr, id, s.encoded, len(s.encoded))
 	}
 	var have offerResponse
-	if err := v.endpoint.Call(ctx, addr, "controlstate.offer", id, &have, callWait); err != nil {
+	if err := v.endpoint.Call(ctx, addr, "controlstate.offer", id, &have, callTimeout); err != nil {
 		return Member{}, err
 	}
 	if have.Epoch >= id.Epoch {
 		v.mu.Lock()
-		v.tried = max(v.tried, have.Epoch)
+		v.highestEpochTried = max(v.highestEpochTried, have.Epoch)
 		v.mu.Unlock()
-		return Member{}, errOldEpoch
+		return Member{}, errStaleEpoch
 	}
 	if diff := s.difference(have); diff != nil && have.Seq > 0 && len(diff) < len(s.encoded)/2 {
 		if stage && len(diff) <= chunkBytes {
@@ -92,7 +92,7 @@
 		p := chunk{id, next, count, crc32.ChecksumIEEE(part), part}
 		wait, start := chunkTimeout, v.k.Clock.Now()
 		if count == 1 {
-			wait = callWait
+			wait = callTimeout
 		}
 		if next == count-1 {
 			wait += kernel.Micros(size) / minDiskRate // the receiver writes the state to its disk
@@ -117,7 +117,7 @@
 			return Member{}, fmt.Errorf("controlstate: chunk %d of %d was not accepted: %w", next, count, errors.Join(err, ctx.Err()))
 		}
 		var have offerResponse
-		if v.endpoint.Call(ctx, addr, "controlstate.offer", id, &have, callWait) == nil && have.Next >= 0 && have.Next < count {
+		if v.endpoint.Call(ctx, addr, "controlstate.offer", id, &have, callTimeout) == nil && have.Next >= 0 && have.Next < count {
 			next = have.Next
 		}
 	}
@@ -130,10 +130,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
-	order := v.members.candidates(last, alive, answered, now)
-	if now < v.stagedTill {
+	order := v.members.backupCandidates(last, alive, answered, now)
+	if now < v.stagedUntil {
 		rank := func(addr string) int {
-			if slices.Contains(v.stagedAt, addr) {
+			if slices.Contains(v.stagedOn, addr) {
 				return 0
 			}
 			return 1
@@ -147,15 +147,15 @@
 // tolerate, and to one at least. Control nodes that do not respond count as failed already:
 // if too few others are left, those are enough, but not if more responded a moment ago.
 func (v *Replica) copyToBackups(ctx context.Context, state State, last View, disks map[string]string) ([]Member, error) {
-	recipients := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, has(disks)), false)
+	recipients := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, hasKey(disks)), false)
 	backups := make([]Member, 0, len(recipients))
 	for _, r := range recipients {
 		backups = append(backups, r.member)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(backups) == 0 || !v.members.enoughCopies(backupAddrs(View{Backups: backups}), slices.Collect(maps.Keys(disks)), has(disks), v.k.Clock.Now()) {
-		v.stagedTill = 0 // the staged copies were not sufficient
+	if len(backups) == 0 || !v.members.enoughCopies(backupAddrs(View{Backups: backups}), slices.Collect(maps.Keys(disks)), hasKey(disks), v.k.Clock.Now()) {
+		v.stagedUntil = 0 // the staged copies were not sufficient
 		return nil, errors.New("too few control nodes accepted the copy")
 	}
 	return backups, nil
@@ -170,7 +170,7 @@
 // sendToFirst sends a snapshot to the control nodes in the given order until as many as there
 // should be backups have accepted it.
 func (v *Replica) sendToFirst(ctx context.Context, s *snapshot, order []string, stage bool) (recipients []snapshotRecipient) {
-	want := v.members.copies()
+	want := v.members.backupCount()
 	for len(order) > 0 && len(recipients) < want && ctx.Err() == nil {
 		n := min(want-len(recipients), len(order))
 		accepted := make([]*snapshotRecipient, n)
@@ -205,23 +205,23 @@
 	defer v.mu.Unlock()
 	switch {
 	case err == nil && !stage:
-		v.members.took(addr)
+		v.members.copySucceeded(addr)
 	case err != nil && !errors.Is(err, errTooLarge):
-		v.members.failed(addr, v.k.Clock.Now())
+		v.members.copyFailed(addr, v.k.Clock.Now())
 	}
 }
 
-// staged reports whether a view can be formed without copying much while it is being formed.
+// readyForView reports whether a view can be formed without copying much while it is being formed.
 // If not, the state is first copied to the future backups: meanwhile the lease is still
 // renewed, reads and changes continue, and no witness has promised the next epoch.
-func (v *Replica) staged() bool {
+func (v *Replica) readyForView() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return entriesSize(v.state.Entries) <= stageThreshold || v.k.Clock.Now() < v.stagedTill
+	return entriesSize(v.state.Entries) <= stageThreshold || v.k.Clock.Now() < v.stagedUntil
 }
 
-// stageSoon starts staging the state in the background, unless that is in progress.
-func (v *Replica) stageSoon(ctx context.Context) {
+// startStaging starts staging the state in the background, unless that is in progress.
+func (v *Replica) startStaging(ctx context.Context) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.staging {
@@ -233,22 +233,22 @@
 // stageState stages the current state, under the next epoch, on the future backups.
 func (v *Replica) stageState(ctx context.Context) {
 	v.mu.Lock()
-	state, last := v.state, v.seen
+	state, last := v.state, v.newestView
 	state.Epoch = v.nextEpoch()
 	v.mu.Unlock()
 	v.k.Counters.Add("controlstate.staged", 1)
 	recipients := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, func(string) bool { return false }), true)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.staging, v.stagedAt = false, nil
+	v.staging, v.stagedOn = false, nil
 	if len(recipients) == 0 {
 		v.k.Counters.Add("controlstate.staged_in_vain", 1)
-		v.standAt = v.k.Clock.Now() + v.lease/24 + rand.N(v.lease/12)
+		v.nextCampaignAt = v.k.Clock.Now() + v.lease/24 + rand.N(v.lease/12)
 		return
 	}
 	for _, r := range recipients {
-		v.stagedAt = append(v.stagedAt, r.addr)
+		v.stagedOn = append(v.stagedOn, r.addr)
 	}
-	v.stagedTill = v.k.Clock.Now() + 2*v.lease
-	v.poke()
+	v.stagedUntil = v.k.Clock.Now() + 2*v.lease
+	v.wakeUp()
 }
--- a/internal/controlstate/snapshot_test.go
+++ b/internal/controlstate/snapshot_test.go
@@ -18,7 +18,7 @@
 func newReceiver(t *testing.T) *Replica {
 	return &Replica{
 		k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), store: open(t, t.TempDir()),
-		self: Member{"a", "a:1", "disk-a"}, stating: kernel.NewGate(), intake: intake{gate: kernel.NewGate()},
+		self: Member{"a", "a:1", "disk-a"}, stateGate: kernel.NewGate(), intake: snapshotReceiver{gate: kernel.NewGate()},
 	}
 }
 
@@ -100,7 +100,7 @@
 	if a, err := send(newerChunks[last]); err != nil || a.Member != v.self {
 		t.Errorf("the last again: %+v %v", a, err)
 	}
-	if _, err := send(all[0]); !errors.Is(err, errOldEpoch) {
+	if _, err := send(all[0]); !errors.Is(err, errStaleEpoch) {
 		t.Errorf("a snapshot of an older epoch: %v", err)
 	}
 	if have, err := v.store.LoadState(); err != nil || have.Epoch != 6 || !maps.EqualFunc(have.Entries, largeState(6, 41).Entries, equalJSON) || !maps.EqualFunc(v.state.Entries, have.Entries, equalJSON) {
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -49,15 +49,15 @@
 	}
 }
 
-// Pick decodes the entries whose keys begin with the prefix. The result is keyed by the
+// DecodePrefix decodes the entries whose keys begin with the prefix. The result is keyed by the
 // rest of their keys.
-func Pick[T any](entries map[string]json.RawMessage, prefix string) (map[string]T, error) {
-	return NewDecoded[T](prefix).Of(entries)
+func DecodePrefix[T any](entries map[string]json.RawMessage, prefix string) (map[string]T, error) {
+	return NewDecodeCache[T](prefix).Decode(entries)
 }
 
-// Decoded is a cache of the decoded entries of one kind: when the state changes, only the
+// DecodeCache is a cache of the decoded entries of one kind: when the state changes, only the
 // entries that differ are decoded again.
-type Decoded[T any] struct {
+type DecodeCache[T any] struct {
 	prefix string
 
 	mu      sync.Mutex
@@ -65,12 +65,12 @@
 	values  map[string]T
 }
 
-// NewDecoded returns an empty cache for the entries whose keys begin with the prefix.
-func NewDecoded[T any](prefix string) *Decoded[T] { return &Decoded[T]{prefix: prefix} }
+// NewDecodeCache returns an empty cache for the entries whose keys begin with the prefix.
+func NewDecodeCache[T any](prefix string) *DecodeCache[T] { return &DecodeCache[T]{prefix: prefix} }
 
-// Of returns the decoded entries, keyed by the rest of their keys. The map is shared and
+// Decode returns the decoded entries, keyed by the rest of their keys. The map is shared and
 // must not be modified.
-func (d *Decoded[T]) Of(entries map[string]json.RawMessage) (map[string]T, error) {
+func (d *DecodeCache[T]) Decode(entries map[string]json.RawMessage) (map[string]T, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	decoded, matching := map[string]T{}, 0
--- a/internal/controlstate/store.go
+++ b/internal/controlstate/store.go
@@ -45,11 +45,11 @@
 	changePrefix = "change/"
 )
 
-// The store is compacted once it is larger than compactAbove bytes and compactFactor times
+// The store is compacted once it is larger than compactThreshold bytes and compactFactor times
 // as large as it was after the last compaction.
 const (
-	compactAbove  = 1 << 20
-	compactFactor = 4
+	compactThreshold = 1 << 20
+	compactFactor    = 4
 )
 
 // diskRecord is the first record of every store: its format and the identity of the disk.
@@ -61,19 +61,19 @@
 // Store is the durable store of one control node; every write is synced. Each record is a
 // single buntdb entry with a checksum, so a torn write loses the record as a whole.
 type Store struct {
-	path  string
-	Disk  string // identity of this disk, generated when the store was created
-	Fresh bool   // the store was created by this call of OpenStore
-	torn  int64  // bytes of an incomplete last write that were truncated
-
-	sem           chan struct{} // held while the store is in use; the disk may stall meanwhile
-	db            *buntdb.DB
-	file          *os.File // for syncing: buntdb does not report the result of its own syncs
-	sync          kernel.Sync
-	size          int64 // of the file, in bytes
-	compactedSize int64 // size after the last compaction, or what it would have been at opening
-	unsure        bool  // a sync failed: only a compacted file is known to be intact
-	closed        bool
+	path      string
+	Disk      string // identity of this disk, generated when the store was created
+	Created   bool   // the store was created by this call of OpenStore
+	tornBytes int64  // bytes of an incomplete last write that were truncated
+
+	sem             chan struct{} // held while the store is in use; the disk may stall meanwhile
+	db              *buntdb.DB
+	file            *os.File // for syncing: buntdb does not report the result of its own syncs
+	sync            kernel.Sync
+	size            int64 // of the file, in bytes
+	compactedSize   int64 // size after the last compaction, or what it would have been at opening
+	needsCompaction bool  // a sync failed: only a compacted file is known to be intact
+	closed          bool
 }
 
 func newStore(path string, sync kernel.Sync) *Store {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %v", ErrDamaged, s.path, err)
 	}
-	if s.torn = int64(len(raw) - intact); s.torn > 0 {
+	if s.tornBytes = int64(len(raw) - intact); s.tornBytes > 0 {
 		if err := truncateTornTail(s.path, raw, int64(intact)); err != nil {
 			return nil, fmt.Errorf("controlstate: %w", err)
 		}
@@ -139,7 +139,7 @@
 		s.compactedSize, err = s.liveSize()
 		return err
 	}
-	s.Fresh, s.Disk = true, rand.Text()[:12]
+	s.Created, s.Disk = true, rand.Text()[:12]
 	return s.Save(diskKey, diskRecord{storeFormat, s.Disk})
 }
 
@@ -240,7 +240,7 @@
 	if s.closed {
 		return fmt.Errorf("controlstate: %w", os.ErrClosed)
 	}
-	if s.unsure || s.size > compactAbove && s.size > compactFactor*s.compactedSize {
+	if s.needsCompaction || s.size > compactThreshold && s.size > compactFactor*s.compactedSize {
 		if err := s.compact(); err != nil {
 			return err
 		}
@@ -264,7 +264,7 @@
 			return nil
 		}
 	}
-	s.unsure = true
+	s.needsCompaction = true
 	return fmt.Errorf("controlstate: %w", err)
 }
 
@@ -282,7 +282,7 @@
 	}
 	// The earlier changes are ignored from now on, whether or not they are deleted.
 	if err := s.commitTx(deleteChanges); err != nil {
-		s.unsure = true
+		s.needsCompaction = true
 	}
 	return nil
 }
@@ -380,17 +380,17 @@
 		return fmt.Errorf("controlstate: %w", err)
 	}
 	if err := syncDir(filepath.Dir(s.path), s.sync); err != nil {
-		s.unsure = true // it is unknown which of the two files has the name
+		s.needsCompaction = true // it is unknown which of the two files has the name
 		return fmt.Errorf("controlstate: %w", err)
 	}
 	old, oldFile := s.db, s.file
 	if err := s.open(s.path); err != nil {
-		s.unsure = true
+		s.needsCompaction = true
 		return err
 	}
 	oldFile.Close()
 	old.Close()
-	s.size, s.compactedSize, s.unsure = n.size, n.size, false
+	s.size, s.compactedSize, s.needsCompaction = n.size, n.size, false
 	return nil
 }
 
--- a/internal/controlstate/term.go
+++ b/internal/controlstate/term.go
@@ -6,8 +6,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// leads reports whether this control node is the primary and its lease has not expired.
-func (v *Replica) leads(now kernel.Micros) bool { return v.active && now < v.leaseEnd }
+// holdsLease reports whether this control node is the primary and its lease has not expired.
+func (v *Replica) holdsLease(now kernel.Micros) bool { return v.active && now < v.leaseEnd }
 
 // Lease returns the epoch and the remaining time of the lease, or zeros if this control node does
 // not hold it. Nothing may be answered or done as primary at or after its expiry.
@@ -19,10 +19,10 @@
 
 func (v *Replica) leaseRemaining() (epoch int64, remaining kernel.Micros) {
 	now := v.k.Clock.Now()
-	if !v.leads(now) {
+	if !v.holdsLease(now) {
 		return 0, 0
 	}
-	return v.seen.Epoch, v.leaseEnd - now
+	return v.newestView.Epoch, v.leaseEnd - now
 }
 
 // Term is an uninterrupted period in which this control node is the primary; it continues
@@ -39,7 +39,7 @@
 func (v *Replica) Term() (*Term, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.leads(v.k.Clock.Now()) {
+	if !v.holdsLease(v.k.Clock.Now()) {
 		return nil, ErrNotPrimary
 	}
 	return v.term, nil
@@ -65,8 +65,8 @@
 // one begins.
 func (t *Term) Context() context.Context { return t.ctx }
 
-// Began returns the epoch in which the term began, which identifies the term.
-func (t *Term) Began() int64 { return t.began }
+// FirstEpoch returns the epoch in which the term began, which identifies the term.
+func (t *Term) FirstEpoch() int64 { return t.began }
 
 // Lease returns the epoch and the remaining time of the lease, or zeros if the term has ended.
 func (t *Term) Lease() (epoch int64, remaining kernel.Micros) {
@@ -97,10 +97,10 @@
 	}
 	v.active, v.members.primarySince = false, 0
 	v.cancelTerm()
-	v.k.Log.Info("stepped down as primary", "epoch", v.seen.Epoch, "why", reason)
-	v.standAt = v.k.Clock.Now() + v.lease
+	v.k.Log.Info("stepped down as primary", "epoch", v.newestView.Epoch, "why", reason)
+	v.nextCampaignAt = v.k.Clock.Now() + v.lease
 	v.changed.Ring()
-	return v.seen, true
+	return v.newestView, true
 }
 
 // handOver releases the lease before it expires and asks the backups in turn to campaign until one
@@ -111,10 +111,10 @@
 		return
 	}
 	ctx := context.Background() // each call has its own timeout
-	ask(ctx, v, union(view.quorumSets()...), "controlstate.release", func(string) any { return epochRequest{view.Epoch} },
-		func(got map[string]struct{}) bool { return majorityOfEach(view.quorumSets(), has(got)) })
+	callAll(ctx, v, union(view.quorumSets()...), "controlstate.release", func(string) any { return epochRequest{view.Epoch} },
+		func(got map[string]struct{}) bool { return majorityOfEach(view.quorumSets(), hasKey(got)) })
 	for _, b := range view.Backups {
-		if v.endpoint.Call(ctx, b.Addr, "controlstate.succeed", epochRequest{view.Epoch}, nil, callWait) == nil {
+		if v.endpoint.Call(ctx, b.Addr, "controlstate.succeed", epochRequest{view.Epoch}, nil, callTimeout) == nil {
 			return
 		}
 	}
--- a/internal/controlstate/term_test.go
+++ b/internal/controlstate/term_test.go
@@ -29,7 +29,7 @@
 			if view.Has(at(z).Self()) {
 				continue
 			}
-			if addr, known := at(z).Known(); !known || at(z).Referral() != addr || addr != view.Primary.Addr {
+			if addr, known := at(z).KnownPrimary(); !known || at(z).Referral() != addr || addr != view.Primary.Addr {
 				t.Errorf("callers are not referred to the known primary: %q", addr)
 			}
 			w.Isolate(z, true)
--- a/internal/controlstate/write.go
+++ b/internal/controlstate/write.go
@@ -14,8 +14,8 @@
 // entry.
 type ChangeFunc func(map[string]json.RawMessage) (map[string]json.RawMessage, error)
 
-// update is a queued change that waits to be written.
-type update struct {
+// pendingUpdate is a queued change that waits to be written.
+type pendingUpdate struct {
 	change ChangeFunc
 	done   chan error
 }
@@ -25,17 +25,17 @@
 // another one is being written are written together as a batch. After an error that change
 // itself did not return, it is unknown whether the change is durable.
 func (v *Replica) Update(ctx context.Context, change ChangeFunc) error {
-	u := &update{change, make(chan error, 1)}
+	u := &pendingUpdate{change, make(chan error, 1)}
 	v.mu.Lock()
 	v.queue = append(v.queue, u)
 	v.mu.Unlock()
-	if err := v.writing.Enter(ctx); err != nil {
+	if err := v.writeGate.Enter(ctx); err != nil {
 		v.mu.Lock()
-		v.queue = slices.DeleteFunc(v.queue, func(o *update) bool { return o == u })
+		v.queue = slices.DeleteFunc(v.queue, func(o *pendingUpdate) bool { return o == u })
 		v.mu.Unlock()
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
-	defer v.writing.Leave()
+	defer v.writeGate.Leave()
 	select {
 	case err := <-u.done:
 		return err
@@ -46,7 +46,7 @@
 	v.queue = nil
 	v.mu.Unlock()
 	// One caller writes the batch for the others, so it continues even if its own context ends.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), (3 * callWait).Duration())
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), (3 * callTimeout).Duration())
 	defer cancel()
 	v.commitBatch(ctx, batch)
 	return <-u.done
@@ -54,10 +54,10 @@
 
 // commitBatch writes a batch and reports the result to each update. If a backup fails, it
 // replaces the backup and writes the batch once more.
-func (v *Replica) commitBatch(ctx context.Context, batch []*update) {
+func (v *Replica) commitBatch(ctx context.Context, batch []*pendingUpdate) {
 	results := make([]error, len(batch))
 	err := v.writeBatch(ctx, batch, results)
-	if errors.Is(err, errBackupsFailed) && v.staged() && v.tryStand(ctx) == nil {
+	if errors.Is(err, errBackupsFailed) && v.readyForView() && v.tryCampaign(ctx) == nil {
 		err = v.writeBatch(ctx, batch, results)
 	}
 	for i, u := range batch {
@@ -74,7 +74,7 @@
 
 // writeBatch writes a batch of updates as one change of the state. It sets results[i] to the
 // error of the i-th update's own ChangeFunc.
-func (v *Replica) writeBatch(ctx context.Context, batch []*update, results []error) error {
+func (v *Replica) writeBatch(ctx context.Context, batch []*pendingUpdate, results []error) error {
 	old, view, err := v.checkWritable()
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 	}
 	local := make(chan error, 1)
 	c := Change{view.Epoch, next.Seq, changes}
-	go func() { local <- v.onDisk(ctx, func() error { return v.store.Append(c) }) }()
+	go func() { local <- v.writeStateToDisk(ctx, func() error { return v.store.Append(c) }) }()
 	replicated := v.replicateToBackups(ctx, view, c)
 	if err := awaitLocalWrite(local); err != nil {
 		v.k.Counters.Add("controlstate.save_failed", 1)
@@ -95,7 +95,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
-	case !v.leads(v.k.Clock.Now()) || v.seen.Epoch != view.Epoch:
+	case !v.holdsLease(v.k.Clock.Now()) || v.newestView.Epoch != view.Epoch:
 		return ErrNotPrimary
 	case !replicated:
 		return errBackupsFailed
@@ -112,28 +112,28 @@
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
 	switch {
-	case !v.leads(now):
+	case !v.holdsLease(now):
 		return State{}, View{}, ErrNotPrimary
-	case v.state.Epoch != v.seen.Epoch:
+	case v.state.Epoch != v.newestView.Epoch:
 		// It campaigned for another epoch without success; the state on disk already
 		// belongs to that epoch.
 		return State{}, View{}, errBackupsFailed
-	case !v.members.enoughBackups(v.seen, now):
+	case !v.members.enoughBackups(v.newestView, now):
 		return State{}, View{}, errBackupsFailed
-	case !v.members.largeEnough(v.seen, now):
+	case !v.members.witnessesSuffice(v.newestView, now):
 		v.k.Counters.Add("controlstate.too_few_witnesses", 1)
 		return State{}, View{}, fmt.Errorf("%w: the witnesses can't bear the losses yet", ErrUnavailable)
 	}
-	if n := len(v.seen.Witnesses); n < 2*v.cfg.Losses && !v.small {
-		v.small = true
-		v.k.Log.Warn("fewer control nodes than needed for the number of failures to tolerate", "witnesses", n, "tolerate", v.cfg.Losses)
+	if n := len(v.newestView.Witnesses); n < 2*v.cfg.FailuresTolerated && !v.warnedTooFewWitnesses {
+		v.warnedTooFewWitnesses = true
+		v.k.Log.Warn("fewer control nodes than needed for the number of failures to tolerate", "witnesses", n, "tolerate", v.cfg.FailuresTolerated)
 	}
-	return v.state, v.seen, nil
+	return v.state, v.newestView, nil
 }
 
 // applyBatch returns the state after a batch of updates, and the entries that differ. An
 // update whose ChangeFunc fails is skipped.
-func (s State) applyBatch(batch []*update, results []error, epoch int64) (next State, changes map[string]json.RawMessage) {
+func (s State) applyBatch(batch []*pendingUpdate, results []error, epoch int64) (next State, changes map[string]json.RawMessage) {
 	next = State{Epoch: epoch, Seq: s.Seq + 1, Entries: maps.Clone(s.Entries)}
 	if next.Entries == nil {
 		next.Entries = map[string]json.RawMessage{}
@@ -169,7 +169,7 @@
 	for _, b := range view.Backups {
 		addrs = append(addrs, b.Addr)
 	}
-	acknowledged := ask(ctx, v, addrs, "controlstate.write", func(string) any { return c }, func(got map[string]struct{}) bool { return len(got) == len(addrs) })
+	acknowledged := callAll(ctx, v, addrs, "controlstate.write", func(string) any { return c }, func(got map[string]struct{}) bool { return len(got) == len(addrs) })
 	if len(acknowledged) == len(addrs) {
 		return true
 	}
@@ -178,14 +178,14 @@
 	defer v.mu.Unlock()
 	for _, addr := range addrs {
 		if _, ok := acknowledged[addr]; !ok {
-			v.shun(addr)
+			v.excludeBackup(addr)
 		}
 	}
 	return false
 }
 
-// shun excludes a backup for a while, so that it is replaced.
-func (v *Replica) shun(addr string) {
-	v.members.shun(addr, v.k.Clock.Now())
-	v.poke()
+// excludeBackup excludes a backup for a while, so that it is replaced.
+func (v *Replica) excludeBackup(addr string) {
+	v.members.exclude(addr, v.k.Clock.Now())
+	v.wakeUp()
 }
--- a/internal/discovery/departures.go
+++ b/internal/discovery/departures.go
@@ -23,7 +23,7 @@
 
 // hasDeparted reports whether the departure of a database is recorded.
 func (a *Registry) hasDeparted(entries map[string]json.RawMessage, id string) (bool, error) {
-	departed, err := a.departed.Of(entries)
+	departed, err := a.departed.Decode(entries)
 	for _, d := range departed {
 		if d.ID == id {
 			return true, err
@@ -38,7 +38,7 @@
 	if len(ids) == 0 {
 		return nil
 	}
-	departed, err := a.departed.Of(entries)
+	departed, err := a.departed.Decode(entries)
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -94,8 +94,8 @@
 	k     *kernel.Kernel
 	state *controlstate.Replica
 
-	decoded  *controlstate.Decoded[Database]
-	departed *controlstate.Decoded[departure]
+	decoded  *controlstate.DecodeCache[Database]
+	departed *controlstate.DecodeCache[departure]
 
 	mu       sync.Mutex
 	observed map[string]ObservedState
@@ -105,15 +105,17 @@
 
 // New returns the registry kept in that replica of the control state.
 func New(k *kernel.Kernel, v *controlstate.Replica) *Registry {
-	return &Registry{k: k, state: v, decoded: Decoder(), departed: controlstate.NewDecoded[departure](departedPrefix), observed: map[string]ObservedState{}}
+	return &Registry{k: k, state: v, decoded: Decoder(), departed: controlstate.NewDecodeCache[departure](departedPrefix), observed: map[string]ObservedState{}}
 }
 
 // Decoder returns a decoder of the databases in the control state.
-func Decoder() *controlstate.Decoded[Database] { return controlstate.NewDecoded[Database](keyPrefix) }
+func Decoder() *controlstate.DecodeCache[Database] {
+	return controlstate.NewDecodeCache[Database](keyPrefix)
+}
 
 // Decode returns the databases in the control state, by ID. It is meant for single use.
 func Decode(entries map[string]json.RawMessage) (map[string]Database, error) {
-	return Decoder().Of(entries)
+	return Decoder().Decode(entries)
 }
 
 // Heartbeat processes a heartbeat; it returns nil only once everything in it that is control
@@ -152,7 +154,7 @@
 		if gone, err := a.hasDeparted(entries, id); gone || err != nil {
 			return nil, err
 		}
-		known, err := a.decoded.Of(entries)
+		known, err := a.decoded.Decode(entries)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -267,7 +267,7 @@
 		if err != nil || !term.Valid() {
 			return pollReply{}, nil
 		}
-		log, aggregate := o.forTerm(term.Began())
+		log, aggregate := o.forTerm(term.FirstEpoch())
 		if request.Observations != nil {
 			aggregate.add(request.Observations)
 			request.Observations = nil
@@ -326,12 +326,12 @@
 	if err != nil {
 		return err
 	}
-	if !o.readers.InTerm(term.Began()) {
+	if !o.readers.InTerm(term.FirstEpoch()) {
 		proxies, err := failover.Registered(state.Entries)
 		if err != nil {
 			return err
 		}
-		o.readers.Term(term.Began(), proxies, o.k.Clock.Now(), o.lease)
+		o.readers.Term(term.FirstEpoch(), proxies, o.k.Clock.Now(), o.lease)
 	}
 	if failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
 		return nil
@@ -351,7 +351,7 @@
 		if term, err := o.replica.Term(); err == nil {
 			return term, ""
 		}
-		if addr, known := o.replica.Known(); known {
+		if addr, known := o.replica.KnownPrimary(); known {
 			return nil, addr
 		}
 		select {
@@ -378,15 +378,15 @@
 		return pollReply{}, nil
 	}
 	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.Count(o.k.Clock.Now() - proxyCountWindow)}
-	if request.CostTerm != term.Began() {
+	if request.CostTerm != term.FirstEpoch() {
 		request.CostSeq = 0
 	}
 	if response.Costs, response.CostSeq = aggregate.since(request.CostSeq); response.CostSeq > 0 {
-		response.CostTerm = term.Began()
+		response.CostTerm = term.FirstEpoch()
 	}
 	now := o.k.Clock.Now()
 	if services := o.readers.Wanted(request.Proxy, now); len(services) > 0 {
-		response.Query = (&positionQuery{Term: term.Began(), Stamp: now, Services: services}).omitKnownServices(request.QueryChecksum)
+		response.Query = (&positionQuery{Term: term.FirstEpoch(), Stamp: now, Services: services}).omitKnownServices(request.QueryChecksum)
 	}
 	raw, err := json.Marshal(response)
 	if err != nil || encoded == nil {
--- a/internal/distribution/updatelog.go
+++ b/internal/distribution/updatelog.go
@@ -84,8 +84,8 @@
 	encoded     map[int64]json.RawMessage // encoded updates, by the seq that a proxy has
 	encodedFull json.RawMessage           // the update for a proxy of which nothing is known
 
-	databaseDecoder *controlstate.Decoded[discovery.Database]
-	leaderDecoder   *controlstate.Decoded[failover.Lead]
+	databaseDecoder *controlstate.DecodeCache[discovery.Database]
+	leaderDecoder   *controlstate.DecodeCache[failover.Lead]
 }
 
 func newUpdateLog(term int64) *updateLog {
@@ -105,7 +105,7 @@
 	if err := e.advance(state); err != nil {
 		return nil, false, err
 	}
-	missing := update{Full: !state.Knows(seq)}
+	missing := update{Full: !state.KnowsChangesSince(seq)}
 	if seq >= state.Seq || !missing.Full && seq >= e.newestSeq {
 		return nil, false, nil
 	}
@@ -123,7 +123,7 @@
 		return e.encodedFull, true, nil
 	}
 	missing.Databases, missing.Leaders = databaseSet{}, map[string]failover.Lead{}
-	for _, key := range state.Since(seq) {
+	for _, key := range state.ChangedSince(seq) {
 		urgent = urgent || failover.Holds(key)
 		e.addEntry(&missing, key, seq)
 	}
@@ -176,7 +176,7 @@
 			published[key] = raw
 		}
 	}
-	listed, err := e.databaseDecoder.Of(published)
+	listed, err := e.databaseDecoder.Decode(published)
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 			databases[id] = database
 		}
 	}
-	leaders, err := e.leaderDecoder.Of(published)
+	leaders, err := e.leaderDecoder.Decode(published)
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 		}
 	}
 	changed := !e.loaded
-	for _, key := range state.Since(e.state.Seq) {
+	for _, key := range state.ChangedSince(e.state.Seq) {
 		if isPublished(key) {
 			e.newestSeq, changed = state.Seq, true
 		}
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -53,9 +53,9 @@
 	readers  *Readers
 	platform *platform
 
-	databases *controlstate.Decoded[discovery.Database]
-	leaders   *controlstate.Decoded[Lead]
-	poolers   *controlstate.Decoded[int64]
+	databases *controlstate.DecodeCache[discovery.Database]
+	leaders   *controlstate.DecodeCache[Lead]
+	poolers   *controlstate.DecodeCache[int64]
 
 	mu                     sync.Mutex
 	busy                   map[string]bool          // services that this process is working on
@@ -73,7 +73,7 @@
 	return &Manager{
 		k: k, cfg: cfg, state: v, registry: acc, health: health, readers: readers,
 		platform:  newPlatform(k.Net, cfg.Platform, cfg.Name),
-		databases: discovery.Decoder(), leaders: Decoder(), poolers: controlstate.NewDecoded[int64](proxyPrefix),
+		databases: discovery.Decoder(), leaders: Decoder(), poolers: controlstate.NewDecodeCache[int64](proxyPrefix),
 		busy: map[string]bool{}, attempts: map[string]kernel.Micros{}, waitReasons: map[string]string{}, resumed: map[string]*resumeState{},
 	}
 }
@@ -110,7 +110,7 @@
 		}
 		return
 	}
-	c.readers.Term(term.Began(), s.poolers, c.k.Clock.Now(), c.cfg.ReaderLease)
+	c.readers.Term(term.FirstEpoch(), s.poolers, c.k.Clock.Now(), c.cfg.ReaderLease)
 	c.health.Keep(s.known)
 	c.removeReaders(ctx)
 	if c.cfg.Leaderless {
--- a/internal/failover/lead.go
+++ b/internal/failover/lead.go
@@ -48,12 +48,12 @@
 func Holds(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
 // Decoder returns a decoder of the leaders in the control state.
-func Decoder() *controlstate.Decoded[Lead] { return controlstate.NewDecoded[Lead](keyPrefix) }
+func Decoder() *controlstate.DecodeCache[Lead] { return controlstate.NewDecodeCache[Lead](keyPrefix) }
 
 // Decode returns the leaders in the control state, by service. It is meant for single use; a
 // Decoder is cheaper for repeated use.
 func Decode(entries map[string]json.RawMessage) (map[string]Lead, error) {
-	return Decoder().Of(entries)
+	return Decoder().Decode(entries)
 }
 
 // updateLeader applies a change to the leader of a service.
@@ -65,7 +65,7 @@
 // that are deleted from the map are removed and recorded as departed.
 func (c *Manager) updateService(ctx context.Context, svc string, change func(*Lead, map[string]discovery.Database) error) error {
 	return c.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
-		all, err := c.databases.Of(entries)
+		all, err := c.databases.Decode(entries)
 		if err != nil {
 			return nil, fmt.Errorf("failover: %w", err)
 		}
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -180,7 +180,7 @@
 
 // Registered returns the registered poolers in the control state, with their incarnations.
 func Registered(entries map[string]json.RawMessage) (map[string]int64, error) {
-	return controlstate.Pick[int64](entries, proxyPrefix)
+	return controlstate.DecodePrefix[int64](entries, proxyPrefix)
 }
 
 // Register returns the change of the control state that registers an incarnation of a pooler.
--- a/internal/failover/snapshot.go
+++ b/internal/failover/snapshot.go
@@ -30,17 +30,17 @@
 	if c.cached == nil || c.cachedSeq != state.Seq || c.cachedEpoch != state.Epoch {
 		s := &snapshot{services: map[string][]discovery.Database{}, known: map[string]bool{}}
 		entries := state.Entries
-		if s.databases, err = c.databases.Of(entries); err != nil {
+		if s.databases, err = c.databases.Decode(entries); err != nil {
 			return nil, err
 		}
 		for _, d := range s.databases {
 			s.known[d.ID] = true
 			s.services[d.Service] = append(s.services[d.Service], d)
 		}
-		if s.leaders, err = c.leaders.Of(entries); err != nil {
+		if s.leaders, err = c.leaders.Decode(entries); err != nil {
 			return nil, err
 		}
-		if s.poolers, err = c.poolers.Of(entries); err != nil {
+		if s.poolers, err = c.poolers.Decode(entries); err != nil {
 			return nil, err
 		}
 		if c.cached != nil && bytes.Equal(c.cachedConfig, entries[routeconfig.Key]) {
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -134,10 +134,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.k.Clock.Now()
-	if h.ledger == nil || h.ledger.term < term.Began() {
-		h.ledger, h.stateSeq, h.configEntry = NewLedger(term.Began(), now, h.lease, h.tolerance), 0, nil
+	if h.ledger == nil || h.ledger.term < term.FirstEpoch() {
+		h.ledger, h.stateSeq, h.configEntry = NewLedger(term.FirstEpoch(), now, h.lease, h.tolerance), 0, nil
 	}
-	if h.ledger.term != term.Began() {
+	if h.ledger.term != term.FirstEpoch() {
 		return nil, nil, errNoLedger
 	}
 	return term, h.ledger, h.updateLimits(now, state)
--- a/internal/routeconfig/ledger.go
+++ b/internal/routeconfig/ledger.go
@@ -33,11 +33,11 @@
 // grows with the number of earlier changes.
 type ledger struct {
 	size    int64
-	decoded *controlstate.Decoded[changeID]
+	decoded *controlstate.DecodeCache[changeID]
 }
 
 func newLedger(size int64) *ledger {
-	return &ledger{size, controlstate.NewDecoded[changeID](changePrefix)}
+	return &ledger{size, controlstate.NewDecodeCache[changeID](changePrefix)}
 }
 
 // entryKey returns the key of the entry that holds the nth change.
@@ -52,7 +52,7 @@
 // made, so its base is older than that version, and the version it made is at most that one.
 // This also holds if the ring had a different size before, or did not exist.
 func (l *ledger) resolve(entries map[string]json.RawMessage, current int64, id changeID) error {
-	records, err := l.decoded.Of(entries)
+	records, err := l.decoded.Decode(entries)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
--- a/internal/tools/check.go
+++ b/internal/tools/check.go
@@ -168,7 +168,7 @@
 		return []Fault{{dir, err.Error()}}
 	}
 	defer s.Close()
-	if s.Fresh {
+	if s.Created {
 		return []Fault{{dir, "the store holds nothing"}}
 	}
 	state, err := s.LoadState()
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -91,7 +91,7 @@
 	if _, r.LeaseUs = term.Lease(); r.LeaseUs == 0 {
 		// What was read in a term that is over is not told.
 		r.HeardUs, r.Config, r.Rev, r.Databases, r.Leads, r.Roles, r.Quotas = nil, nil, 0, nil, nil, nil, nil
-		_, known := v.Known()
+		_, known := v.KnownPrimary()
 		r.Unsure = !known
 	}
 	return r, nil
@@ -99,7 +99,7 @@
 
 // lead adds what only the control state's primary knows.
 func (r *Report) lead(k *kernel.Kernel, v *controlstate.Replica) error {
-	r.HeardUs = v.Heard()
+	r.HeardUs = v.SinceLastContact()
 	state, err := v.Durable()
 	if err != nil {
 		return nil // it has just ceased to be the primary
