--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -269,7 +269,7 @@
 		ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 		defer cancel()
 		err = apply(ctx, base, raw)
-		var invalid *routeconfig.Invalid
+		var invalid *routeconfig.ValidationError
 		switch {
 		case errors.As(err, &invalid):
 			fields := make([]string, 0, len(invalid.Faults))
@@ -277,7 +277,7 @@
 				fields = append(fields, f.Error())
 			}
 			r.writeError(w, http.StatusBadRequest, "invalid configuration", fields...)
-		case errors.Is(err, routeconfig.ErrOtherVersion):
+		case errors.Is(err, routeconfig.ErrVersionConflict):
 			r.writeError(w, http.StatusPreconditionFailed, err.Error())
 		case err != nil:
 			r.writeError(w, http.StatusServiceUnavailable, err.Error())
--- a/internal/distribution/commits.go
+++ b/internal/distribution/commits.go
@@ -19,8 +19,8 @@
 	observed  positions      // newest positions in primaries' responses since then
 }
 
-// Mark is the state of a service's primary at the time a statement was begun there.
-type Mark struct {
+// PrimarySnapshot is the state of a service's primary at the time a statement was begun there.
+type PrimarySnapshot struct {
 	Term         int64                 // in which the database is the primary
 	Acknowledged lineprotocol.Position // upper bound for the commits acknowledged by then
 }
@@ -30,7 +30,7 @@
 
 // record records a commit that is acknowledged to a client. The commit was begun at the mark;
 // position is the one in the primary's response, if known.
-func (c *commitTracker) record(service string, begun Mark, position lineprotocol.Position, known bool) {
+func (c *commitTracker) record(service string, begun PrimarySnapshot, position lineprotocol.Position, known bool) {
 	if bound := lowerBound(begun, position, known); c.certain[service].Less(bound) {
 		c.certain.set(service, bound)
 	}
@@ -46,7 +46,7 @@
 // commit follows everything that had been acknowledged before, and the response carries the term
 // in which it was made. The number in the response is no lower bound: it may be that of a later
 // commit that no replica has received yet.
-func lowerBound(begun Mark, response lineprotocol.Position, known bool) (bound lineprotocol.Position) {
+func lowerBound(begun PrimarySnapshot, response lineprotocol.Position, known bool) (bound lineprotocol.Position) {
 	if begun.Acknowledged != unbounded {
 		bound = begun.Acknowledged.Next()
 	}
@@ -116,7 +116,7 @@
 // this proxy has not reported the primary as released. Once every proxy has released the old
 // primary, or its lease has expired, no further commit of that primary is acknowledged to
 // anyone, even if replicas that wake up later still receive it.
-func (c *Subscriber) Acknowledge(service, id string, begun Mark, position string) bool {
+func (c *Subscriber) Acknowledge(service, id string, begun PrimarySnapshot, position string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	leader := c.leaders[service]
--- a/internal/distribution/commits_test.go
+++ b/internal/distribution/commits_test.go
@@ -41,16 +41,16 @@
 		return lineprotocol.Position{Term: term, Number: number}
 	}
 	for name, c := range map[string]struct {
-		begun    Mark
+		begun    PrimarySnapshot
 		response lineprotocol.Position
 		known    bool
 		want     lineprotocol.Position
 	}{
-		"after what had been reached":      {Mark{Acknowledged: at(3, 7)}, at(3, 12), true, at(3, 8)},
-		"the first of another term":        {Mark{Acknowledged: at(3, 7)}, at(4, 9), true, at(4, 1)},
-		"the first of all":                 {Mark{}, at(1, 5), true, at(1, 1)},
-		"no position in the response":      {Mark{Acknowledged: at(3, 7)}, at(0, 0), false, at(3, 8)},
-		"nothing is known of those before": {Mark{Acknowledged: unbounded}, at(3, 12), true, at(3, 1)},
+		"after what had been reached":      {PrimarySnapshot{Acknowledged: at(3, 7)}, at(3, 12), true, at(3, 8)},
+		"the first of another term":        {PrimarySnapshot{Acknowledged: at(3, 7)}, at(4, 9), true, at(4, 1)},
+		"the first of all":                 {PrimarySnapshot{}, at(1, 5), true, at(1, 1)},
+		"no position in the response":      {PrimarySnapshot{Acknowledged: at(3, 7)}, at(0, 0), false, at(3, 8)},
+		"nothing is known of those before": {PrimarySnapshot{Acknowledged: unbounded}, at(3, 12), true, at(3, 1)},
 	} {
 		var commits commitTracker
 		commits.record("ledger", c.begun, c.response, c.known)
--- a/internal/distribution/drain.go
+++ b/internal/distribution/drain.go
@@ -69,7 +69,7 @@
 	defer c.mu.RUnlock()
 	if !c.acceptsRequests(id) {
 		c.k.Counters.Add("distribution.left_before_sending", 1)
-		return ErrLeft
+		return ErrDatabaseUnavailable
 	}
 	return nil
 }
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -33,8 +33,8 @@
 			live := kernel.Need[*settings.Live](k)
 			ring := kernel.Need[*membership.Ring](k)
 			cfg := SubscriberConfig{
-				Pooler: live.Now().NodeName,
-				Poll:   longPollTimeout(live),
+				ProxyName:       live.Now().NodeName,
+				LongPollTimeout: longPollTimeout(live),
 				ControlNodes: func() []string {
 					known := ring.Peers("control")
 					for _, address := range live.Now().SeedPeers() {
@@ -44,11 +44,11 @@
 					}
 					return known
 				},
-				Peers:      func() []string { return ring.Peers(k.Role) },
-				Lease:      settings.Span(live.Now().ReaderLeaseMs),
-				Down:       kernel.Need[*health.Monitor](k).Down,
-				Applied:    kernel.Need[connpool.Updater](k),
-				OnPosition: func(string, kernel.Micros, lineprotocol.Position) {},
+				Peers:         func() []string { return ring.Peers(k.Role) },
+				Lease:         settings.Span(live.Now().ReaderLeaseMs),
+				DownDatabases: kernel.Need[*health.Monitor](k).Down,
+				OnDatabases:   kernel.Need[connpool.Updater](k),
+				OnPosition:    func(string, kernel.Micros, lineprotocol.Position) {},
 				Bounds: func() Bounds {
 					now := live.Now()
 					bounds := Bounds{Drain: settings.Span(now.DrainMs), Contact: settings.Span(now.ContactMs)}
@@ -125,13 +125,13 @@
 		return 1
 	}
 	if s := config.Service(service); s != nil {
-		return Split(s.MaxConns, proxies)
+		return ConnectionShare(s.MaxConns, proxies)
 	}
 	return unlimitedShare
 }
 
-// Split returns one proxy's share of a database's connections.
-func Split(maxConns, proxies int) int {
+// ConnectionShare returns one proxy's share of a database's connections.
+func ConnectionShare(maxConns, proxies int) int {
 	if maxConns == 0 {
 		return unlimitedShare
 	}
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -47,7 +47,7 @@
 func TestConnectionShareCountsRecentPoolers(t *testing.T) {
 	config := &routeconfig.Configuration{Services: []routeconfig.Service{{Name: "s", MaxConns: 1200}}}
 	var history routeconfig.History
-	history.Turn(config, 1)
+	history.Advance(config, 1)
 	c := &Subscriber{config: (*routeconfig.Index)(nil).Apply(history.Since(0, true)), proxies: 300}
 	if n := c.connectionShare("s", 20); n != 3 {
 		t.Errorf("%d connections for a pooler that knows 20 of 300", n)
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -24,9 +24,9 @@
 // replaced, or this proxy's read lease has expired.
 var ErrNoLease = errors.New("distribution: no read lease on a primary")
 
-// ErrLeft says that a database was removed, or is draining and may not be sent requests any
+// ErrDatabaseUnavailable says that a database was removed, or is draining and may not be sent requests any
 // more.
-var ErrLeft = errors.New("distribution: the database is draining or removed")
+var ErrDatabaseUnavailable = errors.New("distribution: the database is draining or removed")
 
 // leaseMargin is kept between the check of the lease and its expiry.
 const leaseMargin = 50 * kernel.Millisecond
@@ -52,17 +52,17 @@
 
 // SubscriberConfig configures a Subscriber.
 type SubscriberConfig struct {
-	Pooler       string               // name of this proxy
-	Poll         func() kernel.Micros // how long a control node may hold a poll
-	ControlNodes func() []string
+	ProxyName       string               // name of this proxy
+	LongPollTimeout func() kernel.Micros // how long a control node may hold a poll
+	ControlNodes    func() []string
 	// Peers returns other proxies, which may relay polls.
 	Peers func() []string
 	// Lease is the duration of a read lease.
 	Lease kernel.Micros
-	// Down returns the databases that the health monitor considers down.
-	Down func() map[string]int64
-	// Applied is called with all databases after an update.
-	Applied func(map[string]discovery.Database)
+	// DownDatabases returns the databases that the health monitor considers down.
+	DownDatabases func() map[string]int64
+	// OnDatabases is called with all databases after an update.
+	OnDatabases func(map[string]discovery.Database)
 	// OnPosition is called with a position that a primary's log has reached.
 	OnPosition func(service string, sent kernel.Micros, position lineprotocol.Position)
 	// Observations returns what requests showed since the last call, nil if nothing.
@@ -203,11 +203,11 @@
 
 // Begin counts a statement or transaction as in flight at the primary, and returns the state of
 // the primary at that time.
-func (c *Subscriber) Begin(service string) Mark {
+func (c *Subscriber) Begin(service string) PrimarySnapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight[service]++
-	return Mark{Term: c.leaders[service].Term, Acknowledged: c.commits.acked[service]}
+	return PrimarySnapshot{Term: c.leaders[service].Term, Acknowledged: c.commits.acked[service]}
 }
 
 // Done ends what Begin began.
@@ -279,7 +279,7 @@
 // to poll next, "" if that is not known. A short poll is answered immediately and has a short
 // timeout.
 func (c *Subscriber) poll(ctx context.Context, address, op string, short bool) (string, error) {
-	down := c.cfg.Down()
+	down := c.cfg.DownDatabases()
 	wait := c.acknowledgeFailovers(down)
 	request := c.buildRequest(down, short)
 	if wait > 0 {
@@ -336,9 +336,9 @@
 func (c *Subscriber) buildRequest(down map[string]int64, short bool) pollRequest {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	request := pollRequest{Proxy: c.cfg.Pooler, Incarnation: c.incarnation, Seq: c.seq, Released: map[string]int64{}}
+	request := pollRequest{Proxy: c.cfg.ProxyName, Incarnation: c.incarnation, Seq: c.seq, Released: map[string]int64{}}
 	request.CostTerm, request.CostSeq, request.Positions = c.costTerm, c.costSeq, c.commits.report()
-	request.Immediate = short || c.leaseEnd-c.k.Clock.Now() < 2*c.cfg.Poll()
+	request.Immediate = short || c.leaseEnd-c.k.Clock.Now() < 2*c.cfg.LongPollTimeout()
 	for id := range down {
 		request.Down = append(request.Down, id)
 	}
@@ -352,7 +352,9 @@
 }
 
 // pollTimeout is the timeout of a poll.
-func (c *Subscriber) pollTimeout() kernel.Micros { return c.cfg.Poll() + 300*kernel.Millisecond }
+func (c *Subscriber) pollTimeout() kernel.Micros {
+	return c.cfg.LongPollTimeout() + 300*kernel.Millisecond
+}
 
 // acknowledgeFailovers releases the old primaries of failovers where nothing is in flight any
 // more, the primary is down, or releaseTimeout has passed; the next poll acknowledges them. It
@@ -428,7 +430,7 @@
 		}
 	}
 	if response.Update != nil {
-		c.cfg.Applied(databases)
+		c.cfg.OnDatabases(databases)
 	}
 	c.changes.Ring()
 	return nil
--- a/internal/distribution/updatelog.go
+++ b/internal/distribution/updatelog.go
@@ -199,7 +199,7 @@
 			return err
 		}
 		if config != nil {
-			e.config.Turn(config, state.Seq)
+			e.config.Advance(config, state.Seq)
 			e.rev = config.Rev
 		}
 	}
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -57,7 +57,7 @@
 	body     []byte
 	rest     *bounded // what follows a body that is not kept
 	route    *routeconfig.Route
-	tenant   *routeconfig.TenantStep // nil if there is none
+	tenant   *routeconfig.PublishedTenant // nil if there is none
 	permit   *quota.Permit
 	rank     int // how urgent it is: the lower, the more
 	service  string
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -55,7 +55,7 @@
 		t.k.Counters.Add("gateway.link_full", 1)
 		return j, j.busy("this node's link is full")
 	}
-	j.service = j.route.Draw(rand.Float64())
+	j.service = j.route.PickService(rand.Float64())
 	span := kernel.Micros(j.route.DeadlineMs) * kernel.Millisecond
 	if text := q.Header.Get(httpconn.DeadlineMs); text != "" {
 		ms, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
--- a/internal/pooler/tenant.go
+++ b/internal/pooler/tenant.go
@@ -15,7 +15,7 @@
 
 // rank is the priority of a tenant's statements on a route; the lower, the more
 // urgent.
-func rank(t *routeconfig.TenantStep, r *routeconfig.Route) int {
+func rank(t *routeconfig.PublishedTenant, r *routeconfig.Route) int {
 	if t == nil {
 		return r.Prio
 	}
@@ -25,7 +25,7 @@
 // tenant returns who the session's client is on a route, as things are now: nil on a
 // public route, or where there are no tenants. The code is that of an error if the
 // client may not use the route, "" if it may.
-func (s *session) tenant(r *routeconfig.Route, conf *routeconfig.Index) (t *routeconfig.TenantStep, code string) {
+func (s *session) tenant(r *routeconfig.Route, conf *routeconfig.Index) (t *routeconfig.PublishedTenant, code string) {
 	if r.Public || !conf.HasTenants() {
 		return nil, ""
 	}
@@ -45,7 +45,7 @@
 }
 
 // nameOf is the name that databases are told.
-func nameOf(t *routeconfig.TenantStep) string {
+func nameOf(t *routeconfig.PublishedTenant) string {
 	if t == nil {
 		return ""
 	}
--- a/internal/pooler/trace.go
+++ b/internal/pooler/trace.go
@@ -68,7 +68,7 @@
 		err  error
 		name string
 	}{
-		{distribution.ErrNoLease, "no lease on the primary"}, {distribution.ErrLeft, "the database has left"},
+		{distribution.ErrNoLease, "no lease on the primary"}, {distribution.ErrDatabaseUnavailable, "the database has left"},
 		{quota.ErrAdmissionEnded, "the slice of the quota ended"}, {dbconn.ErrQuiet, "no answer yet, sent a second time"},
 		{dbconn.ErrUnbound, "the database is held as down"}, {dbconn.ErrEnding, "the process ends"},
 		{connpool.ErrDeadline, "deadline"}, {connpool.ErrSilent, "silent"}, {connpool.ErrBroken, "connection broken"},
--- a/internal/pooler/transaction.go
+++ b/internal/pooler/transaction.go
@@ -22,7 +22,7 @@
 	choice  readrouting.Choice
 	service string
 	tenant  string
-	begun   distribution.Mark // how things stood at the primary when it began
+	begun   distribution.PrimarySnapshot // how things stood at the primary when it began
 	b       *health.Binding
 	wrote   bool
 	ran     int  // statements answered inside it
--- a/internal/pooler/work.go
+++ b/internal/pooler/work.go
@@ -27,7 +27,7 @@
 	deadline kernel.Micros
 	giveUp   kernel.Micros // until then a place to run is waited for
 	route    *routeconfig.Route
-	tenant   *routeconfig.TenantStep // nil if there is none
+	tenant   *routeconfig.PublishedTenant // nil if there is none
 	permit   *quota.Permit
 	tries    int
 	avoid    map[string]bool
@@ -106,7 +106,7 @@
 func (j *job) request(write bool) readrouting.Request {
 	return readrouting.Request{
 		Service: j.route.Service, Type: j.route.Type,
-		Stale:    j.route.Stale(),
+		Stale:    j.route.MaxStaleness(),
 		Received: j.received, Last: j.s.last, Write: write, Avoid: j.avoid,
 	}
 }
@@ -304,7 +304,7 @@
 	d, id := j.s.d, choice.Database.ID
 	j.watchSend(id)
 	b := d.health.Bind(id)
-	var begun distribution.Mark
+	var begun distribution.PrimarySnapshot
 	if choice.Primary {
 		begun = d.control.Begin(j.route.Service)
 	}
--- a/internal/routeconfig/index.go
+++ b/internal/routeconfig/index.go
@@ -41,12 +41,12 @@
 	Services      []ServiceGroup `json:"services,omitempty"` // all services, if any changed
 	Limits        Limits         `json:"limits"`
 	// Tenants are new or changed tenants, RemovedTenants the names of removed ones.
-	Tenants        []TenantStep `json:"tenants,omitempty"`
-	RemovedTenants []string     `json:"gone_tenants,omitempty"`
+	Tenants        []PublishedTenant `json:"tenants,omitempty"`
+	RemovedTenants []string          `json:"gone_tenants,omitempty"`
 }
 
-// Place returns the key that distinguishes the route from others: its host and path prefix.
-func (r Route) Place() string {
+// Key returns the key that distinguishes the route from others: its host and path prefix.
+func (r Route) Key() string {
 	if r.Prefix == "/" {
 		return r.Host
 	}
@@ -59,10 +59,10 @@
 	target string
 }
 
-func (r Route) spec() routeSpec { return routeSpec{r.Manner, r.To()} }
+func (r Route) spec() routeSpec { return routeSpec{r.Manner, r.Target()} }
 
-// To returns the route's target: the name of a service, or a JSON list of weighted shares.
-func (r Route) To() string {
+// Target returns the route's target: the name of a service, or a JSON list of weighted shares.
+func (r Route) Target() string {
 	if len(r.Weighted) == 0 {
 		return r.Service
 	}
@@ -90,8 +90,8 @@
 	tenants            tenantHistory
 }
 
-// Turn takes in the configuration of a sequence number.
-func (h *History) Turn(config *Configuration, seq int64) {
+// Advance takes in the configuration of a sequence number.
+func (h *History) Advance(config *Configuration, seq int64) {
 	if h.config == nil || !slices.Equal(h.config.Services, config.Services) {
 		h.servicesChangedSeq = seq
 	}
@@ -100,7 +100,7 @@
 		h.changedSeq = map[string]int64{}
 	}
 	for _, r := range config.Routes {
-		key, spec := r.Place(), r.spec()
+		key, spec := r.Key(), r.spec()
 		next[key] = spec
 		if old, ok := h.routes[key]; !ok || old != spec {
 			h.changedSeq[key] = seq
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// Draw picks the service for one request by weight. at is a random number in [0, 1).
-func (r *Route) Draw(at float64) string {
+// PickService picks the service for one request by weight. at is a random number in [0, 1).
+func (r *Route) PickService(at float64) string {
 	sum := 0.0
 	for _, s := range r.Weighted {
 		sum += s.Weight
--- a/internal/routeconfig/ledger.go
+++ b/internal/routeconfig/ledger.go
@@ -69,9 +69,9 @@
 		case known:
 			reached = accepted.Base
 		case id.Base < reached && id.Rev <= reached:
-			return ErrForgotten
+			return ErrOutcomeUnknown
 		default:
-			return ErrOtherVersion
+			return ErrVersionConflict
 		}
 	}
 }
--- a/internal/routeconfig/ledger_test.go
+++ b/internal/routeconfig/ledger_test.go
@@ -121,26 +121,26 @@
 	}{
 		{"the newest", registry.Update, 9, patch(10), nil},
 		{"the newest, spaced otherwise", registry.Update, 9, append([]byte("\n "), patch(10)...), nil},
-		{"the newest as another kind of call", registry.Replace, 9, patch(10), ErrOtherVersion},
-		{"another body under the newest's number", registry.Update, 9, []byte(`{"rev":10}`), ErrOtherVersion},
-		{"another base under the newest's number", registry.Update, 8, patch(10), ErrOtherVersion},
-		{"another number with the newest's body", registry.Update, 9, patch(11), ErrOtherVersion},
+		{"the newest as another kind of call", registry.Replace, 9, patch(10), ErrVersionConflict},
+		{"another body under the newest's number", registry.Update, 9, []byte(`{"rev":10}`), ErrVersionConflict},
+		{"another base under the newest's number", registry.Update, 8, patch(10), ErrVersionConflict},
+		{"another number with the newest's body", registry.Update, 9, patch(11), ErrVersionConflict},
 		{"the oldest that is known", registry.Replace, 6, body(7, 1), nil},
-		{"another on the oldest known base", registry.Replace, 6, body(7, 2), ErrOtherVersion},
-		{"a forgotten one", registry.Replace, 4, body(5, 1), ErrForgotten},
-		{"one that lost its race for a forgotten base", registry.Replace, 4, body(5, 2), ErrForgotten},
-		{"one that made the oldest version reached", registry.Replace, 5, body(6, 1), ErrForgotten},
-		{"one on a forgotten base that made no version before that", registry.Replace, 4, body(7, 1), ErrOtherVersion},
-		{"one on a base that is yet to come", registry.Replace, 12, body(13, 1), ErrOtherVersion},
-		{"one that is above the current on an old base", registry.Replace, 3, body(20, 1), ErrOtherVersion},
+		{"another on the oldest known base", registry.Replace, 6, body(7, 2), ErrVersionConflict},
+		{"a forgotten one", registry.Replace, 4, body(5, 1), ErrOutcomeUnknown},
+		{"one that lost its race for a forgotten base", registry.Replace, 4, body(5, 2), ErrOutcomeUnknown},
+		{"one that made the oldest version reached", registry.Replace, 5, body(6, 1), ErrOutcomeUnknown},
+		{"one on a forgotten base that made no version before that", registry.Replace, 4, body(7, 1), ErrVersionConflict},
+		{"one on a base that is yet to come", registry.Replace, 12, body(13, 1), ErrVersionConflict},
+		{"one that is above the current on an old base", registry.Replace, 3, body(20, 1), ErrVersionConflict},
 		{"one that is not above its base", registry.Replace, 4, body(4, 1), invalid},
-		{"one with a fault on an old base", registry.Update, 8, []byte(`{"rev":9,"upsert":{"services":[{}]}}`), ErrOtherVersion},
+		{"one with a fault on an old base", registry.Update, 8, []byte(`{"rev":9,"upsert":{"services":[{}]}}`), ErrVersionConflict},
 		{"one with a fault on the current base", registry.Update, 10, []byte(`{"rev":11,"upsert":{"services":[{}]}}`), invalid},
 		{"a large one", registry.Update, 10, large(11, MaxBody*2/3), nil},
 		{"one that makes too large a configuration of it", registry.Update, 11, large(12, MaxBody/2), invalid},
 	} {
 		err := call.take(t.Context(), call.base, call.body)
-		if errors.As(err, new(*Invalid)) {
+		if errors.As(err, new(*ValidationError)) {
 			err = invalid
 		}
 		if !errors.Is(err, call.want) {
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -51,8 +51,8 @@
 	Public     bool   `json:"public,omitempty"`                        // needs no API key
 }
 
-// Stale returns the maximum staleness of reads.
-func (m Manner) Stale() kernel.Micros {
+// MaxStaleness returns the maximum staleness of reads.
+func (m Manner) MaxStaleness() kernel.Micros {
 	return kernel.Micros(cmp.Or(m.StaleMs, m.MaxStaleMs)) * kernel.Millisecond
 }
 
@@ -196,17 +196,17 @@
 
 // Errors returned by Registry.
 var (
-	ErrOtherVersion = errors.New("routeconfig: another version is in place")
-	ErrUnavailable  = errors.New("routeconfig: can't be changed now")
-	// ErrForgotten says that the change may have been accepted long ago: the ledger does not
+	ErrVersionConflict = errors.New("routeconfig: another version is in place")
+	ErrUnavailable     = errors.New("routeconfig: can't be changed now")
+	// ErrOutcomeUnknown says that the change may have been accepted long ago: the ledger does not
 	// reach back far enough to tell.
-	ErrForgotten = errors.New("routeconfig: whether this was taken is not known any more")
+	ErrOutcomeUnknown = errors.New("routeconfig: whether this was taken is not known any more")
 )
 
-// Invalid lists the faults for which a configuration was rejected.
-type Invalid struct{ Faults []Fault }
+// ValidationError lists the faults for which a configuration was rejected.
+type ValidationError struct{ Faults []Fault }
 
-func (e *Invalid) Error() string { return "routeconfig: invalid configuration" }
+func (e *ValidationError) Error() string { return "routeconfig: invalid configuration" }
 
 // controlState is the part of the control state that the Registry needs.
 type controlState interface {
@@ -249,7 +249,7 @@
 func (c *Registry) Replace(ctx context.Context, base int64, raw []byte) error {
 	config, faults := Parse(raw)
 	if faults != nil {
-		return c.countRefusal(&Invalid{faults})
+		return c.countRefusal(&ValidationError{faults})
 	}
 	body, err := compact(raw)
 	if err != nil {
@@ -276,7 +276,7 @@
 			return nil, err
 		}
 		if _, faults := Parse(next); faults != nil {
-			return nil, &Invalid{faults}
+			return nil, &ValidationError{faults}
 		}
 		return next, nil
 	})
@@ -286,7 +286,7 @@
 func compact(raw []byte) ([]byte, error) {
 	var body bytes.Buffer
 	if err := json.Compact(&body, raw); err != nil {
-		return nil, &Invalid{[]Fault{{"body", "is not JSON in full"}}}
+		return nil, &ValidationError{[]Fault{{"body", "is not JSON in full"}}}
 	}
 	return body.Bytes(), nil
 }
@@ -296,7 +296,7 @@
 // for which that is no longer known fails with an unknown outcome.
 func (c *Registry) change(ctx context.Context, id changeID, next func(json.RawMessage) (json.RawMessage, error)) error {
 	if id.Rev <= id.Base { // no version can have been made by such a change
-		return c.countRefusal(&Invalid{[]Fault{{"rev", fmt.Sprintf("is not higher than %d, on which it builds", id.Base)}}})
+		return c.countRefusal(&ValidationError{[]Fault{{"rev", fmt.Sprintf("is not higher than %d, on which it builds", id.Base)}}})
 	}
 	var accepted bool
 	err := c.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
@@ -320,7 +320,7 @@
 			return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 		}
 		if len(entry) > MaxBody {
-			return nil, &Invalid{[]Fault{{"body", fmt.Sprintf("makes a configuration of over %d bytes", MaxBody)}}}
+			return nil, &ValidationError{[]Fault{{"body", fmt.Sprintf("makes a configuration of over %d bytes", MaxBody)}}}
 		}
 		record, err := json.Marshal(id)
 		if err != nil {
@@ -359,9 +359,9 @@
 // err.
 func (c *Registry) countRefusal(err error) error {
 	switch {
-	case errors.Is(err, ErrOtherVersion):
+	case errors.Is(err, ErrVersionConflict):
 		c.k.Counters.Add("routeconfig.lost_race", 1)
-	case errors.Is(err, ErrForgotten):
+	case errors.Is(err, ErrOutcomeUnknown):
 		c.k.Counters.Add("routeconfig.forgotten", 1)
 	case errors.Is(err, ErrUnavailable):
 		c.k.Counters.Add("routeconfig.unavailable", 1)
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -22,7 +22,7 @@
 		t.Fatalf("%+v %v", c, faults)
 	}
 	var h History
-	h.Turn(c, 1)
+	h.Advance(c, 1)
 	x := (*Index)(nil).Apply(h.Since(0, true))
 	if r, s := x.Find("h2"); r == nil || r.StaleMs != 1500 || s.Name != "s" {
 		t.Errorf("h2: %+v %+v", r, s)
@@ -57,7 +57,7 @@
 			t.Fatalf("%s: %v", name, faults)
 		}
 		var h History
-		h.Turn(c, 1)
+		h.Advance(c, 1)
 		raw, err := json.Marshal(h.Since(0, true))
 		if err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 		if err := json.Unmarshal(raw, step); err != nil {
 			t.Fatal(err)
 		}
-		if r, _ := (*Index)(nil).Apply(step).Find("h2"); r == nil || r.Stale() != 1500*kernel.Millisecond {
+		if r, _ := (*Index)(nil).Apply(step).Find("h2"); r == nil || r.MaxStaleness() != 1500*kernel.Millisecond {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
@@ -83,7 +83,7 @@
 		})
 	}
 	var history History
-	history.Turn(conf, 10)
+	history.Advance(conf, 10)
 	size := func(v any) int {
 		raw, err := json.Marshal(v)
 		if err != nil {
@@ -101,7 +101,7 @@
 		next.Rev, next.Routes, next.Services = seq, slices.Clone(conf.Routes), slices.Clone(conf.Services)
 		f(&next)
 		conf = &next
-		history.Turn(conf, seq)
+		history.Advance(conf, seq)
 		return history.Since(seq-1, false)
 	}
 	for _, delta := range []*Delta{
@@ -140,7 +140,7 @@
 		t.Fatal(faults)
 	}
 	var history History
-	history.Turn(c, 1)
+	history.Advance(c, 1)
 	raw, err := json.Marshal(history.Since(0, true))
 	if err != nil {
 		t.Fatal(err)
@@ -160,7 +160,7 @@
 	}
 	r := index.Match("h", "/x/1")
 	for at, want := range map[float64]string{0: "s", 0.899: "s", 0.901: "t", 0.9999999999: "t"} {
-		if got := r.Draw(at); got != want {
+		if got := r.PickService(at); got != want {
 			t.Errorf("at %v: %s, want %s", at, got, want)
 		}
 	}
--- a/internal/routeconfig/tenant.go
+++ b/internal/routeconfig/tenant.go
@@ -97,29 +97,29 @@
 	return &out
 }
 
-// TenantStep is a tenant as it is published to proxies, with digests instead of API keys.
-type TenantStep struct {
+// PublishedTenant is a tenant as it is published to proxies, with digests instead of API keys.
+type PublishedTenant struct {
 	Name string `json:"name"`
 	TenantTerms
 	Keys []KeyDigest `json:"keys"`
 }
 
-// newTenantStep returns the published form of a tenant.
-func newTenantStep(t Tenant) TenantStep {
-	published := TenantStep{Name: t.Name, TenantTerms: t.TenantTerms, Keys: make([]KeyDigest, 0, len(t.Keys))}
+// newPublishedTenant returns the published form of a tenant.
+func newPublishedTenant(t Tenant) PublishedTenant {
+	published := PublishedTenant{Name: t.Name, TenantTerms: t.TenantTerms, Keys: make([]KeyDigest, 0, len(t.Keys))}
 	for _, key := range t.Keys {
 		published.Keys = append(published.Keys, DigestOf(key))
 	}
 	return published
 }
 
-func (t TenantStep) equal(o TenantStep) bool {
+func (t PublishedTenant) equal(o PublishedTenant) bool {
 	return t.Name == o.Name && t.TenantTerms == o.TenantTerms && slices.Equal(t.Keys, o.Keys)
 }
 
 // tenantHistory holds the current tenants and the sequence number of each one's last change.
 type tenantHistory struct {
-	current    map[string]TenantStep
+	current    map[string]PublishedTenant
 	changedSeq map[string]int64 // seq at which a tenant was last changed or removed, by name
 }
 
@@ -128,9 +128,9 @@
 	if h.changedSeq == nil {
 		h.changedSeq = map[string]int64{}
 	}
-	next := make(map[string]TenantStep, len(tenants))
+	next := make(map[string]PublishedTenant, len(tenants))
 	for _, t := range tenants {
-		published := newTenantStep(t)
+		published := newPublishedTenant(t)
 		next[t.Name] = published
 		if old, known := h.current[t.Name]; !known || !old.equal(published) {
 			h.changedSeq[t.Name] = seq
@@ -146,7 +146,7 @@
 
 // since returns the tenants that changed after seq, or all if full is set, and the names of those
 // removed after seq.
-func (h *tenantHistory) since(seq int64, full bool) (changed []TenantStep, removed []string) {
+func (h *tenantHistory) since(seq int64, full bool) (changed []PublishedTenant, removed []string) {
 	for _, name := range slices.Sorted(maps.Keys(h.current)) {
 		if full || h.changedSeq[name] > seq {
 			changed = append(changed, h.current[name])
@@ -165,8 +165,8 @@
 
 // tenantIndex holds the tenants in the form in which proxies look them up.
 type tenantIndex struct {
-	byName map[string]TenantStep
-	byKey  map[KeyDigest]*TenantStep
+	byName map[string]PublishedTenant
+	byKey  map[KeyDigest]*PublishedTenant
 }
 
 // apply returns a new index with the delta applied; x is not modified.
@@ -174,7 +174,7 @@
 	if !delta.Full && len(delta.Tenants) == 0 && len(delta.RemovedTenants) == 0 {
 		return x
 	}
-	next := tenantIndex{byName: map[string]TenantStep{}, byKey: map[KeyDigest]*TenantStep{}}
+	next := tenantIndex{byName: map[string]PublishedTenant{}, byKey: map[KeyDigest]*PublishedTenant{}}
 	if !delta.Full {
 		maps.Copy(next.byName, x.byName)
 	}
@@ -196,7 +196,7 @@
 func (x *Index) HasTenants() bool { return x != nil && len(x.tenants.byName) > 0 }
 
 // Tenant returns the tenant that a key belongs to, nil if there is none.
-func (x *Index) Tenant(key KeyDigest) *TenantStep {
+func (x *Index) Tenant(key KeyDigest) *PublishedTenant {
 	if x == nil {
 		return nil
 	}
@@ -204,7 +204,7 @@
 }
 
 // Tenants returns all tenants by name. The map must not be modified.
-func (x *Index) Tenants() map[string]TenantStep {
+func (x *Index) Tenants() map[string]PublishedTenant {
 	if x == nil {
 		return nil
 	}
--- a/internal/routeconfig/tenant_test.go
+++ b/internal/routeconfig/tenant_test.go
@@ -58,7 +58,7 @@
 				c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i, r.IntN(2))}, TenantTerms: TenantTerms{RatePerS: float64(r.IntN(2))}})
 			}
 		}
-		history.Turn(c, seq)
+		history.Advance(c, seq)
 		if r.IntN(3) > 0 {
 			continue
 		}
--- a/internal/simulation/cutoff_test.go
+++ b/internal/simulation/cutoff_test.go
@@ -113,12 +113,12 @@
 			k, b := endpoint(host, host+":7441")
 			peers := slices.DeleteFunc([]string{"10.0.0.1:7441", "10.0.0.2:7441", "10.0.0.3:7441"}, func(a string) bool { return a == host+":7441" })
 			subscribers[i], kernels[i] = distribution.NewSubscriber(k, b, distribution.SubscriberConfig{
-				Pooler: host, Lease: lease, Poll: func() kernel.Micros { return 600 * kernel.Millisecond },
-				ControlNodes: func() []string { return []string{"10.0.0.9:7440"} },
-				Peers:        func() []string { return peers },
-				Down:         func() map[string]int64 { return nil },
-				Applied:      func(map[string]discovery.Database) {},
-				Bounds:       func() distribution.Bounds { return distribution.Bounds{} },
+				ProxyName: host, Lease: lease, LongPollTimeout: func() kernel.Micros { return 600 * kernel.Millisecond },
+				ControlNodes:  func() []string { return []string{"10.0.0.9:7440"} },
+				Peers:         func() []string { return peers },
+				DownDatabases: func() map[string]int64 { return nil },
+				OnDatabases:   func(map[string]discovery.Database) {},
+				Bounds:        func() distribution.Bounds { return distribution.Bounds{} },
 			}), k
 			go b.Serve(ctx)
 			go subscribers[i].Serve(ctx)
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -119,13 +119,13 @@
 				code, asked := 200, h.Tick()
 				err := take(t.Context(), o.Base, o.Body(history.Frame{Service: "s"}))
 				switch {
-				case errors.As(err, new(*routeconfig.Invalid)):
+				case errors.As(err, new(*routeconfig.ValidationError)):
 					code = 400
 					refused++
-				case errors.Is(err, routeconfig.ErrOtherVersion):
+				case errors.Is(err, routeconfig.ErrVersionConflict):
 					code = 412
 					refused++
-				case errors.Is(err, routeconfig.ErrForgotten):
+				case errors.Is(err, routeconfig.ErrOutcomeUnknown):
 					code = 503
 					forgotten++
 					if i := slices.Index(newest, n); i >= 0 && i >= len(newest)-kept {
--- a/internal/simulation/poll_test.go
+++ b/internal/simulation/poll_test.go
@@ -42,13 +42,13 @@
 		})
 		k, b := endpoint("10.0.0.3", "10.0.0.3:7441")
 		subscriber := distribution.NewSubscriber(k, b, distribution.SubscriberConfig{
-			Pooler: "d", Poll: func() kernel.Micros { return 600 * kernel.Millisecond },
-			ControlNodes: func() []string { return []string{other} },
-			Peers:        func() []string { return nil },
-			Lease:        2500 * kernel.Millisecond,
-			Down:         func() map[string]int64 { return nil },
-			Applied:      func(map[string]discovery.Database) {},
-			Bounds:       func() distribution.Bounds { return distribution.Bounds{} },
+			ProxyName: "d", LongPollTimeout: func() kernel.Micros { return 600 * kernel.Millisecond },
+			ControlNodes:  func() []string { return []string{other} },
+			Peers:         func() []string { return nil },
+			Lease:         2500 * kernel.Millisecond,
+			DownDatabases: func() map[string]int64 { return nil },
+			OnDatabases:   func(map[string]discovery.Database) {},
+			Bounds:        func() distribution.Bounds { return distribution.Bounds{} },
 		})
 		go p.Serve(ctx)
 		go o.Serve(ctx)
--- a/internal/tools/plan.go
+++ b/internal/tools/plan.go
@@ -130,14 +130,14 @@
 	for _, n := range conf.Routes {
 		switch o, ok := old[n.Host+n.Prefix]; {
 		case !ok:
-			p.effect("route %s is added, to %s as %s", n.Place(), n.To(), n.Type)
+			p.effect("route %s is added, to %s as %s", n.Key(), n.Target(), n.Type)
 		case !reflect.DeepEqual(o, n):
-			p.effect("route %s changes", n.Place())
+			p.effect("route %s changes", n.Key())
 		}
 		delete(old, n.Host+n.Prefix)
 	}
 	for _, o := range old {
-		p.effect("route %s is removed", o.Place())
+		p.effect("route %s is removed", o.Key())
 	}
 	slices.Sort(p.Effects)
 }
@@ -219,7 +219,7 @@
 		return fmt.Errorf("members: %w", err)
 	}
 	var h routeconfig.History
-	h.Turn(r.Config, 1)
+	h.Advance(r.Config, 1)
 	conf, err := json.Marshal(h.Since(0, true))
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -235,7 +235,7 @@
 		if s.MaxConns == 0 {
 			continue
 		}
-		each := distribution.Split(s.MaxConns, poolers)
+		each := distribution.ConnectionShare(s.MaxConns, poolers)
 		p.effect("%s: up to %d of its %d connections to each database", s.Name, each*poolers, s.MaxConns)
 		if each*poolers > s.MaxConns {
 			p.warn("%s: %d poolers with one connection each are over its max_conns of %d", s.Name, poolers, s.MaxConns)
@@ -249,7 +249,7 @@
 		return
 	}
 	for _, svc := range conf.Services {
-		p.Conns[svc.Name] = distribution.Split(svc.MaxConns, poolers)
+		p.Conns[svc.Name] = distribution.ConnectionShare(svc.MaxConns, poolers)
 		for id, d := range r.Databases {
 			if d.Service == svc.Name && id != lost && !d.Gone && !d.Draining {
 				p.Headroom[svc.Name] += d.Slots
