--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -128,7 +128,7 @@
 		k: k, cfg: cfg, health: health, ctx: context.Background(), pools: map[string]*pool[W, C]{}, origins: map[C]origin[W, C]{},
 	}
 	k.Counters.Observable("connpool.open", s.openConnections)
-	health.Keep(map[string]bool{}) // none is known before the first Stock
+	health.SetKnown(map[string]bool{}) // none is known before the first Stock
 	return s
 }
 
@@ -166,7 +166,7 @@
 			delete(s.pools, id)
 		}
 	}
-	s.health.Keep(known)
+	s.health.SetKnown(known)
 }
 
 func (s *Pools[W, C]) closeIdle(p *pool[W, C]) {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -50,8 +50,8 @@
 	return d
 }
 
-// Beat is what a database sends periodically.
-type Beat struct {
+// Heartbeat is what a database sends periodically.
+type Heartbeat struct {
 	Service  string `json:"svc"`
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
@@ -76,8 +76,8 @@
 // Key returns the key of the entry that holds a database.
 func Key(id string) string { return keyPrefix + id }
 
-// Holds reports whether the key is of an entry that holds a database.
-func Holds(key string) bool { return strings.HasPrefix(key, keyPrefix) }
+// IsKey reports whether the key is of an entry that holds a database.
+func IsKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
 // reorderWindow is how long after a heartbeat another with a lower sequence number is considered
 // delayed; after that the database is assumed to have restarted its count.
@@ -121,7 +121,7 @@
 // Heartbeat processes a heartbeat; it returns nil only once everything in it that is control
 // state is durable. A database that is draining never returns under the same ID, and one that is
 // gone or was replaced never exists again: a heartbeat that says otherwise is a delayed one.
-func (a *Registry) Heartbeat(ctx context.Context, id string, b Beat) error {
+func (a *Registry) Heartbeat(ctx context.Context, id string, b Heartbeat) error {
 	if id == "" || b.Service == "" || b.Address == "" {
 		a.k.Counters.Add("discovery.malformed", 1)
 		return ErrMalformed
@@ -170,7 +170,7 @@
 
 // recordObserved records what a heartbeat contains besides control state; it returns false for a
 // heartbeat that is older than one processed before.
-func (a *Registry) recordObserved(id string, b Beat) bool {
+func (a *Registry) recordObserved(id string, b Heartbeat) bool {
 	now := a.k.Clock.Now()
 	a.mu.Lock()
 	old, known := a.observed[id]
@@ -287,8 +287,8 @@
 	return nil
 }
 
-// Soft returns what the databases last reported about themselves, by ID.
-func (a *Registry) Soft() map[string]ObservedState {
+// Observed returns what the databases last reported about themselves, by ID.
+func (a *Registry) Observed() map[string]ObservedState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.observed)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,12 +16,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), nil)
 		for day := range 1000 {
-			if !a.recordObserved(fmt.Sprint("database-", day), Beat{Seq: 1, Role: "replica"}) {
+			if !a.recordObserved(fmt.Sprint("database-", day), Heartbeat{Seq: 1, Role: "replica"}) {
 				t.Fatal("a first heartbeat was considered delayed")
 			}
 			time.Sleep(24 * time.Hour)
 		}
-		if n := len(a.Soft()); n > 2 {
+		if n := len(a.Observed()); n > 2 {
 			t.Errorf("the state of %d databases is kept", n)
 		}
 	})
--- a/internal/distribution/commits.go
+++ b/internal/distribution/commits.go
@@ -120,7 +120,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	leader := c.leaders[service]
-	if leader.ID != id || leader.Term != begun.Term || leader.Moving && c.released[service] >= leader.Turn || c.k.Clock.Now()+leaseMargin >= c.leaseEnd {
+	if leader.ID != id || leader.Term != begun.Term || leader.FailoverInProgress && c.released[service] >= leader.FailoverID || c.k.Clock.Now()+leaseMargin >= c.leaseEnd {
 		return false
 	}
 	responsePosition, known := lineprotocol.ParsePosition(position)
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -23,7 +23,7 @@
 			live := kernel.Need[*settings.Live](k)
 			health := kernel.Need[*health.Monitor](k)
 			NewPublisher(k, kernel.Need[*rpc.Endpoint](k), kernel.Need[*controlstate.Replica](k),
-				kernel.Need[*failover.Readers](k), settings.Span(live.Now().ReaderLeaseMs), longPollTimeout(live), health.Heard, live.Now().NetMbps)
+				kernel.Need[*failover.Readers](k), settings.Span(live.Now().ReaderLeaseMs), longPollTimeout(live), health.HandleNotice, live.Now().NetMbps)
 			return nil
 		},
 	})
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -243,13 +243,13 @@
 // recordReport records what a poll reports. If the poll is refused, newest is a later
 // incarnation of the proxy.
 func (o *Publisher) recordReport(request pollRequest) (newest int64, ok bool) {
-	report := failover.Report{Left: request.Released, Acked: request.Acked, Certain: request.Certain}
-	if newest, ok := o.readers.Heard(request.Proxy, request.Incarnation, report, o.k.Clock.Now()); !ok {
+	report := failover.Report{Left: request.Released, AckedUpperBound: request.Acked, AckedLowerBound: request.Certain}
+	if newest, ok := o.readers.RecordReport(request.Proxy, request.Incarnation, report, o.k.Clock.Now()); !ok {
 		o.k.Counters.Add("distribution.old_life", 1)
 		return newest, false
 	}
 	if request.Positions != nil {
-		o.readers.Sighted(failover.Sighting{Term: request.Positions.Term, Stamp: request.Positions.Stamp, At: request.Positions.Positions})
+		o.readers.RecordObservation(failover.Observation{Term: request.Positions.Term, Stamp: request.Positions.Stamp, At: request.Positions.Positions})
 	}
 	for _, id := range request.Down {
 		o.reportDown(request.Proxy, id)
@@ -331,7 +331,7 @@
 		if err != nil {
 			return err
 		}
-		o.readers.Term(term.FirstEpoch(), proxies, o.k.Clock.Now(), o.lease)
+		o.readers.BeginTerm(term.FirstEpoch(), proxies, o.k.Clock.Now(), o.lease)
 	}
 	if failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
 		return nil
@@ -377,7 +377,7 @@
 		o.k.Counters.Add("distribution.term_ended", 1)
 		return pollReply{}, nil
 	}
-	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.Count(o.k.Clock.Now() - proxyCountWindow)}
+	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.CountLeases(o.k.Clock.Now() - proxyCountWindow)}
 	if request.CostTerm != term.FirstEpoch() {
 		request.CostSeq = 0
 	}
@@ -385,7 +385,7 @@
 		response.CostTerm = term.FirstEpoch()
 	}
 	now := o.k.Clock.Now()
-	if services := o.readers.Wanted(request.Proxy, now); len(services) > 0 {
+	if services := o.readers.ServicesToObserve(request.Proxy, now); len(services) > 0 {
 		response.Query = (&positionQuery{Term: term.FirstEpoch(), Stamp: now, Services: services}).omitKnownServices(request.QueryChecksum)
 	}
 	raw, err := json.Marshal(response)
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -61,8 +61,8 @@
 // lease is recorded all the same, for a failover that waits for it.
 func TestNoLeaseAfterTermEnds(t *testing.T) {
 	publisher := &Publisher{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), readers: failover.NewReaders(), lease: kernel.Second}
-	publisher.readers.Term(3, nil, 0, 0)
-	publisher.readers.Heard("d", 1, failover.Report{}, publisher.k.Clock.Now())
+	publisher.readers.BeginTerm(3, nil, 0, 0)
+	publisher.readers.RecordReport("d", 1, failover.Report{}, publisher.k.Clock.Now())
 	state := controlstate.State{Epoch: 2, Seq: 9}
 	if response, err := publisher.respond(pollRequest{Proxy: "d", Incarnation: 1}, state, nil, newObservations(publisher.k.Clock), nil); err == nil {
 		t.Errorf("responded %v to a pooler that is no longer registered", response)
@@ -72,7 +72,7 @@
 	if got, ok := response.(pollReply); err != nil || !ok || got.Lease != 0 || got.Seq != 0 || got.Update != nil {
 		t.Errorf("responded %s %v", response, err)
 	}
-	if publisher.readers.Term(2, map[string]int64{}, 0, 0); publisher.readers.InTerm(2) || publisher.readers.Count(publisher.k.Clock.Now()) != 1 {
+	if publisher.readers.BeginTerm(2, map[string]int64{}, 0, 0); publisher.readers.InTerm(2) || publisher.readers.CountLeases(publisher.k.Clock.Now()) != 1 {
 		t.Error("an earlier term was started again, and a lease was lost")
 	}
 }
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -85,7 +85,7 @@
 	config    *routeconfig.Index
 	databases map[string]discovery.Database
 	byService map[string][]discovery.Database
-	leaders   map[string]failover.Lead
+	leaders   map[string]failover.Leader
 	leaseEnd  kernel.Micros
 	confirmed kernel.Micros // when the poll was sent whose response was applied last
 	drains    drainTracker
@@ -130,7 +130,7 @@
 }
 
 // Databases returns the databases of a service, which must not be modified, and its leader.
-func (c *Subscriber) Databases(service string) ([]discovery.Database, failover.Lead) {
+func (c *Subscriber) Databases(service string) ([]discovery.Database, failover.Leader) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.byService[service], c.leaders[service]
@@ -182,7 +182,7 @@
 
 func (c *Subscriber) primary(service string) (string, error) {
 	leader, ok := c.leaders[service]
-	if !ok || leader.Moving || c.k.Clock.Now()+leaseMargin >= c.leaseEnd || !c.acceptsRequests(leader.ID) {
+	if !ok || leader.FailoverInProgress || c.k.Clock.Now()+leaseMargin >= c.leaseEnd || !c.acceptsRequests(leader.ID) {
 		return "", ErrNoLease
 	}
 	return leader.ID, nil
@@ -216,7 +216,7 @@
 	defer c.mu.Unlock()
 	c.inFlight[service]--
 	c.k.Invariants.Check(c.inFlight[service] >= 0, invariant.CountsPositive, "%d statements in flight at the primary of %s", c.inFlight[service], service)
-	if c.inFlight[service] == 0 && c.leaders[service].Moving {
+	if c.inFlight[service] == 0 && c.leaders[service].FailoverInProgress {
 		c.drained.Ring()
 	}
 }
@@ -343,7 +343,7 @@
 		request.Down = append(request.Down, id)
 	}
 	for service, failoverNumber := range c.released {
-		if c.leaders[service].Moving {
+		if c.leaders[service].FailoverInProgress {
 			request.Released[service] = failoverNumber
 		}
 	}
@@ -364,12 +364,12 @@
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
 	for service, leader := range c.leaders {
-		if !leader.Moving || c.released[service] >= leader.Turn {
+		if !leader.FailoverInProgress || c.released[service] >= leader.FailoverID {
 			continue
 		}
 		remaining := c.failoverSeenAt[service] + releaseTimeout - now
 		if _, isDown := down[leader.ID]; c.inFlight[service] == 0 || remaining <= 0 || isDown || leader.Failed {
-			c.released[service] = leader.Turn
+			c.released[service] = leader.FailoverID
 			continue
 		}
 		wait = max(wait, min(remaining, 20*kernel.Millisecond))
@@ -412,9 +412,9 @@
 	c.commits.setQuery(response.Query, reported, c.k.Clock.Now())
 	c.leaseEnd, c.confirmed = max(c.leaseEnd, start+response.Lease), start
 	databases := c.databases
-	var floors []failover.Lead
+	var floors []failover.Leader
 	for _, leader := range c.leaders {
-		if leader.Moving && leader.Floor != "" {
+		if leader.FailoverInProgress && leader.ChosenPosition != "" {
 			floors = append(floors, leader)
 		}
 	}
@@ -425,7 +425,7 @@
 	for _, leader := range floors {
 		// No commit is acknowledged during a failover to a chosen database,
 		// so its position covers all commits until the poll was sent.
-		if position, ok := lineprotocol.ParsePosition(leader.Floor); ok {
+		if position, ok := lineprotocol.ParsePosition(leader.ChosenPosition); ok {
 			c.cfg.OnPosition(leader.Service, start, position)
 		}
 	}
@@ -449,13 +449,13 @@
 // merge applies an update to new copies of the maps, because callers may still hold the old
 // ones.
 func (c *Subscriber) merge(changes update) {
-	leaders, databases := map[string]failover.Lead{}, map[string]discovery.Database{}
+	leaders, databases := map[string]failover.Leader{}, map[string]discovery.Database{}
 	if !changes.Full {
 		maps.Copy(leaders, c.leaders)
 		maps.Copy(databases, c.databases)
 	}
 	for service, leader := range changes.Leaders {
-		if old := c.leaders[service]; leader.Moving && (old.Turn != leader.Turn || !old.Moving) {
+		if old := c.leaders[service]; leader.FailoverInProgress && (old.FailoverID != leader.FailoverID || !old.FailoverInProgress) {
 			c.failoverSeenAt[service] = c.k.Clock.Now()
 		}
 		leaders[service] = leader
--- a/internal/distribution/updatelog.go
+++ b/internal/distribution/updatelog.go
@@ -18,11 +18,11 @@
 // update is what a proxy lacks of the control state.
 type update struct {
 	// Full says that this is the full state, not only what changed.
-	Full      bool                     `json:"whole,omitempty"`
-	Config    *routeconfig.Delta       `json:"config,omitempty"`
-	Databases databaseSet              `json:"databases,omitempty"`
-	Removed   []string                 `json:"gone,omitempty"` // ids of removed databases
-	Leaders   map[string]failover.Lead `json:"leads,omitempty"`
+	Full      bool                       `json:"whole,omitempty"`
+	Config    *routeconfig.Delta         `json:"config,omitempty"`
+	Databases databaseSet                `json:"databases,omitempty"`
+	Removed   []string                   `json:"gone,omitempty"` // ids of removed databases
+	Leaders   map[string]failover.Leader `json:"leads,omitempty"`
 }
 
 // databaseSet is encoded in groups of databases that differ only by id, service and address:
@@ -80,12 +80,12 @@
 	config      routeconfig.History
 	rev         int64
 	databases   map[string]discovery.Database
-	leaders     map[string]failover.Lead
+	leaders     map[string]failover.Leader
 	encoded     map[int64]json.RawMessage // encoded updates, by the seq that a proxy has
 	encodedFull json.RawMessage           // the update for a proxy of which nothing is known
 
 	databaseDecoder *controlstate.DecodeCache[discovery.Database]
-	leaderDecoder   *controlstate.DecodeCache[failover.Lead]
+	leaderDecoder   *controlstate.DecodeCache[failover.Leader]
 }
 
 func newUpdateLog(term int64) *updateLog {
@@ -94,7 +94,7 @@
 
 // isPublished reports whether the entry of a key is published to proxies.
 func isPublished(key string) bool {
-	return key == routeconfig.Key || discovery.Holds(key) || failover.Holds(key)
+	return key == routeconfig.Key || discovery.IsKey(key) || failover.IsKey(key)
 }
 
 // since returns the encoded update for a proxy that has the state of seq, nil if it lacks
@@ -122,9 +122,9 @@
 		}
 		return e.encodedFull, true, nil
 	}
-	missing.Databases, missing.Leaders = databaseSet{}, map[string]failover.Lead{}
+	missing.Databases, missing.Leaders = databaseSet{}, map[string]failover.Leader{}
 	for _, key := range state.ChangedSince(seq) {
-		urgent = urgent || failover.Holds(key)
+		urgent = urgent || failover.IsKey(key)
 		e.addEntry(&missing, key, seq)
 	}
 	raw, cached := e.encoded[seq]
--- a/internal/distribution/updatelog_test.go
+++ b/internal/distribution/updatelog_test.go
@@ -62,7 +62,7 @@
 		t.Errorf("%d bytes for two changes, of %d for everything", size, all)
 	}
 	put(failover.Key("s1"), `{"svc":"s1","id":"i-5","moving":true,"turn":1}`)
-	if got, _, urgent := since(state.Seq - 1); !urgent || !got.Leaders["s1"].Moving || len(got.Databases) != 0 {
+	if got, _, urgent := since(state.Seq - 1); !urgent || !got.Leaders["s1"].FailoverInProgress || len(got.Databases) != 0 {
 		t.Errorf("a failover: %+v, urgent %v", got, urgent)
 	}
 	// The first change after a pause as primary must not be mistaken for no change.
--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -18,16 +18,16 @@
 // AcceptLoss is the request of an operator who knows that a database that a failover waits for
 // will not come back.
 type AcceptLoss struct {
-	Service string `json:"svc"`
-	Turn    int64  `json:"turn"` // number of the failover that is waiting
-	By      string `json:"by"`   // the operator, for the record
+	Service    string `json:"svc"`
+	FailoverID int64  `json:"turn"` // number of the failover that is waiting
+	By         string `json:"by"`   // the operator, for the record
 }
 
 // LossAcceptance records such a request. It is kept with the leader.
 type LossAcceptance struct {
-	Turn int64  `json:"turn"`
-	By   string `json:"by"`
-	AtMs int64  `json:"at_ms"` // Unix time in milliseconds
+	FailoverID int64  `json:"turn"`
+	By         string `json:"by"`
+	AtMs       int64  `json:"at_ms"` // Unix time in milliseconds
 }
 
 // Errors of rejected requests.
@@ -53,12 +53,12 @@
 	if _, err := c.state.Term(); err != nil {
 		return err
 	}
-	err := c.updateService(ctx, q.Service, func(l *Lead, _ map[string]discovery.Database) error {
-		if !l.Moving || l.Turn != q.Turn || q.Turn == 0 || l.To != "" {
+	err := c.updateService(ctx, q.Service, func(l *Leader, _ map[string]discovery.Database) error {
+		if !l.FailoverInProgress || l.FailoverID != q.FailoverID || q.FailoverID == 0 || l.To != "" {
 			return ErrNotWaiting
 		}
-		if l.Accepted.Turn != q.Turn {
-			l.Accepted = LossAcceptance{q.Turn, q.By, time.Now().UnixMilli()}
+		if l.Accepted.FailoverID != q.FailoverID {
+			l.Accepted = LossAcceptance{q.FailoverID, q.By, time.Now().UnixMilli()}
 		}
 		return nil
 	})
@@ -71,7 +71,7 @@
 		return fmt.Errorf("failover: %w", err)
 	}
 	c.k.Counters.Add("failover.losses_accepted", 1)
-	c.k.Log.Warn("an operator accepts that acknowledged commits may be lost", "service", q.Service, "turn", q.Turn, "by", q.By)
+	c.k.Log.Warn("an operator accepts that acknowledged commits may be lost", "service", q.Service, "turn", q.FailoverID, "by", q.By)
 	return nil
 }
 
--- a/internal/failover/acknowledged.go
+++ b/internal/failover/acknowledged.go
@@ -25,17 +25,17 @@
 	position lineprotocol.Position
 }
 
-// Sighting is what a pooler observed at primaries after it received the poll response with this
+// Observation is what a pooler observed at primaries after it received the poll response with this
 // stamp.
-type Sighting struct {
+type Observation struct {
 	Term  int64                            // in which the stamp was issued
 	Stamp kernel.Micros                    // clock of the control node that issued it
 	At    map[string]lineprotocol.Position // newest observed position, by service
 }
 
-// Sighted records what a pooler observed. Observations stamped in another term are ignored, since
+// RecordObservation records what a pooler observed. Observations stamped in another term are ignored, since
 // their stamp is of another node's clock.
-func (r *Readers) Sighted(s Sighting) {
+func (r *Readers) RecordObservation(s Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s.Term != r.epoch || s.Stamp <= 0 {
@@ -67,9 +67,9 @@
 	observeRotation = 2 * kernel.Second
 )
 
-// Wanted lists services for which an observation later than now would bound what was acknowledged
+// ServicesToObserve lists services for which an observation later than now would bound what was acknowledged
 // by poolers that no longer report. Different poolers are asked for different services.
-func (r *Readers) Wanted(pooler string, now kernel.Micros) (services []string) {
+func (r *Readers) ServicesToObserve(pooler string, now kernel.Micros) (services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	unreportedUntil := r.acks.unreportedUntil
@@ -101,7 +101,7 @@
 	for _, d := range r.poolers {
 		if d.Left[service] < failoverID {
 			unreportedUntil = max(unreportedUntil, d.leaseEnd)
-		} else if acked := d.Acked[service]; bound.Less(acked) {
+		} else if acked := d.AckedUpperBound[service]; bound.Less(acked) {
 			bound = acked
 		}
 	}
@@ -122,7 +122,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.poolers {
-		if at, any := d.Certain[service]; any && d.Left[service] >= failoverID && !at.Less(bound) {
+		if at, any := d.AckedLowerBound[service]; any && d.Left[service] >= failoverID && !at.Less(bound) {
 			bound, known = at, true
 		}
 	}
--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -71,7 +71,7 @@
 			registered[c.name] = c.known
 		}
 	}
-	h.readers.Term(h.term, registered, h.now, historyLease)
+	h.readers.BeginTerm(h.term, registered, h.now, historyLease)
 	h.readers.SetLedServices([]string{"svc"})
 }
 
@@ -83,22 +83,22 @@
 	}
 	report := Report{}
 	if c.left > 0 && h.inFailover && c.left == h.failoverID {
-		report = Report{Left: map[string]int64{"svc": c.left}, Acked: map[string]lineprotocol.Position{"svc": c.acked}}
+		report = Report{Left: map[string]int64{"svc": c.left}, AckedUpperBound: map[string]lineprotocol.Position{"svc": c.acked}}
 		if c.certain.Number > 0 {
-			report.Certain = map[string]lineprotocol.Position{"svc": c.certain}
+			report.AckedLowerBound = map[string]lineprotocol.Position{"svc": c.certain}
 		}
 	}
-	observation := Sighting{Term: c.term, Stamp: c.stamp, At: map[string]lineprotocol.Position{"svc": c.observed}}
+	observation := Observation{Term: c.term, Stamp: c.stamp, At: map[string]lineprotocol.Position{"svc": c.observed}}
 	if h.r.IntN(4) == 0 {
 		return // the poll is lost
 	}
 	h.now += kernel.Micros(h.r.IntN(3))
 	c.known = max(c.known, c.incarnation)
-	if _, ok := h.readers.Heard(c.name, c.incarnation, received(report), h.now); !ok {
+	if _, ok := h.readers.RecordReport(c.name, c.incarnation, received(report), h.now); !ok {
 		return
 	}
 	if c.stamp > 0 && c.observed.Number > 0 {
-		h.readers.Sighted(observation)
+		h.readers.RecordObservation(observation)
 	}
 	if !h.readers.Grant(c.name, c.incarnation, h.now+historyLease) {
 		return
@@ -120,7 +120,7 @@
 // received returns a copy of a report, as decoded from a message it shares nothing with the
 // sender.
 func received(r Report) Report {
-	return Report{Left: maps.Clone(r.Left), Acked: maps.Clone(r.Acked), Certain: maps.Clone(r.Certain)}
+	return Report{Left: maps.Clone(r.Left), AckedUpperBound: maps.Clone(r.AckedUpperBound), AckedLowerBound: maps.Clone(r.AckedLowerBound)}
 }
 
 // serve lets a pooler run a statement at the primary and acknowledge a commit.
@@ -243,13 +243,13 @@
 		pooler := fmt.Sprint("pooler-", i)
 		slices.Reverse(services) // the order must not matter
 		r.SetLedServices(services)
-		first := r.Wanted(pooler, 10*observeRotation)
+		first := r.ServicesToObserve(pooler, 10*observeRotation)
 		if len(first) != maxServicesToObserve {
 			t.Fatalf("%s is asked to observe %d services", pooler, len(first))
 		}
 		slices.Reverse(services)
 		r.SetLedServices(services)
-		if again := r.Wanted(pooler, 11*observeRotation-1); !slices.Equal(first, again) {
+		if again := r.ServicesToObserve(pooler, 11*observeRotation-1); !slices.Equal(first, again) {
 			t.Errorf("%s is asked to observe %v, and soon after %v", pooler, first, again)
 		}
 		for _, service := range first {
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -7,8 +7,8 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Copy is what a replica reported once it was paused.
-type Copy struct {
+// PausedReplica is what a replica reported once it was paused.
+type PausedReplica struct {
 	ID       string                `json:"id"`
 	Received lineprotocol.Position `json:"received"`
 	Draining bool                  `json:"draining,omitempty"`
@@ -26,7 +26,7 @@
 // Situation is all that the choice of the next primary depends on.
 type Situation struct {
 	SyncReplicas int             `json:"sync"` // sync_replicas
-	Copies       []Copy          `json:"copies"`
+	Copies       []PausedReplica `json:"copies"`
 	Absent       []AbsentReplica `json:"absent,omitempty"` // all other replicas of the service
 	// PrimaryPosition is the old primary's own position, queried after every pooler had left it;
 	// nil if it did not respond.
@@ -37,8 +37,8 @@
 	// MinPosition is a position up to which databases that have since been removed may have held
 	// commits.
 	MinPosition lineprotocol.Position `json:"least"`
-	// Acked covers every commit that was acknowledged to a client; nil if no bound is known.
-	Acked *lineprotocol.Position `json:"acked,omitempty"`
+	// AckedUpperBound covers every commit that was acknowledged to a client; nil if no bound is known.
+	AckedUpperBound *lineprotocol.Position `json:"acked,omitempty"`
 	// AckedLowerBound is a position that some acknowledged commit has reached at least; nil if
 	// none is known.
 	AckedLowerBound *lineprotocol.Position `json:"certain,omitempty"`
@@ -70,7 +70,7 @@
 	allHoldersRemoved         = "acknowledged commits may be lost: all databases that may have held them are gone"
 )
 
-// Choose picks the replica to promote, or returns why none may be promoted yet.
+// ChoosePrimary picks the replica to promote, or returns why none may be promoted yet.
 //
 // An acknowledged commit is on at least SyncReplicas replicas. The most advanced of those that
 // responded holds it unless SyncReplicas others may be further ahead: absent replicas, except for
@@ -83,7 +83,7 @@
 // poolers have left the old primary, and nobody writes to the chosen one before it is known to
 // lead. If the old primary responded, a single replica that is not draining and has everything
 // that it holds is enough.
-func Choose(s Situation) (id, refusal string) {
+func ChoosePrimary(s Situation) (id, refusal string) {
 	copies := byPosition(s.Copies)
 	if len(copies) == 0 {
 		return "", noReplicaResponds
@@ -99,8 +99,8 @@
 		}
 		return copies[0].ID, ""
 	}
-	if s.Acked != nil {
-		if id := mostAdvancedReaching(copies, *s.Acked); id != "" {
+	if s.AckedUpperBound != nil {
+		if id := mostAdvancedReaching(copies, *s.AckedUpperBound); id != "" {
 			return id, ""
 		}
 	}
@@ -114,7 +114,7 @@
 	case s.SyncReplicas == 0: // no replica is required to have an acknowledged commit
 	case s.AckedLowerBound != nil && best.Less(*s.AckedLowerBound):
 		return "", acknowledgedCommitMissing
-	case s.Acked != nil && best.Less(*s.Acked) && !s.FirstHeartbeatsElapsed:
+	case s.AckedUpperBound != nil && best.Less(*s.AckedUpperBound) && !s.FirstHeartbeatsElapsed:
 		return "", awaitingFirstHeartbeat
 	}
 	return copies[0].ID, ""
@@ -122,9 +122,9 @@
 
 // byPosition returns the replicas sorted by position, the most advanced first; of equal ones,
 // those that are not draining come first.
-func byPosition(copies []Copy) []Copy {
+func byPosition(copies []PausedReplica) []PausedReplica {
 	copies = slices.Clone(copies)
-	slices.SortStableFunc(copies, func(a, b Copy) int {
+	slices.SortStableFunc(copies, func(a, b PausedReplica) int {
 		switch {
 		case b.Received.Less(a.Received):
 			return -1
@@ -142,7 +142,7 @@
 }
 
 // MostAdvanced returns the ID of the replica that has received the most, "" if there is none.
-func MostAdvanced(copies []Copy) string {
+func MostAdvanced(copies []PausedReplica) string {
 	if len(copies) == 0 {
 		return ""
 	}
@@ -152,7 +152,7 @@
 // mostAdvancedReaching returns the most advanced replica that has reached the position,
 // preferring those that are not draining; "" if none has. The replicas must be sorted by
 // byPosition.
-func mostAdvancedReaching(copies []Copy, position lineprotocol.Position) (id string) {
+func mostAdvancedReaching(copies []PausedReplica, position lineprotocol.Position) (id string) {
 	for _, c := range copies {
 		switch {
 		case c.Received.Less(position):
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -54,7 +54,7 @@
 	platform *platform
 
 	databases *controlstate.DecodeCache[discovery.Database]
-	leaders   *controlstate.DecodeCache[Lead]
+	leaders   *controlstate.DecodeCache[Leader]
 	poolers   *controlstate.DecodeCache[int64]
 
 	mu                     sync.Mutex
@@ -110,8 +110,8 @@
 		}
 		return
 	}
-	c.readers.Term(term.FirstEpoch(), s.poolers, c.k.Clock.Now(), c.cfg.ReaderLease)
-	c.health.Keep(s.known)
+	c.readers.BeginTerm(term.FirstEpoch(), s.poolers, c.k.Clock.Now(), c.cfg.ReaderLease)
+	c.health.SetKnown(s.known)
 	c.removeReaders(ctx)
 	if c.cfg.Leaderless {
 		c.removeDatabases(ctx, s)
@@ -125,7 +125,7 @@
 			c.runExclusive(svc, func() error { return c.restoreLeader(ctx, s, lead, back) })
 		case !known:
 			c.runExclusive(svc, func() error { return c.adoptLeader(ctx, s, svc) })
-		case lead.Moving || needsFailover(s.services[svc], lead.ID, c.health.Up):
+		case lead.FailoverInProgress || needsFailover(s.services[svc], lead.ID, c.health.Up):
 			c.runExclusive(svc, func() error { return c.advanceFailover(ctx, svc) })
 		default:
 			c.reconcileReplicas(ctx, s, lead)
@@ -168,7 +168,7 @@
 		return errRetryLater
 	}
 	c.k.Log.Info("lead adopted", "service", svc, "id", found[0])
-	return c.updateLeader(ctx, svc, func(l *Lead) error {
+	return c.updateLeader(ctx, svc, func(l *Leader) error {
 		if l.ID == "" {
 			l.ID = found[0]
 		}
@@ -178,7 +178,7 @@
 
 // returnedLeader returns the ID of the leader if it crashed and has come back as the same
 // primary: with its log, and with no other database promoted in the meantime.
-func (s *snapshot) returnedLeader(l Lead) string {
+func (s *snapshot) returnedLeader(l Leader) string {
 	for _, d := range s.services[l.Service] {
 		if d.HadID(l.ID) && s.observed[d.ID].Role == "primary" {
 			return d.ID
@@ -189,7 +189,7 @@
 
 // oldPrimary returns the database that a failover moves the service away from, also if it has
 // returned under a new ID.
-func (s *snapshot) oldPrimary(l Lead) (discovery.Database, bool) {
+func (s *snapshot) oldPrimary(l Leader) (discovery.Database, bool) {
 	id := l.ID
 	if back := s.returnedLeader(l); back != "" {
 		id = back
@@ -199,9 +199,9 @@
 }
 
 // restoreLeader makes a database the leader again that has returned under a new ID.
-func (c *Manager) restoreLeader(ctx context.Context, s *snapshot, l Lead, id string) error {
-	err := c.updateLeader(ctx, l.Service, func(current *Lead) error {
-		if current.Turn == l.Turn && current.ID == l.ID && !current.PlatformCalled {
+func (c *Manager) restoreLeader(ctx context.Context, s *snapshot, l Leader, id string) error {
+	err := c.updateLeader(ctx, l.Service, func(current *Leader) error {
+		if current.FailoverID == l.FailoverID && current.ID == l.ID && !current.PlatformCalled {
 			*current = current.completed(id, current.Term)
 		}
 		return nil
@@ -211,7 +211,7 @@
 	}
 	c.clearWaitReason(l.Service)
 	c.k.Log.Info("the leader has returned under a new ID", "service", l.Service, "was", l.ID, "id", id)
-	if l.Moving {
+	if l.FailoverInProgress {
 		c.executeAll(ctx, remaining(s.replicas(l.Service, id)), "CONTINUE")
 	}
 	return nil
--- a/internal/failover/lead.go
+++ b/internal/failover/lead.go
@@ -12,20 +12,20 @@
 	"indigowalk/internal/discovery"
 )
 
-// Lead is the control state's record of which database leads a service, and the durable intent of
+// Leader is the control state's record of which database leads a service, and the durable intent of
 // a failover.
-type Lead struct {
-	Service        string `json:"svc"`
-	ID             string `json:"id"`
-	Term           int64  `json:"term"`
-	Turn           int64  `json:"turn"`             // increases with every failover
-	Moving         bool   `json:"moving,omitempty"` // a failover is in progress
-	Failed         bool   `json:"failed,omitempty"` // a failover is in progress because the old leader failed
-	To             string `json:"to,omitempty"`     // the database that was chosen
-	PlatformCalled bool   `json:"called,omitempty"` // the platform may have been called in this failover
-	PauseTerm      int64  `json:"hold,omitempty"`   // term at which the replicas are paused
-	Floor          string `json:"floor,omitempty"`  // position of the chosen database, if a choice was made; covers every acknowledged commit
-	Least          string `json:"least,omitempty"`  // minimum position of any later leader: databases that are gone may have held commits up to it
+type Leader struct {
+	Service            string `json:"svc"`
+	ID                 string `json:"id"`
+	Term               int64  `json:"term"`
+	FailoverID         int64  `json:"turn"`             // increases with every failover
+	FailoverInProgress bool   `json:"moving,omitempty"` // a failover is in progress
+	Failed             bool   `json:"failed,omitempty"` // a failover is in progress because the old leader failed
+	To                 string `json:"to,omitempty"`     // the database that was chosen
+	PlatformCalled     bool   `json:"called,omitempty"` // the platform may have been called in this failover
+	PauseTerm          int64  `json:"hold,omitempty"`   // term at which the replicas are paused
+	ChosenPosition     string `json:"floor,omitempty"`  // position of the chosen database, if a choice was made; covers every acknowledged commit
+	MinPosition        string `json:"least,omitempty"`  // minimum position of any later leader: databases that are gone may have held commits up to it
 	// Waived covers the acknowledged commits whose loss was accepted, if any are known for
 	// certain.
 	Waived string `json:"waived,omitempty"`
@@ -34,8 +34,8 @@
 }
 
 // completed returns the record after a failover is complete: the database leads in this term.
-func (l Lead) completed(id string, term int64) Lead {
-	return Lead{Service: l.Service, ID: id, Term: term, Turn: l.Turn, Least: l.Least, Waived: l.Waived, Accepted: l.Accepted}
+func (l Leader) completed(id string, term int64) Leader {
+	return Leader{Service: l.Service, ID: id, Term: term, FailoverID: l.FailoverID, MinPosition: l.MinPosition, Waived: l.Waived, Accepted: l.Accepted}
 }
 
 // keyPrefix starts the keys of the control state's entries that hold leaders.
@@ -44,26 +44,28 @@
 // Key returns the key of the entry that holds a service's leader.
 func Key(service string) string { return keyPrefix + service }
 
-// Holds reports whether the key is of an entry that holds a leader.
-func Holds(key string) bool { return strings.HasPrefix(key, keyPrefix) }
+// IsKey reports whether the key is of an entry that holds a leader.
+func IsKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
 // Decoder returns a decoder of the leaders in the control state.
-func Decoder() *controlstate.DecodeCache[Lead] { return controlstate.NewDecodeCache[Lead](keyPrefix) }
+func Decoder() *controlstate.DecodeCache[Leader] {
+	return controlstate.NewDecodeCache[Leader](keyPrefix)
+}
 
 // Decode returns the leaders in the control state, by service. It is meant for single use; a
 // Decoder is cheaper for repeated use.
-func Decode(entries map[string]json.RawMessage) (map[string]Lead, error) {
+func Decode(entries map[string]json.RawMessage) (map[string]Leader, error) {
 	return Decoder().Decode(entries)
 }
 
 // updateLeader applies a change to the leader of a service.
-func (c *Manager) updateLeader(ctx context.Context, svc string, change func(*Lead) error) error {
-	return c.updateService(ctx, svc, func(l *Lead, _ map[string]discovery.Database) error { return change(l) })
+func (c *Manager) updateLeader(ctx context.Context, svc string, change func(*Leader) error) error {
+	return c.updateService(ctx, svc, func(l *Leader, _ map[string]discovery.Database) error { return change(l) })
 }
 
 // updateService changes the leader of a service and its databases in one atomic update; databases
 // that are deleted from the map are removed and recorded as departed.
-func (c *Manager) updateService(ctx context.Context, svc string, change func(*Lead, map[string]discovery.Database) error) error {
+func (c *Manager) updateService(ctx context.Context, svc string, change func(*Leader, map[string]discovery.Database) error) error {
 	return c.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		all, err := c.databases.Decode(entries)
 		if err != nil {
@@ -76,7 +78,7 @@
 			}
 		}
 		before := maps.Clone(known)
-		l := Lead{Service: svc}
+		l := Leader{Service: svc}
 		if raw := entries[keyPrefix+svc]; raw != nil {
 			if err := json.Unmarshal(raw, &l); err != nil {
 				return nil, fmt.Errorf("failover: %w", err)
--- a/internal/failover/leaving.go
+++ b/internal/failover/leaving.go
@@ -32,10 +32,10 @@
 
 // splitByPaused splits the replicas into those that are paused, with their positions, and those
 // that are absent.
-func splitByPaused(replicas []discovery.Database, paused map[string]lineprotocol.Position) (copies []Copy, absent []AbsentReplica) {
+func splitByPaused(replicas []discovery.Database, paused map[string]lineprotocol.Position) (copies []PausedReplica, absent []AbsentReplica) {
 	for _, d := range replicas {
 		if pos, ok := paused[d.ID]; ok && !d.Gone {
-			copies = append(copies, Copy{d.ID, pos, d.Draining})
+			copies = append(copies, PausedReplica{d.ID, pos, d.Draining})
 			continue
 		}
 		a := AbsentReplica{ID: d.ID, Gone: d.Gone}
@@ -72,8 +72,8 @@
 // removeGone removes databases that are gone. Any database that is promoted later must hold what
 // they may have held: commits up to their limits, but not past a position that covered every
 // acknowledged commit after they had ended.
-func removeGone(l *Lead, known map[string]discovery.Database, covered lineprotocol.Position) {
-	minPosition, _ := lineprotocol.ParsePosition(l.Least)
+func removeGone(l *Leader, known map[string]discovery.Database, covered lineprotocol.Position) {
+	minPosition, _ := lineprotocol.ParsePosition(l.MinPosition)
 	for id, d := range known {
 		if !d.Gone {
 			continue
@@ -83,7 +83,7 @@
 			held = limit
 		}
 		if minPosition.Less(held) {
-			minPosition, l.Least = held, held.String()
+			minPosition, l.MinPosition = held, held.String()
 		}
 		delete(known, id)
 	}
@@ -120,7 +120,7 @@
 // what the leader held after it had ended is recorded. One that is draining is paused, and its
 // limit recorded, as long as a replica that is not draining receives commits; if none does, it
 // receives them again.
-func (c *Manager) reconcileLeaving(ctx context.Context, s *snapshot, l Lead) error {
+func (c *Manager) reconcileLeaving(ctx context.Context, s *snapshot, l Leader) error {
 	leader, there := s.databases[l.ID]
 	if !there {
 		return errRetryLater
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
+	if err := c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
 		if current.ID != l.ID {
 			return nil
 		}
@@ -172,7 +172,7 @@
 // pauseLeaving pauses draining replicas as soon as the leader has failed: they may shut down
 // before every pooler has left the leader, and then nobody could tell what they held. It returns
 // the term at which the replicas are paused.
-func (c *Manager) pauseLeaving(ctx context.Context, s *snapshot, l Lead) int64 {
+func (c *Manager) pauseLeaving(ctx context.Context, s *snapshot, l Leader) int64 {
 	leaving := filter(s.replicas(l.Service, l.ID), func(d discovery.Database) bool {
 		return d.Draining && !d.Gone && d.Limit == "" && c.health.Up(d.ID)
 	})
@@ -188,7 +188,7 @@
 
 // pauseReplicas makes replicas stop receiving commits, at a term that it returns, and records how
 // far they got.
-func (c *Manager) pauseReplicas(ctx context.Context, l Lead, leaving []discovery.Database) (pauseTerm int64, err error) {
+func (c *Manager) pauseReplicas(ctx context.Context, l Leader, leaving []discovery.Database) (pauseTerm int64, err error) {
 	conns := c.openAll(ctx, leaving)
 	defer closeAll(conns)
 	pauseTerm = max(l.Term, l.PauseTerm, loginTerm(conns))
@@ -205,8 +205,8 @@
 	if len(paused) < len(conns) {
 		c.clearAttempt("leaving " + l.Service) // one of them is the old primary, which has not stepped down yet
 	}
-	err = c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
-		if len(paused) > 0 && current.ID == l.ID && current.Turn == l.Turn && current.Moving == l.Moving && current.To == "" {
+	err = c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
+		if len(paused) > 0 && current.ID == l.ID && current.FailoverID == l.FailoverID && current.FailoverInProgress == l.FailoverInProgress && current.To == "" {
 			current.PauseTerm = pauseTerm
 			recordLimits(known, paused)
 		}
@@ -216,14 +216,14 @@
 }
 
 // resumeLeaving makes paused draining replicas receive commits again when no other replica does.
-func (c *Manager) resumeLeaving(ctx context.Context, l Lead, leaving []discovery.Database) error {
+func (c *Manager) resumeLeaving(ctx context.Context, l Leader, leaving []discovery.Database) error {
 	rows := c.executeAll(ctx, leaving, "STAT")
 	paused := filter(leaving, func(d discovery.Database) bool { return d.Limit != "" || rows[d.ID].pausedTerm != 0 })
 	if len(paused) == 0 {
 		return nil
 	}
-	err := c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
-		if current.ID != l.ID || current.Turn != l.Turn || current.Moving {
+	err := c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
+		if current.ID != l.ID || current.FailoverID != l.FailoverID || current.FailoverInProgress {
 			return fmt.Errorf("%w: the lead moves", errRetryLater)
 		}
 		clearLimits(known)
--- a/internal/failover/model_moves_test.go
+++ b/internal/failover/model_moves_test.go
@@ -67,11 +67,11 @@
 }
 
 func (m *model) advanceFailover() {
-	if !m.lead.Moving {
+	if !m.lead.FailoverInProgress {
 		if p := m.node(m.lead.ID); m.up(p.id) && p.primary && !m.hasCaughtUpReplica(p.pos()) {
 			return
 		}
-		m.lead.Moving, m.lead.To, m.lead.Floor, m.lead.PlatformCalled, m.lead.Turn = true, "", "", false, m.lead.Turn+1
+		m.lead.FailoverInProgress, m.lead.To, m.lead.ChosenPosition, m.lead.PlatformCalled, m.lead.FailoverID = true, "", "", false, m.lead.FailoverID+1
 	}
 	if m.lead.To == "" && !m.decide() {
 		return
@@ -90,7 +90,7 @@
 	if m.interrupted() {
 		return
 	}
-	m.lead = Lead{Service: "s", ID: to.id, Term: to.term, Turn: m.lead.Turn, Least: m.lead.Least}
+	m.lead = Leader{Service: "s", ID: to.id, Term: to.term, FailoverID: m.lead.FailoverID, MinPosition: m.lead.MinPosition}
 	m.writesStopped = false
 	m.resumeReplicas()
 }
@@ -112,8 +112,8 @@
 		}
 	}
 	sit := Situation{SyncReplicas: 1}
-	sit.MinPosition, _ = lineprotocol.ParsePosition(m.lead.Least)
-	if floor, ok := lineprotocol.ParsePosition(m.lead.Floor); ok {
+	sit.MinPosition, _ = lineprotocol.ParsePosition(m.lead.MinPosition)
+	if floor, ok := lineprotocol.ParsePosition(m.lead.ChosenPosition); ok {
 		sit.ChosenPosition = &floor
 	}
 	if n := m.node(old); m.up(old) && !m.known[old].Gone && n.primary {
@@ -123,7 +123,7 @@
 	certain := newestOf(m.acked)
 	if m.boundsKnown && (m.managerOnly || m.r.IntN(2) == 0) {
 		acked := m.upperBound(m.acked)
-		sit.Acked = &acked
+		sit.AckedUpperBound = &acked
 		if m.r.IntN(2) == 0 { // the bound may be lower than the last commit
 			certain = newestOf(m.acked[:max(0, len(m.acked)-1)])
 		}
@@ -154,14 +154,14 @@
 		return true
 	}
 	if sit.PrimaryPosition != nil {
-		m.lead.Moving, m.writesStopped = false, false
+		m.lead.FailoverInProgress, m.writesStopped = false, false
 		m.resumeReplicas()
 	}
 	return false
 }
 
 func (m *model) commitChoice(to string, floor lineprotocol.Position) {
-	m.lead.To, m.lead.PlatformCalled, m.lead.Floor = to, true, floor.String()
+	m.lead.To, m.lead.PlatformCalled, m.lead.ChosenPosition = to, true, floor.String()
 	removeGone(&m.lead, m.known, floor)
 	m.clearLimits(m.known)
 }
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -34,7 +34,7 @@
 	lostOneForGood bool // a database was lost for good, without deregistering
 	nodes          []*node
 	known          map[string]discovery.Database
-	lead           Lead
+	lead           Leader
 	term           int64
 	count          int
 	writesStopped  bool // no pooler writes: all have left the old primary
@@ -55,14 +55,14 @@
 func newModel(seed uint64, tolerable bool) *model {
 	m := &model{
 		r: rand.New(rand.NewPCG(seed, 1)), tolerable: tolerable, known: map[string]discovery.Database{}, term: 1,
-		choose: Choose, clearLimits: clearLimits, sameDatabase: func(old discovery.Database) bool { return !old.Draining },
+		choose: ChoosePrimary, clearLimits: clearLimits, sameDatabase: func(old discovery.Database) bool { return !old.Draining },
 		boundsKnown: seed/2%2 == 0, upperBound: newestOf, firstHeartbeats: func(due bool) bool { return due },
 	}
 	for range 3 {
 		m.add(m.count, nil)
 	}
 	m.nodes[0].primary, m.nodes[0].term = true, 1
-	m.lead = Lead{Service: "s", ID: m.nodes[0].id, Term: 1}
+	m.lead = Leader{Service: "s", ID: m.nodes[0].id, Term: 1}
 	return m
 }
 
@@ -180,7 +180,7 @@
 		d.Draining = true
 		m.known[n.id] = d
 	case e == 7 && n.runs && d.Draining: // it shuts down, and deregisters or not
-		if m.tolerable && (n.id == m.lead.To || d.Limit == "" && (m.lead.Moving || !m.up(m.lead.ID) || n.id == m.lead.ID) || !m.redundant(n)) {
+		if m.tolerable && (n.id == m.lead.To || d.Limit == "" && (m.lead.FailoverInProgress || !m.up(m.lead.ID) || n.id == m.lead.ID) || !m.redundant(n)) {
 			return
 		}
 		n.runs, n.shutDown = false, true
@@ -197,7 +197,7 @@
 		m.register(n, m.add(n.addr, nil))
 	case (e == 9 || e == 14) && n.runs && !d.Draining:
 		n.runs, n.paused = false, false
-		n.lostForGood = m.r.IntN(4) == 0 && (!m.tolerable || !m.lostOneForGood && !m.lead.Moving && m.redundant(n))
+		n.lostForGood = m.r.IntN(4) == 0 && (!m.tolerable || !m.lostOneForGood && !m.lead.FailoverInProgress && m.redundant(n))
 		m.lostOneForGood = m.lostOneForGood || n.lostForGood
 	case e == 10 && !n.runs && !n.lostForGood && !n.shutDown:
 		m.restart(n)
@@ -265,13 +265,13 @@
 func (m *model) step() {
 	for _, d := range m.list() {
 		if d.HadID(m.lead.ID) && m.node(d.ID).primary && !m.lead.PlatformCalled {
-			m.lead = Lead{Service: "s", ID: d.ID, Term: m.lead.Term, Turn: m.lead.Turn, Least: m.lead.Least}
+			m.lead = Leader{Service: "s", ID: d.ID, Term: m.lead.Term, FailoverID: m.lead.FailoverID, MinPosition: m.lead.MinPosition}
 			m.writesStopped = false
 			m.resumeReplicas()
 			return
 		}
 	}
-	if m.lead.Moving || needsFailover(m.list(), m.lead.ID, m.up) {
+	if m.lead.FailoverInProgress || needsFailover(m.list(), m.lead.ID, m.up) {
 		m.advanceFailover()
 	} else {
 		m.reconcileLeaving()
@@ -316,7 +316,7 @@
 
 // verdict returns which rule the play violated, "" if none.
 func (m *model) verdict() string {
-	if p := m.node(m.lead.ID); m.violation == "" && m.tolerable && (m.lead.Moving || !p.runs || !p.primary) {
+	if p := m.node(m.lead.ID); m.violation == "" && m.tolerable && (m.lead.FailoverInProgress || !p.runs || !p.primary) {
 		return fmt.Sprintf("no leader is found: %+v of %+v", m.lead, m.list())
 	}
 	if m.violation == "" && m.boundsKnown && m.holderRunning() && !m.node(m.lead.ID).primary {
@@ -358,7 +358,7 @@
 			m.choose = func(s Situation) (string, string) {
 				s.Absent = slices.Clone(s.Absent)
 				change(&s)
-				return Choose(s)
+				return ChoosePrimary(s)
 			}
 		}
 	}
--- a/internal/failover/move.go
+++ b/internal/failover/move.go
@@ -21,7 +21,7 @@
 		return err
 	}
 	l := s.leaders[svc]
-	if !l.Moving {
+	if !l.FailoverInProgress {
 		if !needsFailover(s.services[svc], l.ID, c.health.Up) {
 			return nil
 		}
@@ -34,8 +34,8 @@
 				return errRetryLater
 			}
 		}
-		err := c.updateLeader(ctx, svc, func(l *Lead) error {
-			l.Moving, l.Failed, l.To, l.Floor, l.PlatformCalled, l.Turn = true, failed, "", "", false, l.Turn+1
+		err := c.updateLeader(ctx, svc, func(l *Leader) error {
+			l.FailoverInProgress, l.Failed, l.To, l.ChosenPosition, l.PlatformCalled, l.FailoverID = true, failed, "", "", false, l.FailoverID+1
 			return nil
 		})
 		if err != nil {
@@ -57,10 +57,10 @@
 }
 
 // awaitReadersLeft waits until no pooler can still read at the old primary.
-func (c *Manager) awaitReadersLeft(ctx context.Context, l Lead) error {
+func (c *Manager) awaitReadersLeft(ctx context.Context, l Leader) error {
 	for {
 		changed := c.readers.Changed()
-		ok, wait := c.readers.AllLeft(l.Service, l.Turn, c.k.Clock.Now())
+		ok, wait := c.readers.AllLeft(l.Service, l.FailoverID, c.k.Clock.Now())
 		if ok {
 			return nil
 		}
@@ -77,7 +77,7 @@
 }
 
 // chooseTarget pauses the replicas, compares their positions and makes the choice durable.
-func (c *Manager) chooseTarget(ctx context.Context, s *snapshot, l *Lead) error {
+func (c *Manager) chooseTarget(ctx context.Context, s *snapshot, l *Leader) error {
 	if err := c.awaitReadersAndPauseLeaving(ctx, s, l); err != nil {
 		return err
 	}
@@ -126,9 +126,9 @@
 // acknowledged before is held by the replicas that are queried. If the old primary has failed,
 // draining replicas are paused meanwhile; if it still responds, they are paused only after the
 // poolers' outstanding statements there have ended.
-func (c *Manager) awaitReadersAndPauseLeaving(ctx context.Context, s *snapshot, l *Lead) error {
+func (c *Manager) awaitReadersAndPauseLeaving(ctx context.Context, s *snapshot, l *Leader) error {
 	pauseTerm := make(chan int64, 1)
-	go func(l Lead) {
+	go func(l Leader) {
 		if !l.Failed {
 			pauseTerm <- l.PauseTerm
 			return
@@ -142,20 +142,20 @@
 
 // situation returns what is known about the choice before the replicas are queried, and the
 // newest known term.
-func (c *Manager) situation(ctx context.Context, s *snapshot, l Lead, old discovery.Database, alive bool) (sit Situation, newest int64) {
+func (c *Manager) situation(ctx context.Context, s *snapshot, l Leader, old discovery.Database, alive bool) (sit Situation, newest int64) {
 	sit = Situation{SyncReplicas: s.syncReplicas(l.Service)}
-	sit.MinPosition, _ = lineprotocol.ParsePosition(l.Least)
-	if position, ok := lineprotocol.ParsePosition(l.Floor); ok {
+	sit.MinPosition, _ = lineprotocol.ParsePosition(l.MinPosition)
+	if position, ok := lineprotocol.ParsePosition(l.ChosenPosition); ok {
 		sit.ChosenPosition = &position
 	}
-	if acked, known := c.readers.AcknowledgedUpperBound(l.Service, l.Turn); known {
-		sit.Acked = &acked
+	if acked, known := c.readers.AcknowledgedUpperBound(l.Service, l.FailoverID); known {
+		sit.AckedUpperBound = &acked
 	}
 	waived, _ := lineprotocol.ParsePosition(l.Waived)
-	if certain, known := c.readers.AcknowledgedLowerBound(l.Service, l.Turn); known && waived.Less(certain) {
+	if certain, known := c.readers.AcknowledgedLowerBound(l.Service, l.FailoverID); known && waived.Less(certain) {
 		sit.AckedLowerBound = &certain
 	}
-	sit.FirstHeartbeatsElapsed = c.elapsedSinceFirst(fmt.Sprintf("first heartbeats %s %d", l.Service, l.Turn)) > c.cfg.FirstHeartbeatTimeout
+	sit.FirstHeartbeatsElapsed = c.elapsedSinceFirst(fmt.Sprintf("first heartbeats %s %d", l.Service, l.FailoverID)) > c.cfg.FirstHeartbeatTimeout
 	newest = l.Term
 	if alive {
 		if row, err := c.execute(ctx, old, "STAT"); err == nil && row.primary {
@@ -177,7 +177,7 @@
 // also at a primary, which it does not pause; the positions received at login contain the terms.
 // STAT, for which an overloaded replica has no slot, is sent only to those that are not paused
 // then.
-func (c *Manager) pauseAll(conns map[string]*dbconn.Conn, l Lead, newest int64) pauseResult {
+func (c *Manager) pauseAll(conns map[string]*dbconn.Conn, l Leader, newest int64) pauseResult {
 	p := pauseResult{newestTerm: newest, received: map[string]lineprotocol.Position{}}
 	p.pauseTerm = max(newest, l.PauseTerm, loginTerm(conns)) + 1
 	rows := c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(p.pauseTerm, 10))
@@ -210,12 +210,12 @@
 
 // decideTarget chooses a replica, or returns why none can be chosen; a refusal is overridden if
 // an operator accepted the loss.
-func (c *Manager) decideTarget(l *Lead, sit Situation) (to, refusal string) {
-	to, refusal = Choose(sit)
-	accepted := to == "" && l.Accepted.Turn == l.Turn && canAcceptLoss(refusal)
+func (c *Manager) decideTarget(l *Leader, sit Situation) (to, refusal string) {
+	to, refusal = ChoosePrimary(sit)
+	accepted := to == "" && l.Accepted.FailoverID == l.FailoverID && canAcceptLoss(refusal)
 	if accepted {
 		to = MostAdvanced(sit.Copies)
-		l.Least = "" // the operator accepted that these commits may be lost
+		l.MinPosition = "" // the operator accepted that these commits may be lost
 		if sit.AckedLowerBound != nil {
 			l.Waived = sit.AckedLowerBound.String()
 		}
@@ -231,9 +231,9 @@
 
 // recordLeavingLimits records the limits of leaving databases while there is no leader, so that
 // they need not respond afterwards.
-func (c *Manager) recordLeavingLimits(ctx context.Context, l Lead, received map[string]lineprotocol.Position) error {
-	return c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
-		if current.Turn == l.Turn && current.Moving && current.To == "" {
+func (c *Manager) recordLeavingLimits(ctx context.Context, l Leader, received map[string]lineprotocol.Position) error {
+	return c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
+		if current.FailoverID == l.FailoverID && current.FailoverInProgress && current.To == "" {
 			recordLimits(known, received)
 		}
 		return nil
@@ -243,9 +243,9 @@
 // commitChoice makes the choice durable, unless a database has joined since the snapshot on which
 // it is based. The promotion lets every replica receive commits again, so no limit remains valid
 // except those of databases that are gone.
-func (c *Manager) commitChoice(ctx context.Context, s *snapshot, l *Lead, to string, newest, pauseTerm int64, position lineprotocol.Position) error {
-	err := c.updateService(ctx, l.Service, func(current *Lead, known map[string]discovery.Database) error {
-		if !current.Moving || current.Turn != l.Turn {
+func (c *Manager) commitChoice(ctx context.Context, s *snapshot, l *Leader, to string, newest, pauseTerm int64, position lineprotocol.Position) error {
+	err := c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
+		if !current.FailoverInProgress || current.FailoverID != l.FailoverID {
 			return errRetryLater
 		}
 		for id := range known {
@@ -253,9 +253,9 @@
 				return fmt.Errorf("%w: %s has joined", errRetryLater, id)
 			}
 		}
-		current.To, current.PlatformCalled, current.Term, current.PauseTerm, current.Floor = to, true, newest, pauseTerm, position.String()
-		if current.Accepted.Turn == current.Turn && l.Least == "" {
-			current.Least, current.Waived = "", l.Waived
+		current.To, current.PlatformCalled, current.Term, current.PauseTerm, current.ChosenPosition = to, true, newest, pauseTerm, position.String()
+		if current.Accepted.FailoverID == current.FailoverID && l.MinPosition == "" {
+			current.MinPosition, current.Waived = "", l.Waived
 		}
 		removeGone(current, known, position)
 		clearLimits(known)
@@ -289,7 +289,7 @@
 	c.waitReasons[svc] = detail
 	c.mu.Unlock()
 	if !unchanged {
-		c.k.Log.Info("move waits", "service", svc, "why", reason, "answered", sit.Copies, "absent", sit.Absent, "least", sit.MinPosition.String(), "acked", positionText(sit.Acked), "certain", positionText(sit.AckedLowerBound))
+		c.k.Log.Info("move waits", "service", svc, "why", reason, "answered", sit.Copies, "absent", sit.Absent, "least", sit.MinPosition.String(), "acked", positionText(sit.AckedUpperBound), "certain", positionText(sit.AckedLowerBound))
 	}
 }
 
@@ -300,8 +300,8 @@
 	delete(c.waitReasons, svc)
 }
 
-// Waits returns, by service, why its failover is waiting.
-func (c *Manager) Waits() map[string]string {
+// WaitReasons returns, by service, why its failover is waiting.
+func (c *Manager) WaitReasons() map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.waitReasons)
@@ -309,12 +309,12 @@
 
 // cancelFailover ends a failover before any database was promoted, because the old primary still
 // serves.
-func (c *Manager) cancelFailover(ctx context.Context, l *Lead, why string) error {
+func (c *Manager) cancelFailover(ctx context.Context, l *Leader, why string) error {
 	c.clearWaitReason(l.Service)
 	c.k.Log.Info("failover cancelled", "service", l.Service, "why", why)
-	return c.updateLeader(ctx, l.Service, func(current *Lead) error {
-		if current.Turn == l.Turn && !current.PlatformCalled {
-			current.Moving, current.Failed = false, false
+	return c.updateLeader(ctx, l.Service, func(current *Leader) error {
+		if current.FailoverID == l.FailoverID && !current.PlatformCalled {
+			current.FailoverInProgress, current.Failed = false, false
 		}
 		return nil
 	})
--- a/internal/failover/platform_call_test.go
+++ b/internal/failover/platform_call_test.go
@@ -14,7 +14,7 @@
 // lease is held now.
 func TestPlatformIsNotCalledOutsideTheTerm(t *testing.T) {
 	c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
-	if err := c.callPlatform(t.Context(), Lead{}); !errors.Is(err, errRetryLater) || len(c.k.Counters.Snapshot()) != 0 {
+	if err := c.callPlatform(t.Context(), Leader{}); !errors.Is(err, errRetryLater) || len(c.k.Counters.Snapshot()) != 0 {
 		t.Errorf("the platform was called, or the error is wrong: %v, %v", err, c.k.Counters.Snapshot())
 	}
 }
@@ -24,7 +24,7 @@
 	for text, want := range map[string]int{"2.9": 0, "2.8": 0, "2.7": 1} {
 		c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
 		received, _ := lineprotocol.ParsePosition(text)
-		c.checkPromotedPosition(Lead{Service: "s", To: "a", Floor: "2.8"}, statRow{received: received})
+		c.checkPromotedPosition(Leader{Service: "s", To: "a", ChosenPosition: "2.8"}, statRow{received: received})
 		if n := c.k.Invariants.Counts()[invariant.PromotedHoldsFloor]; n != want {
 			t.Errorf("%s: %d violations", text, n)
 		}
--- a/internal/failover/promotion.go
+++ b/internal/failover/promotion.go
@@ -16,19 +16,19 @@
 
 // promote makes the platform promote the chosen database, waits until it leads, and records it as
 // the leader.
-func (c *Manager) promote(ctx context.Context, s *snapshot, l Lead) error {
+func (c *Manager) promote(ctx context.Context, s *snapshot, l Leader) error {
 	if err := c.awaitReadersLeft(ctx, l); err != nil {
 		return err
 	}
 	to, there := s.databases[l.To]
 	err := errNotRunning
-	before := c.registry.Soft()[l.To]
+	before := c.registry.Observed()[l.To]
 	if there {
 		err = c.callPlatform(ctx, l)
 	}
 	if errors.Is(err, errNotRunning) {
-		return c.updateLeader(ctx, l.Service, func(current *Lead) error {
-			if current.Turn == l.Turn && current.To == l.To {
+		return c.updateLeader(ctx, l.Service, func(current *Leader) error {
+			if current.FailoverID == l.FailoverID && current.To == l.To {
 				current.To = ""
 			}
 			return nil
@@ -45,8 +45,8 @@
 		return err
 	}
 	old := l.ID
-	err = c.updateLeader(ctx, l.Service, func(current *Lead) error {
-		if current.Turn == l.Turn && current.To == l.To {
+	err = c.updateLeader(ctx, l.Service, func(current *Leader) error {
+		if current.FailoverID == l.FailoverID && current.To == l.To {
 			*current = current.completed(l.To, l.Term)
 		}
 		return nil
@@ -73,11 +73,11 @@
 // awaitPromotion waits until the database leads a newer term and returns that term. The database
 // reports this by its own heartbeat, which it sends at once when its role changes; if none
 // arrives it is queried.
-func (c *Manager) awaitPromotion(ctx context.Context, l Lead, to discovery.Database, before discovery.ObservedState, supersededTerm int64) (int64, error) {
+func (c *Manager) awaitPromotion(ctx context.Context, l Leader, to discovery.Database, before discovery.ObservedState, supersededTerm int64) (int64, error) {
 	end := c.k.Clock.Now() + 3*kernel.Second
 	for c.k.Clock.Now() < end && ctx.Err() == nil {
 		changed := c.registry.Changed()
-		if now := c.registry.Soft()[to.ID]; now.Role == "primary" && before.Role == "replica" {
+		if now := c.registry.Observed()[to.ID]; now.Role == "primary" && before.Role == "replica" {
 			return supersededTerm + 1, nil
 		}
 		t := time.NewTimer(c.cfg.HeartbeatWait.Duration())
@@ -98,15 +98,15 @@
 }
 
 // checkPromotedPosition checks that a promoted database holds what the choice was based on.
-func (c *Manager) checkPromotedPosition(l Lead, row statRow) {
-	floor, known := lineprotocol.ParsePosition(l.Floor)
+func (c *Manager) checkPromotedPosition(l Leader, row statRow) {
+	floor, known := lineprotocol.ParsePosition(l.ChosenPosition)
 	c.k.Invariants.Check(!known || !row.received.Less(floor), invariant.PromotedHoldsFloor,
-		"%s leads %s at position %s but was chosen at position %s", l.To, l.Service, row.received, l.Floor)
+		"%s leads %s at position %s but was chosen at position %s", l.To, l.Service, row.received, l.ChosenPosition)
 }
 
 // reconcileReplicas resumes paused replicas, makes every database step down that acts as the
 // primary without being the leader, and handles those that are leaving.
-func (c *Manager) reconcileReplicas(ctx context.Context, s *snapshot, l Lead) {
+func (c *Manager) reconcileReplicas(ctx context.Context, s *snapshot, l Leader) {
 	c.resumeReplicas(ctx, s, l)
 	leaving := false
 	for _, d := range s.replicas(l.Service, l.ID) {
@@ -165,7 +165,7 @@
 
 // callPlatform calls the platform as the duty holder, only in the term in which the failover was
 // examined, and well within the lease.
-func (c *Manager) callPlatform(ctx context.Context, l Lead) error {
+func (c *Manager) callPlatform(ctx context.Context, l Leader) error {
 	epoch, left := controlstate.TermOf(ctx).Lease()
 	wait := min(left-100*kernel.Millisecond, kernel.Second)
 	if wait < 100*kernel.Millisecond {
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -38,21 +38,21 @@
 	// Left holds, by service, the number of the failover for which the pooler has left the old
 	// primary: it no longer acknowledges any commit of that primary.
 	Left map[string]int64
-	// Acked holds, by service that it has left, a position that covers every commit that it has
+	// AckedUpperBound holds, by service that it has left, a position that covers every commit that it has
 	// acknowledged to a client.
-	Acked map[string]lineprotocol.Position
-	// Certain holds, by service that it has left, a position that one of those commits has
+	AckedUpperBound map[string]lineprotocol.Position
+	// AckedLowerBound holds, by service that it has left, a position that one of those commits has
 	// reached at least.
-	Certain map[string]lineprotocol.Position
+	AckedLowerBound map[string]lineprotocol.Position
 }
 
 // NewReaders returns an empty set of poolers.
 func NewReaders() *Readers { return &Readers{poolers: map[string]*leaseHolder{}} }
 
-// Heard records what a pooler reported at that time. A report of an earlier incarnation of the
+// RecordReport records what a pooler reported at that time. A report of an earlier incarnation of the
 // pooler is refused, and the newest incarnation returned; so is the report of a pooler whose
 // registration is being removed, with no incarnation returned.
-func (r *Readers) Heard(pooler string, incarnation int64, report Report, now kernel.Micros) (newest int64, ok bool) {
+func (r *Readers) RecordReport(pooler string, incarnation int64, report Report, now kernel.Micros) (newest int64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := r.poolers[pooler]
@@ -90,8 +90,8 @@
 	return true
 }
 
-// Count returns how many poolers hold a lease that ends after that time.
-func (r *Readers) Count(at kernel.Micros) (n int) {
+// CountLeases returns how many poolers hold a lease that ends after that time.
+func (r *Readers) CountLeases(at kernel.Micros) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.poolers {
@@ -148,10 +148,10 @@
 	}
 }
 
-// Term starts a term of the control state's primary, once: any pooler that was ever registered
+// BeginTerm starts a term of the control state's primary, once: any pooler that was ever registered
 // may hold a lease of the previous primary, for that duration. A term that has been followed by
 // another is not started again, since it knows fewer poolers.
-func (r *Readers) Term(epoch int64, registered map[string]int64, now, lease kernel.Micros) {
+func (r *Readers) BeginTerm(epoch int64, registered map[string]int64, now, lease kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if epoch <= r.epoch {
--- a/internal/failover/resume.go
+++ b/internal/failover/resume.go
@@ -18,15 +18,15 @@
 // with its connection or with the process that was to send it, and a replica that stays paused
 // never receives anything. Repeating it does no harm, nor does a late one: once a failover has
 // begun, no commit of the old primary counts (see package distribution).
-func (c *Manager) resumeReplicas(ctx context.Context, s *snapshot, l Lead) {
-	if l.Turn == 0 {
+func (c *Manager) resumeReplicas(ctx context.Context, s *snapshot, l Leader) {
+	if l.FailoverID == 0 {
 		return // no replica was ever paused
 	}
 	epoch, _ := c.state.Lease()
 	c.mu.Lock()
 	w := c.resumed[l.Service]
-	if w == nil || w.epoch != epoch || w.failoverID != l.Turn {
-		w = &resumeState{epoch, l.Turn, map[string]bool{}}
+	if w == nil || w.epoch != epoch || w.failoverID != l.FailoverID {
+		w = &resumeState{epoch, l.FailoverID, map[string]bool{}}
 		c.resumed[l.Service] = w
 	}
 	var pending []discovery.Database
--- a/internal/failover/snapshot.go
+++ b/internal/failover/snapshot.go
@@ -13,7 +13,7 @@
 	databases map[string]discovery.Database
 	known     map[string]bool // databases by id
 	services  map[string][]discovery.Database
-	leaders   map[string]Lead
+	leaders   map[string]Leader
 	conf      *routeconfig.Configuration
 	observed  map[string]discovery.ObservedState
 	poolers   map[string]int64
@@ -51,7 +51,7 @@
 		c.cached, c.cachedSeq, c.cachedEpoch, c.cachedConfig = s, state.Seq, state.Epoch, entries[routeconfig.Key]
 	}
 	s := *c.cached
-	s.observed = c.registry.Soft()
+	s.observed = c.registry.Observed()
 	return &s, nil
 }
 
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -177,13 +177,13 @@
 		return
 	}
 	for _, id := range n.Databases {
-		s.Heard(from, id)
+		s.HandleNotice(from, id)
 	}
 }
 
-// Heard processes a peer's notice, however it was received. One that contains nothing new is only
+// HandleNotice processes a peer's notice, however it was received. One that contains nothing new is only
 // counted.
-func (s *Monitor) Heard(from, id string) {
+func (s *Monitor) HandleNotice(from, id string) {
 	if !s.cfg.AcceptNotices() {
 		return
 	}
@@ -332,9 +332,9 @@
 	}()
 }
 
-// Keep sets which databases exist. The state of any other is dropped, and reports, notices and
+// SetKnown sets which databases exist. The state of any other is dropped, and reports, notices and
 // checks of it that are in progress are ignored.
-func (s *Monitor) Keep(known map[string]bool) {
+func (s *Monitor) SetKnown(known map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.known = known
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -233,8 +233,8 @@
 		if n := notify("a", lower); n != 240 {
 			t.Errorf("%d of 240 peers notified, though only lower-ranked processes report the same", n)
 		}
-		c.Keep(map[string]bool{})
-		c.Keep(map[string]bool{"a": true})
+		c.SetKnown(map[string]bool{})
+		c.SetKnown(map[string]bool{"a": true})
 		if n := notify("a", higher); n > 2*peersPerBatch {
 			t.Errorf("%d peers notified although two higher-ranked processes report the same", n)
 		}
@@ -269,7 +269,7 @@
 		"a check that ends later": func(m *Monitor) { m.post(Event{Kind: "checked", Database: "a"}) },
 		"a late report":           func(m *Monitor) { m.Report("a", 0, true) },
 		"a late suspicion":        func(m *Monitor) { m.Report("a", 0, false) },
-		"a late notice":           func(m *Monitor) { m.Heard("10.0.0.2:7441", "a") },
+		"a late notice":           func(m *Monitor) { m.HandleNotice("10.0.0.2:7441", "a") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -287,7 +287,7 @@
 				if m.Up("a") {
 					t.Fatal("a failing database is not considered down")
 				}
-				m.Keep(map[string]bool{"b": true})
+				m.SetKnown(map[string]bool{"b": true})
 				late(m)
 				time.Sleep(5 * time.Second)
 				if down := m.Down(); len(down) > 0 {
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -247,7 +247,7 @@
 	dbs, lead := d.control.Databases(service)
 	_, err := d.control.Primary(service)
 	return readrouting.Candidates{
-		Databases: dbs, Lead: lead, Leased: err == nil, Zone: d.cfg.Zone,
+		Databases: dbs, Leader: lead, Leased: err == nil, Zone: d.cfg.Zone,
 		Up: d.health.Up, Busy: d.pool.Busy, Idle: func(id string) bool { return d.pool.Idle(id, want) },
 	}
 }
--- a/internal/pooler/transaction.go
+++ b/internal/pooler/transaction.go
@@ -193,7 +193,7 @@
 	} else {
 		switch a.Code {
 		case lineprotocol.Lagging:
-			d.router.Lagging(conn.DB.ID)
+			d.router.MarkLagging(conn.DB.ID)
 			j.shun(conn.DB.ID)
 		default:
 			j.tries++
@@ -327,7 +327,7 @@
 	}
 	if t.ran == 0 && promised(a.Code) && more {
 		if a.Code == lineprotocol.Lagging {
-			s.d.router.Lagging(t.conn.DB.ID)
+			s.d.router.MarkLagging(t.conn.DB.ID)
 			j.shun(t.conn.DB.ID)
 		}
 		t.letGo(true)
--- a/internal/pooler/work.go
+++ b/internal/pooler/work.go
@@ -106,8 +106,8 @@
 func (j *job) request(write bool) readrouting.Request {
 	return readrouting.Request{
 		Service: j.route.Service, Type: j.route.Type,
-		Stale:    j.route.MaxStaleness(),
-		Received: j.received, Last: j.s.last, Write: write, Avoid: j.avoid,
+		MaxStaleness: j.route.MaxStaleness(),
+		Received:     j.received, LastCommit: j.s.last, Write: write, Avoid: j.avoid,
 	}
 }
 
@@ -211,8 +211,8 @@
 // that begins there once its time is over.
 func (j *job) run(conn *dbconn.Conn, choice readrouting.Choice, b *health.Binding, text string, at phase) (*lineprotocol.Answer, error) {
 	d := j.s.d
-	if !choice.Primary && at == opening && choice.After != (lineprotocol.Position{}) {
-		text = "WAITPOS " + choice.After.String() + " " + text
+	if !choice.Primary && at == opening && choice.MinPosition != (lineprotocol.Position{}) {
+		text = "WAITPOS " + choice.MinPosition.String() + " " + text
 	}
 	msg := lineprotocol.AppendMessage(nil, "QUERY", j.q.ID, text)
 	sent := j.now()
@@ -240,7 +240,7 @@
 	if err := conn.Send(msg, j.left(), gate); err != nil {
 		return nil, errors.Join(errUnsent, err)
 	}
-	watch := dbconn.Watch{Ending: d.ending, Quiet: max(d.cfg.Quiet, quietTimes*d.router.Usual(j.route.Host)), Doubt: func() bool {
+	watch := dbconn.Watch{Ending: d.ending, Quiet: max(d.cfg.Quiet, quietTimes*d.router.TypicalLatency(j.route.Host)), Doubt: func() bool {
 		_, gen := b.Bound()
 		d.health.Report(choice.Database.ID, min(gen, conn.Generation), false)
 		return !j.twice || !d.second.take()
@@ -255,7 +255,7 @@
 		return nil, err
 	}
 	if a.Code == "" && !j.write && (j.q.Verb == lineprotocol.Fetch || j.q.Verb == lineprotocol.Run) {
-		d.router.Took(j.route.Host, choice.Database.ID, j.now()-sent)
+		d.router.RecordLatency(j.route.Host, choice.Database.ID, j.now()-sent)
 	}
 	if gated && a.Code == "" {
 		if pos, ok := lineprotocol.ParsePosition(a.Pos); ok {
@@ -419,7 +419,7 @@
 		}
 		return a
 	case lineprotocol.Lagging:
-		d.router.Lagging(id)
+		d.router.MarkLagging(id)
 		j.shun(id)
 		return nil
 	case lineprotocol.NoSuch:
--- a/internal/readrouting/readrouting.go
+++ b/internal/readrouting/readrouting.go
@@ -21,26 +21,26 @@
 
 // Choice is the database that a statement may go to.
 type Choice struct {
-	Database discovery.Database
-	Primary  bool                  // under the read lease, without a required position
-	After    lineprotocol.Position // what a replica must have reached
+	Database    discovery.Database
+	Primary     bool                  // under the read lease, without a required position
+	MinPosition lineprotocol.Position // what a replica must have reached
 }
 
 // Request describes a statement that is to be routed.
 type Request struct {
-	Service  string
-	Type     string // of the route
-	Stale    kernel.Micros
-	Received kernel.Micros         // no earlier than the arrival of its first byte
-	Last     lineprotocol.Position // the session's own last commit
-	Write    bool                  // a write or a plain transaction
-	Avoid    map[string]bool       // databases that were tried without success
+	Service      string
+	Type         string // of the route
+	MaxStaleness kernel.Micros
+	Received     kernel.Micros         // no earlier than the arrival of its first byte
+	LastCommit   lineprotocol.Position // the session's own last commit
+	Write        bool                  // a write or a plain transaction
+	Avoid        map[string]bool       // databases that were tried without success
 }
 
 // Candidates is what a choice is made from.
 type Candidates struct {
 	Databases []discovery.Database
-	Lead      failover.Lead
+	Leader    failover.Leader
 	Leased    bool // the read lease covers the leader now
 	Zone      string
 	Up        func(id string) bool
@@ -141,8 +141,8 @@
 	return lineprotocol.Position{}, false
 }
 
-// Lagging records that a replica has not reached a position yet.
-func (a *Router) Lagging(id string) {
+// MarkLagging records that a replica has not reached a position yet.
+func (a *Router) MarkLagging(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
@@ -163,8 +163,8 @@
 	return a.clock.Now() < a.lagging[id].until
 }
 
-// Took records how long a read of the route took at a database.
-func (a *Router) Took(route, id string, span kernel.Micros) {
+// RecordLatency records how long a read of the route took at a database.
+func (a *Router) RecordLatency(route, id string, span kernel.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
@@ -177,8 +177,8 @@
 	a.latencies[id] = relativeLatency{r + latencyWeight*(float64(span)/max(usual, 1)-r), now}
 }
 
-// Usual returns how long a read of the route typically takes, 0 if there was none.
-func (a *Router) Usual(route string) kernel.Micros {
+// TypicalLatency returns how long a read of the route typically takes, 0 if there was none.
+func (a *Router) TypicalLatency(route string) kernel.Micros {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return kernel.Micros(a.typical.Average(route))
@@ -197,11 +197,11 @@
 			return c, true
 		}
 	}
-	if !s.Leased || !s.Up(s.Lead.ID) {
+	if !s.Leased || !s.Up(s.Leader.ID) {
 		return Choice{}, false
 	}
 	for _, d := range s.Databases {
-		if d.ID == s.Lead.ID {
+		if d.ID == s.Leader.ID {
 			return Choice{Database: d, Primary: true}, true
 		}
 	}
@@ -226,7 +226,7 @@
 		return primaryReason(s)
 	}
 	replicas := NoReplica
-	if _, ok := a.covering(q.Service, q.Received-q.Stale); !ok {
+	if _, ok := a.covering(q.Service, q.Received-q.MaxStaleness); !ok {
 		replicas = NoObservation
 	}
 	return replicas + " and " + primaryReason(s)
@@ -235,13 +235,13 @@
 // primaryReason returns why the primary cannot be used.
 func primaryReason(s Candidates) string {
 	switch {
-	case s.Lead.ID == "":
+	case s.Leader.ID == "":
 		return NoLeader
-	case s.Lead.Moving:
+	case s.Leader.FailoverInProgress:
 		return FailoverInProgress
 	case !s.Leased:
 		return NoLease
-	case !s.Up(s.Lead.ID):
+	case !s.Up(s.Leader.ID):
 		return LeaderDown
 	}
 	return LeaderNotListed
@@ -250,16 +250,16 @@
 // pickReplica returns the replica with the lowest expected cost that is up and may be fresh
 // enough.
 func (a *Router) pickReplica(q Request, s Candidates) (Choice, bool) {
-	pos, ok := a.covering(q.Service, q.Received-q.Stale)
+	pos, ok := a.covering(q.Service, q.Received-q.MaxStaleness)
 	if !ok {
 		return Choice{}, false
 	}
-	if q.Type == routeconfig.Nearest && pos.Less(q.Last) {
-		pos = q.Last
+	if q.Type == routeconfig.Nearest && pos.Less(q.LastCommit) {
+		pos = q.LastCommit
 	}
 	best, cost := -1, 0.0
 	for i, d := range s.Databases {
-		if d.ID == s.Lead.ID || d.Draining || q.Avoid[d.ID] || !s.Up(d.ID) || a.isLagging(d.ID) {
+		if d.ID == s.Leader.ID || d.Draining || q.Avoid[d.ID] || !s.Up(d.ID) || a.isLagging(d.ID) {
 			continue
 		}
 		// The expected wait: this pooler's own share of the busy slots, at the database's
@@ -279,5 +279,5 @@
 	if best < 0 {
 		return Choice{}, false
 	}
-	return Choice{Database: s.Databases[best], After: pos}, true
+	return Choice{Database: s.Databases[best], MinPosition: pos}, true
 }
--- a/internal/readrouting/readrouting_test.go
+++ b/internal/readrouting/readrouting_test.go
@@ -27,15 +27,15 @@
 		Databases: []discovery.Database{
 			{ID: "p", Zone: "z1", Slots: 7}, {ID: "near", Zone: "z1", Slots: 7}, {ID: "far", Zone: "z2", Slots: 7},
 		},
-		Lead: failover.Lead{ID: "p"}, Leased: true, Zone: "z1",
+		Leader: failover.Leader{ID: "p"}, Leased: true, Zone: "z1",
 		Up: func(id string) bool { return !down[id] }, Busy: func(id string) int { return busy[id] },
 		Idle: func(string) bool { return true },
 	}
-	q := Request{Service: "svc", Type: "bounded", Stale: 1500 * ms, Received: clock.now}
+	q := Request{Service: "svc", Type: "bounded", MaxStaleness: 1500 * ms, Received: clock.now}
 	expect := func(what, id string, after lineprotocol.Position) {
 		t.Helper()
-		if c, ok := a.Pick(q, s); !ok && id != "" || c.Database.ID != id || c.After != after {
-			t.Errorf("%s: %q after %v (%v)", what, c.Database.ID, c.After, ok)
+		if c, ok := a.Pick(q, s); !ok && id != "" || c.Database.ID != id || c.MinPosition != after {
+			t.Errorf("%s: %q after %v (%v)", what, c.Database.ID, c.MinPosition, ok)
 		}
 	}
 	expect("the oldest position that is fresh enough, in the own zone", "near", pos(8))
@@ -43,13 +43,13 @@
 	expect("the less busy replica", "far", pos(8))
 	busy["near"] = 0
 	for range 20 {
-		a.Took("route", "far", 10*ms)
-		a.Took("route", "near", 50*ms)
+		a.RecordLatency("route", "far", 10*ms)
+		a.RecordLatency("route", "near", 50*ms)
 	}
 	expect("the faster replica, though in another zone", "far", pos(8))
-	q.Type, q.Last = "nearest", pos(12)
+	q.Type, q.LastCommit = "nearest", pos(12)
 	expect("the session's own commit", "far", pos(12))
-	a.Lagging("far")
+	a.MarkLagging("far")
 	expect("the other replica", "near", pos(12))
 	down["near"] = true
 	expect("the primary", "p", lineprotocol.Position{})
--- a/internal/readrouting/sweep_test.go
+++ b/internal/readrouting/sweep_test.go
@@ -14,8 +14,8 @@
 	a := New(clock)
 	for day := range 1000 {
 		clock.now += 24 * 3600 * kernel.Second
-		a.Lagging(fmt.Sprint("replica-", day))
-		a.Took("p.ledger", fmt.Sprint("replica-", day), 3*kernel.Millisecond)
+		a.MarkLagging(fmt.Sprint("replica-", day))
+		a.RecordLatency("p.ledger", fmt.Sprint("replica-", day), 3*kernel.Millisecond)
 	}
 	if n := len(a.lagging) + len(a.latencies); n > 4 {
 		t.Errorf("%d entries of unused databases are kept", n)
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -363,7 +363,7 @@
 		w.Until("the one that is left leads", 3*time.Second, func() bool { return g.Lead() == g.DB(2) })
 		w.Until("that is known", 2*time.Second, func() bool { _, err := ask(); return err != nil })
 		lead := leadOf(t, w)
-		if lead.Accepted.By != "someone" || lead.Accepted.Turn != 1 || lead.Accepted.AtMs == 0 || lead.Least != "" {
+		if lead.Accepted.By != "someone" || lead.Accepted.FailoverID != 1 || lead.Accepted.AtMs == 0 || lead.MinPosition != "" {
 			t.Errorf("the record: %+v", lead)
 		}
 		if err := waiting.Accept(context.Background(), host, waiting.Turn, "someone"); err == nil {
@@ -373,7 +373,7 @@
 }
 
 // leadOf is the lead in the control state.
-func leadOf(t *testing.T, w *World) failover.Lead {
+func leadOf(t *testing.T, w *World) failover.Leader {
 	t.Helper()
 	state, err := w.Process("control", controlPrimary(w)).replica().Durable()
 	if err != nil {
--- a/internal/tools/accept.go
+++ b/internal/tools/accept.go
@@ -34,10 +34,10 @@
 		return nil, fmt.Errorf("no service %q has a lead", service)
 	}
 	why, waits := p.Waits[service]
-	if !waits || !lead.Moving {
+	if !waits || !lead.FailoverInProgress {
 		return nil, fmt.Errorf("service %s does not wait: %s leads it", service, lead.ID)
 	}
-	return &Waiting{service, lead.Turn, why, p.Addr}, nil
+	return &Waiting{service, lead.FailoverID, why, p.Addr}, nil
 }
 
 // Print writes what waits, and what may be done.
@@ -55,7 +55,7 @@
 	}
 	b := rpc.NewEndpoint(kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler)), "")
 	defer b.HangUp()
-	order := failover.AcceptLoss{Service: w.Service, Turn: turn, By: by}
+	order := failover.AcceptLoss{Service: w.Service, FailoverID: turn, By: by}
 	if err := b.Call(ctx, w.Control, failover.AcceptOp, order, nil, askWait); err != nil {
 		return fmt.Errorf("the order was not taken: %w", err)
 	}
--- a/internal/tools/replay.go
+++ b/internal/tools/replay.go
@@ -153,7 +153,7 @@
 }
 
 func (p *player) choice(c failover.Choice) string {
-	to, why := failover.Choose(c.Situation)
+	to, why := failover.ChoosePrimary(c.Situation)
 	fmt.Fprintf(p.w, "%d us: lead of %s: %s\n", p.at, c.Service, cmp.Or(to, "waits, "+why))
 	if c.Epoch < p.epoch {
 		return fmt.Sprintf("a choice in epoch %d after epoch %d", c.Epoch, p.epoch)
@@ -162,7 +162,7 @@
 	if c.To == "" || c.Accepted {
 		return ""
 	}
-	at := slices.IndexFunc(c.Situation.Copies, func(o failover.Copy) bool { return o.ID == c.To })
+	at := slices.IndexFunc(c.Situation.Copies, func(o failover.PausedReplica) bool { return o.ID == c.To })
 	if at < 0 {
 		return fmt.Sprintf("%s was chosen and did not answer", c.To)
 	}
@@ -170,7 +170,7 @@
 		return fmt.Sprintf("%s was chosen, though %s", c.To, why)
 	}
 	received := c.Situation.Copies[at].Received
-	if acked := c.Situation.Acked; acked != nil && !received.Less(*acked) {
+	if acked := c.Situation.AckedUpperBound; acked != nil && !received.Less(*acked) {
 		return "" // it holds all that clients were told of
 	}
 	for _, o := range c.Situation.Copies {
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -43,7 +43,7 @@
 	HeardUs   map[string]kernel.Micros      `json:"heard_us,omitempty"` // since each control node last took part, on the primary
 	Config    *routeconfig.Configuration    `json:"config,omitempty"`
 	Databases map[string]discovery.Database `json:"databases,omitempty"`
-	Leads     map[string]failover.Lead      `json:"leads,omitempty"`
+	Leads     map[string]failover.Leader    `json:"leads,omitempty"`
 	Waits     map[string]string             `json:"waits,omitempty"`  // by service, why the move of its lead waits
 	Roles     map[string]string             `json:"roles,omitempty"`  // as the databases see themselves
 	Down      map[string]int64              `json:"down,omitempty"`   // with the generation
@@ -117,9 +117,9 @@
 		return err
 	}
 	r.Quotas = kernel.Need[*quota.LedgerServer](k).Accounts()
-	r.Waits = kernel.Need[*failover.Manager](k).Waits()
+	r.Waits = kernel.Need[*failover.Manager](k).WaitReasons()
 	r.Roles = map[string]string{}
-	for id, soft := range kernel.Need[*discovery.Registry](k).Soft() {
+	for id, soft := range kernel.Need[*discovery.Registry](k).Observed() {
 		r.Roles[id] = soft.Role
 	}
 	return nil
--- a/internal/tools/status.go
+++ b/internal/tools/status.go
@@ -163,7 +163,7 @@
 			state = fmt.Sprintf("down since generation %d", gen)
 		}
 		role := cmp.Or(p.Roles[id], "not heard of yet")
-		moving := l.Moving && l.ID == id
+		moving := l.FailoverInProgress && l.ID == id
 		if l.ID == id {
 			role += fmt.Sprintf(", lead of term %d", l.Term)
 		}
@@ -182,12 +182,12 @@
 	led := 0
 	for svc := range services {
 		l, known := p.Leads[svc]
-		if known && !l.Moving {
+		if known && !l.FailoverInProgress {
 			led++
 		}
-		if a := l.Accepted; a.Turn > 0 {
+		if a := l.Accepted; a.FailoverID > 0 {
 			at := time.UnixMilli(a.AtMs).UTC().Format(time.RFC3339)
-			lines = append(lines, fmt.Sprintf("  service %s: at turn %d %s accepted that acknowledged commits are lost, %s", svc, a.Turn, a.By, at))
+			lines = append(lines, fmt.Sprintf("  service %s: at turn %d %s accepted that acknowledged commits are lost, %s", svc, a.FailoverID, a.By, at))
 		}
 	}
 	fmt.Fprintf(w, "databases: %d of %d services, %d with a lead; %d down, moving, draining or gone\n", len(p.Databases), len(services), led, odd)
