--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -68,7 +68,7 @@
 	renewAt           kernel.Micros
 	members           memberPolicy
 	missedRenewals    map[string]int // consecutive renewals that a control node did not answer
-	draining          bool           // Leave was called
+	leaving           bool           // Leave was called
 	nextCampaignAt    kernel.Micros  // earliest time of the next campaign after a failed one or a loss of the lease
 	nextAnnounceAt    kernel.Micros
 	voidedEpoch       int64 // epoch of a view whose primary lost its disk and thereby its lease
@@ -166,7 +166,8 @@
 	return v.witness.abstains
 }
 
-// SinceLastContact returns, on the primary, the time since each control node last granted a lease renewal.
+// SinceLastContact returns, on the primary, the time since each control node last granted a lease
+// renewal.
 func (v *Replica) SinceLastContact() map[string]kernel.Micros {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -184,8 +185,8 @@
 	return v.newestView, v.holdsLease(v.k.Clock.Now())
 }
 
-// KnownPrimary returns the internal address of the newest view's primary and whether that is another
-// control node that itself contacted this one within the last lease period. A primary known
+// KnownPrimary returns the internal address of the newest view's primary and whether that is
+// another control node that itself contacted this one within the last lease period. A primary known
 // from earlier, or only from a third party, may have failed or been superseded.
 func (v *Replica) KnownPrimary() (string, bool) {
 	v.mu.Lock()
@@ -322,12 +323,12 @@
 	return min(max(due-now, 20*kernel.Millisecond), v.lease/2)
 }
 
-// campaignNotBefore returns when this control node, as a member, may campaign. A draining node
+// campaignNotBefore returns when this control node, as a member, may campaign. A leaving node
 // waits half a lease longer, so that it campaigns only if no other member has: it then holds
 // state that others may have lost, and hands over once they have a copy.
 func (v *Replica) campaignNotBefore() kernel.Micros {
 	at := max(v.takeoverAt, v.nextCampaignAt)
-	if v.draining {
+	if v.leaving {
 		at += v.lease / 2
 	}
 	return at
@@ -376,7 +377,7 @@
 // needed.
 func (v *Replica) Leave(ctx context.Context) {
 	v.mu.Lock()
-	v.draining = true
+	v.leaving = true
 	v.mu.Unlock()
 	for retry := true; retry; retry = kernel.Sleep(ctx, 20*kernel.Millisecond) {
 		v.mu.Lock()
--- a/internal/controlstate/decoded_test.go
+++ b/internal/controlstate/decoded_test.go
@@ -19,7 +19,7 @@
 // When the entries change, only those that differ are decoded again, and maps returned
 // earlier stay unchanged.
 func TestOnlyChangedEntriesAreDecoded(t *testing.T) {
-	d := NewDecodeCache[countingValue]("a/")
+	d := NewDecoder[countingValue]("a/")
 	entries := map[string]json.RawMessage{"a/1": json.RawMessage("1"), "a/2": json.RawMessage("2"), "b/1": json.RawMessage("7")}
 	decode := func(want, cost int) map[string]countingValue {
 		t.Helper()
--- a/internal/controlstate/membership.go
+++ b/internal/controlstate/membership.go
@@ -109,9 +109,9 @@
 	return set
 }
 
-// witnessesSuffice reports whether the witnesses tolerate the required failures: the survivors of each
-// set must include one of any majority. A previous set that is too small is dropped by the next
-// view, which is formed at once. A live control node that is not yet a witness is waited for
+// witnessesSuffice reports whether the witnesses tolerate the required failures: the survivors of
+// each set must include one of any majority. A previous set that is too small is dropped by the
+// next view, which is formed at once. A live control node that is not yet a witness is waited for
 // without limit, control nodes that do not exist only for catchupTimeout.
 func (m *memberPolicy) witnessesSuffice(view View, now kernel.Micros) bool {
 	if len(view.Prior) > 0 && len(view.Prior) < 2*m.tolerated {
@@ -141,7 +141,7 @@
 	m.exclude(addr, now)
 }
 
-// copySucceeded records that a control node copySucceeded a copy of the state.
+// copySucceeded records that a control node took a copy of the state.
 func (m *memberPolicy) copySucceeded(addr string) {
 	delete(m.copyFailingSince, addr)
 	delete(m.excluded, addr)
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlstate/snapshot.go
@@ -284,7 +284,7 @@
 func (v *Replica) rejectsEpoch(epoch int64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return epoch <= v.state.Epoch || v.holdsLease(v.k.Clock.Now()) || v.draining
+	return epoch <= v.state.Epoch || v.holdsLease(v.k.Clock.Now()) || v.leaving
 }
 
 // installSnapshot stages a complete snapshot, or makes it the current state, on disk and in
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -52,12 +52,12 @@
 // DecodePrefix decodes the entries whose keys begin with the prefix. The result is keyed by the
 // rest of their keys.
 func DecodePrefix[T any](entries map[string]json.RawMessage, prefix string) (map[string]T, error) {
-	return NewDecodeCache[T](prefix).Decode(entries)
+	return NewDecoder[T](prefix).Decode(entries)
 }
 
-// DecodeCache is a cache of the decoded entries of one kind: when the state changes, only the
+// Decoder is a cache of the decoded entries of one kind: when the state changes, only the
 // entries that differ are decoded again.
-type DecodeCache[T any] struct {
+type Decoder[T any] struct {
 	prefix string
 
 	mu      sync.Mutex
@@ -65,12 +65,12 @@
 	values  map[string]T
 }
 
-// NewDecodeCache returns an empty cache for the entries whose keys begin with the prefix.
-func NewDecodeCache[T any](prefix string) *DecodeCache[T] { return &DecodeCache[T]{prefix: prefix} }
+// NewDecoder returns an empty cache for the entries whose keys begin with the prefix.
+func NewDecoder[T any](prefix string) *Decoder[T] { return &Decoder[T]{prefix: prefix} }
 
 // Decode returns the decoded entries, keyed by the rest of their keys. The map is shared and
 // must not be modified.
-func (d *DecodeCache[T]) Decode(entries map[string]json.RawMessage) (map[string]T, error) {
+func (d *Decoder[T]) Decode(entries map[string]json.RawMessage) (map[string]T, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	decoded, matching := map[string]T{}, 0
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -94,8 +94,8 @@
 	k     *kernel.Kernel
 	state *controlstate.Replica
 
-	decoded  *controlstate.DecodeCache[Database]
-	departed *controlstate.DecodeCache[departure]
+	decoded  *controlstate.Decoder[Database]
+	departed *controlstate.Decoder[departure]
 
 	mu       sync.Mutex
 	observed map[string]ObservedState
@@ -105,13 +105,11 @@
 
 // New returns the registry kept in that replica of the control state.
 func New(k *kernel.Kernel, v *controlstate.Replica) *Registry {
-	return &Registry{k: k, state: v, decoded: Decoder(), departed: controlstate.NewDecodeCache[departure](departedPrefix), observed: map[string]ObservedState{}}
+	return &Registry{k: k, state: v, decoded: Decoder(), departed: controlstate.NewDecoder[departure](departedPrefix), observed: map[string]ObservedState{}}
 }
 
 // Decoder returns a decoder of the databases in the control state.
-func Decoder() *controlstate.DecodeCache[Database] {
-	return controlstate.NewDecodeCache[Database](keyPrefix)
-}
+func Decoder() *controlstate.Decoder[Database] { return controlstate.NewDecoder[Database](keyPrefix) }
 
 // Decode returns the databases in the control state, by ID. It is meant for single use.
 func Decode(entries map[string]json.RawMessage) (map[string]Database, error) {
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -33,8 +33,8 @@
 			live := kernel.Need[*settings.Live](k)
 			ring := kernel.Need[*membership.Ring](k)
 			cfg := SubscriberConfig{
-				ProxyName:       live.Now().NodeName,
-				LongPollTimeout: longPollTimeout(live),
+				ProxyName: live.Now().NodeName,
+				PollWait:  longPollTimeout(live),
 				ControlNodes: func() []string {
 					known := ring.Peers("control")
 					for _, address := range live.Now().SeedPeers() {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -24,8 +24,8 @@
 // replaced, or this proxy's read lease has expired.
 var ErrNoLease = errors.New("distribution: no read lease on a primary")
 
-// ErrDatabaseUnavailable says that a database was removed, or is draining and may not be sent requests any
-// more.
+// ErrDatabaseUnavailable says that a database was removed, or is draining and may not be sent
+// requests any more.
 var ErrDatabaseUnavailable = errors.New("distribution: the database is draining or removed")
 
 // leaseMargin is kept between the check of the lease and its expiry.
@@ -52,9 +52,9 @@
 
 // SubscriberConfig configures a Subscriber.
 type SubscriberConfig struct {
-	ProxyName       string               // name of this proxy
-	LongPollTimeout func() kernel.Micros // how long a control node may hold a poll
-	ControlNodes    func() []string
+	ProxyName    string               // name of this proxy
+	PollWait     func() kernel.Micros // how long a control node may hold a poll
+	ControlNodes func() []string
 	// Peers returns other proxies, which may relay polls.
 	Peers func() []string
 	// Lease is the duration of a read lease.
@@ -338,7 +338,7 @@
 	defer c.mu.RUnlock()
 	request := pollRequest{Proxy: c.cfg.ProxyName, Incarnation: c.incarnation, Seq: c.seq, Released: map[string]int64{}}
 	request.CostTerm, request.CostSeq, request.Positions = c.costTerm, c.costSeq, c.commits.report()
-	request.Immediate = short || c.leaseEnd-c.k.Clock.Now() < 2*c.cfg.LongPollTimeout()
+	request.Immediate = short || c.leaseEnd-c.k.Clock.Now() < 2*c.cfg.PollWait()
 	for id := range down {
 		request.Down = append(request.Down, id)
 	}
@@ -352,9 +352,7 @@
 }
 
 // pollTimeout is the timeout of a poll.
-func (c *Subscriber) pollTimeout() kernel.Micros {
-	return c.cfg.LongPollTimeout() + 300*kernel.Millisecond
-}
+func (c *Subscriber) pollTimeout() kernel.Micros { return c.cfg.PollWait() + 300*kernel.Millisecond }
 
 // acknowledgeFailovers releases the old primaries of failovers where nothing is in flight any
 // more, the primary is down, or releaseTimeout has passed; the next poll acknowledges them. It
--- a/internal/distribution/updatelog.go
+++ b/internal/distribution/updatelog.go
@@ -84,8 +84,8 @@
 	encoded     map[int64]json.RawMessage // encoded updates, by the seq that a proxy has
 	encodedFull json.RawMessage           // the update for a proxy of which nothing is known
 
-	databaseDecoder *controlstate.DecodeCache[discovery.Database]
-	leaderDecoder   *controlstate.DecodeCache[failover.Leader]
+	databaseDecoder *controlstate.Decoder[discovery.Database]
+	leaderDecoder   *controlstate.Decoder[failover.Leader]
 }
 
 func newUpdateLog(term int64) *updateLog {
--- a/internal/failover/acknowledged.go
+++ b/internal/failover/acknowledged.go
@@ -33,8 +33,8 @@
 	At    map[string]lineprotocol.Position // newest observed position, by service
 }
 
-// RecordObservation records what a pooler observed. Observations stamped in another term are ignored, since
-// their stamp is of another node's clock.
+// RecordObservation records what a pooler observed. Observations stamped in another term are
+// ignored, since their stamp is of another node's clock.
 func (r *Readers) RecordObservation(s Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,8 +67,9 @@
 	observeRotation = 2 * kernel.Second
 )
 
-// ServicesToObserve lists services for which an observation later than now would bound what was acknowledged
-// by poolers that no longer report. Different poolers are asked for different services.
+// ServicesToObserve lists services for which an observation later than now would bound what was
+// acknowledged by poolers that no longer report. Different poolers are asked for different
+// services.
 func (r *Readers) ServicesToObserve(pooler string, now kernel.Micros) (services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -53,9 +53,9 @@
 	readers  *Readers
 	platform *platform
 
-	databases *controlstate.DecodeCache[discovery.Database]
-	leaders   *controlstate.DecodeCache[Leader]
-	poolers   *controlstate.DecodeCache[int64]
+	databases *controlstate.Decoder[discovery.Database]
+	leaders   *controlstate.Decoder[Leader]
+	poolers   *controlstate.Decoder[int64]
 
 	mu                     sync.Mutex
 	busy                   map[string]bool          // services that this process is working on
@@ -73,7 +73,7 @@
 	return &Manager{
 		k: k, cfg: cfg, state: v, registry: acc, health: health, readers: readers,
 		platform:  newPlatform(k.Net, cfg.Platform, cfg.Name),
-		databases: discovery.Decoder(), leaders: Decoder(), poolers: controlstate.NewDecodeCache[int64](proxyPrefix),
+		databases: discovery.Decoder(), leaders: Decoder(), poolers: controlstate.NewDecoder[int64](proxyPrefix),
 		busy: map[string]bool{}, attempts: map[string]kernel.Micros{}, waitReasons: map[string]string{}, resumed: map[string]*resumeState{},
 	}
 }
--- a/internal/failover/lead.go
+++ b/internal/failover/leader.go
@@ -48,9 +48,7 @@
 func IsKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
 // Decoder returns a decoder of the leaders in the control state.
-func Decoder() *controlstate.DecodeCache[Leader] {
-	return controlstate.NewDecodeCache[Leader](keyPrefix)
-}
+func Decoder() *controlstate.Decoder[Leader] { return controlstate.NewDecoder[Leader](keyPrefix) }
 
 // Decode returns the leaders in the control state, by service. It is meant for single use; a
 // Decoder is cheaper for repeated use.
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -38,8 +38,8 @@
 	// Left holds, by service, the number of the failover for which the pooler has left the old
 	// primary: it no longer acknowledges any commit of that primary.
 	Left map[string]int64
-	// AckedUpperBound holds, by service that it has left, a position that covers every commit that it has
-	// acknowledged to a client.
+	// AckedUpperBound holds, by service that it has left, a position that covers every commit that
+	// it has acknowledged to a client.
 	AckedUpperBound map[string]lineprotocol.Position
 	// AckedLowerBound holds, by service that it has left, a position that one of those commits has
 	// reached at least.
@@ -49,8 +49,8 @@
 // NewReaders returns an empty set of poolers.
 func NewReaders() *Readers { return &Readers{poolers: map[string]*leaseHolder{}} }
 
-// RecordReport records what a pooler reported at that time. A report of an earlier incarnation of the
-// pooler is refused, and the newest incarnation returned; so is the report of a pooler whose
+// RecordReport records what a pooler reported at that time. A report of an earlier incarnation of
+// the pooler is refused, and the newest incarnation returned; so is the report of a pooler whose
 // registration is being removed, with no incarnation returned.
 func (r *Readers) RecordReport(pooler string, incarnation int64, report Report, now kernel.Micros) (newest int64, ok bool) {
 	r.mu.Lock()
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// HandleNotice processes a peer's notice, however it was received. One that contains nothing new is only
-// counted.
+// HandleNotice processes a peer's notice, however it was received. One that contains nothing new is
+// only counted.
 func (s *Monitor) HandleNotice(from, id string) {
 	if !s.cfg.AcceptNotices() {
 		return
--- a/internal/routeconfig/ledger.go
+++ b/internal/routeconfig/ledger.go
@@ -33,11 +33,11 @@
 // grows with the number of earlier changes.
 type ledger struct {
 	size    int64
-	decoded *controlstate.DecodeCache[changeID]
+	decoded *controlstate.Decoder[changeID]
 }
 
 func newLedger(size int64) *ledger {
-	return &ledger{size, controlstate.NewDecodeCache[changeID](changePrefix)}
+	return &ledger{size, controlstate.NewDecoder[changeID](changePrefix)}
 }
 
 // entryKey returns the key of the entry that holds the nth change.
--- a/internal/simulation/cutoff_test.go
+++ b/internal/simulation/cutoff_test.go
@@ -113,7 +113,7 @@
 			k, b := endpoint(host, host+":7441")
 			peers := slices.DeleteFunc([]string{"10.0.0.1:7441", "10.0.0.2:7441", "10.0.0.3:7441"}, func(a string) bool { return a == host+":7441" })
 			subscribers[i], kernels[i] = distribution.NewSubscriber(k, b, distribution.SubscriberConfig{
-				ProxyName: host, Lease: lease, LongPollTimeout: func() kernel.Micros { return 600 * kernel.Millisecond },
+				ProxyName: host, Lease: lease, PollWait: func() kernel.Micros { return 600 * kernel.Millisecond },
 				ControlNodes:  func() []string { return []string{"10.0.0.9:7440"} },
 				Peers:         func() []string { return peers },
 				DownDatabases: func() map[string]int64 { return nil },
--- a/internal/simulation/poll_test.go
+++ b/internal/simulation/poll_test.go
@@ -42,7 +42,7 @@
 		})
 		k, b := endpoint("10.0.0.3", "10.0.0.3:7441")
 		subscriber := distribution.NewSubscriber(k, b, distribution.SubscriberConfig{
-			ProxyName: "d", LongPollTimeout: func() kernel.Micros { return 600 * kernel.Millisecond },
+			ProxyName: "d", PollWait: func() kernel.Micros { return 600 * kernel.Millisecond },
 			ControlNodes:  func() []string { return []string{other} },
 			Peers:         func() []string { return nil },
 			Lease:         2500 * kernel.Millisecond,
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -325,7 +325,7 @@
 }
 
 // An operator accepts that a database which may hold acknowledged commits does not
-// come back: for the turn that waits, under a name, and not for the next one.
+// come back: for the failover that waits, under a name, and not for the next one.
 func TestAcceptedLoss(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		g.DB(2).Deaf(true)
