--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -23,7 +23,7 @@
 			live := kernel.Need[*settings.Live](k)
 			health := kernel.Need[*health.Monitor](k)
 			NewPublisher(k, kernel.Need[*rpc.Endpoint](k), kernel.Need[*controlstate.Replica](k),
-				kernel.Need[*failover.Readers](k), settings.Span(live.Now().ReaderLeaseMs), longPollTimeout(live), health.Heard, live.Now().NetMbps)
+				kernel.Need[*failover.Readers](k), settings.Span(live.Now().ReaderLeaseMs), longPollTimeout(live), health.HandleNotice, live.Now().NetMbps)
 			return nil
 		},
 	})
@@ -33,8 +33,8 @@
 			live := kernel.Need[*settings.Live](k)
 			ring := kernel.Need[*membership.Ring](k)
 			cfg := SubscriberConfig{
-				Pooler: live.Now().NodeName,
-				Poll:   longPollTimeout(live),
+				ProxyName: live.Now().NodeName,
+				PollWait:  longPollTimeout(live),
 				ControlNodes: func() []string {
 					known := ring.Peers("control")
 					for _, address := range live.Now().SeedPeers() {
@@ -44,11 +44,11 @@
 					}
 					return known
 				},
-				Peers:      func() []string { return ring.Peers(k.Role) },
-				Lease:      settings.Span(live.Now().ReaderLeaseMs),
-				Down:       kernel.Need[*health.Monitor](k).Down,
-				Applied:    kernel.Need[connpool.Updater](k),
-				OnPosition: func(string, kernel.Micros, lineprotocol.Position) {},
+				Peers:         func() []string { return ring.Peers(k.Role) },
+				Lease:         settings.Span(live.Now().ReaderLeaseMs),
+				DownDatabases: kernel.Need[*health.Monitor](k).Down,
+				OnDatabases:   kernel.Need[connpool.Updater](k),
+				OnPosition:    func(string, kernel.Micros, lineprotocol.Position) {},
 				Bounds: func() Bounds {
 					now := live.Now()
 					bounds := Bounds{Drain: settings.Span(now.DrainMs), Contact: settings.Span(now.ContactMs)}
@@ -63,8 +63,8 @@
 				cfg.OnPosition = kernel.Need[*readrouting.Router](k).Observe
 			case "gateway":
 				balancer := kernel.Need[*loadbalance.Balancer](k)
-				cfg.OnCosts = balancer.Told
-				cfg.Observations = func() map[string]Observation { return toObservations(balancer.Seen()) }
+				cfg.OnCosts = balancer.UpdateClusterCosts
+				cfg.Observations = func() map[string]Observation { return toObservations(balancer.TakeObservations()) }
 			}
 			subscriber := NewSubscriber(k, kernel.Need[*rpc.Endpoint](k), cfg)
 			kernel.Offer(k, subscriber)
@@ -90,13 +90,13 @@
 }
 
 // toObservations converts a load balancer's statistics to the form in which polls report them.
-func toObservations(stats map[string]loadbalance.Sight) map[string]Observation {
+func toObservations(stats map[string]loadbalance.Observation) map[string]Observation {
 	if len(stats) == 0 {
 		return nil
 	}
 	out := make(map[string]Observation, len(stats))
 	for id, seen := range stats {
-		out[id] = Observation{seen.Answers, int(100 * seen.Paces), seen.Failures}
+		out[id] = Observation{seen.Responses, int(100 * seen.RelativeLatency), seen.Failures}
 	}
 	return out
 }
@@ -125,13 +125,13 @@
 		return 1
 	}
 	if s := config.Service(service); s != nil {
-		return Split(s.MaxConns, proxies)
+		return ConnectionShare(s.MaxConns, proxies)
 	}
 	return unlimitedShare
 }
 
-// Split returns one proxy's share of a database's connections.
-func Split(maxConns, proxies int) int {
+// ConnectionShare returns one proxy's share of a database's connections.
+func ConnectionShare(maxConns, proxies int) int {
 	if maxConns == 0 {
 		return unlimitedShare
 	}
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -243,13 +243,13 @@
 // recordReport records what a poll reports. If the poll is refused, newest is a later
 // incarnation of the proxy.
 func (o *Publisher) recordReport(request pollRequest) (newest int64, ok bool) {
-	report := failover.Report{Left: request.Released, Acked: request.Acked, Certain: request.Certain}
-	if newest, ok := o.readers.Heard(request.Proxy, request.Incarnation, report, o.k.Clock.Now()); !ok {
+	report := failover.Report{Left: request.Released, AckedUpperBound: request.Acked, AckedLowerBound: request.Certain}
+	if newest, ok := o.readers.RecordReport(request.Proxy, request.Incarnation, report, o.k.Clock.Now()); !ok {
 		o.k.Counters.Add("distribution.old_life", 1)
 		return newest, false
 	}
 	if request.Positions != nil {
-		o.readers.Sighted(failover.Sighting{Term: request.Positions.Term, Stamp: request.Positions.Stamp, At: request.Positions.Positions})
+		o.readers.RecordObservation(failover.Observation{Term: request.Positions.Term, Stamp: request.Positions.Stamp, At: request.Positions.Positions})
 	}
 	for _, id := range request.Down {
 		o.reportDown(request.Proxy, id)
@@ -267,7 +267,7 @@
 		if err != nil || !term.Valid() {
 			return pollReply{}, nil
 		}
-		log, aggregate := o.forTerm(term.Began())
+		log, aggregate := o.forTerm(term.FirstEpoch())
 		if request.Observations != nil {
 			aggregate.add(request.Observations)
 			request.Observations = nil
@@ -326,12 +326,12 @@
 	if err != nil {
 		return err
 	}
-	if !o.readers.InTerm(term.Began()) {
+	if !o.readers.InTerm(term.FirstEpoch()) {
 		proxies, err := failover.Registered(state.Entries)
 		if err != nil {
 			return err
 		}
-		o.readers.Term(term.Began(), proxies, o.k.Clock.Now(), o.lease)
+		o.readers.BeginTerm(term.FirstEpoch(), proxies, o.k.Clock.Now(), o.lease)
 	}
 	if failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
 		return nil
@@ -351,7 +351,7 @@
 		if term, err := o.replica.Term(); err == nil {
 			return term, ""
 		}
-		if addr, known := o.replica.Known(); known {
+		if addr, known := o.replica.KnownPrimary(); known {
 			return nil, addr
 		}
 		select {
@@ -377,16 +377,16 @@
 		o.k.Counters.Add("distribution.term_ended", 1)
 		return pollReply{}, nil
 	}
-	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.Count(o.k.Clock.Now() - proxyCountWindow)}
-	if request.CostTerm != term.Began() {
+	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.CountLeases(o.k.Clock.Now() - proxyCountWindow)}
+	if request.CostTerm != term.FirstEpoch() {
 		request.CostSeq = 0
 	}
 	if response.Costs, response.CostSeq = aggregate.since(request.CostSeq); response.CostSeq > 0 {
-		response.CostTerm = term.Began()
+		response.CostTerm = term.FirstEpoch()
 	}
 	now := o.k.Clock.Now()
-	if services := o.readers.Wanted(request.Proxy, now); len(services) > 0 {
-		response.Query = (&positionQuery{Term: term.Began(), Stamp: now, Services: services}).omitKnownServices(request.QueryChecksum)
+	if services := o.readers.ServicesToObserve(request.Proxy, now); len(services) > 0 {
+		response.Query = (&positionQuery{Term: term.FirstEpoch(), Stamp: now, Services: services}).omitKnownServices(request.QueryChecksum)
 	}
 	raw, err := json.Marshal(response)
 	if err != nil || encoded == nil {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -24,9 +24,9 @@
 // replaced, or this proxy's read lease has expired.
 var ErrNoLease = errors.New("distribution: no read lease on a primary")
 
-// ErrLeft says that a database was removed, or is draining and may not be sent requests any
-// more.
-var ErrLeft = errors.New("distribution: the database is draining or removed")
+// ErrDatabaseUnavailable says that a database was removed, or is draining and may not be sent
+// requests any more.
+var ErrDatabaseUnavailable = errors.New("distribution: the database is draining or removed")
 
 // leaseMargin is kept between the check of the lease and its expiry.
 const leaseMargin = 50 * kernel.Millisecond
@@ -52,17 +52,17 @@
 
 // SubscriberConfig configures a Subscriber.
 type SubscriberConfig struct {
-	Pooler       string               // name of this proxy
-	Poll         func() kernel.Micros // how long a control node may hold a poll
+	ProxyName    string               // name of this proxy
+	PollWait     func() kernel.Micros // how long a control node may hold a poll
 	ControlNodes func() []string
 	// Peers returns other proxies, which may relay polls.
 	Peers func() []string
 	// Lease is the duration of a read lease.
 	Lease kernel.Micros
-	// Down returns the databases that the health monitor considers down.
-	Down func() map[string]int64
-	// Applied is called with all databases after an update.
-	Applied func(map[string]discovery.Database)
+	// DownDatabases returns the databases that the health monitor considers down.
+	DownDatabases func() map[string]int64
+	// OnDatabases is called with all databases after an update.
+	OnDatabases func(map[string]discovery.Database)
 	// OnPosition is called with a position that a primary's log has reached.
 	OnPosition func(service string, sent kernel.Micros, position lineprotocol.Position)
 	// Observations returns what requests showed since the last call, nil if nothing.
@@ -85,7 +85,7 @@
 	config    *routeconfig.Index
 	databases map[string]discovery.Database
 	byService map[string][]discovery.Database
-	leaders   map[string]failover.Lead
+	leaders   map[string]failover.Leader
 	leaseEnd  kernel.Micros
 	confirmed kernel.Micros // when the poll was sent whose response was applied last
 	drains    drainTracker
@@ -130,7 +130,7 @@
 }
 
 // Databases returns the databases of a service, which must not be modified, and its leader.
-func (c *Subscriber) Databases(service string) ([]discovery.Database, failover.Lead) {
+func (c *Subscriber) Databases(service string) ([]discovery.Database, failover.Leader) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.byService[service], c.leaders[service]
@@ -182,7 +182,7 @@
 
 func (c *Subscriber) primary(service string) (string, error) {
 	leader, ok := c.leaders[service]
-	if !ok || leader.Moving || c.k.Clock.Now()+leaseMargin >= c.leaseEnd || !c.acceptsRequests(leader.ID) {
+	if !ok || leader.FailoverInProgress || c.k.Clock.Now()+leaseMargin >= c.leaseEnd || !c.acceptsRequests(leader.ID) {
 		return "", ErrNoLease
 	}
 	return leader.ID, nil
@@ -203,11 +203,11 @@
 
 // Begin counts a statement or transaction as in flight at the primary, and returns the state of
 // the primary at that time.
-func (c *Subscriber) Begin(service string) Mark {
+func (c *Subscriber) Begin(service string) PrimarySnapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight[service]++
-	return Mark{Term: c.leaders[service].Term, Acknowledged: c.commits.acked[service]}
+	return PrimarySnapshot{Term: c.leaders[service].Term, Acknowledged: c.commits.acked[service]}
 }
 
 // Done ends what Begin began.
@@ -216,7 +216,7 @@
 	defer c.mu.Unlock()
 	c.inFlight[service]--
 	c.k.Invariants.Check(c.inFlight[service] >= 0, invariant.CountsPositive, "%d statements in flight at the primary of %s", c.inFlight[service], service)
-	if c.inFlight[service] == 0 && c.leaders[service].Moving {
+	if c.inFlight[service] == 0 && c.leaders[service].FailoverInProgress {
 		c.drained.Ring()
 	}
 }
@@ -279,7 +279,7 @@
 // to poll next, "" if that is not known. A short poll is answered immediately and has a short
 // timeout.
 func (c *Subscriber) poll(ctx context.Context, address, op string, short bool) (string, error) {
-	down := c.cfg.Down()
+	down := c.cfg.DownDatabases()
 	wait := c.acknowledgeFailovers(down)
 	request := c.buildRequest(down, short)
 	if wait > 0 {
@@ -336,14 +336,14 @@
 func (c *Subscriber) buildRequest(down map[string]int64, short bool) pollRequest {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	request := pollRequest{Proxy: c.cfg.Pooler, Incarnation: c.incarnation, Seq: c.seq, Released: map[string]int64{}}
+	request := pollRequest{Proxy: c.cfg.ProxyName, Incarnation: c.incarnation, Seq: c.seq, Released: map[string]int64{}}
 	request.CostTerm, request.CostSeq, request.Positions = c.costTerm, c.costSeq, c.commits.report()
-	request.Immediate = short || c.leaseEnd-c.k.Clock.Now() < 2*c.cfg.Poll()
+	request.Immediate = short || c.leaseEnd-c.k.Clock.Now() < 2*c.cfg.PollWait()
 	for id := range down {
 		request.Down = append(request.Down, id)
 	}
 	for service, failoverNumber := range c.released {
-		if c.leaders[service].Moving {
+		if c.leaders[service].FailoverInProgress {
 			request.Released[service] = failoverNumber
 		}
 	}
@@ -352,7 +352,7 @@
 }
 
 // pollTimeout is the timeout of a poll.
-func (c *Subscriber) pollTimeout() kernel.Micros { return c.cfg.Poll() + 300*kernel.Millisecond }
+func (c *Subscriber) pollTimeout() kernel.Micros { return c.cfg.PollWait() + 300*kernel.Millisecond }
 
 // acknowledgeFailovers releases the old primaries of failovers where nothing is in flight any
 // more, the primary is down, or releaseTimeout has passed; the next poll acknowledges them. It
@@ -362,12 +362,12 @@
 	defer c.mu.Unlock()
 	now := c.k.Clock.Now()
 	for service, leader := range c.leaders {
-		if !leader.Moving || c.released[service] >= leader.Turn {
+		if !leader.FailoverInProgress || c.released[service] >= leader.FailoverID {
 			continue
 		}
 		remaining := c.failoverSeenAt[service] + releaseTimeout - now
 		if _, isDown := down[leader.ID]; c.inFlight[service] == 0 || remaining <= 0 || isDown || leader.Failed {
-			c.released[service] = leader.Turn
+			c.released[service] = leader.FailoverID
 			continue
 		}
 		wait = max(wait, min(remaining, 20*kernel.Millisecond))
@@ -410,9 +410,9 @@
 	c.commits.setQuery(response.Query, reported, c.k.Clock.Now())
 	c.leaseEnd, c.confirmed = max(c.leaseEnd, start+response.Lease), start
 	databases := c.databases
-	var floors []failover.Lead
+	var floors []failover.Leader
 	for _, leader := range c.leaders {
-		if leader.Moving && leader.Floor != "" {
+		if leader.FailoverInProgress && leader.ChosenPosition != "" {
 			floors = append(floors, leader)
 		}
 	}
@@ -423,12 +423,12 @@
 	for _, leader := range floors {
 		// No commit is acknowledged during a failover to a chosen database,
 		// so its position covers all commits until the poll was sent.
-		if position, ok := lineprotocol.ParsePosition(leader.Floor); ok {
+		if position, ok := lineprotocol.ParsePosition(leader.ChosenPosition); ok {
 			c.cfg.OnPosition(leader.Service, start, position)
 		}
 	}
 	if response.Update != nil {
-		c.cfg.Applied(databases)
+		c.cfg.OnDatabases(databases)
 	}
 	c.changes.Ring()
 	return nil
@@ -447,13 +447,13 @@
 // merge applies an update to new copies of the maps, because callers may still hold the old
 // ones.
 func (c *Subscriber) merge(changes update) {
-	leaders, databases := map[string]failover.Lead{}, map[string]discovery.Database{}
+	leaders, databases := map[string]failover.Leader{}, map[string]discovery.Database{}
 	if !changes.Full {
 		maps.Copy(leaders, c.leaders)
 		maps.Copy(databases, c.databases)
 	}
 	for service, leader := range changes.Leaders {
-		if old := c.leaders[service]; leader.Moving && (old.Turn != leader.Turn || !old.Moving) {
+		if old := c.leaders[service]; leader.FailoverInProgress && (old.FailoverID != leader.FailoverID || !old.FailoverInProgress) {
 			c.failoverSeenAt[service] = c.k.Clock.Now()
 		}
 		leaders[service] = leader
--- a/internal/distribution/updatelog.go
+++ b/internal/distribution/updatelog.go
@@ -18,11 +18,11 @@
 // update is what a proxy lacks of the control state.
 type update struct {
 	// Full says that this is the full state, not only what changed.
-	Full      bool                     `json:"whole,omitempty"`
-	Config    *routeconfig.Delta       `json:"config,omitempty"`
-	Databases databaseSet              `json:"databases,omitempty"`
-	Removed   []string                 `json:"gone,omitempty"` // ids of removed databases
-	Leaders   map[string]failover.Lead `json:"leads,omitempty"`
+	Full      bool                       `json:"whole,omitempty"`
+	Config    *routeconfig.Delta         `json:"config,omitempty"`
+	Databases databaseSet                `json:"databases,omitempty"`
+	Removed   []string                   `json:"gone,omitempty"` // ids of removed databases
+	Leaders   map[string]failover.Leader `json:"leads,omitempty"`
 }
 
 // databaseSet is encoded in groups of databases that differ only by id, service and address:
@@ -80,12 +80,12 @@
 	config      routeconfig.History
 	rev         int64
 	databases   map[string]discovery.Database
-	leaders     map[string]failover.Lead
+	leaders     map[string]failover.Leader
 	encoded     map[int64]json.RawMessage // encoded updates, by the seq that a proxy has
 	encodedFull json.RawMessage           // the update for a proxy of which nothing is known
 
-	databaseDecoder *controlstate.Decoded[discovery.Database]
-	leaderDecoder   *controlstate.Decoded[failover.Lead]
+	databaseDecoder *controlstate.Decoder[discovery.Database]
+	leaderDecoder   *controlstate.Decoder[failover.Leader]
 }
 
 func newUpdateLog(term int64) *updateLog {
@@ -94,7 +94,7 @@
 
 // isPublished reports whether the entry of a key is published to proxies.
 func isPublished(key string) bool {
-	return key == routeconfig.Key || discovery.Holds(key) || failover.Holds(key)
+	return key == routeconfig.Key || discovery.IsKey(key) || failover.IsKey(key)
 }
 
 // since returns the encoded update for a proxy that has the state of seq, nil if it lacks
@@ -105,7 +105,7 @@
 	if err := e.advance(state); err != nil {
 		return nil, false, err
 	}
-	missing := update{Full: !state.Knows(seq)}
+	missing := update{Full: !state.KnowsChangesSince(seq)}
 	if seq >= state.Seq || !missing.Full && seq >= e.newestSeq {
 		return nil, false, nil
 	}
@@ -122,9 +122,9 @@
 		}
 		return e.encodedFull, true, nil
 	}
-	missing.Databases, missing.Leaders = databaseSet{}, map[string]failover.Lead{}
-	for _, key := range state.Since(seq) {
-		urgent = urgent || failover.Holds(key)
+	missing.Databases, missing.Leaders = databaseSet{}, map[string]failover.Leader{}
+	for _, key := range state.ChangedSince(seq) {
+		urgent = urgent || failover.IsKey(key)
 		e.addEntry(&missing, key, seq)
 	}
 	raw, cached := e.encoded[seq]
@@ -176,7 +176,7 @@
 			published[key] = raw
 		}
 	}
-	listed, err := e.databaseDecoder.Of(published)
+	listed, err := e.databaseDecoder.Decode(published)
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 			databases[id] = database
 		}
 	}
-	leaders, err := e.leaderDecoder.Of(published)
+	leaders, err := e.leaderDecoder.Decode(published)
 	if err != nil {
 		return err
 	}
@@ -199,12 +199,12 @@
 			return err
 		}
 		if config != nil {
-			e.config.Turn(config, state.Seq)
+			e.config.Advance(config, state.Seq)
 			e.rev = config.Rev
 		}
 	}
 	changed := !e.loaded
-	for _, key := range state.Since(e.state.Seq) {
+	for _, key := range state.ChangedSince(e.state.Seq) {
 		if isPublished(key) {
 			e.newestSeq, changed = state.Seq, true
 		}
--- a/internal/pooler/tenant.go
+++ b/internal/pooler/tenant.go
@@ -15,7 +15,7 @@
 
 // rank is the priority of a tenant's statements on a route; the lower, the more
 // urgent.
-func rank(t *routeconfig.TenantStep, r *routeconfig.Route) int {
+func rank(t *routeconfig.PublishedTenant, r *routeconfig.Route) int {
 	if t == nil {
 		return r.Prio
 	}
@@ -25,7 +25,7 @@
 // tenant returns who the session's client is on a route, as things are now: nil on a
 // public route, or where there are no tenants. The code is that of an error if the
 // client may not use the route, "" if it may.
-func (s *session) tenant(r *routeconfig.Route, conf *routeconfig.Index) (t *routeconfig.TenantStep, code string) {
+func (s *session) tenant(r *routeconfig.Route, conf *routeconfig.Index) (t *routeconfig.PublishedTenant, code string) {
 	if r.Public || !conf.HasTenants() {
 		return nil, ""
 	}
@@ -45,7 +45,7 @@
 }
 
 // nameOf is the name that databases are told.
-func nameOf(t *routeconfig.TenantStep) string {
+func nameOf(t *routeconfig.PublishedTenant) string {
 	if t == nil {
 		return ""
 	}
@@ -65,7 +65,7 @@
 	if j.tenant == nil {
 		return nil
 	}
-	return j.s.d.quota.Permit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
+	return j.s.d.quota.NewPermit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
 }
 
 // admit has the next sending of the statement counted; an answer says that there is
@@ -75,12 +75,12 @@
 	if aim == 0 {
 		aim = j.left()
 	}
-	err := j.permit.Take(min(kernel.Micros(quotaShare*float64(aim)), longestQuotaWait, j.left()))
-	var exhausted *quota.Exhausted
+	err := j.permit.Acquire(min(kernel.Micros(quotaShare*float64(aim)), longestQuotaWait, j.left()))
+	var exhausted *quota.ExhaustedError
 	if !errors.As(err, &exhausted) {
 		return nil
 	}
 	j.s.d.k.Counters.Add("pooler.over_quota", 1)
 	j.s.trace.because(causeQuota)
-	return refusal(lineprotocol.Retry, hint(exhausted.ComeBack), j.s.state())
+	return refusal(lineprotocol.Retry, hint(exhausted.RetryAfter), j.s.state())
 }
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -43,13 +43,13 @@
 	HeardUs   map[string]kernel.Micros      `json:"heard_us,omitempty"` // since each control node last took part, on the primary
 	Config    *routeconfig.Configuration    `json:"config,omitempty"`
 	Databases map[string]discovery.Database `json:"databases,omitempty"`
-	Leads     map[string]failover.Lead      `json:"leads,omitempty"`
+	Leads     map[string]failover.Leader    `json:"leads,omitempty"`
 	Waits     map[string]string             `json:"waits,omitempty"`  // by service, why the move of its lead waits
 	Roles     map[string]string             `json:"roles,omitempty"`  // as the databases see themselves
 	Down      map[string]int64              `json:"down,omitempty"`   // with the generation
 	Conns     map[string][2]int             `json:"conns,omitempty"`  // open and idle, by database
 	Quotas    map[string]quota.Account      `json:"quotas,omitempty"` // by tenant, on the primary
-	Uses      map[string]quota.Use          `json:"uses,omitempty"`   // by tenant, on a pooler or gateway
+	Uses      map[string]quota.TenantUsage  `json:"uses,omitempty"`   // by tenant, on a pooler or gateway
 	Counters  map[string]int64              `json:"counters"`
 }
 
@@ -76,7 +76,7 @@
 	if k.Role != "control" {
 		r.Epoch, _, r.Rev, r.LeaseUs = kernel.Need[*distribution.Subscriber](k).Version()
 		r.Conns = kernel.Need[connpool.Counts](k)()
-		r.Uses = kernel.Need[*quota.Client](k).Uses()
+		r.Uses = kernel.Need[*quota.Client](k).Usage()
 		return r, nil
 	}
 	v := kernel.Need[*controlstate.Replica](k)
@@ -91,7 +91,7 @@
 	if _, r.LeaseUs = term.Lease(); r.LeaseUs == 0 {
 		// What was read in a term that is over is not told.
 		r.HeardUs, r.Config, r.Rev, r.Databases, r.Leads, r.Roles, r.Quotas = nil, nil, 0, nil, nil, nil, nil
-		_, known := v.Known()
+		_, known := v.KnownPrimary()
 		r.Unsure = !known
 	}
 	return r, nil
@@ -99,7 +99,7 @@
 
 // lead adds what only the control state's primary knows.
 func (r *Report) lead(k *kernel.Kernel, v *controlstate.Replica) error {
-	r.HeardUs = v.Heard()
+	r.HeardUs = v.SinceLastContact()
 	state, err := v.Durable()
 	if err != nil {
 		return nil // it has just ceased to be the primary
@@ -116,10 +116,10 @@
 	if r.Leads, err = failover.Decode(state.Entries); err != nil {
 		return err
 	}
-	r.Quotas = kernel.Need[*quota.Holder](k).Accounts()
-	r.Waits = kernel.Need[*failover.Manager](k).Waits()
+	r.Quotas = kernel.Need[*quota.LedgerServer](k).Accounts()
+	r.Waits = kernel.Need[*failover.Manager](k).WaitReasons()
 	r.Roles = map[string]string{}
-	for id, soft := range kernel.Need[*discovery.Registry](k).Soft() {
+	for id, soft := range kernel.Need[*discovery.Registry](k).Observed() {
 		r.Roles[id] = soft.Role
 	}
 	return nil
