--- a/internal/pooler/memory.go
+++ b/internal/pooler/memory.go
@@ -11,62 +11,66 @@
 )
 
 const (
-	// freeBytes of a session are not counted: most need no more.
-	freeBytes = 16 << 10
-	// messageCopies is how often a long message lies in memory while it is worked on:
-	// as it came, as a text, and as it is sent on.
+	// uncountedBytes of each session are not counted: most sessions need no more.
+	uncountedBytes = 16 << 10
+	// messageCopies is how many copies of a long message are in memory while it is processed: the
+	// bytes received, the text, and the message to the database.
 	messageCopies = 3
-	// maxKeptBytes is the most that a session's values and prepared names may take.
-	maxKeptBytes = 256 << 10
-	// entryBytes are counted for each value or name besides its text.
-	entryBytes = 64
-	// longWait is how long a message that takes more than freeBytes may take to come.
-	longWait = 30 * kernel.Second
+	// maxStoredBytes limits the size of a session's values and prepared names.
+	maxStoredBytes = 256 << 10
+	// entryOverhead is the number of bytes counted for each value or name besides its text.
+	entryOverhead = 64
+	// longMessageTimeout is the time in which a message of more than uncountedBytes must be
+	// received.
+	longMessageTimeout = 30 * kernel.Second
 )
 
-// errLateMessage says that a long message did not become whole in time.
-var errLateMessage = errors.New("pooler: a long message did not come in time")
+// errMessageTimeout reports that a long message was not received completely in time.
+var errMessageTimeout = errors.New("pooler: a long message did not come in time")
 
-// room is asked by the reader for the bytes of a message that comes in parts; 0 begins
-// the next one.
-func (s *session) room(bytes int) bool {
-	s.message = bytes
-	if !s.memory.Resize(s.heldBytes()) {
+// reserveMessage reserves memory for the bytes received so far of a message that arrives in parts,
+// and reports whether there is enough. The reader calls it; 0 starts the next message.
+func (s *session) reserveMessage(bytes int) bool {
+	s.messageBytes = bytes
+	if !s.memory.Resize(s.countedBytes()) {
 		return false
 	}
-	if loggedIn := s.database != ""; loggedIn && bytes > freeBytes && s.longUntil == 0 {
-		s.longUntil = s.d.k.Clock.Now() + longWait
+	if loggedIn := s.database != ""; loggedIn && bytes > uncountedBytes && s.messageDeadline == 0 {
+		s.messageDeadline = s.pooler.k.Clock.Now() + longMessageTimeout
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !s.ending {
-			s.c.SetReadDeadline(time.Now().Add(longWait.Duration()))
+		if !s.draining {
+			s.conn.SetReadDeadline(time.Now().Add(longMessageTimeout.Duration()))
 		}
 	}
 	return true
 }
 
-// heldBytes is what the session takes of the process's memory.
-func (s *session) heldBytes() int64 { return int64(s.kept + messageCopies*s.message) }
+// countedBytes returns the session's memory use as counted against the process's budget.
+func (s *session) countedBytes() int64 { return int64(s.storedBytes + messageCopies*s.messageBytes) }
 
-// tooLate tells whether a long message should be whole by now.
-func (s *session) tooLate() bool { return s.longUntil > 0 && s.d.k.Clock.Now() >= s.longUntil }
+// messageOverdue reports whether the time to receive a long message is over.
+func (s *session) messageOverdue() bool {
+	return s.messageDeadline > 0 && s.pooler.k.Clock.Now() >= s.messageDeadline
+}
 
-// keep has the session keep so many bytes more; an answer instead means that it may not.
-func (s *session) keep(bytes int) *lineprotocol.Answer {
-	if bytes > 0 && s.kept+bytes > maxKeptBytes {
-		return refusal(lineprotocol.Malformed, "too many values and prepared names", s.state())
+// growStored increases the size of what the session stores by the given number of bytes, which may
+// be negative. It returns an error response if a limit would be exceeded, nil otherwise.
+func (s *session) growStored(bytes int) *lineprotocol.Answer {
+	if bytes > 0 && s.storedBytes+bytes > maxStoredBytes {
+		return errorResponse(lineprotocol.Malformed, "too many values and prepared names", s.state())
 	}
-	s.kept += bytes
-	if !s.memory.Resize(s.heldBytes()) {
-		s.kept -= bytes
-		s.d.k.Counters.Add("pooler.memory_full", 1)
-		return refusal(lineprotocol.Retry, hint(kernel.Second), s.state())
+	s.storedBytes += bytes
+	if !s.memory.Resize(s.countedBytes()) {
+		s.storedBytes -= bytes
+		s.pooler.k.Counters.Add("pooler.memory_full", 1)
+		return errorResponse(lineprotocol.Retry, retryAfter(kernel.Second), s.state())
 	}
 	return nil
 }
 
-// sizeOfValue is what a value of that name takes; nothing if there is none.
-func (s *session) sizeOfValue(name string) int {
+// storedValueSize returns the size of the stored value of that name, 0 if there is none.
+func (s *session) storedValueSize(name string) int {
 	value, ok := s.values[name]
 	if !ok {
 		return 0
@@ -74,25 +78,25 @@
 	return entrySize(name, value)
 }
 
-// sizeOfPrepared is what a prepared name takes; nothing if there is none.
-func (s *session) sizeOfPrepared(name string) int {
-	statement, ok := s.names[name]
+// storedPreparedSize returns the size of the prepared statement of that name, 0 if there is none.
+func (s *session) storedPreparedSize(name string) int {
+	statement, ok := s.prepared[name]
 	if !ok {
 		return 0
 	}
 	return preparedSize(name, statement)
 }
 
-func entrySize(name, text string) int { return len(name) + len(text) + entryBytes }
+func entrySize(name, text string) int { return len(name) + len(text) + entryOverhead }
 
 func preparedSize(name string, statement dbconn.Prepared) int { return entrySize(name, statement.Text) }
 
-// watchMemory checks, once no session is left, that all memory was given back.
-func (d *Pooler) watchMemory() {
+// checkMemoryReleased checks, when no session is left, that all memory has been released.
+func (d *Pooler) checkMemoryReleased() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.sessions) == 0 {
 		used := d.memory.Used()
-		d.k.Invariants.Check(used == 0, invariant.MemoryGivenBack, "%d bytes are taken by nobody", used)
+		d.k.Invariants.Check(used == 0, invariant.MemoryGivenBack, "%d bytes are still reserved without any session", used)
 	}
 }
--- a/internal/pooler/outage.go
+++ b/internal/pooler/outage.go
@@ -6,46 +6,47 @@
 	"indigowalk/internal/kernel"
 )
 
-// outages remembers since when nothing could run for a service and kind of
-// statement. A move of a lead takes about a second: statements wait for that.
-// An outage that lasts longer may last for long, and those who come later are
-// told to come back instead of being held.
+// outages records since when no database could run statements, by service and kind of statement. A
+// failover takes about a second, and statements wait for that. A longer outage may last for long:
+// statements that arrive later are refused with a retry-after instead of waiting.
 type outages struct {
 	mu    sync.Mutex
-	since map[outage]kernel.Micros
+	since map[outageKey]kernel.Micros
 }
 
-type outage struct {
+// outageKey identifies a service and whether its statements need the primary.
+type outageKey struct {
 	service string
 	primary bool
 }
 
 const (
-	patience = 1500 * kernel.Millisecond
-	// leastHold is how long a statement is held all the same, for one of the
-	// moments in between.
-	leastHold = 50 * kernel.Millisecond
+	// failoverWait is how long after the start of an outage statements wait for its end.
+	failoverWait = 1500 * kernel.Millisecond
+	// minWait is how long a statement waits even in a long outage, in case a database becomes
+	// available for a moment.
+	minWait = 50 * kernel.Millisecond
 )
 
-// over notes that a statement found its place.
-func (o *outages) over(what outage) {
+// clear records that a database is available again.
+func (o *outages) clear(key outageKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.since, what)
+	delete(o.since, key)
 }
 
-// holdUntil notes that there is no place for a statement that came at
-// received, and returns until when it may be held.
-func (o *outages) holdUntil(what outage, now, received kernel.Micros) kernel.Micros {
+// waitDeadline records that no database is available for a statement that arrived at received, and
+// returns until when the statement may wait.
+func (o *outages) waitDeadline(key outageKey, now, received kernel.Micros) kernel.Micros {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	since, ok := o.since[what]
+	since, ok := o.since[key]
 	if !ok {
 		if o.since == nil {
-			o.since = map[outage]kernel.Micros{}
+			o.since = map[outageKey]kernel.Micros{}
 		}
 		since = now
-		o.since[what] = now
+		o.since[key] = now
 	}
-	return max(since+patience, received+leastHold)
+	return max(since+failoverWait, received+minWait)
 }
--- a/internal/pooler/outage_test.go
+++ b/internal/pooler/outage_test.go
@@ -6,22 +6,23 @@
 	"indigowalk/internal/kernel"
 )
 
-func TestLongOutagesAreNotWaitedFor(t *testing.T) {
+// Statements wait for the end of a short outage, such as a failover, but hardly in a long one.
+func TestStatementsDoNotWaitInLongOutages(t *testing.T) {
 	var o outages
 	at := kernel.Micros(1_000_000)
-	reads, writes := outage{"svc", false}, outage{"svc", true}
-	if got := o.holdUntil(writes, at, at); got != at+patience {
-		t.Errorf("at the start held until %d", got)
+	reads, writes := outageKey{"svc", false}, outageKey{"svc", true}
+	if got := o.waitDeadline(writes, at, at); got != at+failoverWait {
+		t.Errorf("at the start of an outage: waits until %d", got)
 	}
-	late := at + 2*patience
-	if got := o.holdUntil(writes, late, late); got != late+leastHold {
-		t.Errorf("in a long outage held until %d", got)
+	late := at + 2*failoverWait
+	if got := o.waitDeadline(writes, late, late); got != late+minWait {
+		t.Errorf("in a long outage: waits until %d", got)
 	}
-	if got := o.holdUntil(reads, late, late); got != late+patience {
-		t.Errorf("another kind held until %d", got)
+	if got := o.waitDeadline(reads, late, late); got != late+failoverWait {
+		t.Errorf("statements of another kind: wait until %d", got)
 	}
-	o.over(writes)
-	if got := o.holdUntil(writes, late, late); got != late+patience {
-		t.Errorf("in the next outage held until %d", got)
+	o.clear(writes)
+	if got := o.waitDeadline(writes, late, late); got != late+failoverWait {
+		t.Errorf("in the next outage: waits until %d", got)
 	}
 }
--- a/internal/pooler/plugin.go
+++ b/internal/pooler/plugin.go
@@ -18,8 +18,8 @@
 	kernel.Register(kernel.Plugin{
 		Name: "pooler", Rank: 80, Roles: []string{"pooler"},
 		Build: func(k *kernel.Kernel) error {
-			book := kernel.Need[*settings.Live](k)
-			s := book.Now()
+			live := kernel.Need[*settings.Live](k)
+			s := live.Now()
 			if s.ClientAddr == "" {
 				return &settings.Error{Key: "listen.client_addr", Reason: "a pooler needs it"}
 			}
@@ -27,8 +27,8 @@
 				return &settings.Error{Key: "listen.ready_addr", Reason: "a pooler needs it"}
 			}
 			d := New(k, Config{
-				ClientAddr: s.ClientAddr, Zone: s.Zone, Quiet: settings.Span(s.QuietMs),
-				Grace: func() kernel.Micros { return kernel.Micros(book.Now().GraceS) * kernel.Second },
+				ClientAddr: s.ClientAddr, Zone: s.Zone, SuspicionTimeout: settings.Span(s.QuietMs),
+				GracePeriod: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
 			}, Services{
 				Control:  kernel.Need[*distribution.Subscriber](k),
 				Router:   kernel.Need[*readrouting.Router](k),
@@ -39,9 +39,9 @@
 				Stalls:   kernel.Need[*kernel.Stalls](k),
 				Memory:   kernel.Need[*memorybudget.Budget](k),
 			})
-			k.Counters.Observable("pooler.sessions_open", d.open)
+			k.Counters.Observable("pooler.sessions_open", d.openSessions)
 			k.Supervise("pooler", d.Serve)
-			k.OnLeave(d.Leave)
+			k.OnLeave(d.Drain)
 			k.Supervise("ready", func(ctx context.Context) error {
 				return kernel.ServeReady(ctx, k.Net, s.ReadyAddr, d.Ready)
 			})
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -1,4 +1,5 @@
-// Package pooler carries the clients' sessions.
+// Package pooler implements the pooler: it accepts client sessions and runs their statements on
+// pooled connections to the replicated databases.
 package pooler
 
 import (
@@ -22,15 +23,15 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// Config is what a pooler is built from.
+// Config configures a pooler.
 type Config struct {
-	ClientAddr string
-	Zone       string
-	Grace      func() kernel.Micros
-	Quiet      kernel.Micros // an answer that takes longer casts doubt on its database
+	ClientAddr       string
+	Zone             string
+	GracePeriod      func() kernel.Micros
+	SuspicionTimeout kernel.Micros // a response that takes longer makes its database suspect
 }
 
-// Pooler takes sessions and runs their statements.
+// Pooler accepts client sessions and runs their statements on the databases.
 type Pooler struct {
 	k       *kernel.Kernel
 	cfg     Config
@@ -39,27 +40,27 @@
 	pool    *dbconn.Pool
 	health  *health.Monitor
 	quota   *quota.Client
-	// failures keeps the statements that were not served.
+	// failures logs the statements that were not served.
 	failures *failurelog.Log
 	stalls   *kernel.Stalls
 
-	leaving atomic.Bool
-	ending  chan struct{} // closes when whatever is still waited for is given up
+	draining  atomic.Bool
+	terminate chan struct{} // closed when pending waits are canceled
 
-	mu       sync.Mutex
-	sessions map[*session]struct{}
-	listener net.Listener
-	hurrying bool // sessions end as soon as they have their answer
-	ended    kernel.Bell
+	mu           sync.Mutex
+	sessions     map[*session]struct{}
+	listener     net.Listener
+	closing      bool // sessions close as soon as their response is sent
+	sessionEnded kernel.Bell
 
-	memory  *memorybudget.Budget // of what sessions send and keep
-	second  allowance
+	memory  *memorybudget.Budget // for messages and stored values of sessions
+	resends resendBudget
 	outages outages
 
 	statements, retries *atomic.Int64
 }
 
-// Services are the parts of the process that a pooler works with.
+// Services are the components of the process that a pooler uses.
 type Services struct {
 	Control  *distribution.Subscriber
 	Router   *readrouting.Router
@@ -72,21 +73,21 @@
 }
 
 // New returns a pooler.
-func New(k *kernel.Kernel, cfg Config, with Services) *Pooler {
+func New(k *kernel.Kernel, cfg Config, services Services) *Pooler {
 	return &Pooler{
-		k: k, cfg: cfg, control: with.Control, router: with.Router, pool: with.Pool, health: with.Health, quota: with.Quota,
-		failures: with.Failures, stalls: with.Stalls, memory: with.Memory,
+		k: k, cfg: cfg, control: services.Control, router: services.Router, pool: services.Pool, health: services.Health, quota: services.Quota,
+		failures: services.Failures, stalls: services.Stalls, memory: services.Memory,
 		sessions:   map[*session]struct{}{},
-		ending:     make(chan struct{}),
+		terminate:  make(chan struct{}),
 		statements: k.Counters.Of("pooler.statements"),
 		retries:    k.Counters.Of("pooler.retries"),
 	}
 }
 
-// Ready tells whether clients should be sent here.
-func (d *Pooler) Ready() bool { return !d.leaving.Load() && d.control.Ready() }
+// Ready reports whether clients should be routed to this pooler.
+func (d *Pooler) Ready() bool { return !d.draining.Load() && d.control.Ready() }
 
-// Serve takes sessions until ctx ends.
+// Serve accepts sessions until ctx ends.
 func (d *Pooler) Serve(ctx context.Context) error {
 	ln, err := d.k.Net.Listen(d.cfg.ClientAddr)
 	if err != nil {
@@ -100,7 +101,7 @@
 	for {
 		c, err := ln.Accept()
 		if err != nil {
-			if d.leaving.Load() {
+			if d.draining.Load() {
 				<-ctx.Done()
 			}
 			if ctx.Err() != nil {
@@ -113,85 +114,85 @@
 			return fmt.Errorf("pooler: %w", err)
 		}
 		d.k.Counters.Add("pooler.sessions", 1)
-		s := d.admit(c)
+		s := d.addSession(c)
 		go func() {
 			s.run()
 			d.mu.Lock()
 			delete(d.sessions, s)
 			d.mu.Unlock()
-			d.watchMemory()
-			d.ended.Ring()
+			d.checkMemoryReleased()
+			d.sessionEnded.Ring()
 		}()
 	}
 }
 
-// admit begins a session. One that comes while the pooler leaves is told with that: it
-// misses what the others were told.
-func (d *Pooler) admit(c net.Conn) *session {
+// addSession registers a session for an accepted connection. A session that starts while the
+// pooler drains takes over the drain state, because it missed the notification to the others.
+func (d *Pooler) addSession(c net.Conn) *session {
 	s := newSession(d, c)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s.ending, s.rushed = d.leaving.Load(), d.hurrying
+	s.draining, s.closing = d.draining.Load(), d.closing
 	d.sessions[s] = struct{}{}
 	return s
 }
 
-// closeAfter is how long a leaving pooler still takes new sessions: the entry
-// asks every second and needs two misses.
-const closeAfter = 2200 * kernel.Millisecond
+// listenerCloseDelay is how long a draining pooler still accepts sessions: the load balancer in
+// front probes readiness every second and needs two failed probes.
+const listenerCloseDelay = 2200 * kernel.Millisecond
 
 const (
-	// lastAnswers is kept of the grace for the answers to statements that are
-	// given up, and for the end of the process.
-	lastAnswers = 600 * kernel.Millisecond
-	// lastWrites of it is for the answers.
-	lastWrites = 200 * kernel.Millisecond
+	// responseReserve is the part of the grace period reserved for the responses to canceled
+	// statements and for the end of the process.
+	responseReserve = 600 * kernel.Millisecond
+	// writeReserve is the part of responseReserve for writing these responses.
+	writeReserve = 200 * kernel.Millisecond
 )
 
-// longestHold bounds how long a statement waits for a place to run: one that came
-// before a leaving pooler hurries its sessions has its answer before the end.
-func (d *Pooler) longestHold() kernel.Micros { return max(0, d.cfg.Grace()/2-lastAnswers) }
+// maxWait bounds how long a statement waits for a database that can run it, so that a statement
+// received before a draining pooler closes its sessions gets its response before the process ends.
+func (d *Pooler) maxWait() kernel.Micros { return max(0, d.cfg.GracePeriod()/2-responseReserve) }
 
-// over tells whether the pooler gives up whatever is still waited for.
-func (d *Pooler) over() bool {
+// terminating reports whether pending waits are canceled because the process is about to end.
+func (d *Pooler) terminating() bool {
 	select {
-	case <-d.ending:
+	case <-d.terminate:
 		return true
 	default:
 		return false
 	}
 }
 
-// Leave ends in order: not ready at once, idle sessions close, statements
-// finish, and open transactions have half of the grace. Statements that are still
-// waited for then are answered as they stand.
-func (d *Pooler) Leave(ctx context.Context) {
+// Drain shuts the pooler down gracefully: it reports not ready at once, closes idle sessions, lets
+// running statements finish, and gives open transactions half of the grace period. Statements that
+// still wait at its end, less the reserve for responses, are canceled and get an error response.
+func (d *Pooler) Drain(ctx context.Context) {
 	start := d.k.Clock.Now()
-	d.leaving.Store(true)
+	d.draining.Store(true)
 	d.k.Log.Info("leaving")
-	grace := d.stalls.Left(d.cfg.Grace())
-	half, end := start+grace/2, start+max(0, grace-lastAnswers)
-	d.each((*session).leave)
-	var closed, told bool
+	gracePeriod := d.stalls.Left(d.cfg.GracePeriod())
+	half, terminateAt := start+gracePeriod/2, start+max(0, gracePeriod-responseReserve)
+	d.forEachSession((*session).drain)
+	var listenerClosed, sessionsClosed bool
 	for {
-		changed := d.ended.Wait()
+		changed := d.sessionEnded.Wait()
 		now := d.k.Clock.Now()
 		d.mu.Lock()
-		left := len(d.sessions)
+		remaining := len(d.sessions)
 		d.mu.Unlock()
-		if now >= min(start+closeAfter, half) && !closed {
-			closed = true
+		if now >= min(start+listenerCloseDelay, half) && !listenerClosed {
+			listenerClosed = true
 			d.closeListener()
 		}
-		if now >= half && !told {
-			told = true
-			d.hurry()
+		if now >= half && !sessionsClosed {
+			sessionsClosed = true
+			d.closeSessions()
 		}
-		if now >= end && !d.over() {
-			close(d.ending)
+		if now >= terminateAt && !d.terminating() {
+			close(d.terminate)
 		}
-		if left == 0 && now >= min(start+closeAfter, end) || now >= end+lastWrites || ctx.Err() != nil {
-			d.watchEnd(start)
+		if remaining == 0 && now >= min(start+listenerCloseDelay, terminateAt) || now >= terminateAt+writeReserve || ctx.Err() != nil {
+			d.checkNoneUnanswered(start)
 			return
 		}
 		t := time.NewTimer((100 * kernel.Millisecond).Duration())
@@ -203,14 +204,14 @@
 	}
 }
 
-// open is how many sessions there are.
-func (d *Pooler) open() int64 {
+// openSessions returns the number of open sessions.
+func (d *Pooler) openSessions() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return int64(len(d.sessions))
 }
 
-// closeListener has no more sessions come.
+// closeListener stops accepting sessions.
 func (d *Pooler) closeListener() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -219,15 +220,16 @@
 	}
 }
 
-// hurry has all sessions end as soon as they have their answer, those that come later too.
-func (d *Pooler) hurry() {
+// closeSessions makes all sessions, including those that start later, close as soon as their
+// response is sent.
+func (d *Pooler) closeSessions() {
 	d.mu.Lock()
-	d.hurrying = true
+	d.closing = true
 	d.mu.Unlock()
-	d.each((*session).hurry)
+	d.forEachSession((*session).closeAfterResponse)
 }
 
-func (d *Pooler) each(f func(*session)) {
+func (d *Pooler) forEachSession(f func(*session)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for s := range d.sessions {
@@ -235,29 +237,29 @@
 	}
 }
 
-// route finds the route and service of a database name.
+// route returns the route and service of a database name, and the configuration they are from.
 func (d *Pooler) route(name string) (*routeconfig.Route, *routeconfig.Service, *routeconfig.Index) {
 	conf := d.control.Config()
 	r, svc := conf.Find(name)
 	return r, svc, conf
 }
 
-// candidates is what a database is picked from, as things are now.
+// candidates returns the databases of a service that can be chosen from, with their current state.
 func (d *Pooler) candidates(service string, want dbconn.Want) readrouting.Candidates {
-	dbs, lead := d.control.Databases(service)
+	databases, leader := d.control.Databases(service)
 	_, err := d.control.Primary(service)
 	return readrouting.Candidates{
-		Databases: dbs, Leader: lead, Leased: err == nil, Zone: d.cfg.Zone,
+		Databases: databases, Leader: leader, Leased: err == nil, Zone: d.cfg.Zone,
 		Up: d.health.Up, Busy: d.pool.Busy, Idle: func(id string) bool { return d.pool.Idle(id, want) },
 	}
 }
 
-// place picks a database for the request as things are now.
-func (d *Pooler) place(q readrouting.Request, want dbconn.Want) (readrouting.Choice, bool) {
+// pickDatabase picks a database for the request from the current candidates.
+func (d *Pooler) pickDatabase(q readrouting.Request, want dbconn.Want) (readrouting.Choice, bool) {
 	return d.router.Pick(q, d.candidates(q.Service, want))
 }
 
-// refusal is an answer of the pooler's own.
-func refusal(code, text string, state byte) *lineprotocol.Answer {
+// errorResponse returns an error response that the pooler itself generates.
+func errorResponse(code, text string, state byte) *lineprotocol.Answer {
 	return &lineprotocol.Answer{Code: code, Text: text, State: state}
 }
--- a/internal/pooler/session.go
+++ b/internal/pooler/session.go
@@ -15,70 +15,70 @@
 
 // Bounds of one session.
 const (
-	maxNames  = 4096
-	loginWait = 3 * kernel.Second
-	// a leaving pooler closes a session that asked nothing for this long
-	restBeforeClose = 150 * kernel.Millisecond
-	// and for this long once it hurries
-	restBeforeHurry = 30 * kernel.Millisecond
-	writeWait       = 5 * kernel.Second
-	holdLogin       = kernel.Second            // for the first configuration
-	endWait         = 300 * kernel.Millisecond // for a roll-back: closing the connection does as well
+	maxEntries   = 4096
+	loginTimeout = 3 * kernel.Second
+	// drainIdleTimeout is how long a session must be idle before a draining pooler closes it.
+	drainIdleTimeout = 150 * kernel.Millisecond
+	// closeIdleTimeout replaces it once the pooler closes its sessions.
+	closeIdleTimeout  = 30 * kernel.Millisecond
+	writeTimeout      = 5 * kernel.Second
+	configurationWait = kernel.Second            // at login, for the first configuration
+	rollbackTimeout   = 300 * kernel.Millisecond // for a rollback; closing the connection rolls back as well
 )
 
-// session is one client connection.
+// session is the session of one client connection.
 type session struct {
-	d *Pooler
-	c net.Conn
-	r *lineprotocol.Reader
+	pooler *Pooler
+	conn   net.Conn
+	reader *lineprotocol.Reader
 
-	database string
-	key      routeconfig.KeyDigest // that the client showed at the log-in
-	values   map[string]string
-	names    map[string]dbconn.Prepared
-	last     lineprotocol.Position // of the session's own last commit
-	tx       *transaction
-	out      []byte
-	trace    trace
+	database   string
+	key        routeconfig.KeyDigest // digest of the key that the client presented at login
+	values     map[string]string
+	prepared   map[string]dbconn.Prepared
+	lastCommit lineprotocol.Position // of the session's own last commit
+	tx         *transaction
+	out        []byte
+	trace      trace
 
-	memory    *memorybudget.Holding
-	message   int           // bytes of the message in hand, if it came in parts
-	kept      int           // bytes of values and names
-	longUntil kernel.Micros // a long message is to be whole by then; 0 if there is none
+	memory          *memorybudget.Holding
+	messageBytes    int           // size of the current message, if it arrived in parts
+	storedBytes     int           // size of values and prepared statements
+	messageDeadline kernel.Micros // for receiving a long message; 0 if there is none
 
-	mu    sync.Mutex
-	asked bool // a statement is being worked on
-	// answering says that its answer is being written.
-	answering bool
-	ending    bool // close as soon as nothing is asked for a moment
-	rushed    bool // end an open transaction too, and wait for nothing
+	mu   sync.Mutex
+	busy bool // the login or a statement is being processed
+	// responding is set while the response is being written.
+	responding bool
+	draining   bool // close when idle and not in a transaction
+	closing    bool // close even in an open transaction, without waiting for the client
 }
 
 func newSession(d *Pooler, c net.Conn) *session {
 	s := &session{
-		d: d, c: c, r: lineprotocol.NewReader(c), values: map[string]string{}, names: map[string]dbconn.Prepared{}, asked: true,
-		memory: d.memory.Hold(freeBytes),
+		pooler: d, conn: c, reader: lineprotocol.NewReader(c), values: map[string]string{}, prepared: map[string]dbconn.Prepared{}, busy: true,
+		memory: d.memory.Hold(uncountedBytes),
 	}
-	s.r.Room = s.room
+	s.reader.Room = s.reserveMessage
 	return s
 }
 
-// run serves the session until either side ends it.
+// run serves the session until the client or the pooler ends it.
 func (s *session) run() {
 	defer s.memory.Release()
-	defer s.c.Close()
+	defer s.conn.Close()
 	defer func() {
 		if s.tx != nil {
-			s.tx.drop()
+			s.tx.rollBack()
 		}
 	}()
 	if !s.login() {
 		return
 	}
 	for {
-		line, err := s.next()
+		line, err := s.readMessage()
 		if err != nil {
-			s.unreadable(err)
+			s.reportReadError(err)
 			return
 		}
 		word, rest := lineprotocol.Word(line)
@@ -90,220 +90,224 @@
 			id, text := lineprotocol.Word(rest)
 			a = s.query(string(id), string(text))
 		default:
-			a = refusal(lineprotocol.Malformed, "unknown message", s.state())
+			a = errorResponse(lineprotocol.Malformed, "unknown message", s.state())
 		}
-		if !s.answer(a) {
+		if !s.respond(a) {
 			return
 		}
 	}
 }
 
-// leave closes the session once it rests; it is called when the pooler starts
-// to leave.
-func (s *session) leave() {
+// drain makes the session close when it is idle. It is called when the pooler starts to drain.
+func (s *session) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ending = true
-	if !s.asked && s.tx == nil {
-		s.c.SetReadDeadline(time.Now().Add(restBeforeClose.Duration()))
+	s.draining = true
+	if !s.busy && s.tx == nil {
+		s.conn.SetReadDeadline(time.Now().Add(drainIdleTimeout.Duration()))
 	}
 }
 
-// hurry ends an open transaction that waits for its client.
-func (s *session) hurry() {
+// closeAfterResponse makes the session close as soon as the current statement, if any, is answered,
+// also if a transaction is open.
+func (s *session) closeAfterResponse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ending, s.rushed = true, true
-	if !s.asked {
-		// What has come is read yet: a read whose time is over looks at nothing.
-		s.c.SetReadDeadline(time.Now().Add(restBeforeHurry.Duration()))
+	s.draining, s.closing = true, true
+	if !s.busy {
+		// A message that has arrived is still to be read: a read after its deadline would return
+		// nothing.
+		s.conn.SetReadDeadline(time.Now().Add(closeIdleTimeout.Duration()))
 	}
 }
 
 func (s *session) login() bool {
-	s.c.SetReadDeadline(time.Now().Add(loginWait.Duration()))
-	line, err := s.r.Line()
+	s.conn.SetReadDeadline(time.Now().Add(loginTimeout.Duration()))
+	line, err := s.reader.Line()
 	if err != nil {
-		s.unreadable(err)
+		s.reportReadError(err)
 		return false
 	}
-	s.trace.begin(s.d.k.Clock.Now())
+	s.trace.reset(s.pooler.k.Clock.Now())
 	word, rest := lineprotocol.Word(line)
-	name, who := lineprotocol.Word(rest)
-	if string(word) != "LOGIN" || len(name) == 0 || len(who) == 0 {
-		s.trace.because(causeMalformed)
-		s.end(lineprotocol.Malformed, "LOGIN database who")
+	name, key := lineprotocol.Word(rest)
+	if string(word) != "LOGIN" || len(name) == 0 || len(key) == 0 {
+		s.trace.setCause(causeMalformed)
+		s.sendFinalError(lineprotocol.Malformed, "LOGIN database who")
 		return false
 	}
-	s.database, s.key = string(name), routeconfig.DigestOf(string(who))
-	for end := s.d.k.Clock.Now() + holdLogin; !s.d.control.Ready() && s.d.k.Clock.Now() < end; {
+	s.database, s.key = string(name), routeconfig.DigestOf(string(key))
+	for end := s.pooler.k.Clock.Now() + configurationWait; !s.pooler.control.Ready() && s.pooler.k.Clock.Now() < end; {
 		t := time.NewTimer((100 * kernel.Millisecond).Duration())
 		select {
-		case <-s.d.control.Changed():
+		case <-s.pooler.control.Changed():
 		case <-t.C:
 		}
 		t.Stop()
 	}
-	r, _, conf := s.d.route(s.database)
+	r, _, conf := s.pooler.route(s.database)
 	if r == nil {
-		if !s.d.control.Ready() {
-			s.trace.because(causeNotReady)
-			s.end(lineprotocol.Retry, hint(kernel.Second))
+		if !s.pooler.control.Ready() {
+			s.trace.setCause(causeNotReady)
+			s.sendFinalError(lineprotocol.Retry, retryAfter(kernel.Second))
 		} else {
-			s.trace.because(causeNoRoute)
-			s.end(lineprotocol.NoDB, s.database)
+			s.trace.setCause(causeNoRoute)
+			s.sendFinalError(lineprotocol.NoDB, s.database)
 		}
 		return false
 	}
-	if _, code := s.tenant(r, conf); code != "" {
-		s.end(code, hint(kernel.Second))
+	if _, code := s.authorize(r, conf); code != "" {
+		s.sendFinalError(code, retryAfter(kernel.Second))
 		return false
 	}
 	s.out = lineprotocol.AppendMessage(s.out[:0], "IDLE", "I", "-")
 	return s.flush()
 }
 
-// end sends an error after which the connection closes.
-func (s *session) end(code, text string) {
-	s.record("-", &lineprotocol.Answer{Code: code})
+// sendFinalError sends an error after which the connection is closed, and logs the failure.
+func (s *session) sendFinalError(code, text string) {
+	s.recordFailure("-", &lineprotocol.Answer{Code: code})
 	s.out = lineprotocol.AppendMessage(s.out[:0], "ERROR", code, text)
 	s.flush()
 }
 
-func (s *session) unreadable(err error) {
+// reportReadError sends the client the error that corresponds to a failed read, if there is one, and
+// drains the input.
+func (s *session) reportReadError(err error) {
 	switch {
 	case errors.Is(err, lineprotocol.ErrOversize):
-		s.d.k.Counters.Add("pooler.oversize", 1)
-		s.trace.because(causeMalformed)
-		s.end(lineprotocol.Oversize, "message over 1 MiB")
+		s.pooler.k.Counters.Add("pooler.oversize", 1)
+		s.trace.setCause(causeMalformed)
+		s.sendFinalError(lineprotocol.Oversize, "message over 1 MiB")
 		s.drainInput()
 	case errors.Is(err, lineprotocol.ErrMalformed):
-		s.d.k.Counters.Add("pooler.malformed", 1)
-		s.trace.because(causeMalformed)
-		s.end(lineprotocol.Malformed, "lines end with CR LF")
+		s.pooler.k.Counters.Add("pooler.malformed", 1)
+		s.trace.setCause(causeMalformed)
+		s.sendFinalError(lineprotocol.Malformed, "lines end with CR LF")
 		s.drainInput()
 	case errors.Is(err, lineprotocol.ErrNoRoom):
-		s.d.k.Counters.Add("pooler.memory_full", 1)
-		s.trace.because(causeMemory)
-		s.end(lineprotocol.Retry, hint(kernel.Second))
+		s.pooler.k.Counters.Add("pooler.memory_full", 1)
+		s.trace.setCause(causeNoMemory)
+		s.sendFinalError(lineprotocol.Retry, retryAfter(kernel.Second))
 		s.drainInput()
-	case errors.Is(err, errLateMessage):
-		s.d.k.Counters.Add("pooler.late_messages", 1)
-		s.trace.because(causeMalformed)
-		s.end(lineprotocol.Retry, hint(kernel.Second))
+	case errors.Is(err, errMessageTimeout):
+		s.pooler.k.Counters.Add("pooler.late_messages", 1)
+		s.trace.setCause(causeMalformed)
+		s.sendFinalError(lineprotocol.Retry, retryAfter(kernel.Second))
 		s.drainInput()
 	}
 }
 
-// drainInput reads on for a moment, so that closing does not reset the
-// connection before the error has been read.
+// drainInput keeps reading for a moment, so that closing does not reset the connection before the
+// client has read the error.
 func (s *session) drainInput() {
-	s.c.SetReadDeadline(time.Now().Add((300 * kernel.Millisecond).Duration()))
+	s.conn.SetReadDeadline(time.Now().Add((300 * kernel.Millisecond).Duration()))
 	buf := make([]byte, 4096)
 	for {
-		if _, err := s.c.Read(buf); err != nil {
+		if _, err := s.conn.Read(buf); err != nil {
 			return
 		}
 	}
 }
 
-// next waits for a message. An open transaction that rests too long, or for
-// which a leaving pooler has no more time, is rolled back meanwhile.
-func (s *session) next() ([]byte, error) {
-	for came := 0; ; {
-		rest := kernel.Micros(0)
-		if s.tx != nil && !s.tx.over {
-			if _, _, conf := s.d.route(s.database); conf != nil {
-				rest = kernel.Micros(conf.Limits.TxnIdleMs) * kernel.Millisecond
+// readMessage waits for the next message. Meanwhile it rolls back an open transaction that exceeds
+// its idle timeout. It fails if the pooler closes the session.
+func (s *session) readMessage() ([]byte, error) {
+	for received := 0; ; {
+		idleTimeout := kernel.Micros(0)
+		if s.tx != nil && !s.tx.ended {
+			if _, _, conf := s.pooler.route(s.database); conf != nil {
+				idleTimeout = kernel.Micros(conf.Limits.TxnIdleMs) * kernel.Millisecond
 			}
 		}
-		if !s.listen(rest) {
+		if !s.prepareRead(idleTimeout) {
 			return nil, net.ErrClosed
 		}
-		line, err := s.r.Line()
+		line, err := s.reader.Line()
 		var ne net.Error
 		if err != nil && errors.As(err, &ne) && ne.Timeout() {
-			more := s.r.Partial() > came // a message is on its way
-			came = s.r.Partial()
-			if s.mayClose(more) {
+			progressed := s.reader.Partial() > received // part of a message has arrived
+			received = s.reader.Partial()
+			if s.shouldClose(progressed) {
 				return nil, net.ErrClosed
 			}
-			if s.tooLate() {
-				return nil, errLateMessage
+			if s.messageOverdue() {
+				return nil, errMessageTimeout
 			}
-			if more {
+			if progressed {
 				continue
 			}
-			if s.tx != nil && !s.tx.over {
-				s.d.k.Counters.Add("pooler.rested_too_long", 1)
-				s.tx.drop()
+			if s.tx != nil && !s.tx.ended {
+				s.pooler.k.Counters.Add("pooler.rested_too_long", 1)
+				s.tx.rollBack()
 			}
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		s.longUntil = 0
+		s.messageDeadline = 0
 		s.mu.Lock()
-		s.asked = true
+		s.busy = true
 		s.mu.Unlock()
 		return line, nil
 	}
 }
 
-// listen sets how long the next message may take (for ever if rest is 0); it
-// reports false if the session is to end now.
-func (s *session) listen(rest kernel.Micros) bool {
+// prepareRead marks the session idle and sets the read deadline for the next message, none if
+// idleTimeout is 0 and nothing else bounds it. It returns false if the session is to close now.
+func (s *session) prepareRead(idleTimeout kernel.Micros) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked, s.answering = false, false
-	if s.rushed && !s.r.Buffered() {
+	s.busy, s.responding = false, false
+	if s.closing && !s.reader.Buffered() {
 		return false
 	}
-	if s.ending && s.tx == nil {
-		rest = restBeforeClose
+	if s.draining && s.tx == nil {
+		idleTimeout = drainIdleTimeout
 	}
 	deadline := time.Time{}
-	if s.longUntil > 0 {
-		left := s.longUntil - s.d.k.Clock.Now()
-		if rest == 0 || left < rest {
-			rest = max(left, 1)
+	if s.messageDeadline > 0 {
+		remaining := s.messageDeadline - s.pooler.k.Clock.Now()
+		if idleTimeout == 0 || remaining < idleTimeout {
+			idleTimeout = max(remaining, 1)
 		}
 	}
-	if rest > 0 {
-		deadline = time.Now().Add(rest.Duration())
+	if idleTimeout > 0 {
+		deadline = time.Now().Add(idleTimeout.Duration())
 	}
-	s.c.SetReadDeadline(deadline)
+	s.conn.SetReadDeadline(deadline)
 	return true
 }
 
-// mayClose tells whether the session is to end, since the pooler leaves; one whose
-// next message is on its way ends only in a hurry.
-func (s *session) mayClose(more bool) bool {
+// shouldClose reports whether the session is to close because the pooler drains. A session whose
+// next message is arriving closes only once the pooler closes its sessions.
+func (s *session) shouldClose(progressed bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rushed || s.ending && s.tx == nil && !more
+	return s.closing || s.draining && s.tx == nil && !progressed
 }
 
-// answer sends the answer to the client.
-func (s *session) answer(a *lineprotocol.Answer) bool {
+// respond sends a response to the client and reports whether it was written.
+func (s *session) respond(a *lineprotocol.Answer) bool {
 	s.out = a.Append(s.out[:0])
 	s.mu.Lock()
-	s.answering = true
+	s.responding = true
 	s.mu.Unlock()
 	return s.flush()
 }
 
 func (s *session) flush() bool {
-	s.c.SetWriteDeadline(time.Now().Add(writeWait.Duration()))
-	_, err := s.c.Write(s.out)
-	if cap(s.out) > freeBytes {
+	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout.Duration()))
+	_, err := s.conn.Write(s.out)
+	if cap(s.out) > uncountedBytes {
 		s.out = nil
 	}
 	return err == nil
 }
 
-// state is the state that the client is in.
+// state returns the transaction state as the client sees it: I (idle), T (in a transaction) or E
+// (in a failed transaction).
 func (s *session) state() byte {
 	switch {
 	case s.tx == nil:
@@ -314,68 +318,69 @@
 	return 'T'
 }
 
-// query works one statement off, and keeps how it ended if that was no success.
+// query executes one statement and adds it to the failure log if it failed.
 func (s *session) query(id, text string) *lineprotocol.Answer {
-	s.d.statements.Add(1)
-	s.d.second.earn()
-	s.trace.begin(s.d.k.Clock.Now())
+	s.pooler.statements.Add(1)
+	s.pooler.resends.deposit()
+	s.trace.reset(s.pooler.k.Clock.Now())
 	a := s.execute(lineprotocol.ParseStatement(id, text))
 	if a.Code != "" {
-		s.record(id, a)
+		s.recordFailure(id, a)
 	}
-	s.watchAnswer(id)
+	s.checkAnsweredInTime(id)
 	return a
 }
 
-// execute has a statement run where it belongs.
+// execute dispatches a statement to the open transaction, a database, or the session itself.
 func (s *session) execute(q lineprotocol.Statement) *lineprotocol.Answer {
 	if q.ID == "" || q.Verb == lineprotocol.Bad {
-		s.d.k.Counters.Add("pooler.malformed", 1)
-		s.trace.because(causeMalformed)
-		return refusal(lineprotocol.Malformed, "unknown text", s.state())
+		s.pooler.k.Counters.Add("pooler.malformed", 1)
+		s.trace.setCause(causeMalformed)
+		return errorResponse(lineprotocol.Malformed, "unknown text", s.state())
 	}
 	if s.tx != nil {
-		return s.inside(q)
+		return s.executeInTransaction(q)
 	}
 	switch q.Verb {
 	case lineprotocol.Begin, lineprotocol.BeginFetch:
-		t, a := s.begin(q)
+		t, a := s.beginTransaction(q)
 		s.tx = t
 		return a
 	case lineprotocol.Commit, lineprotocol.Abort:
-		return refusal(lineprotocol.Malformed, "no transaction", 'I')
+		return errorResponse(lineprotocol.Malformed, "no transaction", 'I')
 	case lineprotocol.Fetch, lineprotocol.Put, lineprotocol.Run:
-		return s.single(q)
+		return s.executeSingle(q)
 	}
-	return s.local(q)
+	return s.executeLocal(q)
 }
 
-// local answers what concerns the session alone.
-func (s *session) local(q lineprotocol.Statement) *lineprotocol.Answer {
+// executeLocal executes a statement that concerns only the session's values and prepared
+// statements.
+func (s *session) executeLocal(q lineprotocol.Statement) *lineprotocol.Answer {
 	switch q.Verb {
 	case lineprotocol.Option:
-		if _, ok := s.values[q.Name]; !ok && len(s.values) >= maxNames {
-			return refusal(lineprotocol.Malformed, "too many values", s.state())
+		if _, ok := s.values[q.Name]; !ok && len(s.values) >= maxEntries {
+			return errorResponse(lineprotocol.Malformed, "too many values", s.state())
 		}
-		if a := s.keep(entrySize(q.Name, q.Rest) - s.sizeOfValue(q.Name)); a != nil {
+		if a := s.growStored(entrySize(q.Name, q.Rest) - s.storedValueSize(q.Name)); a != nil {
 			return a
 		}
 		s.values[q.Name] = q.Rest
 	case lineprotocol.Parse:
-		if len(s.names) >= maxNames {
-			return refusal(lineprotocol.Malformed, "too many prepared names", s.state())
+		if len(s.prepared) >= maxEntries {
+			return errorResponse(lineprotocol.Malformed, "too many prepared names", s.state())
 		}
 		statement := dbconn.Prepared{Kind: q.Kind, Text: q.Rest}
-		if a := s.keep(preparedSize(q.Name, statement) - s.sizeOfPrepared(q.Name)); a != nil {
+		if a := s.growStored(preparedSize(q.Name, statement) - s.storedPreparedSize(q.Name)); a != nil {
 			return a
 		}
-		s.names[q.Name] = statement
+		s.prepared[q.Name] = statement
 	case lineprotocol.Close:
-		if _, ok := s.names[q.Name]; !ok {
-			return refusal(lineprotocol.NoSuch, q.Name, s.state())
+		if _, ok := s.prepared[q.Name]; !ok {
+			return errorResponse(lineprotocol.NoSuch, q.Name, s.state())
 		}
-		s.keep(-s.sizeOfPrepared(q.Name))
-		delete(s.names, q.Name)
+		s.growStored(-s.storedPreparedSize(q.Name))
+		delete(s.prepared, q.Name)
 	}
 	return &lineprotocol.Answer{Seal: "-", State: s.state()}
 }
--- a/internal/pooler/tenant.go
+++ b/internal/pooler/tenant.go
@@ -9,43 +9,42 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// tenantRanks is how many ranks routes may have: a tenant's rank comes before that of
-// the route.
-const tenantRanks = 1000
+// routePriorities is the number of distinct route priorities. A tenant's priority takes precedence
+// over that of the route.
+const routePriorities = 1000
 
-// rank is the priority of a tenant's statements on a route; the lower, the more
-// urgent.
-func rank(t *routeconfig.PublishedTenant, r *routeconfig.Route) int {
+// priority returns the priority of a tenant's statements on a route; lower values are more urgent.
+func priority(t *routeconfig.PublishedTenant, r *routeconfig.Route) int {
 	if t == nil {
 		return r.Prio
 	}
-	return t.Prio*tenantRanks + min(r.Prio, tenantRanks-1)
+	return t.Prio*routePriorities + min(r.Prio, routePriorities-1)
 }
 
-// tenant returns who the session's client is on a route, as things are now: nil on a
-// public route, or where there are no tenants. The code is that of an error if the
-// client may not use the route, "" if it may.
-func (s *session) tenant(r *routeconfig.Route, conf *routeconfig.Index) (t *routeconfig.PublishedTenant, code string) {
+// authorize returns the tenant that the session's key currently belongs to: nil on a public route,
+// or if no tenants are configured. code is an error code if the client may not use the route, "" if
+// it may.
+func (s *session) authorize(r *routeconfig.Route, conf *routeconfig.Index) (t *routeconfig.PublishedTenant, code string) {
 	if r.Public || !conf.HasTenants() {
 		return nil, ""
 	}
 	if t = conf.Tenant(s.key); t == nil {
-		s.d.k.Counters.Add("pooler.denied", 1)
-		s.trace.because(causeDenied)
+		s.pooler.k.Counters.Add("pooler.denied", 1)
+		s.trace.setCause(causeDenied)
 		return nil, lineprotocol.Denied
 	}
-	if !s.d.control.KeysKnown() {
-		// Whether the key still holds can't be known here: it is not served, and
-		// not denied either.
-		s.d.k.Counters.Add("pooler.keys_unknown", 1)
-		s.trace.because(causeKeysUnknown)
+	if !s.pooler.control.KeysKnown() {
+		// This pooler cannot tell whether the key is still valid: it neither serves the client
+		// nor denies it.
+		s.pooler.k.Counters.Add("pooler.keys_unknown", 1)
+		s.trace.setCause(causeKeysStale)
 		return nil, lineprotocol.Retry
 	}
 	return t, ""
 }
 
-// nameOf is the name that databases are told.
-func nameOf(t *routeconfig.PublishedTenant) string {
+// tenantName returns the tenant name that is sent to databases, "" for no tenant.
+func tenantName(t *routeconfig.PublishedTenant) string {
 	if t == nil {
 		return ""
 	}
@@ -53,34 +52,35 @@
 }
 
 const (
-	// quotaShare is the part of its aim for which a statement waits for a slice of its
-	// tenant's quota. Refused sooner, its client can come back in time.
-	quotaShare = 0.2
-	// longestQuotaWait bounds that.
-	longestQuotaWait = 150 * kernel.Millisecond
+	// quotaWaitShare is the share of its target latency for which a statement waits for its
+	// tenant's quota. A client that is refused early can retry in time.
+	quotaWaitShare = 0.2
+	// maxQuotaWait bounds this wait.
+	maxQuotaWait = 150 * kernel.Millisecond
 )
 
-// newPermit is the statement's admission under its tenant's limit.
+// newPermit returns the permit by which the statement is admitted under its tenant's rate limit, nil
+// if there is no tenant.
 func (j *job) newPermit() *quota.Permit {
 	if j.tenant == nil {
 		return nil
 	}
-	return j.s.d.quota.NewPermit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
+	return j.session.pooler.quota.NewPermit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
 }
 
-// admit has the next sending of the statement counted; an answer says that there is
-// nothing left of its tenant's quota.
-func (j *job) admit() *lineprotocol.Answer {
-	aim := kernel.Micros(j.route.TargetMs) * kernel.Millisecond
-	if aim == 0 {
-		aim = j.left()
+// acquireQuota acquires quota for the next attempt to send the statement. It returns an error
+// response if its tenant's quota is exhausted, nil otherwise.
+func (j *job) acquireQuota() *lineprotocol.Answer {
+	target := kernel.Micros(j.route.TargetMs) * kernel.Millisecond
+	if target == 0 {
+		target = j.remaining()
 	}
-	err := j.permit.Acquire(min(kernel.Micros(quotaShare*float64(aim)), longestQuotaWait, j.left()))
+	err := j.permit.Acquire(min(kernel.Micros(quotaWaitShare*float64(target)), maxQuotaWait, j.remaining()))
 	var exhausted *quota.ExhaustedError
 	if !errors.As(err, &exhausted) {
 		return nil
 	}
-	j.s.d.k.Counters.Add("pooler.over_quota", 1)
-	j.s.trace.because(causeQuota)
-	return refusal(lineprotocol.Retry, hint(exhausted.RetryAfter), j.s.state())
+	j.session.pooler.k.Counters.Add("pooler.over_quota", 1)
+	j.session.trace.setCause(causeQuota)
+	return errorResponse(lineprotocol.Retry, retryAfter(exhausted.RetryAfter), j.session.state())
 }
--- a/internal/pooler/trace.go
+++ b/internal/pooler/trace.go
@@ -12,56 +12,57 @@
 	"indigowalk/internal/quota"
 )
 
-// Causes of statements that were not served, beside those of readrouting.
+// Causes of failure of statements that were not served, besides those of readrouting.
 const (
-	causeMalformed    = "malformed"
-	causeMemory       = "no_memory_for_message"
-	causeNoRoute      = "no_route"
-	causeNotReady     = "no_configuration_yet"
-	causeDenied       = "key_unknown"
-	causeKeysUnknown  = "keys_not_known_here"
-	causeQuota        = "over_quota"
-	causeQueueFull    = "queue_full"
-	causeNoConnection = "no_connection_in_time"
-	causeEnding       = "process_ends"
-	causeTries        = "tries_used_up"
-	causeUnanswered   = "unanswered"
-	causeDeadline     = "deadline"
-	causeLeft         = "lead_moved_meanwhile"
-	causeEnded        = "transaction_ended"
-	causeDatabase     = "answer_of_database"
+	causeMalformed        = "malformed"
+	causeNoMemory         = "no_memory_for_message"
+	causeNoRoute          = "no_route"
+	causeNotReady         = "no_configuration_yet"
+	causeDenied           = "key_unknown"
+	causeKeysStale        = "keys_not_known_here"
+	causeQuota            = "over_quota"
+	causeQueueFull        = "queue_full"
+	causeNoConnection     = "no_connection_in_time"
+	causeShutdown         = "process_ends"
+	causeTriesExhausted   = "tries_used_up"
+	causeNoResponse       = "unanswered"
+	causeDeadline         = "deadline"
+	causeLeaderChanged    = "lead_moved_meanwhile"
+	causeTransactionEnded = "transaction_ended"
+	causeDatabaseError    = "answer_of_database"
 )
 
-// trace is what is remembered of the statement that a session is working on, for the
-// failure log. Only failed attempts are remembered.
+// trace collects what the failure log needs about the statement that a session is processing. Only
+// failed attempts are collected.
 type trace struct {
-	began    kernel.Micros
+	started  kernel.Micros
 	job      *job
 	cause    string
 	attempts []failurelog.Attempt
 }
 
-// begin forgets the statement before.
-func (t *trace) begin(now kernel.Micros) {
-	*t = trace{began: now, attempts: t.attempts[:0]}
+// reset starts the trace of the next statement.
+func (t *trace) reset(now kernel.Micros) {
+	*t = trace{started: now, attempts: t.attempts[:0]}
 }
 
-// because notes why the statement is not served; the last cause counts.
-func (t *trace) because(cause string) { t.cause = cause }
+// setCause sets the cause for which the statement is not served, replacing any earlier one.
+func (t *trace) setCause(cause string) { t.cause = cause }
 
-// failed notes an attempt that got no success: an error, or a database's answer.
-func (t *trace) failed(database string, now kernel.Micros, err error, a *lineprotocol.Answer) {
-	result := causeOf(err)
+// addAttempt records a failed attempt: an error or, if err is nil, a database's error response.
+func (t *trace) addAttempt(database string, now kernel.Micros, err error, a *lineprotocol.Answer) {
+	result := describeError(err)
 	if err == nil {
 		result = a.Code
 	}
-	t.attempts = append(t.attempts, failurelog.Attempt{Database: database, After: now - t.began, Result: result})
+	t.attempts = append(t.attempts, failurelog.Attempt{Database: database, After: now - t.started, Result: result})
 }
 
-// causeOf names what kept an attempt from being answered.
-func causeOf(err error) string {
+// describeError describes for the failure log why an attempt got no response, and whether the
+// statement had been sent.
+func describeError(err error) string {
 	sent := "sent: "
-	if errors.Is(err, errUnsent) {
+	if errors.Is(err, errNotSent) {
 		sent = "not sent: "
 	}
 	for _, known := range []struct {
@@ -84,18 +85,18 @@
 	return sent + err.Error()
 }
 
-// record puts a statement that was not served into the failure log.
-func (s *session) record(id string, a *lineprotocol.Answer) {
+// recordFailure adds a statement that was not served to the failure log.
+func (s *session) recordFailure(id string, a *lineprotocol.Answer) {
 	t := &s.trace
-	f := failurelog.Failure{
-		ID: id, Route: s.database, Response: a.Code, Cause: t.cause, Duration: s.d.k.Clock.Now() - t.began, Attempts: t.attempts,
+	failure := failurelog.Failure{
+		ID: id, Route: s.database, Response: a.Code, Cause: t.cause, Duration: s.pooler.k.Clock.Now() - t.started, Attempts: t.attempts,
 	}
-	if f.Cause == "" {
-		f.Cause = causeDatabase
+	if failure.Cause == "" {
+		failure.Cause = causeDatabaseError
 	}
 	if t.job != nil {
-		f.Service, f.Tenant = t.job.route.Service, nameOf(t.job.tenant)
+		failure.Service, failure.Tenant = t.job.route.Service, tenantName(t.job.tenant)
 	}
-	_, _, f.Revision, _ = s.d.control.Version()
-	s.d.failures.Add(f)
+	_, _, failure.Revision, _ = s.pooler.control.Version()
+	s.pooler.failures.Add(failure)
 }
--- a/internal/pooler/transaction.go
+++ b/internal/pooler/transaction.go
@@ -12,56 +12,56 @@
 	"indigowalk/internal/readrouting"
 )
 
-// transaction is a client's open transaction. It takes a connection only with
-// its first statement, and holds it to the end.
+// transaction is a client's open transaction. It acquires a connection only with its first statement
+// and keeps it until it ends.
 type transaction struct {
-	s       *session
-	begin   lineprotocol.Statement
-	plain   bool
-	conn    *dbconn.Conn
-	choice  readrouting.Choice
-	service string
-	tenant  string
-	begun   distribution.PrimarySnapshot // how things stood at the primary when it began
-	b       *health.Binding
-	wrote   bool
-	ran     int  // statements answered inside it
-	failed  bool // the database holds it as failed: state E
-	over    bool // it was ended here; the client has not heard yet
+	session   *session
+	begin     lineprotocol.Statement
+	readWrite bool
+	conn      *dbconn.Conn
+	choice    readrouting.Choice
+	service   string
+	tenant    string
+	snapshot  distribution.PrimarySnapshot // state of the primary when it began
+	binding   *health.Binding
+	wrote     bool
+	executed  int  // number of statements executed in it
+	failed    bool // the database reported it as failed: state E
+	ended     bool // the pooler ended it; the client has not been notified yet
 }
 
-// begin opens a transaction for the client; no database hears of it yet.
-func (s *session) begin(q lineprotocol.Statement) (*transaction, *lineprotocol.Answer) {
-	r, _, conf := s.d.route(s.database)
+// beginTransaction opens a transaction for the client. Nothing is sent to a database yet.
+func (s *session) beginTransaction(q lineprotocol.Statement) (*transaction, *lineprotocol.Answer) {
+	r, _, conf := s.pooler.route(s.database)
 	if r == nil {
-		s.trace.because(causeNoRoute)
-		return nil, refusal(lineprotocol.NoDB, s.database, 'I')
+		s.trace.setCause(causeNoRoute)
+		return nil, errorResponse(lineprotocol.NoDB, s.database, 'I')
 	}
-	if _, code := s.tenant(r, conf); code != "" {
-		return nil, refusal(code, hint(kernel.Second), 'I')
+	if _, code := s.authorize(r, conf); code != "" {
+		return nil, errorResponse(code, retryAfter(kernel.Second), 'I')
 	}
-	return &transaction{s: s, begin: q, plain: q.Verb == lineprotocol.Begin}, &lineprotocol.Answer{Seal: "-", State: 'T'}
+	return &transaction{session: s, begin: q, readWrite: q.Verb == lineprotocol.Begin}, &lineprotocol.Answer{Seal: "-", State: 'T'}
 }
 
-// drop ends the transaction without the client: whatever it did is rolled
-// back.
-func (t *transaction) drop() {
-	t.over = true
-	t.letGo(true)
+// rollBack rolls the transaction back on the pooler's initiative.
+func (t *transaction) rollBack() {
+	t.ended = true
+	t.release(true)
 }
 
-// letGo gives the connection back, after a roll-back if one is due.
-func (t *transaction) letGo(rollBack bool) {
+// release returns the connection to the pool. If rollBack is set and a transaction is open on the
+// connection, it is rolled back first.
+func (t *transaction) release(rollBack bool) {
 	if t.conn == nil {
 		return
 	}
 	if rollBack && t.conn.Alive() && t.conn.State() != 'I' {
-		if a, err := t.conn.Ask("ABORT", dbconn.For(endWait, t.s.d.ending)); err != nil || a.State != 'I' {
+		if a, err := t.conn.Ask("ABORT", dbconn.For(rollbackTimeout, t.session.pooler.terminate)); err != nil || a.State != 'I' {
 			t.conn.Close()
 		}
 	}
-	d := t.s.d
-	d.health.Release(t.conn.DB.ID, t.b)
+	d := t.session.pooler
+	d.health.Release(t.conn.DB.ID, t.binding)
 	d.pool.Return(t.conn)
 	if t.choice.Primary {
 		d.control.Done(t.service)
@@ -69,277 +69,280 @@
 	t.conn = nil
 }
 
-// inside works off a statement in an open transaction.
-func (s *session) inside(q lineprotocol.Statement) *lineprotocol.Answer {
+// executeInTransaction executes a statement in the open transaction.
+func (s *session) executeInTransaction(q lineprotocol.Statement) *lineprotocol.Answer {
 	t := s.tx
 	switch {
-	case t.over:
+	case t.ended:
 		s.tx = nil
 		if q.Verb == lineprotocol.Abort {
 			return &lineprotocol.Answer{Seal: "-", State: 'I'}
 		}
-		return s.rolledBack("the transaction was ended")
+		return s.rolledBackResponse("the transaction was ended")
 	case q.Verb == lineprotocol.Abort:
 		s.tx = nil
-		t.letGo(true)
+		t.release(true)
 		return &lineprotocol.Answer{Seal: "-", State: 'I'}
 	case t.failed && q.Verb == lineprotocol.Commit:
 		s.tx = nil
-		t.letGo(true)
-		return s.rolledBack("the transaction had failed")
+		t.release(true)
+		return s.rolledBackResponse("the transaction had failed")
 	case t.failed, q.Verb == lineprotocol.Begin, q.Verb == lineprotocol.BeginFetch:
-		return refusal(lineprotocol.Malformed, "inside a transaction", s.state())
+		return errorResponse(lineprotocol.Malformed, "inside a transaction", s.state())
 	case q.Verb == lineprotocol.Option, q.Verb == lineprotocol.Parse, q.Verb == lineprotocol.Close:
-		return s.local(q)
+		return s.executeLocal(q)
 	}
 	j, a := s.newJob(q)
 	if a != nil {
 		if t.conn != nil && (a.Code == lineprotocol.NoDB || a.Code == lineprotocol.Denied) {
-			return s.abandon("the route or its key is gone")
+			return s.abortTransaction("the route or its key is gone")
 		}
 		return a
 	}
-	if t.conn != nil && nameOf(j.tenant) != t.tenant {
-		return s.abandon("the key is another tenant's now")
+	if t.conn != nil && tenantName(j.tenant) != t.tenant {
+		return s.abortTransaction("the key is another tenant's now")
 	}
-	return j.insideTx(t)
+	return j.runInTransaction(t)
 }
 
-func (s *session) rolledBack(why string) *lineprotocol.Answer {
-	s.d.k.Counters.Add("pooler.rolled_back", 1)
-	s.trace.because(causeEnded)
-	return refusal(lineprotocol.RolledBack, why, 'I')
+// rolledBackResponse returns the response that reports a rollback to the client.
+func (s *session) rolledBackResponse(reason string) *lineprotocol.Answer {
+	s.pooler.k.Counters.Add("pooler.rolled_back", 1)
+	s.trace.setCause(causeTransactionEnded)
+	return errorResponse(lineprotocol.RolledBack, reason, 'I')
 }
 
-// abandon ends the open transaction; nothing of it is kept.
-func (s *session) abandon(why string) *lineprotocol.Answer {
+// abortTransaction rolls the open transaction back and returns the response for the client.
+func (s *session) abortTransaction(reason string) *lineprotocol.Answer {
 	t := s.tx
 	s.tx = nil
-	t.letGo(true)
-	return s.rolledBack(why)
+	t.release(true)
+	return s.rolledBackResponse(reason)
 }
 
-// insideTx runs a statement of the transaction, starting the transaction at a
-// database if this is its first.
-func (j *job) insideTx(t *transaction) *lineprotocol.Answer {
+// runInTransaction runs a statement of the transaction, with retries. The first statement starts the
+// transaction at a database.
+func (j *job) runInTransaction(t *transaction) *lineprotocol.Answer {
 	defer j.permit.Release()
 	for {
-		if a := j.settleInside(t, j.attemptInside(t)); a != nil {
+		if a := j.checkTransactionDeadline(t, j.attemptInTransaction(t)); a != nil {
 			return a
 		}
-		j.s.d.retries.Add(1)
+		j.session.pooler.retries.Add(1)
 	}
 }
 
-// settleInside is settle for a statement of a transaction, which ends with a refusal.
-func (j *job) settleInside(t *transaction, a *lineprotocol.Answer) *lineprotocol.Answer {
-	if a != nil || j.left() > 0 {
+// checkTransactionDeadline is checkDeadline for a statement of a transaction. If it refuses the
+// statement, the transaction ends.
+func (j *job) checkTransactionDeadline(t *transaction, a *lineprotocol.Answer) *lineprotocol.Answer {
+	if a != nil || j.remaining() > 0 {
 		return a
 	}
-	if t.ran > 0 {
-		j.s.trace.because(causeDeadline)
-		return j.s.abandon("deadline passed")
+	if t.executed > 0 {
+		j.session.trace.setCause(causeDeadline)
+		return j.session.abortTransaction("deadline passed")
 	}
-	j.s.tx = nil
-	t.letGo(true)
-	return j.refuse(errLate)
+	j.session.tx = nil
+	t.release(true)
+	return j.refuse(errDeadlinePassed)
 }
 
-// attemptInside runs the statement once. It returns the client's answer, or nil if
-// another attempt may be made in the time that is left.
-func (j *job) attemptInside(t *transaction) *lineprotocol.Answer {
+// attemptInTransaction runs the statement once. It returns the response for the client, or nil if
+// another attempt may be made in the remaining time.
+func (j *job) attemptInTransaction(t *transaction) *lineprotocol.Answer {
 	if t.conn == nil {
-		if a := j.start(t); a != nil || t.conn == nil {
+		if a := j.startTransaction(t); a != nil || t.conn == nil {
 			return a
 		}
 	}
-	return j.step(t)
+	return j.executeStatement(t)
 }
 
-// start borrows a connection and begins the transaction on it. Without an answer and
-// without a connection another attempt may be made.
-func (j *job) start(t *transaction) *lineprotocol.Answer {
-	d := j.s.d
-	if a := j.admit(); a != nil {
-		j.s.tx = nil
+// startTransaction borrows a connection and begins the transaction on it. If it returns nil and the
+// transaction has no connection, another attempt may be made.
+func (j *job) startTransaction(t *transaction) *lineprotocol.Answer {
+	d := j.session.pooler
+	if a := j.acquireQuota(); a != nil {
+		j.session.tx = nil
 		a.State = 'I'
 		return a
 	}
-	conn, choice, err := j.find(t.plain)
+	conn, choice, err := j.acquireConnection(t.readWrite)
 	if err != nil {
-		j.s.tx = nil
+		j.session.tx = nil
 		return j.refuse(err)
 	}
-	t.conn, t.choice, t.service, t.tenant = conn, choice, j.route.Service, nameOf(j.tenant)
-	t.b = d.health.Bind(conn.DB.ID)
+	t.conn, t.choice, t.service, t.tenant = conn, choice, j.route.Service, tenantName(j.tenant)
+	t.binding = d.health.Bind(conn.DB.ID)
 	if choice.Primary {
-		t.begun = d.control.Begin(t.service)
+		t.snapshot = d.control.Begin(t.service)
 	}
-	own := *j
-	own.q = t.begin
+	begin := *j
+	begin.statement = t.begin
 	var a *lineprotocol.Answer
-	err = conn.Values(j.s.values, j.patience())
+	err = conn.Values(j.session.values, j.internalTimeout())
 	if err != nil {
-		err = errors.Join(errUnsent, err)
+		err = errors.Join(errNotSent, err)
 	} else {
-		a, err = own.run(conn, choice, t.b, t.begin.Text, opening)
+		a, err = begin.roundTrip(conn, choice, t.binding, t.begin.Text, phaseBegin)
 	}
 	if err == nil && a.Code == "" && a.State == 'T' {
 		return nil
 	}
-	j.s.trace.failed(conn.DB.ID, j.now(), err, a)
+	j.session.trace.addAttempt(conn.DB.ID, j.now(), err, a)
 	if err != nil {
-		j.lost(t, err)
+		j.handleConnectionError(t, err)
 	} else {
 		switch a.Code {
 		case lineprotocol.Lagging:
 			d.router.MarkLagging(conn.DB.ID)
-			j.shun(conn.DB.ID)
+			j.exclude(conn.DB.ID)
 		default:
 			j.tries++
 		}
 	}
-	t.letGo(true)
-	if j.tries > j.route.Tries || err == nil && !j.pauseAfter(a.Code) || j.left() <= 0 {
-		j.s.tx = nil
-		return j.refuse(errTries)
+	t.release(true)
+	if j.tries > j.route.Tries || err == nil && !j.backOff(a.Code) || j.remaining() <= 0 {
+		j.session.tx = nil
+		return j.refuse(errTriesExhausted)
 	}
 	return nil
 }
 
-// lost reports a broken connection and closes one without an answer.
-func (j *job) lost(t *transaction, err error) {
+// handleConnectionError closes the connection after an error and, if it was broken or silent,
+// reports the database to the health monitor.
+func (j *job) handleConnectionError(t *transaction, err error) {
 	if silent := errors.Is(err, connpool.ErrSilent); silent || errors.Is(err, connpool.ErrBroken) {
-		_, gen := t.b.Bound()
-		j.s.d.health.Report(t.conn.DB.ID, min(gen, t.conn.Generation), silent)
-		j.shun(t.conn.DB.ID)
+		_, gen := t.binding.Bound()
+		j.session.pooler.health.Report(t.conn.DB.ID, min(gen, t.conn.Generation), silent)
+		j.exclude(t.conn.DB.ID)
 	}
 	t.conn.Close()
 	j.tries++
 }
 
-// step runs the statement on the transaction's connection; nil has another attempt made. Nothing of an
-// unfinished transaction is kept once its connection is closed, so every
-// failure but that of COMMIT can be promised.
-func (j *job) step(t *transaction) *lineprotocol.Answer {
-	if db, _ := t.b.Bound(); db == "" && t.ran > 0 {
+// executeStatement runs the statement on the transaction's connection; it returns nil if another
+// attempt may be made. An unfinished transaction has no effect once its connection is closed, so
+// after any failure but that of COMMIT the client can be assured that nothing was committed.
+func (j *job) executeStatement(t *transaction) *lineprotocol.Answer {
+	if db, _ := t.binding.Bound(); db == "" && t.executed > 0 {
 		t.conn.Close()
-		return j.s.abandon("the database failed")
+		return j.session.abortTransaction("the database failed")
 	}
-	commit := j.q.Verb == lineprotocol.Commit
-	// The first statement may start the transaction anew: the one left behind
-	// is rolled back when its connection closes.
-	j.twice = t.ran == 0 && !commit && j.tries == 0
-	a, err := j.runInside(t)
+	commit := j.statement.Verb == lineprotocol.Commit
+	// The first statement may restart the transaction on another connection: the abandoned one is
+	// rolled back when its connection closes.
+	j.mayResend = t.executed == 0 && !commit && j.tries == 0
+	a, err := j.sendInTransaction(t)
 	if err != nil || a.Code != "" {
-		j.s.trace.failed(t.conn.DB.ID, j.now(), err, a)
+		j.session.trace.addAttempt(t.conn.DB.ID, j.now(), err, a)
 	}
 	switch {
 	case errors.Is(err, dbconn.ErrQuiet):
-		left := *t
+		abandoned := *t
 		t.conn = nil
-		j.leaveBehind(left.conn, left.choice, func() {
-			left.conn.Close()
-			left.letGo(false)
+		j.abandonAttempt(abandoned.conn, abandoned.choice, func() {
+			abandoned.conn.Close()
+			abandoned.release(false)
 		})
 		return nil
 	case err != nil:
-		return j.unanswered(t, commit, err)
+		return j.handleNoResponse(t, commit, err)
 	case a.Code != "":
-		return j.refusedInside(t, a)
+		return j.handleTransactionError(t, a)
 	}
-	t.ran++
+	t.executed++
 	t.wrote = t.wrote || j.write
 	if a.State != 'T' {
-		a = j.ended(t, commit, a)
+		a = j.finishTransaction(t, commit, a)
 	}
 	return a
 }
 
-// runInside has the transaction's database run the statement.
-func (j *job) runInside(t *transaction) (*lineprotocol.Answer, error) {
-	if err := t.conn.Values(j.s.values, j.patience()); err != nil {
-		return nil, errors.Join(errUnsent, err)
+// sendInTransaction sends the statement to the transaction's database and returns the response.
+func (j *job) sendInTransaction(t *transaction) (*lineprotocol.Answer, error) {
+	if err := t.conn.Values(j.session.values, j.internalTimeout()); err != nil {
+		return nil, errors.Join(errNotSent, err)
 	}
-	text, err := j.text(t.conn)
+	text, err := j.statementText(t.conn)
 	if err != nil {
-		return nil, errors.Join(errUnsent, err)
+		return nil, errors.Join(errNotSent, err)
 	}
-	at := later
-	if t.ran == 0 {
-		at = first
+	ph := phaseLater
+	if t.executed == 0 {
+		ph = phaseFirst
 	}
-	return j.run(t.conn, t.choice, t.b, text, at)
+	return j.roundTrip(t.conn, t.choice, t.binding, text, ph)
 }
 
-// unanswered deals with a statement of the transaction that got no answer; nil has
-// another attempt made.
-func (j *job) unanswered(t *transaction, commit bool, err error) *lineprotocol.Answer {
-	s := j.s
-	unsent := errors.Is(err, errUnsent)
-	j.lost(t, err)
-	t.letGo(false)
-	if commit && t.wrote && !unsent {
+// handleNoResponse handles a statement of the transaction that got no response; it returns nil if
+// another attempt may be made.
+func (j *job) handleNoResponse(t *transaction, commit bool, err error) *lineprotocol.Answer {
+	s := j.session
+	notSent := errors.Is(err, errNotSent)
+	j.handleConnectionError(t, err)
+	t.release(false)
+	if commit && t.wrote && !notSent {
 		s.tx = nil
-		s.d.k.Counters.Add("pooler.unknown", 1)
-		s.trace.because(causeUnanswered)
-		return refusal(lineprotocol.Unknown, "no answer to COMMIT", 'I')
+		s.pooler.k.Counters.Add("pooler.unknown", 1)
+		s.trace.setCause(causeNoResponse)
+		return errorResponse(lineprotocol.Unknown, "no answer to COMMIT", 'I')
 	}
-	if t.ran == 0 && j.tries <= j.route.Tries && j.left() > 0 {
+	if t.executed == 0 && j.tries <= j.route.Tries && j.remaining() > 0 {
 		return nil
 	}
 	s.tx = nil
-	return s.rolledBack("no answer")
+	return s.rolledBackResponse("no answer")
 }
 
-// ended deals with the answer by which the transaction ended, and returns what the
-// client hears.
-func (j *job) ended(t *transaction, commit bool, a *lineprotocol.Answer) *lineprotocol.Answer {
-	s := j.s
+// finishTransaction handles a response that ended the transaction, and returns the response for the
+// client.
+func (j *job) finishTransaction(t *transaction, commit bool, a *lineprotocol.Answer) *lineprotocol.Answer {
+	s := j.session
 	s.tx = nil
-	if commit && t.wrote && !s.d.control.Acknowledge(t.service, t.conn.DB.ID, t.begun, a.Pos) {
-		a = s.leftMeanwhile(t.conn.DB.ID)
+	if commit && t.wrote && !s.pooler.control.Acknowledge(t.service, t.conn.DB.ID, t.snapshot, a.Pos) {
+		a = s.leaderChangedResponse(t.conn.DB.ID)
 	} else if commit && t.wrote {
-		if pos, ok := lineprotocol.ParsePosition(a.Pos); ok && s.last.Less(pos) {
-			s.last = pos
+		if pos, ok := lineprotocol.ParsePosition(a.Pos); ok && s.lastCommit.Less(pos) {
+			s.lastCommit = pos
 		}
 	}
-	t.letGo(false)
+	t.release(false)
 	return a
 }
 
-// refusedInside deals with an error that the database answered inside the
-// transaction; nil has another attempt made.
-func (j *job) refusedInside(t *transaction, a *lineprotocol.Answer) *lineprotocol.Answer {
-	s := j.s
+// handleTransactionError handles a database's error response in the transaction; it returns nil if
+// another attempt may be made.
+func (j *job) handleTransactionError(t *transaction, a *lineprotocol.Answer) *lineprotocol.Answer {
+	s := j.session
 	j.tries++
-	more := j.tries <= j.route.Tries && j.left() > 0
+	mayRetry := j.tries <= j.route.Tries && j.remaining() > 0
 	switch {
 	case a.Code == lineprotocol.NoSuch:
-		t.conn.Lost(j.shape)
-		if a.State == 'T' && more {
+		t.conn.Lost(j.prepared)
+		if a.State == 'T' && mayRetry {
 			return nil
 		}
 	case a.Code == lineprotocol.Retry && a.State == 'T':
-		if more && j.pauseAfter(a.Code) {
+		if mayRetry && j.backOff(a.Code) {
 			return nil
 		}
 	}
-	if t.ran == 0 && promised(a.Code) && more {
+	if t.executed == 0 && guaranteesNoEffect(a.Code) && mayRetry {
 		if a.Code == lineprotocol.Lagging {
-			s.d.router.MarkLagging(t.conn.DB.ID)
-			j.shun(t.conn.DB.ID)
+			s.pooler.router.MarkLagging(t.conn.DB.ID)
+			j.exclude(t.conn.DB.ID)
 		}
-		t.letGo(true)
-		j.pauseAfter(a.Code)
+		t.release(true)
+		j.backOff(a.Code)
 		return nil
 	}
-	if promised(a.Code) {
-		return s.abandon(a.Code)
+	if guaranteesNoEffect(a.Code) {
+		return s.abortTransaction(a.Code)
 	}
 	if a.State == 'I' {
 		s.tx = nil
-		t.letGo(false)
+		t.release(false)
 	} else {
 		t.failed = a.State == 'E'
 	}
