--- a/internal/pooler/invariants.go
+++ b/internal/pooler/invariants.go
@@ -24,7 +24,7 @@
 // checkSentOnce checks that a statement that must not run twice is not sent again after it may have
 // run.
 func (j *job) checkSentOnce(database string) {
-	j.session.pooler.k.Invariants.Check(!j.mayHaveRun, invariant.SentOnce, "%s is sent to %s, and may have run before", j.statement.ID, database)
+	j.s.pooler.k.Invariants.Check(!j.mayHaveRun, invariant.SentOnce, "%s is sent to %s, and may have run before", j.statement.ID, database)
 }
 
 // checkNoneUnanswered checks, at the end of draining, that every statement that was read has been
--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -18,7 +18,7 @@
 
 // job is the processing of one statement, or of the start of a transaction, at a database.
 type job struct {
-	session      *session
+	s            *session
 	statement    lineprotocol.Statement
 	prepared     dbconn.Prepared // the prepared statement of a RUN
 	write        bool
@@ -59,7 +59,7 @@
 // newJob returns the job of a statement, with its route and tenant. It returns an error response
 // instead if the statement can't be run.
 func (s *session) newJob(q lineprotocol.Statement) (*job, *lineprotocol.Answer) {
-	j := &job{session: s, statement: q, received: s.pooler.k.Clock.Now()}
+	j := &job{s: s, statement: q, received: s.pooler.k.Clock.Now()}
 	var conf *routeconfig.Index
 	if j.route, _, conf = s.pooler.route(s.database); j.route == nil {
 		s.trace.setCause(causeNoRoute)
@@ -86,33 +86,31 @@
 	case lineprotocol.Put:
 		j.write = true
 	case lineprotocol.Run:
-		prepared, ok := j.session.prepared[j.statement.Name]
+		prepared, ok := j.s.prepared[j.statement.Name]
 		if !ok {
-			return errorResponse(lineprotocol.NoSuch, j.statement.Name, j.session.state())
+			return errorResponse(lineprotocol.NoSuch, j.statement.Name, j.s.state())
 		}
 		j.prepared, j.write = prepared, prepared.Kind == lineprotocol.Put
 	}
 	return nil
 }
 
-func (j *job) now() kernel.Micros       { return j.session.pooler.k.Clock.Now() }
+func (j *job) now() kernel.Micros       { return j.s.pooler.k.Clock.Now() }
 func (j *job) remaining() kernel.Micros { return j.deadline - j.now() }
 
-// internalTimeout returns the time limit for the pooler's own statements that must precede this one.
-func (j *job) internalTimeout() dbconn.Patience {
-	return dbconn.For(j.remaining(), j.session.pooler.terminate)
-}
+// timeout returns the time limit for the pooler's own statements that must precede this one.
+func (j *job) timeout() dbconn.Patience { return dbconn.For(j.remaining(), j.s.pooler.terminate) }
 
 // want returns which connection the statement prefers.
 func (j *job) want() dbconn.Want {
-	return dbconn.Want{Tenant: tenantName(j.tenant), Values: j.session.values}
+	return dbconn.Want{Tenant: tenantName(j.tenant), Values: j.s.values}
 }
 
 func (j *job) routingRequest(write bool) readrouting.Request {
 	return readrouting.Request{
 		Service: j.route.Service, Type: j.route.Type,
 		MaxStaleness: j.route.MaxStaleness(),
-		Received:     j.received, LastCommit: j.session.lastCommit, Write: write, Avoid: j.excluded,
+		Received:     j.received, LastCommit: j.s.lastCommit, Write: write, Avoid: j.excluded,
 	}
 }
 
@@ -133,14 +131,14 @@
 // that is empty, the router determines the cause.
 func (j *job) unavailable(cause string, write bool) error {
 	if cause == "" {
-		cause = j.session.pooler.router.Explain(j.routingRequest(write), j.session.pooler.candidates(j.route.Service, j.want()))
+		cause = j.s.pooler.router.Explain(j.routingRequest(write), j.s.pooler.candidates(j.route.Service, j.want()))
 	}
 	return &unavailableError{cause}
 }
 
 // acquireConnection waits for a database that can run the job and borrows a connection to it.
 func (j *job) acquireConnection(write bool) (*dbconn.Conn, readrouting.Choice, error) {
-	d := j.session.pooler
+	d := j.s.pooler
 	for {
 		if d.terminating() {
 			return nil, readrouting.Choice{}, j.unavailable(causeShutdown, write)
@@ -155,7 +153,7 @@
 			if err == nil {
 				return conn, choice, nil
 			}
-			j.session.trace.addAttempt(choice.Database.ID, j.now(), errors.Join(errNotSent, err), nil)
+			j.s.trace.addAttempt(choice.Database.ID, j.now(), errors.Join(errNotSent, err), nil)
 			switch {
 			case errors.Is(err, connpool.ErrFull):
 				return nil, choice, j.unavailable(causeQueueFull, write)
@@ -192,7 +190,7 @@
 	if j.statement.Verb != lineprotocol.Run {
 		return j.statement.Text, nil
 	}
-	name, err := c.Name(j.prepared, j.internalTimeout())
+	name, err := c.Name(j.prepared, j.timeout())
 	if err != nil {
 		return "", err
 	}
@@ -215,7 +213,7 @@
 // sends only under the read lease, unless the statement continues a transaction that was begun under
 // it. To a draining database it sends nothing that starts there after the drain period.
 func (j *job) roundTrip(conn *dbconn.Conn, choice readrouting.Choice, b *health.Binding, text string, ph phase) (*lineprotocol.Answer, error) {
-	d := j.session.pooler
+	d := j.s.pooler
 	if !choice.Primary && ph == phaseBegin && choice.MinPosition != (lineprotocol.Position{}) {
 		text = "WAITPOS " + choice.MinPosition.String() + " " + text
 	}
@@ -306,7 +304,7 @@
 // attempt runs the statement once on conn and releases conn. It returns the response for the client,
 // or nil if another attempt may be made in the remaining time.
 func (j *job) attempt(conn *dbconn.Conn, choice readrouting.Choice) (a *lineprotocol.Answer) {
-	d, id := j.session.pooler, choice.Database.ID
+	d, id := j.s.pooler, choice.Database.ID
 	j.checkSentOnce(id)
 	b := d.health.Bind(id)
 	var snapshot distribution.PrimarySnapshot
@@ -323,7 +321,7 @@
 	// A read whose response is considered lost is sent once more, to another database if possible,
 	// and the first attempt is left to time out.
 	j.mayResend = !j.write && j.tries == 0
-	err := conn.Values(j.session.values, j.internalTimeout())
+	err := conn.Values(j.s.values, j.timeout())
 	var text string
 	if err == nil {
 		text, err = j.statementText(conn)
@@ -335,7 +333,7 @@
 	}
 	j.mayHaveRun = j.write && (err == nil && !guaranteesNoEffect(a.Code) || err != nil && !errors.Is(err, errNotSent))
 	if err != nil || a.Code != "" {
-		j.session.trace.addAttempt(id, j.now(), err, a)
+		j.s.trace.addAttempt(id, j.now(), err, a)
 	}
 	if errors.Is(err, dbconn.ErrQuiet) {
 		j.abandonAttempt(conn, choice, release)
@@ -346,7 +344,7 @@
 		return j.handleAttemptError(conn, b, err)
 	}
 	if j.write && a.Code == "" && !d.control.Acknowledge(j.route.Service, id, snapshot, a.Pos) {
-		return j.session.leaderChangedResponse(id)
+		return j.s.leaderChangedResponse(id)
 	}
 	return j.handleResponse(conn, choice, a)
 }
@@ -354,7 +352,7 @@
 // abandonAttempt waits in the background for a response that is considered lost, and then releases
 // the connection.
 func (j *job) abandonAttempt(conn *dbconn.Conn, choice readrouting.Choice, release func()) {
-	j.session.pooler.k.Counters.Add("pooler.sent_twice", 1)
+	j.s.pooler.k.Counters.Add("pooler.sent_twice", 1)
 	j.tries++
 	if !choice.Primary {
 		j.exclude(choice.Database.ID)
@@ -379,7 +377,7 @@
 // handleAttemptError handles an attempt that got no response; it returns nil if another attempt may
 // be made.
 func (j *job) handleAttemptError(conn *dbconn.Conn, b *health.Binding, err error) *lineprotocol.Answer {
-	d, id := j.session.pooler, conn.DB.ID
+	d, id := j.s.pooler, conn.DB.ID
 	if silent := errors.Is(err, connpool.ErrSilent); silent || errors.Is(err, connpool.ErrBroken) {
 		_, gen := b.Bound()
 		d.health.Report(id, min(gen, conn.Generation), silent)
@@ -391,14 +389,14 @@
 	switch {
 	case j.write && !notSent:
 		d.k.Counters.Add("pooler.unknown", 1)
-		j.session.trace.setCause(causeNoResponse)
+		j.s.trace.setCause(causeNoResponse)
 		return errorResponse(lineprotocol.Unknown, "no answer from "+id, 'I')
 	case j.remaining() <= 0:
 		if notSent {
 			return j.refuse(err)
 		}
 		d.k.Counters.Add("pooler.expired", 1)
-		j.session.trace.setCause(causeDeadline)
+		j.s.trace.setCause(causeDeadline)
 		return errorResponse(lineprotocol.Expired, "deadline passed", 'I')
 	}
 	if !blockedLocally(err) {
@@ -416,12 +414,12 @@
 // handleResponse handles a database's response outside a transaction; it returns nil if another
 // attempt may be made.
 func (j *job) handleResponse(conn *dbconn.Conn, choice readrouting.Choice, a *lineprotocol.Answer) *lineprotocol.Answer {
-	d, id := j.session.pooler, choice.Database.ID
+	d, id := j.s.pooler, choice.Database.ID
 	switch a.Code {
 	case "":
 		if j.write {
-			if pos, ok := lineprotocol.ParsePosition(a.Pos); ok && j.session.lastCommit.Less(pos) {
-				j.session.lastCommit = pos
+			if pos, ok := lineprotocol.ParsePosition(a.Pos); ok && j.s.lastCommit.Less(pos) {
+				j.s.lastCommit = pos
 			}
 		}
 		return a
@@ -474,15 +472,15 @@
 // refuse returns a RETRY response with a retry-after for a statement that was not run, and records
 // the cause.
 func (j *job) refuse(cause error) *lineprotocol.Answer {
-	j.session.pooler.k.Counters.Add("pooler.refused", 1)
+	j.s.pooler.k.Counters.Add("pooler.refused", 1)
 	unavailable := new(unavailableError)
 	switch {
 	case errors.As(cause, &unavailable):
-		j.session.trace.setCause(unavailable.cause)
+		j.s.trace.setCause(unavailable.cause)
 	case errors.Is(cause, errTriesExhausted):
-		j.session.trace.setCause(causeTriesExhausted)
+		j.s.trace.setCause(causeTriesExhausted)
 	default:
-		j.session.trace.setCause(causeDeadline)
+		j.s.trace.setCause(causeDeadline)
 	}
-	return errorResponse(lineprotocol.Retry, retryAfter(200*kernel.Millisecond), j.session.state())
+	return errorResponse(lineprotocol.Retry, retryAfter(200*kernel.Millisecond), j.s.state())
 }
--- a/internal/pooler/memory.go
+++ b/internal/pooler/memory.go
@@ -35,8 +35,8 @@
 	if !s.memory.Resize(s.countedBytes()) {
 		return false
 	}
-	if loggedIn := s.database != ""; loggedIn && bytes > uncountedBytes && s.messageDeadline == 0 {
-		s.messageDeadline = s.pooler.k.Clock.Now() + longMessageTimeout
+	if loggedIn := s.database != ""; loggedIn && bytes > uncountedBytes && s.readUntil == 0 {
+		s.readUntil = s.pooler.k.Clock.Now() + longMessageTimeout
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !s.draining {
@@ -49,10 +49,8 @@
 // countedBytes returns the session's memory use as counted against the process's budget.
 func (s *session) countedBytes() int64 { return int64(s.storedBytes + messageCopies*s.messageBytes) }
 
-// messageOverdue reports whether the time to receive a long message is over.
-func (s *session) messageOverdue() bool {
-	return s.messageDeadline > 0 && s.pooler.k.Clock.Now() >= s.messageDeadline
-}
+// overdue reports whether the time to receive a long message is over.
+func (s *session) overdue() bool { return s.readUntil > 0 && s.pooler.k.Clock.Now() >= s.readUntil }
 
 // growStored increases the size of what the session stores by the given number of bytes, which may
 // be negative. It returns an error response if a limit would be exceeded, nil otherwise.
--- a/internal/pooler/transaction.go
+++ b/internal/pooler/transaction.go
@@ -15,7 +15,7 @@
 // transaction is a client's open transaction. It acquires a connection only with its first statement
 // and keeps it until it ends.
 type transaction struct {
-	session   *session
+	s         *session
 	begin     lineprotocol.Statement
 	readWrite bool
 	conn      *dbconn.Conn
@@ -40,7 +40,7 @@
 	if _, code := s.authorize(r, conf); code != "" {
 		return nil, errorResponse(code, retryAfter(kernel.Second), 'I')
 	}
-	return &transaction{session: s, begin: q, readWrite: q.Verb == lineprotocol.Begin}, &lineprotocol.Answer{Seal: "-", State: 'T'}
+	return &transaction{s: s, begin: q, readWrite: q.Verb == lineprotocol.Begin}, &lineprotocol.Answer{Seal: "-", State: 'T'}
 }
 
 // rollBack rolls the transaction back on the pooler's initiative.
@@ -56,11 +56,11 @@
 		return
 	}
 	if rollBack && t.conn.Alive() && t.conn.State() != 'I' {
-		if a, err := t.conn.Ask("ABORT", dbconn.For(rollbackTimeout, t.session.pooler.terminate)); err != nil || a.State != 'I' {
+		if a, err := t.conn.Ask("ABORT", dbconn.For(rollbackTimeout, t.s.pooler.terminate)); err != nil || a.State != 'I' {
 			t.conn.Close()
 		}
 	}
-	d := t.session.pooler
+	d := t.s.pooler
 	d.health.Release(t.conn.DB.ID, t.binding)
 	d.pool.Return(t.conn)
 	if t.choice.Primary {
@@ -128,7 +128,7 @@
 		if a := j.checkTransactionDeadline(t, j.attemptInTransaction(t)); a != nil {
 			return a
 		}
-		j.session.pooler.retries.Add(1)
+		j.s.pooler.retries.Add(1)
 	}
 }
 
@@ -139,10 +139,10 @@
 		return a
 	}
 	if t.executed > 0 {
-		j.session.trace.setCause(causeDeadline)
-		return j.session.abortTransaction("deadline passed")
+		j.s.trace.setCause(causeDeadline)
+		return j.s.abortTransaction("deadline passed")
 	}
-	j.session.tx = nil
+	j.s.tx = nil
 	t.release(true)
 	return j.refuse(errDeadlinePassed)
 }
@@ -161,15 +161,15 @@
 // startTransaction borrows a connection and begins the transaction on it. If it returns nil and the
 // transaction has no connection, another attempt may be made.
 func (j *job) startTransaction(t *transaction) *lineprotocol.Answer {
-	d := j.session.pooler
+	d := j.s.pooler
 	if a := j.acquireQuota(); a != nil {
-		j.session.tx = nil
+		j.s.tx = nil
 		a.State = 'I'
 		return a
 	}
 	conn, choice, err := j.acquireConnection(t.readWrite)
 	if err != nil {
-		j.session.tx = nil
+		j.s.tx = nil
 		return j.refuse(err)
 	}
 	t.conn, t.choice, t.service, t.tenant = conn, choice, j.route.Service, tenantName(j.tenant)
@@ -180,7 +180,7 @@
 	begin := *j
 	begin.statement = t.begin
 	var a *lineprotocol.Answer
-	err = conn.Values(j.session.values, j.internalTimeout())
+	err = conn.Values(j.s.values, j.timeout())
 	if err != nil {
 		err = errors.Join(errNotSent, err)
 	} else {
@@ -189,7 +189,7 @@
 	if err == nil && a.Code == "" && a.State == 'T' {
 		return nil
 	}
-	j.session.trace.addAttempt(conn.DB.ID, j.now(), err, a)
+	j.s.trace.addAttempt(conn.DB.ID, j.now(), err, a)
 	if err != nil {
 		j.handleConnectionError(t, err)
 	} else {
@@ -203,18 +203,18 @@
 	}
 	t.release(true)
 	if j.tries > j.route.Tries || err == nil && !j.backOff(a.Code) || j.remaining() <= 0 {
-		j.session.tx = nil
+		j.s.tx = nil
 		return j.refuse(errTriesExhausted)
 	}
 	return nil
 }
 
 // handleConnectionError closes the connection after an error and, if it was broken or silent,
-// reports the database to the health monitor.
+// reports the database to the health monitor and excludes it from further attempts.
 func (j *job) handleConnectionError(t *transaction, err error) {
 	if silent := errors.Is(err, connpool.ErrSilent); silent || errors.Is(err, connpool.ErrBroken) {
 		_, gen := t.binding.Bound()
-		j.session.pooler.health.Report(t.conn.DB.ID, min(gen, t.conn.Generation), silent)
+		j.s.pooler.health.Report(t.conn.DB.ID, min(gen, t.conn.Generation), silent)
 		j.exclude(t.conn.DB.ID)
 	}
 	t.conn.Close()
@@ -227,7 +227,7 @@
 func (j *job) executeStatement(t *transaction) *lineprotocol.Answer {
 	if db, _ := t.binding.Bound(); db == "" && t.executed > 0 {
 		t.conn.Close()
-		return j.session.abortTransaction("the database failed")
+		return j.s.abortTransaction("the database failed")
 	}
 	commit := j.statement.Verb == lineprotocol.Commit
 	// The first statement may restart the transaction on another connection: the abandoned one is
@@ -235,7 +235,7 @@
 	j.mayResend = t.executed == 0 && !commit && j.tries == 0
 	a, err := j.sendInTransaction(t)
 	if err != nil || a.Code != "" {
-		j.session.trace.addAttempt(t.conn.DB.ID, j.now(), err, a)
+		j.s.trace.addAttempt(t.conn.DB.ID, j.now(), err, a)
 	}
 	switch {
 	case errors.Is(err, dbconn.ErrQuiet):
@@ -261,7 +261,7 @@
 
 // sendInTransaction sends the statement to the transaction's database and returns the response.
 func (j *job) sendInTransaction(t *transaction) (*lineprotocol.Answer, error) {
-	if err := t.conn.Values(j.session.values, j.internalTimeout()); err != nil {
+	if err := t.conn.Values(j.s.values, j.timeout()); err != nil {
 		return nil, errors.Join(errNotSent, err)
 	}
 	text, err := j.statementText(t.conn)
@@ -278,7 +278,7 @@
 // handleNoResponse handles a statement of the transaction that got no response; it returns nil if
 // another attempt may be made.
 func (j *job) handleNoResponse(t *transaction, commit bool, err error) *lineprotocol.Answer {
-	s := j.session
+	s := j.s
 	notSent := errors.Is(err, errNotSent)
 	j.handleConnectionError(t, err)
 	t.release(false)
@@ -298,7 +298,7 @@
 // finishTransaction handles a response that ended the transaction, and returns the response for the
 // client.
 func (j *job) finishTransaction(t *transaction, commit bool, a *lineprotocol.Answer) *lineprotocol.Answer {
-	s := j.session
+	s := j.s
 	s.tx = nil
 	if commit && t.wrote && !s.pooler.control.Acknowledge(t.service, t.conn.DB.ID, t.snapshot, a.Pos) {
 		a = s.leaderChangedResponse(t.conn.DB.ID)
@@ -314,7 +314,7 @@
 // handleTransactionError handles a database's error response in the transaction; it returns nil if
 // another attempt may be made.
 func (j *job) handleTransactionError(t *transaction, a *lineprotocol.Answer) *lineprotocol.Answer {
-	s := j.session
+	s := j.s
 	j.tries++
 	mayRetry := j.tries <= j.route.Tries && j.remaining() > 0
 	switch {
