--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -102,9 +102,7 @@
 func (j *job) timeout() dbconn.Patience { return dbconn.For(j.remaining(), j.s.pooler.terminate) }
 
 // want returns which connection the statement prefers.
-func (j *job) want() dbconn.Want {
-	return dbconn.Want{Tenant: tenantName(j.tenant), Values: j.s.values}
-}
+func (j *job) want() dbconn.Want { return dbconn.Want{Tenant: nameFor(j.tenant), Values: j.s.values} }
 
 func (j *job) routingRequest(write bool) readrouting.Request {
 	return readrouting.Request{
--- a/internal/pooler/tenant.go
+++ b/internal/pooler/tenant.go
@@ -43,8 +43,8 @@
 	return t, ""
 }
 
-// tenantName returns the tenant name that is sent to databases, "" for no tenant.
-func tenantName(t *routeconfig.PublishedTenant) string {
+// nameFor returns the tenant name that is sent to databases, "" for no tenant.
+func nameFor(t *routeconfig.PublishedTenant) string {
 	if t == nil {
 		return ""
 	}
--- a/internal/pooler/trace.go
+++ b/internal/pooler/trace.go
@@ -95,7 +95,7 @@
 		failure.Cause = causeDatabaseError
 	}
 	if t.job != nil {
-		failure.Service, failure.Tenant = t.job.route.Service, tenantName(t.job.tenant)
+		failure.Service, failure.Tenant = t.job.route.Service, nameFor(t.job.tenant)
 	}
 	_, _, failure.Revision, _ = s.pooler.control.Version()
 	s.pooler.failures.Add(failure)
--- a/internal/pooler/transaction.go
+++ b/internal/pooler/transaction.go
@@ -99,7 +99,7 @@
 		}
 		return a
 	}
-	if t.conn != nil && tenantName(j.tenant) != t.tenant {
+	if t.conn != nil && nameFor(j.tenant) != t.tenant {
 		return s.abortTransaction("the key is another tenant's now")
 	}
 	return j.runInTransaction(t)
@@ -172,7 +172,7 @@
 		j.s.tx = nil
 		return j.refuse(err)
 	}
-	t.conn, t.choice, t.service, t.tenant = conn, choice, j.route.Service, tenantName(j.tenant)
+	t.conn, t.choice, t.service, t.tenant = conn, choice, j.route.Service, nameFor(j.tenant)
 	t.binding = d.health.Bind(conn.DB.ID)
 	if choice.Primary {
 		t.snapshot = d.control.Begin(t.service)
