--- a/internal/pooler/invariants_test.go
+++ b/internal/pooler/invariants_test.go
@@ -49,7 +49,7 @@
 
 // Any stall long enough to make a response late must be detected, so that a stalled process is not
 // reported as one that answers late.
-func TestRelevantStallsAreDetected(t *testing.T) {
+func TestStallsThatDelayResponsesAreDetected(t *testing.T) {
 	if deadlineTolerance <= kernel.LongestUnseenStall {
 		t.Errorf("an answer counts as late after %d us, a stall of %d us is not seen", deadlineTolerance, kernel.LongestUnseenStall)
 	}
--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -210,14 +210,14 @@
 // roundTrip sends the text on a borrowed connection and waits for the response. To a primary it
 // sends only under the read lease, unless the statement continues a transaction that was begun under
 // it. To a draining database it sends nothing that starts there after the drain period.
-func (j *job) roundTrip(conn *dbconn.Conn, choice readrouting.Choice, b *health.Binding, text string, ph phase) (*lineprotocol.Answer, error) {
+func (j *job) roundTrip(conn *dbconn.Conn, choice readrouting.Choice, b *health.Binding, text string, stage phase) (*lineprotocol.Answer, error) {
 	d := j.s.pooler
-	if !choice.Primary && ph == phaseBegin && choice.MinPosition != (lineprotocol.Position{}) {
+	if !choice.Primary && stage == phaseBegin && choice.MinPosition != (lineprotocol.Position{}) {
 		text = "WAITPOS " + choice.MinPosition.String() + " " + text
 	}
 	msg := lineprotocol.AppendMessage(nil, "QUERY", j.statement.ID, text)
 	sent := j.now()
-	gated := choice.Primary && ph == phaseBegin
+	gated := choice.Primary && stage == phaseBegin
 	gate := func(write func() error) (err error) {
 		counted := func() error {
 			if err := j.permit.Check(); err != nil {
@@ -235,7 +235,7 @@
 		}
 		return counted()
 	}
-	if ph == phaseLater {
+	if stage == phaseLater {
 		gate = nil
 	}
 	if err := conn.Send(msg, j.remaining(), gate); err != nil {
--- a/internal/pooler/memory.go
+++ b/internal/pooler/memory.go
@@ -32,7 +32,7 @@
 // and reports whether there is enough. The reader calls it; 0 starts the next message.
 func (s *session) reserveMessage(bytes int) bool {
 	s.messageBytes = bytes
-	if !s.memory.Resize(s.countedBytes()) {
+	if !s.memory.Resize(s.memoryBytes()) {
 		return false
 	}
 	if loggedIn := s.database != ""; loggedIn && bytes > uncountedBytes && s.readUntil == 0 {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// countedBytes returns the session's memory use as counted against the process's budget.
-func (s *session) countedBytes() int64 { return int64(s.storedBytes + messageCopies*s.messageBytes) }
+// memoryBytes returns how many bytes of the process's memory the session uses.
+func (s *session) memoryBytes() int64 { return int64(s.storedBytes + messageCopies*s.messageBytes) }
 
 // overdue reports whether the time to receive a long message is over.
 func (s *session) overdue() bool { return s.readUntil > 0 && s.pooler.k.Clock.Now() >= s.readUntil }
@@ -59,7 +59,7 @@
 		return errorResponse(lineprotocol.Malformed, "too many values and prepared names", s.state())
 	}
 	s.storedBytes += bytes
-	if !s.memory.Resize(s.countedBytes()) {
+	if !s.memory.Resize(s.memoryBytes()) {
 		s.storedBytes -= bytes
 		s.pooler.k.Counters.Add("pooler.memory_full", 1)
 		return errorResponse(lineprotocol.Retry, retryAfter(kernel.Second), s.state())
--- a/internal/pooler/session.go
+++ b/internal/pooler/session.go
@@ -15,7 +15,7 @@
 
 // Bounds of one session.
 const (
-	maxEntries   = 4096
+	maxEntries   = 4096 // of values, and of prepared statements
 	loginTimeout = 3 * kernel.Second
 	// drainIdleTimeout is how long a session must be idle before a draining pooler closes it.
 	drainIdleTimeout = 150 * kernel.Millisecond
@@ -115,8 +115,8 @@
 	defer s.mu.Unlock()
 	s.draining, s.closing = true, true
 	if !s.busy {
-		// A message that has arrived is still to be read: a read after its deadline would return
-		// nothing.
+		// The deadline is not now: a message that has arrived must still be read, and a read past
+		// its deadline returns nothing.
 		s.conn.SetReadDeadline(time.Now().Add(closeIdleTimeout.Duration()))
 	}
 }
--- a/internal/pooler/transaction.go
+++ b/internal/pooler/transaction.go
@@ -268,11 +268,11 @@
 	if err != nil {
 		return nil, errors.Join(errNotSent, err)
 	}
-	ph := phaseLater
+	stage := phaseLater
 	if t.executed == 0 {
-		ph = phaseFirst
+		stage = phaseFirst
 	}
-	return j.roundTrip(t.conn, t.choice, t.binding, text, ph)
+	return j.roundTrip(t.conn, t.choice, t.binding, text, stage)
 }
 
 // handleNoResponse handles a statement of the transaction that got no response; it returns nil if
