--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,5 +1,6 @@
-// Package connpool keeps a node's connections to databases, whatever they speak:
-// capped, shared, opened step by step and handed to who is most urgent.
+// Package connpool pools a process's connections to databases, independent of the protocol they
+// speak. The pools are capped, shared between sessions and grown gradually; a free connection goes
+// to the most urgent waiter it suits.
 package connpool
 
 import (
@@ -14,73 +15,72 @@
 	"indigowalk/internal/kernel"
 )
 
-// Errors of this layer.
+// Errors of connecting to a database and of borrowing a connection.
 var (
-	ErrBroken   = errors.New("connpool: connection broken")
-	ErrSilent   = errors.New("connpool: database silent or refusing connections")
-	ErrSlow     = errors.New("connpool: database connected but slow to be ready")
-	ErrFull     = errors.New("connpool: no connection free")
-	ErrCapped   = errors.New("connpool: database takes no more connections")
-	ErrDeadline = errors.New("connpool: deadline passed")
-	ErrRejected = errors.New("connpool: database rejects the connection")
+	ErrBroken          = errors.New("connpool: connection broken")
+	ErrSilent          = errors.New("connpool: database unresponsive or refusing connections")
+	ErrSlow            = errors.New("connpool: database accepted the connection but was not ready in time")
+	ErrFull            = errors.New("connpool: no connection available")
+	ErrConnectionLimit = errors.New("connpool: database is at its connection limit")
+	ErrDeadline        = errors.New("connpool: deadline exceeded")
+	ErrRejected        = errors.New("connpool: database rejected the connection")
 )
 
-// Line is a connection as the pools need it. W is what a borrower may wish of
-// one.
+// Line is a connection as the pools use it. W describes what a borrower requires or prefers of a
+// connection.
 type Line[W any] interface {
 	comparable
 	Alive() bool
 	Close()
-	// Clean tells whether it can serve others now.
+	// Clean reports whether the connection can be handed to another borrower now.
 	Clean() bool
-	// Fit tells how well one that has been idle for so long suits; below 0 it
-	// does not.
+	// Fit scores how well a connection that has been idle for the given time suits a borrower. A
+	// negative score means that it must not be used.
 	Fit(want W, idle kernel.Micros) int
-	// Attach names the generation under which it was opened, and whom to tell
-	// when it breaks.
-	Attach(generation int64, died func(byUs, silent bool))
+	// Attach sets the database generation under which the connection was opened, and the callback
+	// to run when it breaks.
+	Attach(generation int64, onBroken func(byUs, unresponsive bool))
 }
 
-// Share tells how many connections a node may hold to one database of a
-// service.
+// Share returns how many connections this process may hold to one database of a service.
 type Share func(service string) int
 
-// Counts tells the open and idle connections by database.
+// Counts returns the numbers of open and idle connections by database.
 type Counts func() map[string][2]int
 
-// Updater takes the databases there are.
+// Updater receives the current set of databases, by ID.
 type Updater func(map[string]discovery.Database)
 
-// Config is what pools are built from.
+// Config configures the pools.
 type Config[W, C any] struct {
 	Open      func(ctx context.Context, db discovery.Database, want W, wait kernel.Micros) (C, error)
-	Probe     func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) // Open's for no want, if nil
-	OpenWait  kernel.Micros                                                                   // for a log-in
-	CheckWait kernel.Micros                                                                   // for the log-in of a check
-	IdleFor   kernel.Micros                                                                   // after which a spare connection is closed, if others are left
-	UnusedFor kernel.Micros                                                                   // after which a database is left without any
+	Probe     func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) // nil: Open with the zero W
+	OpenWait  kernel.Micros                                                                   // time limit of a log-in
+	CheckWait kernel.Micros                                                                   // time limit of the log-in of a health check
+	IdleFor   kernel.Micros                                                                   // after which an idle connection is closed, if others are left
+	UnusedFor kernel.Micros                                                                   // after which the last idle connections to a database are closed too
 	Share     func(service string) int
-	Most      int  // connections to all databases together, 0 for no bound
-	Evict     bool // an idle connection that suits nobody makes place for one that does
-	Doubt     bool // of several silent databases the node's own link is suspected first
+	Most      int  // maximum connections to all databases together, 0 for no limit
+	Evict     bool // close an idle connection that suits no waiter to open one that does
+	Doubt     bool // if several databases are unresponsive, suspect the node's own link first
 }
 
-// Pools hold this node's connections to all databases.
+// Pools holds the connections of this process to all databases.
 type Pools[W any, C Line[W]] struct {
 	k      *kernel.Kernel
 	cfg    Config[W, C]
 	health *health.Monitor
 
-	mu      sync.Mutex
-	ctx     context.Context
-	pools   map[string]*pool[W, C]
-	origins map[C]origin[W, C] // of every open connection
-	quiet   Silences
-	// unknown are the databases that were held as down and not known at the last look.
-	unknown map[string]bool
+	mu           sync.Mutex
+	ctx          context.Context
+	pools        map[string]*pool[W, C]
+	origins      map[C]origin[W, C] // every open connection
+	unresponsive UnresponsiveTracker
+	// downUnknown holds the databases that were marked down but not known at the last check.
+	downUnknown map[string]bool
 }
 
-// origin is where a connection belongs.
+// origin records the pool, database and generation that an open connection belongs to.
 type origin[W, C any] struct {
 	pool       *pool[W, C]
 	lent       bool
@@ -89,58 +89,62 @@
 	generation int64
 }
 
+// pool holds the connections to one database and the requests waiting for one.
 type pool[W, C any] struct {
-	db      discovery.Database
-	idle    []resting[C]
-	open    int // connections there are, borrowed ones included
-	lent    int
-	opening int
-	waiting []*waiter[W, C]
-	fullTil kernel.Micros // the database refused more connections
+	db           discovery.Database
+	idle         []idleConn[C]
+	open         int // all open connections, borrowed ones included
+	lent         int
+	opening      int
+	waiting      []*waiter[W, C]
+	atLimitUntil kernel.Micros // the database was at its connection limit; open no more until then
 }
 
-type resting[C any] struct {
+// idleConn is an idle connection and the time since when it has been idle.
+type idleConn[C any] struct {
 	c     C
 	since kernel.Micros
 }
 
+// waiter is a Borrow call that waits for a connection.
 type waiter[W, C any] struct {
-	prio   int
-	want   W
-	opened bool // a connection is being made for it
-	ch     chan grant[C]
+	priority int
+	want     W
+	opening  bool // a connection is being opened for it
+	ch       chan grant[C]
 }
 
+// grant is the result passed to a waiter.
 type grant[C any] struct {
 	c   C
 	err error
 }
 
-// New returns empty pools.
+// New returns empty pools and registers the gauge of open connections.
 func New[W any, C Line[W]](k *kernel.Kernel, cfg Config[W, C], health *health.Monitor) *Pools[W, C] {
 	if cfg.Probe == nil {
 		cfg.Probe = func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) {
-			var any W
-			return cfg.Open(ctx, db, any, wait)
+			var zero W
+			return cfg.Open(ctx, db, zero, wait)
 		}
 	}
 	s := &Pools[W, C]{
 		k: k, cfg: cfg, health: health, ctx: context.Background(), pools: map[string]*pool[W, C]{}, origins: map[C]origin[W, C]{},
 	}
 	k.Counters.Observable("connpool.open", s.openConnections)
-	health.SetKnown(map[string]bool{}) // none is known before the first Stock
+	health.SetKnown(map[string]bool{}) // no database is known before the first update
 	return s
 }
 
-// openConnections is how many connections there are, to all databases.
+// openConnections returns the number of open connections to all databases.
 func (s *Pools[W, C]) openConnections() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(len(s.origins))
 }
 
-// Stock names the databases there are; connections to others are closed once
-// they are idle.
+// Stock sets the databases. Idle connections to databases that were removed or have moved are
+// closed at once, borrowed ones when they are returned.
 func (s *Pools[W, C]) Stock(dbs map[string]discovery.Database) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +165,7 @@
 	}
 	for id, p := range s.pools {
 		if !known[id] {
-			p.fail(ErrBroken)
+			p.failWaiters(ErrBroken)
 			s.closeIdle(p)
 			delete(s.pools, id)
 		}
@@ -171,26 +175,27 @@
 
 func (s *Pools[W, C]) closeIdle(p *pool[W, C]) {
 	for _, r := range p.idle {
-		s.end(p, r.c)
+		s.closeConn(p, r.c)
 	}
 	p.idle = nil
 }
 
-// end closes a connection that is neither borrowed nor idle any more.
-func (s *Pools[W, C]) end(p *pool[W, C], c C) {
+// closeConn closes a connection that is neither borrowed nor idle.
+func (s *Pools[W, C]) closeConn(p *pool[W, C], c C) {
 	c.Close()
 	p.open--
 	delete(s.origins, c)
 }
 
-func (p *pool[W, C]) fail(err error) {
+// failWaiters ends every pending Borrow with the error.
+func (p *pool[W, C]) failWaiters(err error) {
 	for _, w := range p.waiting {
 		w.ch <- grant[C]{err: err}
 	}
 	p.waiting = nil
 }
 
-// Busy returns how many connections to the database are borrowed or awaited.
+// Busy returns how many connections to the database are borrowed or waited for.
 func (s *Pools[W, C]) Busy(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,15 +205,15 @@
 	return 0
 }
 
-// Idle tells whether a connection to the database that suits waits for use.
+// Idle reports whether an idle connection to the database suits the borrower.
 func (s *Pools[W, C]) Idle(id string, want W) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pools[id]
-	return p != nil && slices.ContainsFunc(p.idle, func(r resting[C]) bool { return r.c.Fit(want, 0) >= 0 })
+	return p != nil && slices.ContainsFunc(p.idle, func(r idleConn[C]) bool { return r.c.Fit(want, 0) >= 0 })
 }
 
-// Counts returns the open and idle connections by database.
+// Counts returns the numbers of open and idle connections by database.
 func (s *Pools[W, C]) Counts() map[string][2]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,47 +224,47 @@
 	return out
 }
 
-// queueFactor bounds those who wait for a connection, per connection allowed.
+// queueFactor bounds the number of waiters per connection allowed.
 const queueFactor = 6
 
-// Borrow hands out a connection to the database, the one that suits best, within
-// the span. ErrFull says that the queue is full of others
-// as urgent, ErrDeadline that none came free in time.
-func (s *Pools[W, C]) Borrow(id string, prio int, want W, wait kernel.Micros) (c C, err error) {
+// Borrow returns the connection to the database that suits best, waiting for one up to the given
+// time. ErrFull means that the queue is full of requests at least as urgent, ErrDeadline that no
+// connection became free in time.
+func (s *Pools[W, C]) Borrow(id string, priority int, want W, wait kernel.Micros) (c C, err error) {
 	s.mu.Lock()
 	p := s.pools[id]
 	if p == nil {
 		s.mu.Unlock()
 		return c, ErrBroken
 	}
-	if c, ok := s.take(p, want); ok {
-		s.lend(p, c)
+	if c, ok := s.takeIdle(p, want); ok {
+		s.markLent(p, c)
 		s.mu.Unlock()
 		return c, nil
 	}
 	share := max(1, s.cfg.Share(p.db.Service))
-	if len(p.waiting) >= queueFactor*share && !p.displace(prio) {
+	if len(p.waiting) >= queueFactor*share && !p.displaceWaiter(priority) {
 		s.mu.Unlock()
 		s.k.Counters.Add("connpool.queue_full", 1)
 		return c, ErrFull
 	}
-	w := &waiter[W, C]{prio: prio, want: want, ch: make(chan grant[C], 1)}
-	at, _ := slices.BinarySearchFunc(p.waiting, prio, func(o *waiter[W, C], prio int) int {
-		if o.prio <= prio {
+	w := &waiter[W, C]{priority: priority, want: want, ch: make(chan grant[C], 1)}
+	position, _ := slices.BinarySearchFunc(p.waiting, priority, func(o *waiter[W, C], priority int) int {
+		if o.priority <= priority {
 			return -1
 		}
 		return 1
 	})
-	p.waiting = slices.Insert(p.waiting, at, w)
-	s.extend(p, share)
+	p.waiting = slices.Insert(p.waiting, position, w)
+	s.openForWaiters(p, share)
 	s.mu.Unlock()
 
-	t := time.NewTimer(wait.Duration())
-	defer t.Stop()
+	timer := time.NewTimer(wait.Duration())
+	defer timer.Stop()
 	select {
 	case g := <-w.ch:
 		return g.c, g.err
-	case <-t.C:
+	case <-timer.C:
 	}
 	s.mu.Lock()
 	if i := slices.Index(p.waiting, w); i >= 0 {
@@ -272,10 +277,11 @@
 	return g.c, g.err
 }
 
-// displace makes room by refusing the least urgent, if less urgent than prio.
-func (p *pool[W, C]) displace(prio int) bool {
+// displaceWaiter refuses the least urgent waiter to make room in the queue, if it is less urgent
+// than the given priority; a smaller number is more urgent.
+func (p *pool[W, C]) displaceWaiter(priority int) bool {
 	last := len(p.waiting) - 1
-	if last < 0 || p.waiting[last].prio <= prio {
+	if last < 0 || p.waiting[last].priority <= priority {
 		return false
 	}
 	p.waiting[last].ch <- grant[C]{err: ErrFull}
@@ -283,9 +289,9 @@
 	return true
 }
 
-// take picks the idle connection that fits best, and of those the one used
-// last. Those that suit nobody any more are closed.
-func (s *Pools[W, C]) take(p *pool[W, C], want W) (c C, ok bool) {
+// takeIdle removes and returns the idle connection with the best score; of equally good ones it
+// takes the most recently used.
+func (s *Pools[W, C]) takeIdle(p *pool[W, C], want W) (c C, ok bool) {
 	now := s.k.Clock.Now()
 	best, fit := -1, -1
 	for i := len(p.idle) - 1; i >= 0; i-- {
@@ -302,28 +308,28 @@
 	return c, true
 }
 
-// Return gives a connection back. Only a clean one can serve others; any other
-// is closed.
+// Return gives a borrowed connection back. It stays open only if it is alive, clean, within the
+// share, and still belongs to a known database at the same address.
 func (s *Pools[W, C]) Return(c C) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := s.takeBack(c)
+	at := s.markReturned(c)
 	p := at.pool
-	surplus := p.open > max(1, s.cfg.Share(p.db.Service)) // others have come
+	surplus := p.open > max(1, s.cfg.Share(p.db.Service)) // the share shrank as more proxies joined
 	if surplus || s.pools[at.id] != p || !c.Clean() || !c.Alive() || p.db.Address != at.address {
-		s.end(p, c)
-		s.extend(p, max(1, s.cfg.Share(p.db.Service)))
+		s.closeConn(p, c)
+		s.openForWaiters(p, max(1, s.cfg.Share(p.db.Service)))
 		return
 	}
-	s.put(p, c)
+	s.grantOrIdle(p, c)
 	if len(p.waiting) > 0 {
-		s.extend(p, max(1, s.cfg.Share(p.db.Service)))
+		s.openForWaiters(p, max(1, s.cfg.Share(p.db.Service)))
 	}
 }
 
-// died is called when a connection broke. One that was idle is dropped here;
-// a borrowed one by whoever returns it.
-func (s *Pools[W, C]) died(c C, byUs, silent bool) {
+// handleBroken runs when a connection has broken. An idle one is dropped here, a borrowed one when
+// it is returned. Unless this process closed it, the break is reported to the health monitor.
+func (s *Pools[W, C]) handleBroken(c C, byUs, unresponsive bool) {
 	s.mu.Lock()
 	at, open := s.origins[c]
 	if !open {
@@ -331,27 +337,27 @@
 		return
 	}
 	p := at.pool
-	if i := slices.IndexFunc(p.idle, func(r resting[C]) bool { return r.c == c }); i >= 0 {
+	if i := slices.IndexFunc(p.idle, func(r idleConn[C]) bool { return r.c == c }); i >= 0 {
 		p.idle = slices.Delete(p.idle, i, i+1)
-		s.end(p, c)
+		s.closeConn(p, c)
 	}
 	known := s.pools[at.id] == p && !p.db.Draining
 	s.mu.Unlock()
 	if !byUs && known {
 		s.k.Counters.Add("connpool.broken", 1)
-		s.health.Report(at.id, at.generation, silent)
+		s.health.Report(at.id, at.generation, unresponsive)
 	}
 }
 
-// Generation is that of the database when the connection was opened.
+// Generation returns the generation of the database when the connection was opened.
 func (s *Pools[W, C]) Generation(c C) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.origins[c].generation
 }
 
-// Serve closes spare connections and refuses those who wait for a database
-// that went down.
+// Serve runs until ctx ends: it closes surplus connections, and for databases that went down it
+// closes the idle connections and fails the waiters.
 func (s *Pools[W, C]) Serve(ctx context.Context) error {
 	s.mu.Lock()
 	s.ctx = ctx
@@ -364,12 +370,12 @@
 		s.mu.Lock()
 		for id := range down {
 			if p := s.pools[id]; p != nil {
-				p.fail(ErrBroken)
+				p.failWaiters(ErrBroken)
 				s.closeIdle(p)
 			}
 		}
-		s.closeSpare()
-		s.watchDown(down)
+		s.closeSurplus()
+		s.checkDownKnown(down)
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -380,7 +386,9 @@
 	}
 }
 
-func (s *Pools[W, C]) closeSpare() {
+// closeSurplus closes idle connections that exceed their idle time or the share of the service.
+// The caller holds the lock.
+func (s *Pools[W, C]) closeSurplus() {
 	now := s.k.Clock.Now()
 	for _, p := range s.pools {
 		share := max(1, s.cfg.Share(p.db.Service))
@@ -388,7 +396,7 @@
 			s.closeIdle(p)
 		}
 		for len(p.idle) > 1 && now-p.idle[0].since > s.cfg.IdleFor || len(p.idle) > 0 && p.open > share {
-			s.end(p, p.idle[0].c)
+			s.closeConn(p, p.idle[0].c)
 			p.idle = p.idle[1:]
 		}
 	}
--- a/internal/connpool/dial.go
+++ b/internal/connpool/dial.go
@@ -9,40 +9,41 @@
 	"indigowalk/internal/kernel"
 )
 
-// MaxDials is a pace for Dial: of many connections at once, on a small machine,
-// none would be made in time, and every database would seem silent.
+// MaxDials limits concurrent calls of Dial. With more at once on a small machine none would
+// complete in time, and every database would seem unresponsive.
 const MaxDials = 16
 
-// overslept is how many times its span an attempt has to take for the process itself to
-// have stood still meanwhile: its time limit was met before anybody looked for an answer.
-const overslept = 2
+// stallFactor is how many times its time limit an attempt must take before the process itself is
+// assumed to have stalled: the limit then expired before any response could be read.
+const stallFactor = 2
 
-// Dial makes a connection, once the pace allows it; connect counts from then on.
-// A database that takes none within it is silent, unless the process stood still; then
-// another attempt decides.
-func Dial(ctx context.Context, n kernel.Network, pace chan struct{}, addr string, connect, silence kernel.Micros) (net.Conn, error) {
-	if pace != nil {
+// Dial opens a connection. It first waits for a slot, if slots is not nil; the connect time limit
+// starts after that. A database that accepts no connection within the limit is unresponsive,
+// unless the process itself stalled; then one more attempt decides.
+func Dial(ctx context.Context, network kernel.Network, slots chan struct{}, addr string, connect, unresponsiveTimeout kernel.Micros) (net.Conn, error) {
+	if slots != nil {
 		select {
-		case pace <- struct{}{}:
-			defer func() { <-pace }()
+		case slots <- struct{}{}:
+			defer func() { <-slots }()
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 	began := time.Now()
-	c, err := dialTwice(ctx, n, addr, connect, silence)
-	if err != nil && time.Since(began) >= overslept*connect.Duration() {
-		c, err = dialTwice(ctx, n, addr, connect, silence)
+	conn, err := dialHedged(ctx, network, addr, connect, unresponsiveTimeout)
+	if err != nil && time.Since(began) >= stallFactor*connect.Duration() {
+		conn, err = dialHedged(ctx, network, addr, connect, unresponsiveTimeout)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSilent, err)
 	}
-	return c, nil
+	return conn, nil
 }
 
-// dialTwice tries a second time when the first has had no answer for a while:
-// one lost packet is no silence.
-func dialTwice(ctx context.Context, n kernel.Network, addr string, connect, silence kernel.Micros) (net.Conn, error) {
+// dialHedged starts a second attempt when the first has had no response for a quarter of the time
+// limit, since a single lost packet does not make a database unresponsive. The first result
+// counts.
+func dialHedged(ctx context.Context, network kernel.Network, addr string, connect, unresponsiveTimeout kernel.Micros) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connect.Duration())
 	type result struct {
 		c   net.Conn
@@ -50,23 +51,23 @@
 	}
 	results := make(chan result, 2)
 	dial := func() {
-		c, err := n.Dial(ctx, addr, silence)
+		c, err := network.Dial(ctx, addr, unresponsiveTimeout)
 		results <- result{c, err}
 	}
 	go dial()
-	tries := 1
-	t := time.NewTimer((connect / 4).Duration())
-	defer t.Stop()
+	attempts := 1
+	timer := time.NewTimer((connect / 4).Duration())
+	defer timer.Stop()
 	var r result
 	select {
 	case r = <-results:
-	case <-t.C:
-		tries++
+	case <-timer.C:
+		attempts++
 		go dial()
 		r = <-results
 	}
-	if tries == 2 {
-		go func() { // the other one is not needed
+	if attempts == 2 {
+		go func() { // the other attempt is not needed
 			defer cancel()
 			if o := <-results; o.c != nil {
 				o.c.Close()
--- a/internal/connpool/dial_test.go
+++ b/internal/connpool/dial_test.go
@@ -12,34 +12,34 @@
 	"indigowalk/internal/kernel"
 )
 
-// frozenNetwork makes no connection in time: each attempt ends when its time is up, or so
-// much later, as one does whose process stood still. After some such calls it makes one.
+// frozenNetwork fails the given number of calls: each such attempt ends when its time is up, or
+// later by the length of a stall of the process. Later calls connect.
 type frozenNetwork struct {
 	kernel.Network
-	stands   time.Duration
+	stall    time.Duration
 	failures int
 	calls    atomic.Int64
 }
 
 func (f *frozenNetwork) Dial(ctx context.Context, _ string, _ kernel.Micros) (net.Conn, error) {
 	if f.calls.Add(1) > int64(f.failures) {
-		c, far := net.Pipe()
-		far.Close()
-		return c, nil
+		conn, remote := net.Pipe()
+		remote.Close()
+		return conn, nil
 	}
 	<-ctx.Done()
-	time.Sleep(f.stands)
+	time.Sleep(f.stall)
 	return nil, ctx.Err()
 }
 
-// A database is silent if it did not answer while the process ran; that the process stood
-// still says nothing of it.
-func TestAStallIsNoSilence(t *testing.T) {
+// A database counts as unresponsive only if it did not respond while the process was running; a
+// stall of the process itself must not mark it so.
+func TestDialIgnoresProcessStall(t *testing.T) {
 	const connect = 150 * kernel.Millisecond
 	for name, c := range map[string]struct {
-		stands   time.Duration
-		failures int
-		silent   bool
+		stall        time.Duration
+		failures     int
+		unresponsive bool
 	}{
 		"silent":                             {0, 4, true},
 		"a moment late":                      {30 * time.Millisecond, 4, true},
@@ -48,9 +48,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				conn, err := Dial(t.Context(), &frozenNetwork{stands: c.stands, failures: c.failures}, nil, "10.0.0.1:1", connect, 0)
-				if silent := errors.Is(err, ErrSilent); silent != c.silent {
-					t.Errorf("taken for silent: %t, want %t (%v)", silent, c.silent, err)
+				conn, err := Dial(t.Context(), &frozenNetwork{stall: c.stall, failures: c.failures}, nil, "10.0.0.1:1", connect, 0)
+				if unresponsive := errors.Is(err, ErrSilent); unresponsive != c.unresponsive {
+					t.Errorf("reported as unresponsive: %t, want %t (%v)", unresponsive, c.unresponsive, err)
 				}
 				if conn != nil {
 					conn.Close()
--- a/internal/connpool/invariants_test.go
+++ b/internal/connpool/invariants_test.go
@@ -15,13 +15,13 @@
 // fakeLine is a connection that never breaks.
 type fakeLine struct{ closed bool }
 
-func (l *fakeLine) Alive() bool                           { return !l.closed }
-func (l *fakeLine) Close()                                { l.closed = true }
-func (l *fakeLine) Clean() bool                           { return true }
-func (l *fakeLine) Fit(struct{}, kernel.Micros) int       { return 0 }
-func (l *fakeLine) Attach(int64, func(byUs, silent bool)) {}
+func (l *fakeLine) Alive() bool                                 { return !l.closed }
+func (l *fakeLine) Close()                                      { l.closed = true }
+func (l *fakeLine) Clean() bool                                 { return true }
+func (l *fakeLine) Fit(struct{}, kernel.Micros) int             { return 0 }
+func (l *fakeLine) Attach(int64, func(byUs, unresponsive bool)) {}
 
-// fakePools are pools of such connections to one database, "a".
+// fakePools returns pools of such connections to one database, "a".
 func fakePools() (*kernel.Kernel, *Pools[struct{}, *fakeLine]) {
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 	s := New[struct{}](k, Config[struct{}, *fakeLine]{
@@ -34,9 +34,9 @@
 	return k, s
 }
 
-// Connections that are lent twice or lost from the count, and databases that are held as
-// down and not there, are found.
-func TestInvariantsOfThePools(t *testing.T) {
+// The invariants detect connections that are lent twice or missing from the count, and unknown
+// databases that are marked down.
+func TestPoolInvariantsAreChecked(t *testing.T) {
 	borrow := func(s *Pools[struct{}, *fakeLine]) *fakeLine {
 		c, err := s.Borrow("a", 0, struct{}{}, kernel.Second)
 		if err != nil {
@@ -56,7 +56,7 @@
 			}
 		}, nil},
 		"lent twice": {func(s *Pools[struct{}, *fakeLine]) {
-			s.lend(s.pools["a"], borrow(s))
+			s.markLent(s.pools["a"], borrow(s))
 		}, []invariant.Invariant{invariant.LentOnce}},
 		"lost from the count": {func(s *Pools[struct{}, *fakeLine]) {
 			a := borrow(s)
@@ -64,13 +64,13 @@
 			s.Return(a)
 		}, []invariant.Invariant{invariant.ConnectionsCounted}},
 		"down and there": {func(s *Pools[struct{}, *fakeLine]) {
-			s.watchDown(map[string]int64{"a": 0})
-			s.watchDown(map[string]int64{"a": 0})
+			s.checkDownKnown(map[string]int64{"a": 0})
+			s.checkDownKnown(map[string]int64{"a": 0})
 		}, nil},
-		"down and just gone": {func(s *Pools[struct{}, *fakeLine]) { s.watchDown(map[string]int64{"b": 0}) }, nil},
+		"down and just gone": {func(s *Pools[struct{}, *fakeLine]) { s.checkDownKnown(map[string]int64{"b": 0}) }, nil},
 		"down and not there": {func(s *Pools[struct{}, *fakeLine]) {
-			s.watchDown(map[string]int64{"b": 0})
-			s.watchDown(map[string]int64{"b": 0})
+			s.checkDownKnown(map[string]int64{"b": 0})
+			s.checkDownKnown(map[string]int64{"b": 0})
 		}, []invariant.Invariant{invariant.DownIsKnown}},
 	} {
 		k, s := fakePools()
--- a/internal/connpool/open.go
+++ b/internal/connpool/open.go
@@ -9,41 +9,41 @@
 	"indigowalk/internal/kernel"
 )
 
-// extend opens connections for those who wait, as far as the share goes.
-func (s *Pools[W, C]) extend(p *pool[W, C], share int) {
-	if s.k.Clock.Now() < p.fullTil {
+// openForWaiters starts opening connections for waiters, within the share.
+func (s *Pools[W, C]) openForWaiters(p *pool[W, C], share int) {
+	if s.k.Clock.Now() < p.atLimitUntil {
 		share = max(1, p.open)
 	}
-	// Step by step: a connection that becomes free serves sooner than one that
-	// all poolers open at the same time.
+	// Grow gradually: a connection that becomes free serves a waiter sooner than one that
+	// all proxies open at the same time.
 	for _, w := range p.waiting {
 		switch {
-		case w.opened:
+		case w.opening:
 			continue
-		case p.opening >= max(1, p.open), p.open+p.opening >= share && !s.evict(p), !s.room():
+		case p.opening >= max(1, p.open), p.open+p.opening >= share && !s.evictIdle(p), !s.makeRoom():
 			return
 		}
-		w.opened = true
+		w.opening = true
 		p.opening++
-		go s.openOne(p, w)
+		go s.openFor(p, w)
 	}
 }
 
-// evict closes the connection to the database that has been idle for longest, to
-// make place for one that suits who waits; it reports whether there was one.
-func (s *Pools[W, C]) evict(p *pool[W, C]) bool {
+// evictIdle closes the longest-idle connection to the database, to make room for one that suits a
+// waiter. It reports whether there was one to close.
+func (s *Pools[W, C]) evictIdle(p *pool[W, C]) bool {
 	if !s.cfg.Evict || len(p.idle) == 0 {
 		return false
 	}
 	s.k.Counters.Add("connpool.evicted", 1)
-	s.end(p, p.idle[0].c)
+	s.closeConn(p, p.idle[0].c)
 	p.idle = p.idle[1:]
 	return true
 }
 
-// room tells whether one more connection may be opened; if there are as many as
-// there may be, the one that has been idle for longest goes.
-func (s *Pools[W, C]) room() bool {
+// makeRoom reports whether one more connection may be opened within the overall limit. At the
+// limit it closes the longest-idle connection to any database.
+func (s *Pools[W, C]) makeRoom() bool {
 	if s.cfg.Most == 0 || len(s.origins) < s.cfg.Most {
 		return true
 	}
@@ -57,14 +57,14 @@
 		s.k.Counters.Add("connpool.no_room", 1)
 		return false
 	}
-	s.end(oldest, oldest.idle[0].c)
+	s.closeConn(oldest, oldest.idle[0].c)
 	oldest.idle = oldest.idle[1:]
 	return true
 }
 
-// openOne opens a connection for one who waits; whoever is more urgent and suits may
-// have it.
-func (s *Pools[W, C]) openOne(p *pool[W, C], w *waiter[W, C]) {
+// openFor opens a connection as one waiter needs it. Once open, it goes to the most urgent
+// waiter that it suits.
+func (s *Pools[W, C]) openFor(p *pool[W, C], w *waiter[W, C]) {
 	s.mu.Lock()
 	ctx, db := s.ctx, p.db
 	s.mu.Unlock()
@@ -74,58 +74,61 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.opening--
-	w.opened = false
+	w.opening = false
 	if err != nil {
 		s.openFailed(p, db.ID, gen, err)
 		return
 	}
 	s.admit(p, c, gen)
-	s.extend(p, max(1, s.cfg.Share(p.db.Service)))
+	s.openForWaiters(p, max(1, s.cfg.Share(p.db.Service)))
 }
 
+// openFailed handles a failed attempt to open a connection. A database at its connection limit, a
+// rejection and a slow log-in are not reported to the health monitor; other failures are.
 func (s *Pools[W, C]) openFailed(p *pool[W, C], id string, gen int64, err error) {
-	if errors.Is(err, ErrCapped) {
+	if errors.Is(err, ErrConnectionLimit) {
 		s.k.Counters.Add("connpool.capped", 1)
-		p.fullTil = s.k.Clock.Now() + 500*kernel.Millisecond
+		p.atLimitUntil = s.k.Clock.Now() + 500*kernel.Millisecond
 		if p.open > 0 {
-			return // those who wait get the connections there are
+			return // the waiters share the connections that are open
 		}
-		p.fail(ErrFull)
+		p.failWaiters(ErrFull)
 		return
 	}
 	if errors.Is(err, ErrRejected) {
 		s.k.Counters.Add("connpool.rejected", 1)
-		p.fail(ErrRejected)
+		p.failWaiters(ErrRejected)
 		return
 	}
 	if errors.Is(err, ErrSlow) {
 		s.k.Counters.Add("connpool.slow_logins", 1)
-		s.extend(p, max(1, s.cfg.Share(p.db.Service)))
+		s.openForWaiters(p, max(1, s.cfg.Share(p.db.Service)))
 		return
 	}
 	s.k.Counters.Add("connpool.open_failed", 1)
-	sure := errors.Is(err, ErrSilent)
-	if sure && s.cfg.Doubt && !errors.Is(err, syscall.ECONNREFUSED) && s.quiet.Note(s.k.Clock.Now(), id) {
+	unresponsive := errors.Is(err, ErrSilent)
+	if unresponsive && s.cfg.Doubt && !errors.Is(err, syscall.ECONNREFUSED) && s.unresponsive.Record(s.k.Clock.Now(), id) {
 		s.k.Counters.Add("connpool.silence_doubted", 1)
-		sure = false
+		unresponsive = false
 	}
-	s.health.Report(id, gen, sure)
-	p.fail(ErrBroken)
+	s.health.Report(id, gen, unresponsive)
+	p.failWaiters(ErrBroken)
 }
 
-func (s *Pools[W, C]) put(p *pool[W, C], c C) {
+// grantOrIdle hands a connection to the most urgent waiter that it suits, or makes it idle.
+func (s *Pools[W, C]) grantOrIdle(p *pool[W, C], c C) {
 	for i, w := range p.waiting {
 		if c.Fit(w.want, 0) >= 0 {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
-			s.lend(p, c)
+			s.markLent(p, c)
 			w.ch <- grant[C]{c: c}
 			return
 		}
 	}
-	p.idle = append(p.idle, resting[C]{c, s.k.Clock.Now()})
+	p.idle = append(p.idle, idleConn[C]{c, s.k.Clock.Now()})
 }
 
-// Check tries whether the database takes a new connection, and keeps it.
+// Check tests whether the database accepts a new connection, and adds that connection to the pool.
 func (s *Pools[W, C]) Check(ctx context.Context, id string) error {
 	s.mu.Lock()
 	p := s.pools[id]
@@ -143,27 +146,27 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !up {
-		gen++ // it is opened for the generation that this check begins
+		gen++ // a successful check begins the next generation
 	}
 	s.admit(p, c, gen)
 	return nil
 }
 
-// Stands tells whether a check that ended so found the database up: full and
-// slow are no faults.
+// Stands reports whether a check that ended with err shows that the database is up: being at its
+// connection limit or slow to log in is not a failure.
 func Stands(err error) bool {
-	return err == nil || errors.Is(err, ErrCapped) || errors.Is(err, ErrSlow)
+	return err == nil || errors.Is(err, ErrConnectionLimit) || errors.Is(err, ErrSlow)
 }
 
-// admit puts a new connection into its pool.
+// admit adds a new connection to its pool.
 func (s *Pools[W, C]) admit(p *pool[W, C], c C, gen int64) {
 	p.open++
 	s.origins[c] = origin[W, C]{pool: p, id: p.db.ID, address: p.db.Address, generation: gen}
-	c.Attach(gen, func(byUs, silent bool) { s.died(c, byUs, silent) })
+	c.Attach(gen, func(byUs, unresponsive bool) { s.handleBroken(c, byUs, unresponsive) })
 	if s.pools[p.db.ID] != p || !c.Alive() {
-		s.end(p, c)
-		p.fail(ErrBroken)
+		s.closeConn(p, c)
+		p.failWaiters(ErrBroken)
 		return
 	}
-	s.put(p, c)
+	s.grantOrIdle(p, c)
 }
--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -47,10 +47,10 @@
 	Login      string // position that the database told at the log-in
 	tenant     string // that was told there
 
-	c       net.Conn
-	answers chan *lineprotocol.Answer
-	dead    chan struct{}
-	silent  bool // set before dead is closed: the far end stopped answering
+	c            net.Conn
+	answers      chan *lineprotocol.Answer
+	broken       chan struct{}
+	unresponsive bool // set before dead is closed: the far end stopped answering
 
 	// Owned by whoever has borrowed the connection.
 	values map[string]string
@@ -59,12 +59,12 @@
 	// preparedBytes is what the texts of names take, at the most.
 	preparedBytes int
 
-	mu     sync.Mutex
-	out    bool // a statement was sent, whose answer nobody has taken
-	read   bool // that answer has come
-	spoilt bool // more came than was asked for
-	onDead func(byUs, silent bool)
-	closed bool
+	mu             sync.Mutex
+	outstanding    bool // a statement was sent, whose answer nobody has taken
+	answered       bool // that answer has come
+	desynchronized bool // more came than was asked for
+	onBroken       func(byUs, silent bool)
+	closed         bool
 }
 
 // Dialer opens connections to databases.
@@ -73,10 +73,10 @@
 	Who     string        // name given at log-in
 	Connect kernel.Micros // for the connection itself
 	Silence kernel.Micros
-	// Pace, if there is one, bounds the connections that are being made: of
+	// DialSlots, if there is one, bounds the connections that are being made: of
 	// many at once, on a small machine, none would be made in time, and every
 	// database would seem silent.
-	Pace chan struct{}
+	DialSlots chan struct{}
 }
 
 // Open connects and logs in, naming the expected id. A database to which no
@@ -84,13 +84,13 @@
 // connection and does not answer the log-in within wait is slow, which is no
 // fault.
 func (d *Dialer) Open(ctx context.Context, db discovery.Database, wait kernel.Micros) (*Conn, error) {
-	return d.OpenFor(ctx, db, "", wait)
+	return d.OpenForTenant(ctx, db, "", wait)
 }
 
-// OpenFor is Open on behalf of a tenant, whose name the database is told; "" for
+// OpenForTenant is Open on behalf of a tenant, whose name the database is told; "" for
 // none.
-func (d *Dialer) OpenFor(ctx context.Context, db discovery.Database, tenant string, wait kernel.Micros) (*Conn, error) {
-	c, err := connpool.Dial(ctx, d.Net, d.Pace, db.Address, d.Connect, d.Silence)
+func (d *Dialer) OpenForTenant(ctx context.Context, db discovery.Database, tenant string, wait kernel.Micros) (*Conn, error) {
+	c, err := connpool.Dial(ctx, d.Net, d.DialSlots, db.Address, d.Connect, d.Silence)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 	if string(word) != "IDLE" {
 		c.Close()
 		if code, _ := lineprotocol.Word(rest); string(code) == lineprotocol.MaxConn {
-			return nil, fmt.Errorf("%w: %s", connpool.ErrCapped, rest)
+			return nil, fmt.Errorf("%w: %s", connpool.ErrConnectionLimit, rest)
 		}
 		return nil, fmt.Errorf("%w: %s", connpool.ErrRejected, rest)
 	}
@@ -132,36 +132,36 @@
 	}
 	_, pos := lineprotocol.Word(rest)
 	s := &Conn{
-		DB: db, Login: string(pos), tenant: tenant, c: c, answers: make(chan *lineprotocol.Answer, 1), dead: make(chan struct{}),
+		DB: db, Login: string(pos), tenant: tenant, c: c, answers: make(chan *lineprotocol.Answer, 1), broken: make(chan struct{}),
 		values: map[string]string{}, names: map[string]string{}, state: 'I',
 	}
-	go s.listen(r)
+	go s.readAnswers(r)
 	return s, nil
 }
 
-func (s *Conn) listen(r *lineprotocol.Reader) {
+func (s *Conn) readAnswers(r *lineprotocol.Reader) {
 	for {
 		a, err := lineprotocol.ReadAnswer(r)
 		if err != nil {
-			s.silent = errors.Is(err, syscall.ETIMEDOUT)
+			s.unresponsive = errors.Is(err, syscall.ETIMEDOUT)
 			break
 		}
 		s.mu.Lock()
-		asked := s.out && !s.read
-		s.read, s.spoilt = true, s.spoilt || !asked || r.Buffered()
+		asked := s.outstanding && !s.answered
+		s.answered, s.desynchronized = true, s.desynchronized || !asked || r.Buffered()
 		s.mu.Unlock()
 		if !asked {
 			break // an answer to nothing: the stream can't be trusted
 		}
 		s.answers <- a
 	}
-	close(s.dead)
+	close(s.broken)
 	s.c.Close()
 	s.mu.Lock()
-	f, byUs := s.onDead, s.closed
+	f, byUs := s.onBroken, s.closed
 	s.mu.Unlock()
 	if f != nil {
-		f(byUs, s.silent)
+		f(byUs, s.unresponsive)
 	}
 }
 
@@ -170,14 +170,14 @@
 	s.Generation = generation
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onDead = died
+	s.onBroken = died
 }
 
 // Clean implements connpool.Line: in state I, with every answer taken.
 func (s *Conn) Clean() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state == 'I' && !s.out && !s.spoilt && !s.closed
+	return s.state == 'I' && !s.outstanding && !s.desynchronized && !s.closed
 }
 
 // Fit implements connpool.Line: it must be of the tenant; the same values are best,
@@ -194,9 +194,9 @@
 	return 0
 }
 
-// fault tells how a dead connection ended.
-func (s *Conn) fault() error {
-	if s.silent {
+// brokenError tells how a dead connection ended.
+func (s *Conn) brokenError() error {
+	if s.unresponsive {
 		return connpool.ErrSilent
 	}
 	return connpool.ErrBroken
@@ -205,7 +205,7 @@
 // Alive reports whether the connection has not broken yet.
 func (s *Conn) Alive() bool {
 	select {
-	case <-s.dead:
+	case <-s.broken:
 		return false
 	default:
 		return true
@@ -217,12 +217,12 @@
 type Gate func(write func() error) error
 
 const (
-	// gatedBytes are what may be written within a gate: of a longer statement the
+	// gatedTailBytes are what may be written within a gate: of a longer statement the
 	// rest is written before, which runs nothing.
-	gatedBytes = 1 << 10
-	// gatePause is how long a far end that takes nothing is left before the gate
+	gatedTailBytes = 1 << 10
+	// gateRetryInterval is how long a far end that takes nothing is left before the gate
 	// is tried again.
-	gatePause = 5 * kernel.Millisecond
+	gateRetryInterval = 5 * kernel.Millisecond
 )
 
 // Send writes a statement within the span, its end through the gate if there is
@@ -230,11 +230,11 @@
 // is not run.
 func (s *Conn) Send(msg []byte, wait kernel.Micros, gate Gate) error {
 	s.mu.Lock()
-	free := !s.out && !s.spoilt
+	free := !s.outstanding && !s.desynchronized
 	s.mu.Unlock()
 	switch {
 	case !s.Alive():
-		return s.fault()
+		return s.brokenError()
 	case !free:
 		s.Close()
 		return fmt.Errorf("%w: an answer is outstanding, or surplus", connpool.ErrBroken)
@@ -242,13 +242,13 @@
 		return connpool.ErrDeadline
 	}
 	end := time.Now().Add(wait.Duration())
-	head := max(0, len(msg)-gatedBytes)
+	head := max(0, len(msg)-gatedTailBytes)
 	if gate == nil {
 		head = len(msg)
 	}
-	s.begin(head == len(msg))
+	s.setOutstanding(head == len(msg))
 	if head > 0 {
-		if _, err := s.write(msg[:head], end); err != nil {
+		if _, err := s.writeBy(msg[:head], end); err != nil {
 			s.Close()
 			return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 		}
@@ -256,8 +256,8 @@
 	if gate == nil {
 		return nil
 	}
-	if err := s.sendEnd(msg[head:], end, gate); err != nil {
-		if head > 0 || !errors.Is(err, errShut) {
+	if err := s.sendTail(msg[head:], end, gate); err != nil {
+		if head > 0 || !errors.Is(err, errGateRefused) {
 			s.Close()
 		}
 		return err
@@ -265,20 +265,20 @@
 	return nil
 }
 
-// begin notes that a statement is on its way. Its answer may come as soon as its
+// setOutstanding notes that a statement is on its way. Its answer may come as soon as its
 // end is written.
-func (s *Conn) begin(whole bool) {
+func (s *Conn) setOutstanding(whole bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out, s.read = whole, false
+	s.outstanding, s.answered = whole, false
 }
 
-// errShut says that a gate refused before anything was written.
-var errShut = errors.New("dbconn: refused at the gate")
+// errGateRefused says that a gate refused before anything was written.
+var errGateRefused = errors.New("dbconn: refused at the gate")
 
-// sendEnd writes the end of a statement through the gate, which is never kept
+// sendTail writes the end of a statement through the gate, which is never kept
 // while the far end takes nothing.
-func (s *Conn) sendEnd(end []byte, until time.Time, gate Gate) error {
+func (s *Conn) sendTail(end []byte, until time.Time, gate Gate) error {
 	// The time limit of the write before, which may have been long ago, is still set.
 	if err := s.c.SetWriteDeadline(until); err != nil {
 		return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
@@ -286,7 +286,7 @@
 	for whole := len(end); ; {
 		var wrote error
 		err := gate(func() error {
-			s.begin(true)
+			s.setOutstanding(true)
 			var n int
 			n, wrote = s.tryWrite(end)
 			end = end[n:]
@@ -296,14 +296,14 @@
 		case wrote != nil:
 			return fmt.Errorf("%w: %v", connpool.ErrBroken, wrote)
 		case err != nil && len(end) == whole:
-			s.begin(false)
-			return fmt.Errorf("%w: %w", errShut, err)
+			s.setOutstanding(false)
+			return fmt.Errorf("%w: %w", errGateRefused, err)
 		case err != nil || len(end) == 0:
 			return err
 		case !time.Now().Before(until):
 			return fmt.Errorf("%w: the far end takes nothing", connpool.ErrBroken)
 		}
-		time.Sleep(gatePause.Duration())
+		time.Sleep(gateRetryInterval.Duration())
 	}
 }
 
@@ -315,19 +315,19 @@
 	return s.c.Write(b)
 }
 
-// write writes by the deadline.
-func (s *Conn) write(b []byte, by time.Time) (int, error) {
+// writeBy writes by the deadline.
+func (s *Conn) writeBy(b []byte, by time.Time) (int, error) {
 	if err := s.c.SetWriteDeadline(by); err != nil {
 		return 0, err
 	}
 	return s.c.Write(b)
 }
 
-// take notes that an answer was taken.
-func (s *Conn) take(a *lineprotocol.Answer) *lineprotocol.Answer {
+// takeAnswer notes that an answer was taken.
+func (s *Conn) takeAnswer(a *lineprotocol.Answer) *lineprotocol.Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state, s.out, s.read = a.State, false, false
+	s.state, s.outstanding, s.answered = a.State, false, false
 	return a
 }
 
@@ -343,7 +343,7 @@
 func (s *Conn) Receive(wait kernel.Micros, w Watch) (*lineprotocol.Answer, error) {
 	select {
 	case a := <-s.answers:
-		return s.take(a), nil
+		return s.takeAnswer(a), nil
 	default:
 	}
 	if w.Doubt != nil && w.Quiet < wait {
@@ -364,17 +364,17 @@
 	defer t.Stop()
 	select {
 	case a := <-s.answers:
-		return s.take(a), nil
+		return s.takeAnswer(a), nil
 	case <-w.Unbound:
 		return nil, ErrUnbound
 	case <-w.Ending:
 		return nil, ErrEnding
-	case <-s.dead:
+	case <-s.broken:
 		select {
 		case a := <-s.answers: // it came just before the end
-			return s.take(a), nil
+			return s.takeAnswer(a), nil
 		default:
-			return nil, s.fault()
+			return nil, s.brokenError()
 		}
 	case <-t.C:
 		return nil, connpool.ErrDeadline
@@ -393,14 +393,16 @@
 	return Patience{time.Now().Add(span.Duration()), ending}
 }
 
-func (p Patience) left() kernel.Micros { return kernel.Micros(time.Until(p.Until) / time.Microsecond) }
+func (p Patience) remaining() kernel.Micros {
+	return kernel.Micros(time.Until(p.Until) / time.Microsecond)
+}
 
 // Ask sends a statement of the pool's own and waits for its answer.
 func (s *Conn) Ask(text string, p Patience) (*lineprotocol.Answer, error) {
-	if err := s.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), p.left(), nil); err != nil {
+	if err := s.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), p.remaining(), nil); err != nil {
 		return nil, err
 	}
-	return s.Receive(p.left(), Watch{Ending: p.Ending})
+	return s.Receive(p.remaining(), Watch{Ending: p.Ending})
 }
 
 // State is I, T or E as the database last told it.
--- a/internal/dbconn/plugin.go
+++ b/internal/dbconn/plugin.go
@@ -21,11 +21,11 @@
 			s := kernel.Need[*settings.Live](k).Now()
 			d := &Dialer{
 				Net: k.Net, Who: s.NodeName, Connect: settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs),
-				Pace: make(chan struct{}, connpool.MaxDials),
+				DialSlots: make(chan struct{}, connpool.MaxDials),
 			}
 			sh := connpool.New[Want](k, connpool.Config[Want, *Conn]{
 				Open: func(ctx context.Context, db discovery.Database, want Want, wait kernel.Micros) (*Conn, error) {
-					return d.OpenFor(ctx, db, want.Tenant, wait)
+					return d.OpenForTenant(ctx, db, want.Tenant, wait)
 				},
 				Evict:    true,
 				OpenWait: 2 * kernel.Second, CheckWait: settings.Span(s.CheckWaitMs), IdleFor: 15 * kernel.Second, UnusedFor: 5 * kernel.Second,
@@ -46,9 +46,9 @@
 			v := kernel.Need[*controlstate.Replica](k)
 			d := &Dialer{
 				Net: k.Net, Who: "control", Connect: settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs),
-				Pace: make(chan struct{}, connpool.MaxDials),
+				DialSlots: make(chan struct{}, connpool.MaxDials),
 			}
-			quiet := &connpool.Silences{}
+			quiet := &connpool.UnresponsiveTracker{}
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
 				return probe(ctx, k, v, d, quiet, id)
 			})
@@ -60,7 +60,7 @@
 // probe tries, for a control node, whether a database takes a connection. Where
 // several do not answer at once it may be the control node's own link that is full:
 // before leads are moved for it, they are tried again, and longer.
-func probe(ctx context.Context, k *kernel.Kernel, v *controlstate.Replica, d *Dialer, quiet *connpool.Silences, id string) bool {
+func probe(ctx context.Context, k *kernel.Kernel, v *controlstate.Replica, d *Dialer, quiet *connpool.UnresponsiveTracker, id string) bool {
 	raw, err := v.Read(discovery.Key(id))
 	if err != nil || raw == nil {
 		return true // not the primary any more, or gone: nothing to decide
@@ -71,7 +71,7 @@
 		return true
 	}
 	c, err := d.Open(ctx, db, d.Connect)
-	if errors.Is(err, connpool.ErrSilent) && !errors.Is(err, syscall.ECONNREFUSED) && quiet.Note(k.Clock.Now(), id) {
+	if errors.Is(err, connpool.ErrSilent) && !errors.Is(err, syscall.ECONNREFUSED) && quiet.Record(k.Clock.Now(), id) {
 		k.Counters.Add("dbconn.probed_again", 1)
 		longer := *d
 		longer.Connect *= 2
--- a/internal/dbconn/values.go
+++ b/internal/dbconn/values.go
@@ -25,8 +25,8 @@
 // Values puts the session's values, and no others, in force on the
 // connection. Prepared names go where there are too many of them.
 func (s *Conn) Values(want map[string]string, p Patience) error {
-	if s.foreign(want) || s.crowded() {
-		if err := s.must("DISCARD", p); err != nil {
+	if s.hasUnwantedValue(want) || s.tooManyPrepared() {
+		if err := s.mustExecute("DISCARD", p); err != nil {
 			return err
 		}
 		clear(s.values)
@@ -37,7 +37,7 @@
 		if have, ok := s.values[name]; ok && have == value {
 			continue
 		}
-		if err := s.must("OPTION "+name+" "+value, p); err != nil {
+		if err := s.mustExecute("OPTION "+name+" "+value, p); err != nil {
 			return err
 		}
 		s.values[name] = value
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// foreign tells whether a value is in force that is not wanted.
-func (s *Conn) foreign(want map[string]string) bool {
+// hasUnwantedValue tells whether a value is in force that is not wanted.
+func (s *Conn) hasUnwantedValue(want map[string]string) bool {
 	for name := range s.values {
 		if _, ok := want[name]; !ok {
 			return true
@@ -55,9 +55,9 @@
 	return false
 }
 
-// crowded tells whether the connection has more prepared names than are kept, and is in
+// tooManyPrepared tells whether the connection has more prepared names than are kept, and is in
 // no transaction, which might need them.
-func (s *Conn) crowded() bool {
+func (s *Conn) tooManyPrepared() bool {
 	return s.state == 'I' && (len(s.names) >= maxPrepared || s.preparedBytes > maxPreparedBytes)
 }
 
@@ -71,10 +71,10 @@
 	h := fnv.New64a()
 	h.Write([]byte(key))
 	name := "p" + strconv.FormatUint(h.Sum64(), 36)
-	for taken := s.holds(name); taken; taken = s.holds(name) {
+	for taken := s.nameTaken(name); taken; taken = s.nameTaken(name) {
 		name += "x"
 	}
-	if err := s.must("PARSE "+name+" "+key, p); err != nil {
+	if err := s.mustExecute("PARSE "+name+" "+key, p); err != nil {
 		return "", err
 	}
 	s.names[key] = name
@@ -82,7 +82,7 @@
 	return name, nil
 }
 
-func (s *Conn) holds(name string) bool {
+func (s *Conn) nameTaken(name string) bool {
 	for _, n := range s.names {
 		if n == name {
 			return true
@@ -94,9 +94,9 @@
 // Lost forgets a prepared name that the database does not know.
 func (s *Conn) Lost(statement Prepared) { delete(s.names, statement.key()) }
 
-// must asks for what only a broken connection can refuse; after any other
+// mustExecute asks for what only a broken connection can refuse; after any other
 // answer the connection's state is not known and it is closed.
-func (s *Conn) must(text string, p Patience) error {
+func (s *Conn) mustExecute(text string, p Patience) error {
 	a, err := s.Ask(text, p)
 	if err != nil {
 		return err
--- a/internal/lineprotocol/lineprotocol.go
+++ b/internal/lineprotocol/lineprotocol.go
@@ -73,13 +73,13 @@
 	// bytes, and told 0 when the next one begins.
 	Room func(bytes int) bool
 
-	b    *bufio.Reader
-	part []byte // of a message whose rest has not come, or that is longer than the buffer
-	kept bool   // part is of the message that is read next
+	b          *bufio.Reader
+	part       []byte // of a message whose rest has not come, or that is longer than the buffer
+	incomplete bool   // part is of the message that is read next
 }
 
-// keptMost is the largest buffer that is kept for further messages.
-const keptMost = 16 << 10
+// maxRetainedBuffer is the largest buffer that is kept for further messages.
+const maxRetainedBuffer = 16 << 10
 
 // NewReader wraps r.
 func NewReader(r io.Reader) *Reader { return &Reader{b: bufio.NewReaderSize(r, 2048)} }
@@ -88,12 +88,12 @@
 // call. After an error that passes, as the end of a wait, the next call goes on
 // where this one stopped.
 func (r *Reader) Line() ([]byte, error) {
-	if !r.kept && r.part != nil {
-		r.letGo()
+	if !r.incomplete && r.part != nil {
+		r.discardPart()
 	}
 	line, err := r.b.ReadSlice('\n')
-	if err != nil || r.kept {
-		if line, err = r.gather(line, err); err != nil {
+	if err != nil || r.incomplete {
+		if line, err = r.assemble(line, err); err != nil {
 			return nil, err
 		}
 	}
@@ -104,9 +104,9 @@
 	return line[:len(line)-1], nil
 }
 
-// letGo drops the message in hand, whose memory is kept for the next one if it is small.
-func (r *Reader) letGo() {
-	if r.part = r.part[:0]; cap(r.part) > keptMost {
+// discardPart drops the message in hand, whose memory is kept for the next one if it is small.
+func (r *Reader) discardPart() {
+	if r.part = r.part[:0]; cap(r.part) > maxRetainedBuffer {
 		r.part = nil
 	}
 	if r.Room != nil {
@@ -114,19 +114,19 @@
 	}
 }
 
-// gather puts a message together that comes in parts.
-func (r *Reader) gather(line []byte, err error) ([]byte, error) {
+// assemble puts a message together that comes in parts.
+func (r *Reader) assemble(line []byte, err error) ([]byte, error) {
 	for {
 		if r.Room != nil && !r.Room(len(r.part)+len(line)) {
 			return nil, ErrNoRoom
 		}
 		r.part = append(r.part, line...)
-		r.kept = len(r.part) > 0
+		r.incomplete = len(r.part) > 0
 		if len(r.part) > MaxMessage {
 			return nil, ErrOversize
 		}
 		if err == nil {
-			r.kept = false
+			r.incomplete = false
 			return r.part, nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -138,7 +138,7 @@
 
 // Partial is how many bytes have come of a message whose rest has not.
 func (r *Reader) Partial() int {
-	if !r.kept {
+	if !r.incomplete {
 		return 0
 	}
 	return len(r.part)
