--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -1,5 +1,5 @@
-// Package dbconn holds the connections on which databases are spoken to in
-// statements, each with what is known of its state.
+// Package dbconn implements connections that send statements to databases in the line protocol,
+// and tracks the state of each.
 package dbconn
 
 import (
@@ -20,92 +20,88 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Errors of this layer.
+// Errors of waiting for the answer to a statement.
 var (
 	ErrQuiet   = errors.New("dbconn: no answer yet")
-	ErrUnbound = errors.New("dbconn: the database is held as down")
-	ErrEnding  = errors.New("dbconn: the process ends")
+	ErrUnbound = errors.New("dbconn: the database is marked down")
+	ErrEnding  = errors.New("dbconn: the process is shutting down")
 )
 
-// Pool holds a pooler's server connections to all databases; whoever borrows one
-// names the session's values, which are best in force on it already.
+// Pool holds the server connections of a pooler to all databases. A borrower names the session
+// values, and preferably gets a connection that has them set already.
 type Pool = connpool.Pools[Want, *Conn]
 
-// Want is what a borrower wishes of a connection.
+// Want describes what a borrower requires of a connection and what it prefers.
 type Want struct {
-	Tenant string            // on whose behalf; databases are told it at the log-in
-	Values map[string]string // best in force already
+	Tenant string            // required: the tenant that was sent to the database at the log-in
+	Values map[string]string // preferred: the session values that are set already
 }
 
-// Conn is one connection to a database. One statement is out at a time: until
-// its answer has been taken no other is sent, so that a late answer is never
-// taken for another's; and nothing is sent after an answer that was not asked
-// for, nor behind which more came.
+// Conn is one connection to a database. At most one statement is outstanding: until its answer has
+// been taken no other is sent, so that a late answer is never taken for that of another statement.
+// Nothing is sent after an unsolicited answer, or after one that was followed by more data.
 type Conn struct {
 	DB         discovery.Database
-	Generation int64  // of the database when the connection was opened
-	Login      string // position that the database told at the log-in
-	tenant     string // that was told there
+	Generation int64  // generation of the database when the connection was opened
+	Login      string // position that the database reported at the log-in
+	tenant     string // tenant sent at the log-in
 
 	c            net.Conn
 	answers      chan *lineprotocol.Answer
 	broken       chan struct{}
-	unresponsive bool // set before dead is closed: the far end stopped answering
+	unresponsive bool // set before broken is closed: the database stopped responding
 
-	// Owned by whoever has borrowed the connection.
+	// The following fields belong to the current borrower.
 	values map[string]string
 	names  map[string]string // server-side name by kind and text
 	state  byte
-	// preparedBytes is what the texts of names take, at the most.
+	// preparedBytes is an upper bound of the size of the texts in names.
 	preparedBytes int
 
 	mu             sync.Mutex
-	outstanding    bool // a statement was sent, whose answer nobody has taken
-	answered       bool // that answer has come
-	desynchronized bool // more came than was asked for
-	onBroken       func(byUs, silent bool)
+	outstanding    bool // a statement was sent and its answer has not been taken
+	answered       bool // that answer has arrived
+	desynchronized bool // data arrived that no statement accounts for
+	onBroken       func(byUs, unresponsive bool)
 	closed         bool
 }
 
 // Dialer opens connections to databases.
 type Dialer struct {
 	Net     kernel.Network
-	Who     string        // name given at log-in
-	Connect kernel.Micros // for the connection itself
-	Silence kernel.Micros
-	// DialSlots, if there is one, bounds the connections that are being made: of
-	// many at once, on a small machine, none would be made in time, and every
-	// database would seem silent.
+	Who     string        // client name sent at the log-in
+	Connect kernel.Micros // time limit for establishing the connection
+	Silence kernel.Micros // how long sent data may stay unacknowledged before the connection counts as broken
+	// DialSlots, if not nil, limits concurrent connection attempts: with many at once on a small
+	// machine none would complete in time, and every database would seem unresponsive.
 	DialSlots chan struct{}
 }
 
-// Open connects and logs in, naming the expected id. A database to which no
-// connection can be made within the span is silent; one that takes the
-// connection and does not answer the log-in within wait is slow, which is no
-// fault.
+// Open connects to the database and logs in, stating the expected database ID. A database that
+// accepts no connection within d.Connect is unresponsive (ErrSilent). One that accepts it but does
+// not answer the log-in within wait is slow (ErrSlow), which is not a failure.
 func (d *Dialer) Open(ctx context.Context, db discovery.Database, wait kernel.Micros) (*Conn, error) {
 	return d.OpenForTenant(ctx, db, "", wait)
 }
 
-// OpenForTenant is Open on behalf of a tenant, whose name the database is told; "" for
-// none.
+// OpenForTenant is like Open, and logs in on behalf of a tenant if the name is not empty.
 func (d *Dialer) OpenForTenant(ctx context.Context, db discovery.Database, tenant string, wait kernel.Micros) (*Conn, error) {
-	c, err := connpool.Dial(ctx, d.Net, d.DialSlots, db.Address, d.Connect, d.Silence)
+	conn, err := connpool.Dial(ctx, d.Net, d.DialSlots, db.Address, d.Connect, d.Silence)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if _, err := c.Write(lineprotocol.AppendMessage(nil, "LOGIN", db.Service, cmp.Or(tenant, d.Who), db.ID)); err != nil {
-		c.Close()
+	if _, err := conn.Write(lineprotocol.AppendMessage(nil, "LOGIN", db.Service, cmp.Or(tenant, d.Who), db.ID)); err != nil {
+		conn.Close()
 		return nil, fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 	}
-	r := lineprotocol.NewReader(c)
-	line, err := r.Line()
+	reader := lineprotocol.NewReader(conn)
+	line, err := reader.Line()
 	if err != nil {
-		c.Close()
+		conn.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, connpool.ErrSlow
@@ -114,74 +110,77 @@
 		}
 		return nil, fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 	}
-	word, rest := lineprotocol.Word(line)
-	if string(word) != "IDLE" {
-		c.Close()
+	kind, rest := lineprotocol.Word(line)
+	if string(kind) != "IDLE" {
+		conn.Close()
 		if code, _ := lineprotocol.Word(rest); string(code) == lineprotocol.MaxConn {
 			return nil, fmt.Errorf("%w: %s", connpool.ErrConnectionLimit, rest)
 		}
 		return nil, fmt.Errorf("%w: %s", connpool.ErrRejected, rest)
 	}
-	if r.Buffered() {
-		c.Close()
-		return nil, fmt.Errorf("%w: more came than the answer to the log-in", connpool.ErrBroken)
+	if reader.Buffered() {
+		conn.Close()
+		return nil, fmt.Errorf("%w: unexpected data after the answer to the log-in", connpool.ErrBroken)
 	}
 	if !stop() {
-		c.Close() // its time limit is about to be set
+		conn.Close() // its deadline is about to be set
 		return nil, connpool.ErrSlow
 	}
-	_, pos := lineprotocol.Word(rest)
+	_, position := lineprotocol.Word(rest)
 	s := &Conn{
-		DB: db, Login: string(pos), tenant: tenant, c: c, answers: make(chan *lineprotocol.Answer, 1), broken: make(chan struct{}),
+		DB: db, Login: string(position), tenant: tenant, c: conn, answers: make(chan *lineprotocol.Answer, 1), broken: make(chan struct{}),
 		values: map[string]string{}, names: map[string]string{}, state: 'I',
 	}
-	go s.readAnswers(r)
+	go s.readAnswers(reader)
 	return s, nil
 }
 
-func (s *Conn) readAnswers(r *lineprotocol.Reader) {
+// readAnswers reads answers until the connection breaks or an answer arrives that no statement
+// asked for, then closes the connection and runs the callback.
+func (s *Conn) readAnswers(reader *lineprotocol.Reader) {
 	for {
-		a, err := lineprotocol.ReadAnswer(r)
+		answer, err := lineprotocol.ReadAnswer(reader)
 		if err != nil {
 			s.unresponsive = errors.Is(err, syscall.ETIMEDOUT)
 			break
 		}
 		s.mu.Lock()
-		asked := s.outstanding && !s.answered
-		s.answered, s.desynchronized = true, s.desynchronized || !asked || r.Buffered()
+		requested := s.outstanding && !s.answered
+		s.answered, s.desynchronized = true, s.desynchronized || !requested || reader.Buffered()
 		s.mu.Unlock()
-		if !asked {
-			break // an answer to nothing: the stream can't be trusted
+		if !requested {
+			break // an unsolicited answer: the stream can't be trusted any more
 		}
-		s.answers <- a
+		s.answers <- answer
 	}
 	close(s.broken)
 	s.c.Close()
 	s.mu.Lock()
-	f, byUs := s.onBroken, s.closed
+	onBroken, byUs := s.onBroken, s.closed
 	s.mu.Unlock()
-	if f != nil {
-		f(byUs, s.unresponsive)
+	if onBroken != nil {
+		onBroken(byUs, s.unresponsive)
 	}
 }
 
 // Attach implements connpool.Line.
-func (s *Conn) Attach(generation int64, died func(byUs, silent bool)) {
+func (s *Conn) Attach(generation int64, onBroken func(byUs, unresponsive bool)) {
 	s.Generation = generation
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onBroken = died
+	s.onBroken = onBroken
 }
 
-// Clean implements connpool.Line: in state I, with every answer taken.
+// Clean implements connpool.Line: it reports whether the connection is in state I and every answer
+// has been taken.
 func (s *Conn) Clean() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state == 'I' && !s.outstanding && !s.desynchronized && !s.closed
 }
 
-// Fit implements connpool.Line: it must be of the tenant; the same values are best,
-// none at all next.
+// Fit implements connpool.Line: the tenant must be the same; a connection with the same values is
+// best, one without any values next.
 func (s *Conn) Fit(want Want, _ kernel.Micros) int {
 	switch {
 	case s.tenant != want.Tenant:
@@ -194,7 +193,7 @@
 	return 0
 }
 
-// brokenError tells how a dead connection ended.
+// brokenError returns how a broken connection ended.
 func (s *Conn) brokenError() error {
 	if s.unresponsive {
 		return connpool.ErrSilent
@@ -212,43 +211,43 @@
 	}
 }
 
-// Gate lets a write through by calling it, or refuses it with an error. It may be
-// called several times for one statement.
+// Gate decides whether a statement may be written: it calls write, or refuses with an error. It
+// may be called several times for one statement.
 type Gate func(write func() error) error
 
 const (
-	// gatedTailBytes are what may be written within a gate: of a longer statement the
-	// rest is written before, which runs nothing.
+	// gatedTailBytes is the most that is written through a gate. The beginning of a longer
+	// statement is written before; the database runs nothing until the end arrives.
 	gatedTailBytes = 1 << 10
-	// gateRetryInterval is how long a far end that takes nothing is left before the gate
-	// is tried again.
+	// gateRetryInterval is the pause before the gate is called again when the database accepts no
+	// data.
 	gateRetryInterval = 5 * kernel.Millisecond
 )
 
-// Send writes a statement within the span, its end through the gate if there is
-// one. An error means that it was not sent in full: what is cut off before its end
-// is not run.
+// Send writes a statement within the time limit, its end through the gate if there is one. An
+// error means that the statement was not sent in full; the database does not run a statement whose
+// end is missing.
 func (s *Conn) Send(msg []byte, wait kernel.Micros, gate Gate) error {
 	s.mu.Lock()
-	free := !s.outstanding && !s.desynchronized
+	ready := !s.outstanding && !s.desynchronized
 	s.mu.Unlock()
 	switch {
 	case !s.Alive():
 		return s.brokenError()
-	case !free:
+	case !ready:
 		s.Close()
-		return fmt.Errorf("%w: an answer is outstanding, or surplus", connpool.ErrBroken)
+		return fmt.Errorf("%w: an answer is outstanding, or unexpected data arrived", connpool.ErrBroken)
 	case wait <= 0:
 		return connpool.ErrDeadline
 	}
-	end := time.Now().Add(wait.Duration())
+	deadline := time.Now().Add(wait.Duration())
 	head := max(0, len(msg)-gatedTailBytes)
 	if gate == nil {
 		head = len(msg)
 	}
 	s.setOutstanding(head == len(msg))
 	if head > 0 {
-		if _, err := s.writeBy(msg[:head], end); err != nil {
+		if _, err := s.writeBy(msg[:head], deadline); err != nil {
 			s.Close()
 			return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 		}
@@ -256,7 +255,7 @@
 	if gate == nil {
 		return nil
 	}
-	if err := s.sendTail(msg[head:], end, gate); err != nil {
+	if err := s.sendTail(msg[head:], deadline, gate); err != nil {
 		if head > 0 || !errors.Is(err, errGateRefused) {
 			s.Close()
 		}
@@ -265,49 +264,49 @@
 	return nil
 }
 
-// setOutstanding notes that a statement is on its way. Its answer may come as soon as its
-// end is written.
-func (s *Conn) setOutstanding(whole bool) {
+// setOutstanding records whether a statement is outstanding. It is called before the end of the
+// statement is written, since the answer may arrive as soon as that is done.
+func (s *Conn) setOutstanding(outstanding bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outstanding, s.answered = whole, false
+	s.outstanding, s.answered = outstanding, false
 }
 
-// errGateRefused says that a gate refused before anything was written.
-var errGateRefused = errors.New("dbconn: refused at the gate")
+// errGateRefused means that a gate refused before any of the end was written.
+var errGateRefused = errors.New("dbconn: statement refused before it was written")
 
-// sendTail writes the end of a statement through the gate, which is never kept
-// while the far end takes nothing.
-func (s *Conn) sendTail(end []byte, until time.Time, gate Gate) error {
-	// The time limit of the write before, which may have been long ago, is still set.
-	if err := s.c.SetWriteDeadline(until); err != nil {
+// sendTail writes the end of a statement through the gate. It never blocks within the gate: while
+// the database accepts no data, it leaves the gate and calls it again later.
+func (s *Conn) sendTail(tail []byte, deadline time.Time, gate Gate) error {
+	// The deadline of the previous write, which may have been long ago, is still set.
+	if err := s.c.SetWriteDeadline(deadline); err != nil {
 		return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 	}
-	for whole := len(end); ; {
-		var wrote error
+	for size := len(tail); ; {
+		var writeErr error
 		err := gate(func() error {
 			s.setOutstanding(true)
 			var n int
-			n, wrote = s.tryWrite(end)
-			end = end[n:]
-			return wrote
+			n, writeErr = s.tryWrite(tail)
+			tail = tail[n:]
+			return writeErr
 		})
 		switch {
-		case wrote != nil:
-			return fmt.Errorf("%w: %v", connpool.ErrBroken, wrote)
-		case err != nil && len(end) == whole:
+		case writeErr != nil:
+			return fmt.Errorf("%w: %v", connpool.ErrBroken, writeErr)
+		case err != nil && len(tail) == size:
 			s.setOutstanding(false)
 			return fmt.Errorf("%w: %w", errGateRefused, err)
-		case err != nil || len(end) == 0:
+		case err != nil || len(tail) == 0:
 			return err
-		case !time.Now().Before(until):
-			return fmt.Errorf("%w: the far end takes nothing", connpool.ErrBroken)
+		case !time.Now().Before(deadline):
+			return fmt.Errorf("%w: the database accepts no data", connpool.ErrBroken)
 		}
 		time.Sleep(gateRetryInterval.Duration())
 	}
 }
 
-// tryWrite writes what there is room for at once.
+// tryWrite writes as much as can be written without blocking, if the connection supports that.
 func (s *Conn) tryWrite(b []byte) (int, error) {
 	if w, ok := s.c.(kernel.TryWriter); ok {
 		return w.TryWrite(b)
@@ -315,15 +314,15 @@
 	return s.c.Write(b)
 }
 
-// writeBy writes by the deadline.
-func (s *Conn) writeBy(b []byte, by time.Time) (int, error) {
-	if err := s.c.SetWriteDeadline(by); err != nil {
+// writeBy writes b before the deadline.
+func (s *Conn) writeBy(b []byte, deadline time.Time) (int, error) {
+	if err := s.c.SetWriteDeadline(deadline); err != nil {
 		return 0, err
 	}
 	return s.c.Write(b)
 }
 
-// takeAnswer notes that an answer was taken.
+// takeAnswer records that the answer was taken, and returns it.
 func (s *Conn) takeAnswer(a *lineprotocol.Answer) *lineprotocol.Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -331,15 +330,15 @@
 	return a
 }
 
-// Watch is what the wait for an answer looks out for.
+// Watch configures what may end the wait for an answer early.
 type Watch struct {
-	Quiet   kernel.Micros   // after so long without an answer Doubt is called, once
-	Doubt   func() bool     // whether to go on waiting; if not, ErrQuiet
-	Unbound <-chan struct{} // the wait ends with ErrUnbound when it closes,
-	Ending  <-chan struct{} // and with ErrEnding when that does
+	Quiet   kernel.Micros   // after this time without an answer Doubt is called, once
+	Doubt   func() bool     // reports whether to go on waiting; if not, the wait ends with ErrQuiet
+	Unbound <-chan struct{} // when closed, the wait ends with ErrUnbound
+	Ending  <-chan struct{} // when closed, the wait ends with ErrEnding
 }
 
-// Receive waits for the next answer, for at most the span.
+// Receive waits for the next answer, for at most the given time.
 func (s *Conn) Receive(wait kernel.Micros, w Watch) (*lineprotocol.Answer, error) {
 	select {
 	case a := <-s.answers:
@@ -371,7 +370,7 @@
 		return nil, ErrEnding
 	case <-s.broken:
 		select {
-		case a := <-s.answers: // it came just before the end
+		case a := <-s.answers: // it arrived just before the connection broke
 			return s.takeAnswer(a), nil
 		default:
 			return nil, s.brokenError()
@@ -381,23 +380,22 @@
 	}
 }
 
-// Patience bounds the wait for the answers to statements of the pool's own, however many
-// are asked one after the other.
+// Patience bounds the total wait for the answers to a sequence of statements of the pool's own.
 type Patience struct {
 	Until  time.Time
-	Ending <-chan struct{} // the wait ends with ErrEnding when it closes
+	Ending <-chan struct{} // when closed, the wait ends with ErrEnding
 }
 
-// For is the patience that lasts for a span and no longer than the process.
-func For(span kernel.Micros, ending <-chan struct{}) Patience {
-	return Patience{time.Now().Add(span.Duration()), ending}
+// For returns a Patience that lasts for the given time, and ends early when ending is closed.
+func For(timeout kernel.Micros, ending <-chan struct{}) Patience {
+	return Patience{time.Now().Add(timeout.Duration()), ending}
 }
 
 func (p Patience) remaining() kernel.Micros {
 	return kernel.Micros(time.Until(p.Until) / time.Microsecond)
 }
 
-// Ask sends a statement of the pool's own and waits for its answer.
+// Ask executes a statement of the pool's own and returns its answer.
 func (s *Conn) Ask(text string, p Patience) (*lineprotocol.Answer, error) {
 	if err := s.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), p.remaining(), nil); err != nil {
 		return nil, err
@@ -405,10 +403,10 @@
 	return s.Receive(p.remaining(), Watch{Ending: p.Ending})
 }
 
-// State is I, T or E as the database last told it.
+// State returns the transaction state that the database last reported: I, T or E.
 func (s *Conn) State() byte { return s.state }
 
-// Close ends the connection; what was uncommitted is rolled back.
+// Close closes the connection; the database rolls back what is uncommitted.
 func (s *Conn) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/dbconn/conn_test.go
+++ b/internal/dbconn/conn_test.go
@@ -21,9 +21,9 @@
 
 const answerA, answerB = "COMPLETE a\r\nIDLE I -\r\n", "COMPLETE b\r\nIDLE I -\r\n"
 
-// connect plays a test with a connection to a hand-made database. It answers the
-// log-in with the first text and each statement after 100 ms with the next, then
-// counts the lines that yet come whole until the connection ends.
+// connect runs a test on a connection to a scripted database, which answers the log-in with the
+// first text and each statement after 100 ms with the next, then counts the complete lines that
+// still arrive until the connection ends.
 func connect(t *testing.T, over func(kernel.Network) kernel.Network, texts []string, f func(c *dbconn.Conn, err error, more <-chan int)) {
 	connectOn(t, over, texts, func(_ *simulation.Net, c *dbconn.Conn, err error, more <-chan int) { f(c, err, more) })
 }
@@ -69,16 +69,16 @@
 
 func plain(n kernel.Network) kernel.Network { return n }
 
-// Invariant STATEMENT: an answer is given only to the statement that it answers,
-// and a connection on which that is not sure is neither used nor lent again.
-func TestSTATEMENTTakesNoOthersAnswer(t *testing.T) {
+// An answer is matched only to the statement that it answers, and a connection on which that is
+// uncertain is neither used nor lent again.
+func TestAnswerIsNeverTakenForAnotherStatement(t *testing.T) {
 	const soon, late = 50 * kernel.Millisecond, 200 * kernel.Millisecond
 	for name, c := range map[string]struct {
 		texts []string
 		wait  kernel.Micros // for the first answer
-		first string        // its seal, "" if it is given up
-		clean bool          // the connection may serve others then
-		next  string        // seal of the next one's answer, "" if it is not sent
+		first string        // its seal, "" if the wait is abandoned
+		clean bool          // whether the connection may be lent again
+		next  string        // seal of the next statement's answer, "" if it is not sent
 	}{
 		"in order":                   {[]string{answerA, answerB}, late, "a", true, "b"},
 		"given up, answered late":    {[]string{answerA, answerB}, soon, "", false, ""},
@@ -102,9 +102,9 @@
 				if got := seal(conn.Ask("FETCH 1", dbconn.For(c.wait, nil))); got != c.first {
 					t.Errorf("first answer %q", got)
 				}
-				time.Sleep(200 * time.Millisecond) // what is late comes
+				time.Sleep(200 * time.Millisecond) // late answers arrive meanwhile
 				if clean := conn.Clean() && conn.Alive(); clean != c.clean {
-					t.Errorf("it may serve others: %v", clean)
+					t.Errorf("may be lent again: %v", clean)
 				}
 				if got := seal(conn.Ask("PUT 2 x", dbconn.For(late, nil))); got != c.next {
 					t.Errorf("next answer %q", got)
@@ -115,13 +115,13 @@
 	}
 	connect(t, plain, []string{"IDLE I -\r\nIDLE I -\r\n"}, func(_ *dbconn.Conn, err error, _ <-chan int) {
 		if !errors.Is(err, connpool.ErrBroken) {
-			t.Errorf("a log-in answered twice: %v", err)
+			t.Errorf("log-in answered twice: %v", err)
 		}
 	})
 }
 
-// halved is a network whose connections, after the log-in, write half of what they
-// are given and fail.
+// halved is a network whose connections, after the log-in, write half of the data that they are
+// given and then fail.
 type halved struct{ kernel.Network }
 
 type halvedConn struct {
@@ -142,9 +142,9 @@
 	return n, errors.Join(err, syscall.ECONNRESET)
 }
 
-// A statement that leaves in part counts as unsent, because its end never follows:
-// the connection is closed, and nothing more is sent on it.
-func TestSTATEMENTLeftInPartIsNeverCompleted(t *testing.T) {
+// A partly written statement counts as unsent, because its end never follows: the connection is
+// closed, and nothing more is sent on it.
+func TestPartlySentStatementIsNeverCompleted(t *testing.T) {
 	over := func(n kernel.Network) kernel.Network { return halved{n} }
 	connect(t, over, []string{"IDLE I -\r\n"}, func(conn *dbconn.Conn, err error, more <-chan int) {
 		if err != nil {
@@ -156,21 +156,21 @@
 			}
 		}
 		if n := <-more; n > 0 || conn.Clean() {
-			t.Errorf("%d lines arrived whole, it may serve others: %v", n, conn.Clean())
+			t.Errorf("%d complete lines arrived, may be lent again: %v", n, conn.Clean())
 		}
 	})
 }
 
-// GateIsShort: a gate is kept for a moment at a time, however long the database
-// takes nothing, and is asked anew each time; of a long statement only the end goes
-// through it. One that is refused is never whole at the database.
-func TestGateIsShort(t *testing.T) {
+// The gate is never held while the database accepts no data, and is called anew for each attempt;
+// only the end of a long statement goes through it. The database never receives the whole of a
+// refused statement.
+func TestGateIsNotHeldWhileDatabaseAcceptsNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		size    int
-		full    time.Duration // the database takes nothing for so long
-		refuses time.Duration // the gate lets nothing through from then on, if not 0
+		full    time.Duration // how long the database accepts no data
+		refuses time.Duration // when the gate begins to refuse, if not 0
 		sent    bool
-		alive   bool // the connection may serve others
+		alive   bool // whether the connection may be lent again
 	}{
 		"short":                         {10, 0, 0, true, true},
 		"short, full for a while":       {10, 400 * time.Millisecond, 0, true, true},
@@ -202,7 +202,7 @@
 				text := "PUT x " + strings.Repeat("y", c.size)
 				err = conn.Send(lineprotocol.AppendMessage(nil, "QUERY", "a", text), 2*kernel.Second, gate)
 				if longest > 0 {
-					t.Errorf("the gate was kept for %v", longest)
+					t.Errorf("the gate was held for %v", longest)
 				}
 				if (err == nil) != c.sent {
 					t.Errorf("sent: %v", err)
@@ -219,9 +219,9 @@
 	}
 }
 
-// A connection that rested takes the next statement: the time limit of the one before is
-// not its own.
-func TestRestingConnectionTakesTheNextStatement(t *testing.T) {
+// A statement sent on a connection that was idle must not fail on the expired write deadline of
+// the statement before.
+func TestIdleConnectionAcceptsNextStatement(t *testing.T) {
 	connect(t, plain, []string{"IDLE I -\r\n", answerA, answerB}, func(c *dbconn.Conn, err error, _ <-chan int) {
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dbconn/plugin.go
+++ b/internal/dbconn/plugin.go
@@ -23,7 +23,7 @@
 				Net: k.Net, Who: s.NodeName, Connect: settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs),
 				DialSlots: make(chan struct{}, connpool.MaxDials),
 			}
-			sh := connpool.New[Want](k, connpool.Config[Want, *Conn]{
+			pools := connpool.New[Want](k, connpool.Config[Want, *Conn]{
 				Open: func(ctx context.Context, db discovery.Database, want Want, wait kernel.Micros) (*Conn, error) {
 					return d.OpenForTenant(ctx, db, want.Tenant, wait)
 				},
@@ -31,11 +31,11 @@
 				OpenWait: 2 * kernel.Second, CheckWait: settings.Span(s.CheckWaitMs), IdleFor: 15 * kernel.Second, UnusedFor: 5 * kernel.Second,
 				Share: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
 			}, kernel.Need[*health.Monitor](k))
-			kernel.Offer(k, sh)
-			kernel.Offer(k, connpool.Updater(sh.Stock))
-			kernel.Offer(k, connpool.Counts(sh.Counts))
-			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool { return connpool.Stands(sh.Check(ctx, id)) })
-			k.Supervise("dbconn", sh.Serve)
+			kernel.Offer(k, pools)
+			kernel.Offer(k, connpool.Updater(pools.Stock))
+			kernel.Offer(k, connpool.Counts(pools.Counts))
+			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool { return connpool.Stands(pools.Check(ctx, id)) })
+			k.Supervise("dbconn", pools.Serve)
 			return nil
 		},
 	})
@@ -48,38 +48,38 @@
 				Net: k.Net, Who: "control", Connect: settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs),
 				DialSlots: make(chan struct{}, connpool.MaxDials),
 			}
-			quiet := &connpool.UnresponsiveTracker{}
+			unresponsive := &connpool.UnresponsiveTracker{}
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
-				return probe(ctx, k, v, d, quiet, id)
+				return probe(ctx, k, v, d, unresponsive, id)
 			})
 			return nil
 		},
 	})
 }
 
-// probe tries, for a control node, whether a database takes a connection. Where
-// several do not answer at once it may be the control node's own link that is full:
-// before leads are moved for it, they are tried again, and longer.
-func probe(ctx context.Context, k *kernel.Kernel, v *controlstate.Replica, d *Dialer, quiet *connpool.UnresponsiveTracker, id string) bool {
-	raw, err := v.Read(discovery.Key(id))
+// probe tests, for a control node, whether a database accepts a connection. If several don't
+// respond at once, the control node's own link may be saturated: before that leads to a leader
+// change, they are tried again, with twice the time limit.
+func probe(ctx context.Context, k *kernel.Kernel, replica *controlstate.Replica, dialer *Dialer, unresponsive *connpool.UnresponsiveTracker, id string) bool {
+	raw, err := replica.Read(discovery.Key(id))
 	if err != nil || raw == nil {
-		return true // not the primary any more, or gone: nothing to decide
+		return true // no longer the primary, or the database was removed: nothing to decide
 	}
 	var db discovery.Database
 	if err := json.Unmarshal(raw, &db); err != nil {
 		k.Counters.Add("dbconn.unreadable", 1)
 		return true
 	}
-	c, err := d.Open(ctx, db, d.Connect)
-	if errors.Is(err, connpool.ErrSilent) && !errors.Is(err, syscall.ECONNREFUSED) && quiet.Record(k.Clock.Now(), id) {
+	conn, err := dialer.Open(ctx, db, dialer.Connect)
+	if errors.Is(err, connpool.ErrSilent) && !errors.Is(err, syscall.ECONNREFUSED) && unresponsive.Record(k.Clock.Now(), id) {
 		k.Counters.Add("dbconn.probed_again", 1)
-		longer := *d
+		longer := *dialer
 		longer.Connect *= 2
-		c, err = longer.Open(ctx, db, longer.Connect)
+		conn, err = longer.Open(ctx, db, longer.Connect)
 	}
 	if err != nil {
 		return connpool.Stands(err)
 	}
-	c.Close()
+	conn.Close()
 	return true
 }
--- a/internal/dbconn/values.go
+++ b/internal/dbconn/values.go
@@ -8,7 +8,7 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Prepared is what a prepared name stands for.
+// Prepared is the statement that a prepared name stands for.
 type Prepared struct {
 	Kind lineprotocol.Verb // Fetch or Put
 	Text string
@@ -16,14 +16,15 @@
 
 func (p Prepared) key() string { return lineprotocol.KindName(p.Kind) + " " + p.Text }
 
-// Bounds of the prepared names that a connection keeps for clients to come.
+// Limits of the prepared names that a connection keeps for later sessions.
 const (
 	maxPrepared      = 512
 	maxPreparedBytes = 128 << 10
 )
 
-// Values puts the session's values, and no others, in force on the
-// connection. Prepared names go where there are too many of them.
+// Values sets exactly the given session values on the connection. It discards all values and
+// prepared names first if a value is set that is not wanted, or if there are too many prepared
+// names.
 func (s *Conn) Values(want map[string]string, p Patience) error {
 	if s.hasUnwantedValue(want) || s.tooManyPrepared() {
 		if err := s.mustExecute("DISCARD", p); err != nil {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// hasUnwantedValue tells whether a value is in force that is not wanted.
+// hasUnwantedValue reports whether a value is set that is not wanted.
 func (s *Conn) hasUnwantedValue(want map[string]string) bool {
 	for name := range s.values {
 		if _, ok := want[name]; !ok {
@@ -55,14 +56,14 @@
 	return false
 }
 
-// tooManyPrepared tells whether the connection has more prepared names than are kept, and is in
+// tooManyPrepared reports whether the connection has more prepared names than are kept and is in
 // no transaction, which might need them.
 func (s *Conn) tooManyPrepared() bool {
 	return s.state == 'I' && (len(s.names) >= maxPrepared || s.preparedBytes > maxPreparedBytes)
 }
 
-// Name returns the connection's own prepared name for the statement, preparing it
-// if need be. Names of equal statements are equal on all connections.
+// Name returns the name under which the statement is prepared on this connection, and prepares it
+// first if needed. Equal statements get equal names on all connections, unless hashes collide.
 func (s *Conn) Name(statement Prepared, p Patience) (string, error) {
 	key := statement.key()
 	if name, ok := s.names[key]; ok {
@@ -82,6 +83,7 @@
 	return name, nil
 }
 
+// nameTaken reports whether the name is in use for another statement.
 func (s *Conn) nameTaken(name string) bool {
 	for _, n := range s.names {
 		if n == name {
@@ -91,11 +93,11 @@
 	return false
 }
 
-// Lost forgets a prepared name that the database does not know.
+// Lost removes a prepared name that the database no longer knows.
 func (s *Conn) Lost(statement Prepared) { delete(s.names, statement.key()) }
 
-// mustExecute asks for what only a broken connection can refuse; after any other
-// answer the connection's state is not known and it is closed.
+// mustExecute executes a statement that only a broken connection can refuse. After any other
+// answer the state of the connection is unknown, and it is closed.
 func (s *Conn) mustExecute(text string, p Patience) error {
 	a, err := s.Ask(text, p)
 	if err != nil {
--- a/internal/lineprotocol/fuzz_test.go
+++ b/internal/lineprotocol/fuzz_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// expected cuts a stream into whole answers, apart from ReadAnswer: what its lines
-// say must be rows, one end and one IDLE.
+// expected splits a stream into complete answers, independently of ReadAnswer: each consists of
+// rows, one COMPLETE or ERROR, and one IDLE.
 func expected(input string) (out [][]string) {
 	var now []string
 	for {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Whatever a database sends, in whatever pieces, answers are exactly the whole ones
-// of the stream up to its first fault: no part of one is read as part of another.
+// Whatever a database sends, and however it is split, exactly the complete answers before the
+// first fault of the stream are read: no part of one is read as part of another.
 func FuzzReadAnswer(f *testing.F) {
 	a, b := "ROW x y\r\nCOMPLETE 7.1\r\nIDLE T 3.12\r\n", "ERROR RETRY later\r\nIDLE I -\r\n"
 	for _, text := range []string{
@@ -76,7 +76,7 @@
 		}
 		split := answers(iotest.OneByteReader(strings.NewReader(input)))
 		if !slices.EqualFunc(got, split, func(a, b *Answer) bool { return bytes.Equal(a.Append(nil), b.Append(nil)) }) {
-			t.Error("pieces matter")
+			t.Error("the answers depend on how the input is split")
 		}
 	})
 }
--- a/internal/lineprotocol/lineprotocol.go
+++ b/internal/lineprotocol/lineprotocol.go
@@ -1,4 +1,4 @@
-// Package lineprotocol is the codec of the wire that clients and databases speak.
+// Package lineprotocol encodes and decodes the line protocol that clients and databases use.
 package lineprotocol
 
 import (
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// MaxMessage is the longest message, its end included.
+// MaxMessage is the maximum length of a message in bytes, including its line end.
 const MaxMessage = 1 << 20
 
-// Codes of ERROR.
+// Codes of ERROR messages.
 const (
 	Retry      = "RETRY"
 	RolledBack = "ROLLEDBACK"
@@ -31,17 +31,18 @@
 	Malformed  = "MALFORMED"
 )
 
-// Errors of this layer.
+// Errors of reading messages.
 var (
 	ErrOversize  = errors.New("lineprotocol: message too long")
 	ErrMalformed = errors.New("lineprotocol: malformed message")
 	ErrNoRoom    = errors.New("lineprotocol: no memory for the message")
 )
 
-// Position is a place in a database's log.
+// Position is a position in the log of a database.
 type Position struct{ Term, Number int64 }
 
-// ParsePosition reads TERM.NUMBER; "-" and anything else give no position.
+// ParsePosition parses TERM.NUMBER. It reports false for "-", which stands for no position, and
+// for anything else.
 func ParsePosition(s string) (Position, bool) {
 	t, n, ok := strings.Cut(s, ".")
 	if !ok {
@@ -55,38 +56,38 @@
 	return Position{term, num}, true
 }
 
-// Less orders positions by term, then number.
+// Less reports whether p comes before q; positions are ordered by term, then by number.
 func (p Position) Less(q Position) bool {
 	return p.Term < q.Term || p.Term == q.Term && p.Number < q.Number
 }
 
-// Next is the first position after p.
+// Next returns the position that follows p in the same term.
 func (p Position) Next() Position { return Position{p.Term, p.Number + 1} }
 
 func (p Position) String() string {
 	return strconv.FormatInt(p.Term, 10) + "." + strconv.FormatInt(p.Number, 10)
 }
 
-// Reader takes messages off a connection.
+// Reader reads messages from a connection.
 type Reader struct {
-	// Room, if there is one, is asked before a message that comes in parts takes so many
-	// bytes, and told 0 when the next one begins.
+	// Room, if not nil, is asked whether the given number of bytes may be held for a message that
+	// arrives in parts, and is called with 0 once that message is discarded.
 	Room func(bytes int) bool
 
 	b          *bufio.Reader
-	part       []byte // of a message whose rest has not come, or that is longer than the buffer
-	incomplete bool   // part is of the message that is read next
+	part       []byte // the start of a message that is incomplete, or that is longer than the buffer
+	incomplete bool   // part belongs to the message being read
 }
 
-// maxRetainedBuffer is the largest buffer that is kept for further messages.
+// maxRetainedBuffer is the size in bytes of the largest buffer that is reused for later messages.
 const maxRetainedBuffer = 16 << 10
 
-// NewReader wraps r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{b: bufio.NewReaderSize(r, 2048)} }
 
-// Line returns the next message without its end; it is valid until the next
-// call. After an error that passes, as the end of a wait, the next call goes on
-// where this one stopped.
+// Line returns the next message without its line end; it is valid until the next call. After a
+// temporary error, such as an expired read deadline, the next call continues where this one
+// stopped.
 func (r *Reader) Line() ([]byte, error) {
 	if !r.incomplete && r.part != nil {
 		r.discardPart()
@@ -104,7 +105,7 @@
 	return line[:len(line)-1], nil
 }
 
-// discardPart drops the message in hand, whose memory is kept for the next one if it is small.
+// discardPart discards the previous message. Its memory is reused for the next one if it is small.
 func (r *Reader) discardPart() {
 	if r.part = r.part[:0]; cap(r.part) > maxRetainedBuffer {
 		r.part = nil
@@ -114,7 +115,7 @@
 	}
 }
 
-// assemble puts a message together that comes in parts.
+// assemble puts a message together that arrives in parts.
 func (r *Reader) assemble(line []byte, err error) ([]byte, error) {
 	for {
 		if r.Room != nil && !r.Room(len(r.part)+len(line)) {
@@ -136,7 +137,7 @@
 	}
 }
 
-// Partial is how many bytes have come of a message whose rest has not.
+// Partial returns how many bytes of an incomplete message have arrived.
 func (r *Reader) Partial() int {
 	if !r.incomplete {
 		return 0
@@ -144,16 +145,16 @@
 	return len(r.part)
 }
 
-// Buffered reports whether input is waiting.
+// Buffered reports whether unread input is buffered.
 func (r *Reader) Buffered() bool { return r.b.Buffered() > 0 }
 
-// Word cuts the first blank-separated field off a message.
+// Word splits a message at its first blank.
 func Word(line []byte) (word, rest []byte) {
 	word, rest, _ = bytes.Cut(line, []byte{' '})
 	return word, rest
 }
 
-// AppendMessage appends the fields as one message.
+// AppendMessage appends the fields as one message, separated by blanks.
 func AppendMessage(b []byte, fields ...string) []byte {
 	for i, f := range fields {
 		if i > 0 {
@@ -164,9 +165,9 @@
 	return append(b, '\r', '\n')
 }
 
-// Answer is what a database sent for one QUERY or LOGIN.
+// Answer is a database's answer to one QUERY or LOGIN.
 type Answer struct {
-	Rows  []byte // ROW messages as they came, ends included
+	Rows  []byte // ROW messages as received, line ends included
 	Seal  string // text of COMPLETE
 	Code  string // code of ERROR, "" for success
 	Text  string // text of ERROR
@@ -174,9 +175,9 @@
 	Pos   string
 }
 
-// ReadAnswer reads one answer up to its IDLE: rows, then how it ended, once.
-// Anything else is malformed, so that what is left of one answer is never read
-// as part of another.
+// ReadAnswer reads one answer up to its IDLE: any rows, then exactly one COMPLETE or ERROR.
+// Anything else is malformed, so that the remainder of one answer is never read as part of
+// another.
 func ReadAnswer(r *Reader) (*Answer, error) {
 	a := &Answer{}
 	for ended := false; ; {
@@ -212,7 +213,7 @@
 	}
 }
 
-// Append writes the answer as a client is to see it.
+// Append appends the answer in the form in which it is sent to a client.
 func (a *Answer) Append(b []byte) []byte {
 	b = append(b, a.Rows...)
 	if a.Code != "" {
--- a/internal/lineprotocol/lineprotocol_test.go
+++ b/internal/lineprotocol/lineprotocol_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// trickle gives its parts one at a time, each followed by the end of a wait.
+// trickle returns its parts one at a time, each preceded by an expired read deadline.
 type trickle struct {
 	parts []string
 	waits bool
@@ -47,7 +47,7 @@
 	return n, nil
 }
 
-// A message that comes in parts, with ends of waits between them, is read whole.
+// A message that arrives in parts is read whole, even if read deadlines expire between them.
 func TestMessageInParts(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	r := NewReader(&trickle{parts: []string{"QUERY 1 PUT a ", long, "\r", "\nQUERY 2", " FETCH b\r\n", "QUERY 3"}})
@@ -97,7 +97,7 @@
 			t.Errorf("%q became %q", text, s.Text)
 		}
 		if s.Verb != Bad && (strings.HasPrefix(text, "WAITPOS") || strings.HasPrefix(text, "STAT")) {
-			t.Errorf("%q is for the system alone", text)
+			t.Errorf("%q is reserved for the system", text)
 		}
 	})
 }
--- a/internal/lineprotocol/text.go
+++ b/internal/lineprotocol/text.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Verb is what a statement's text asks for.
+// Verb is the operation that the text of a statement requests.
 type Verb int
 
-// Verbs that clients may send.
+// Verbs that clients may send. Bad stands for anything else.
 const (
 	Bad Verb = iota
 	Begin
@@ -20,18 +20,17 @@
 	Close
 )
 
-// Statement is a client's QUERY, taken apart as far as the pool needs it.
+// Statement is a client's QUERY, parsed as far as the pool needs it.
 type Statement struct {
 	ID   string
 	Text string
 	Verb Verb
-	Name string // OPTION, PARSE, RUN, CLOSE
-	Rest string // what follows the name
-	Kind Verb   // PARSE: Fetch or Put
+	Name string // set for OPTION, PARSE, RUN and CLOSE
+	Rest string // the text after the name, and after the kind for PARSE
+	Kind Verb   // for PARSE: Fetch or Put
 }
 
-// ParseStatement reads a text; the verb is Bad if it is none that clients may
-// send.
+// ParseStatement parses a text. The verb is Bad if it is not one that clients may send.
 func ParseStatement(id, text string) Statement {
 	s := Statement{ID: id, Text: text}
 	verb, rest, _ := strings.Cut(text, " ")
@@ -81,7 +80,7 @@
 	return s
 }
 
-// KindName is the word of Fetch or Put.
+// KindName returns the protocol's word for Fetch or Put.
 func KindName(v Verb) string {
 	if v == Put {
 		return "PUT"
