--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -328,7 +328,8 @@
 }
 
 // handleBroken runs when a connection has broken. An idle one is dropped here, a borrowed one when
-// it is returned. Unless this process closed it, the break is reported to the health monitor.
+// it is returned. The break is reported to the health monitor, unless this process closed the
+// connection, or its database was removed or is draining.
 func (s *Pools[W, C]) handleBroken(c C, byUs, unresponsive bool) {
 	s.mu.Lock()
 	at, open := s.origins[c]
--- a/internal/connpool/dial_test.go
+++ b/internal/connpool/dial_test.go
@@ -41,10 +41,10 @@
 		failures     int
 		unresponsive bool
 	}{
-		"silent":                             {0, 4, true},
-		"a moment late":                      {30 * time.Millisecond, 4, true},
-		"the process stood still":            {time.Second, 2, false},
-		"it stood still, and then no answer": {time.Second, 4, true},
+		"unresponsive":                       {0, 4, true},
+		"slightly late":                      {30 * time.Millisecond, 4, true},
+		"process stalled":                    {time.Second, 2, false},
+		"process stalled, then unresponsive": {time.Second, 4, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/connpool/invariants_test.go
+++ b/internal/connpool/invariants_test.go
@@ -45,10 +45,10 @@
 		return c
 	}
 	for name, c := range map[string]struct {
-		play func(s *Pools[struct{}, *fakeLine])
+		run  func(s *Pools[struct{}, *fakeLine])
 		want []invariant.Invariant
 	}{
-		"lent and given back": {func(s *Pools[struct{}, *fakeLine]) {
+		"lent and returned": {func(s *Pools[struct{}, *fakeLine]) {
 			for range 3 {
 				a, b := borrow(s), borrow(s)
 				s.Return(a)
@@ -58,23 +58,23 @@
 		"lent twice": {func(s *Pools[struct{}, *fakeLine]) {
 			s.markLent(s.pools["a"], borrow(s))
 		}, []invariant.Invariant{invariant.LentOnce}},
-		"lost from the count": {func(s *Pools[struct{}, *fakeLine]) {
+		"missing from the count": {func(s *Pools[struct{}, *fakeLine]) {
 			a := borrow(s)
 			s.pools["a"].open++
 			s.Return(a)
 		}, []invariant.Invariant{invariant.ConnectionsCounted}},
-		"down and there": {func(s *Pools[struct{}, *fakeLine]) {
+		"down and known": {func(s *Pools[struct{}, *fakeLine]) {
 			s.checkDownKnown(map[string]int64{"a": 0})
 			s.checkDownKnown(map[string]int64{"a": 0})
 		}, nil},
-		"down and just gone": {func(s *Pools[struct{}, *fakeLine]) { s.checkDownKnown(map[string]int64{"b": 0}) }, nil},
-		"down and not there": {func(s *Pools[struct{}, *fakeLine]) {
+		"down and just removed": {func(s *Pools[struct{}, *fakeLine]) { s.checkDownKnown(map[string]int64{"b": 0}) }, nil},
+		"down and unknown": {func(s *Pools[struct{}, *fakeLine]) {
 			s.checkDownKnown(map[string]int64{"b": 0})
 			s.checkDownKnown(map[string]int64{"b": 0})
 		}, []invariant.Invariant{invariant.DownIsKnown}},
 	} {
 		k, s := fakePools()
-		c.play(s)
+		c.run(s)
 		if got := k.Invariants.Violated(); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v", name, got)
 		}
--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -264,8 +264,8 @@
 	return nil
 }
 
-// setOutstanding records whether a statement is outstanding. It is called before the end of the
-// statement is written, since the answer may arrive as soon as that is done.
+// setOutstanding records whether a complete statement is outstanding. It is called with true
+// before the end of the statement is written, since the answer may arrive as soon as that is done.
 func (s *Conn) setOutstanding(outstanding bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -391,16 +391,14 @@
 	return Patience{time.Now().Add(timeout.Duration()), ending}
 }
 
-func (p Patience) remaining() kernel.Micros {
-	return kernel.Micros(time.Until(p.Until) / time.Microsecond)
-}
+func (p Patience) left() kernel.Micros { return kernel.Micros(time.Until(p.Until) / time.Microsecond) }
 
 // Ask executes a statement of the pool's own and returns its answer.
 func (s *Conn) Ask(text string, p Patience) (*lineprotocol.Answer, error) {
-	if err := s.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), p.remaining(), nil); err != nil {
+	if err := s.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), p.left(), nil); err != nil {
 		return nil, err
 	}
-	return s.Receive(p.remaining(), Watch{Ending: p.Ending})
+	return s.Receive(p.left(), Watch{Ending: p.Ending})
 }
 
 // State returns the transaction state that the database last reported: I, T or E.
--- a/internal/dbconn/conn_test.go
+++ b/internal/dbconn/conn_test.go
@@ -24,20 +24,20 @@
 // connect runs a test on a connection to a scripted database, which answers the log-in with the
 // first text and each statement after 100 ms with the next, then counts the complete lines that
 // still arrive until the connection ends.
-func connect(t *testing.T, over func(kernel.Network) kernel.Network, texts []string, f func(c *dbconn.Conn, err error, more <-chan int)) {
-	connectOn(t, over, texts, func(_ *simulation.Net, c *dbconn.Conn, err error, more <-chan int) { f(c, err, more) })
+func connect(t *testing.T, wrap func(kernel.Network) kernel.Network, texts []string, f func(c *dbconn.Conn, err error, more <-chan int)) {
+	connectOn(t, wrap, texts, func(_ *simulation.Net, c *dbconn.Conn, err error, more <-chan int) { f(c, err, more) })
 }
 
-func connectOn(t *testing.T, over func(kernel.Network) kernel.Network, texts []string, f func(n *simulation.Net, c *dbconn.Conn, err error, more <-chan int)) {
+func connectOn(t *testing.T, wrap func(kernel.Network) kernel.Network, texts []string, f func(n *simulation.Net, c *dbconn.Conn, err error, more <-chan int)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := simulation.NewNet(1)
-		ln, err := n.Host("10.0.0.2").Listen("10.0.0.2:1")
+		listener, err := n.Host("10.0.0.2").Listen("10.0.0.2:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		more := make(chan int, 1)
 		go func() {
-			db, err := ln.Accept()
+			db, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -59,7 +59,7 @@
 			}
 			more <- n
 		}()
-		d := dbconn.Dialer{Net: over(n.Host("10.0.0.1")), Who: "w", Connect: kernel.Second, Silence: kernel.Second}
+		d := dbconn.Dialer{Net: wrap(n.Host("10.0.0.1")), Who: "w", Connect: kernel.Second, Silence: kernel.Second}
 		c, err := d.Open(t.Context(), discovery.Database{ID: "d", Service: "s", Address: "10.0.0.2:1"}, kernel.Second)
 		f(n, c, err, more)
 		n.Reset("10.0.0.2")
@@ -80,13 +80,13 @@
 		clean bool          // whether the connection may be lent again
 		next  string        // seal of the next statement's answer, "" if it is not sent
 	}{
-		"in order":                   {[]string{answerA, answerB}, late, "a", true, "b"},
-		"given up, answered late":    {[]string{answerA, answerB}, soon, "", false, ""},
-		"more behind a whole answer": {[]string{answerA + answerB, answerB}, late, "a", false, ""},
-		"part of more behind it":     {[]string{answerA + "COMP", answerB}, late, "a", false, ""},
-		"stops short":                {[]string{"ROW x\r\n", answerB}, late, "", false, ""},
-		"no end":                     {[]string{"ROW x\r\nIDLE I -\r\n", answerB}, late, "", false, ""},
-		"a failure without its code": {[]string{"ERROR\r\nIDLE I -\r\n", answerB}, late, "", false, ""},
+		"in order":                             {[]string{answerA, answerB}, late, "a", true, "b"},
+		"abandoned, answered late":             {[]string{answerA, answerB}, soon, "", false, ""},
+		"more data after a complete answer":    {[]string{answerA + answerB, answerB}, late, "a", false, ""},
+		"partial data after a complete answer": {[]string{answerA + "COMP", answerB}, late, "a", false, ""},
+		"incomplete answer":                    {[]string{"ROW x\r\n", answerB}, late, "", false, ""},
+		"no COMPLETE or ERROR":                 {[]string{"ROW x\r\nIDLE I -\r\n", answerB}, late, "", false, ""},
+		"ERROR without a code":                 {[]string{"ERROR\r\nIDLE I -\r\n", answerB}, late, "", false, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			connect(t, plain, append([]string{"IDLE I -\r\n"}, c.texts...), func(conn *dbconn.Conn, err error, _ <-chan int) {
@@ -145,8 +145,8 @@
 // A partly written statement counts as unsent, because its end never follows: the connection is
 // closed, and nothing more is sent on it.
 func TestPartlySentStatementIsNeverCompleted(t *testing.T) {
-	over := func(n kernel.Network) kernel.Network { return halved{n} }
-	connect(t, over, []string{"IDLE I -\r\n"}, func(conn *dbconn.Conn, err error, more <-chan int) {
+	wrap := func(n kernel.Network) kernel.Network { return halved{n} }
+	connect(t, wrap, []string{"IDLE I -\r\n"}, func(conn *dbconn.Conn, err error, more <-chan int) {
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lineprotocol/lineprotocol.go
+++ b/internal/lineprotocol/lineprotocol.go
@@ -71,7 +71,7 @@
 // Reader reads messages from a connection.
 type Reader struct {
 	// Room, if not nil, is asked whether the given number of bytes may be held for a message that
-	// arrives in parts, and is called with 0 once that message is discarded.
+	// arrives in parts, and is called with 0 when the next message begins.
 	Room func(bytes int) bool
 
 	b          *bufio.Reader
