--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -48,7 +48,7 @@
 // Counts returns the numbers of open and idle connections by database.
 type Counts func() map[string][2]int
 
-// Updater receives the current set of databases, by ID.
+// Updater receives the current set of databases by ID.
 type Updater func(map[string]discovery.Database)
 
 // Config configures the pools.
@@ -97,7 +97,7 @@
 	lent         int
 	opening      int
 	waiting      []*waiter[W, C]
-	atLimitUntil kernel.Micros // the database was at its connection limit; open no more until then
+	atLimitUntil kernel.Micros // the database was at its connection limit; until then the pool grows at most to one connection
 }
 
 // idleConn is an idle connection and the time since when it has been idle.
--- a/internal/connpool/dial_test.go
+++ b/internal/connpool/dial_test.go
@@ -41,7 +41,7 @@
 		failures     int
 		unresponsive bool
 	}{
-		"unresponsive":                       {0, 4, true},
+		"silent":                             {0, 4, true},
 		"slightly late":                      {30 * time.Millisecond, 4, true},
 		"process stalled":                    {time.Second, 2, false},
 		"process stalled, then unresponsive": {time.Second, 4, true},
--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -71,7 +71,7 @@
 	Net     kernel.Network
 	Who     string        // client name sent at the log-in
 	Connect kernel.Micros // time limit for establishing the connection
-	Silence kernel.Micros // how long sent data may stay unacknowledged before the connection counts as broken
+	Silence kernel.Micros // about how long the database may be unresponsive before the connection breaks, 0 for no limit
 	// DialSlots, if not nil, limits concurrent connection attempts: with many at once on a small
 	// machine none would complete in time, and every database would seem unresponsive.
 	DialSlots chan struct{}
