--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -12,51 +12,51 @@
 	"indigowalk/internal/kernel"
 )
 
-// clientWait is how long a client may take nothing of what is written to it.
-const clientWait = 5 * kernel.Second
+// clientWriteTimeout is how long a client may accept none of the data written to it.
+const clientWriteTimeout = 5 * kernel.Second
 
-// errClientGone says that whoever asked has closed the connection.
-var errClientGone = errors.New("gateway: the client has gone")
+// errClientDisconnected reports that the client has closed its connection.
+var errClientDisconnected = errors.New("gateway: client disconnected")
 
-// clientConn is a connection of a client. What is written to it is taken within a while,
-// or it breaks: a client that takes nothing would hold its request, and what that holds,
-// without end.
+// clientConn is a client's connection. A write that does not complete within a bounded time fails,
+// because a client that reads nothing would otherwise hold its request, and the resources of that
+// request, forever.
 type clientConn struct {
-	metered
-	until atomic.Int64 // unix microseconds; then nothing is written any more; 0 for no bound
-	away  atomic.Bool  // it was turned away: that it can't be read says nothing of the client
+	meteredConn
+	writeDeadline atomic.Int64 // Unix microseconds; later writes fail; 0 for no limit
+	readStopped   atomic.Bool  // reading was stopped from this side, so a failed read does not mean that the client disconnected
 }
 
 // Write implements net.Conn.
 func (c *clientConn) Write(b []byte) (int, error) {
-	end := time.Now().Add(clientWait.Duration())
-	if until := c.until.Load(); until > 0 && time.UnixMicro(until).Before(end) {
-		end = time.UnixMicro(until)
+	deadline := time.Now().Add(clientWriteTimeout.Duration())
+	if limit := c.writeDeadline.Load(); limit > 0 && time.UnixMicro(limit).Before(deadline) {
+		deadline = time.UnixMicro(limit)
 	}
-	if err := c.SetWriteDeadline(end); err != nil {
+	if err := c.SetWriteDeadline(deadline); err != nil {
 		return 0, err
 	}
-	return c.metered.Write(b)
+	return c.meteredConn.Write(b)
 }
 
-// writeUntil bounds the writes that follow.
-func (c *clientConn) writeUntil(end time.Time) {
+// writeUntil sets the deadline for subsequent writes.
+func (c *clientConn) writeUntil(deadline time.Time) {
 	if c != nil {
-		c.until.Store(end.UnixMicro())
+		c.writeDeadline.Store(deadline.UnixMicro())
 	}
 }
 
-// turnAway ends a connection on which no request is being worked on. What has come
-// on it and was not read is not read any more; a request that has just been read is
-// served all the same, as a connection closed from here might not be.
-func (c *clientConn) turnAway() {
-	c.away.Store(true)
+// stopReading ends a connection that has no request in progress, by expiring its read deadline.
+// Data received but not yet read is discarded. A request that has just been read is still
+// served, which closing the connection from here might prevent.
+func (c *clientConn) stopReading() {
+	c.readStopped.Store(true)
 	if err := c.SetReadDeadline(time.Unix(1, 0)); err != nil {
 		c.Close()
 	}
 }
 
-// clientListener takes the connections of clients.
+// clientListener accepts client connections and meters them.
 type clientListener struct {
 	net.Listener
 	meter *linkMeter
@@ -67,48 +67,49 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{metered: metered{c, l.meter}}, nil
+	return &clientConn{meteredConn: meteredConn{c, l.meter}}, nil
 }
 
-// clientOf is the connection on which a request came; nil in tests of handlers alone.
-func clientOf(q *http.Request) *clientConn {
+// clientFromRequest returns the connection a request arrived on, or nil in tests that call a handler
+// directly.
+func clientFromRequest(q *http.Request) *clientConn {
 	c, _ := q.Context().Value(connKey{}).(*clientConn)
 	return c
 }
 
-// watchClient has gone close once the client of a request has closed its connection,
+// watchDisconnect arranges for j.disconnected to be closed when the client closes its connection,
 // until the returned function is called.
-func (j *job) watchClient(client *clientConn) (stop func() bool) {
-	gone := make(chan struct{})
-	j.gone = gone
+func (j *job) watchDisconnect(client *clientConn) (stop func() bool) {
+	disconnected := make(chan struct{})
+	j.disconnected = disconnected
 	return context.AfterFunc(j.in.Context(), func() {
-		if client == nil || !client.away.Load() {
-			close(gone)
+		if client == nil || !client.readStopped.Load() {
+			close(disconnected)
 		}
 	})
 }
 
-// left tells whether the client has gone.
-func (j *job) abandoned() bool {
+// clientDisconnected reports whether the client has closed its connection.
+func (j *job) clientDisconnected() bool {
 	select {
-	case <-j.gone:
+	case <-j.disconnected:
 		return true
 	default:
 		return false
 	}
 }
 
-// answerOf waits for the answer to an attempt, until the end of the process at the latest.
-// What may be repeated is waited for no longer than its client is there; what may not runs
-// on, whoever waits.
-func (j *job) answerOf(a *attempt, wait kernel.Micros) (*httpconn.Reply, error) {
-	gone := j.gone
-	if !j.safe() {
-		gone = nil
+// awaitResult waits for the result of an attempt, at most until the drain period expires. The wait
+// for an idempotent request also ends when its client disconnects; any other request runs
+// on, whether or not its client is still connected.
+func (j *job) awaitResult(a *attempt, wait kernel.Micros) (*httpconn.Reply, error) {
+	disconnected := j.disconnected
+	if !j.idempotent() {
+		disconnected = nil
 	}
-	reply, err := httpconn.Await(a.ch, wait, j.t.ending, gone)
-	if errors.Is(err, httpconn.ErrQuiet) && gone != nil && j.abandoned() {
-		return nil, errClientGone
+	reply, err := httpconn.Await(a.ch, wait, j.t.drainExpired, disconnected)
+	if errors.Is(err, httpconn.ErrNoResponse) && disconnected != nil && j.clientDisconnected() {
+		return nil, errClientDisconnected
 	}
 	return reply, err
 }
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -8,72 +8,72 @@
 	"indigowalk/internal/kernel"
 )
 
-// clientState is the state of a client's connection. Its times are bounded by the configuration,
-// which may change while it is open.
+// clientState is the state of a client's connection. Its timeouts come from the configuration,
+// which may change while the connection is open.
 type clientState struct {
-	state http.ConnState
-	since kernel.Micros
-	busy  bool // a request has been read
-	// answering says that its answer is being written.
-	answering bool
+	connState http.ConnState
+	since     kernel.Micros
+	busy      bool // a request has been read
+	// responding is set while the response is being written.
+	responding bool
 }
 
-func (t *Gateway) noteState(c net.Conn, state http.ConnState) {
+func (t *Gateway) trackState(c net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch state {
 	case http.StateClosed, http.StateHijacked:
 		delete(t.clients, c)
 	default:
-		t.clients[c] = &clientState{state: state, since: t.k.Clock.Now()}
+		t.clients[c] = &clientState{connState: state, since: t.k.Clock.Now()}
 	}
 }
 
-// inHand notes that a connection's request has been read, or is done.
-func (t *Gateway) inHand(c *clientConn, busy bool) {
+// setBusy records that a connection's request has been read, or has completed.
+func (t *Gateway) setBusy(c *clientConn, busy bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if g := t.clients[net.Conn(c)]; g != nil {
-		g.busy, g.answering, g.since = busy, false, t.k.Clock.Now()
+	if state := t.clients[net.Conn(c)]; state != nil {
+		state.busy, state.responding, state.since = busy, false, t.k.Clock.Now()
 	}
 }
 
-// open is how many requests are being worked on.
-func (t *Gateway) open() (n int64) {
+// openRequests returns the number of requests in progress.
+func (t *Gateway) openRequests() (n int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, g := range t.clients {
-		if g.busy {
+	for _, state := range t.clients {
+		if state.busy {
 			n++
 		}
 	}
 	return n
 }
 
-// connections is how many connections of clients there are.
-func (t *Gateway) connections() int64 {
+// openConnections returns the number of client connections.
+func (t *Gateway) openConnections() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return int64(len(t.clients))
 }
 
-// inAnswer notes that the answer to a connection's request is being written.
-func (t *Gateway) inAnswer(c *clientConn) {
+// setResponding records that the response to a connection's request is being written.
+func (t *Gateway) setResponding(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if g := t.clients[net.Conn(c)]; g != nil {
-		g.answering = true
+	if state := t.clients[net.Conn(c)]; state != nil {
+		state.responding = true
 	}
 }
 
-// Bounds where the configuration has none.
+// Client timeouts used where the configuration sets none.
 const (
-	defaultHeaderWait = 5 * kernel.Second
-	defaultIdle       = 60 * kernel.Second
+	defaultHeaderTimeout = 5 * kernel.Second
+	defaultIdleTimeout   = 60 * kernel.Second
 )
 
-func (t *Gateway) limits() (header, idle kernel.Micros) {
-	header, idle = defaultHeaderWait, defaultIdle
+func (t *Gateway) clientTimeouts() (header, idle kernel.Micros) {
+	header, idle = defaultHeaderTimeout, defaultIdleTimeout
 	if conf := t.control.Config(); conf != nil {
 		if ms := conf.Limits.HeaderTimeoutMs; ms > 0 {
 			header = kernel.Micros(ms) * kernel.Millisecond
@@ -85,27 +85,27 @@
 	return header, idle
 }
 
-// watchClients closes connections that are idle, or take too long over a
-// request's head.
-func (t *Gateway) watchClients(ctx context.Context) {
+// enforceClientTimeouts closes connections that stay idle, or take to send a request header, for
+// longer than the configured timeout.
+func (t *Gateway) enforceClientTimeouts(ctx context.Context) {
 	for kernel.Sleep(ctx, 250*kernel.Millisecond) {
-		header, idle := t.limits()
+		header, idle := t.clientTimeouts()
 		now := t.k.Clock.Now()
-		var late []*clientConn
+		var expired []*clientConn
 		t.mu.Lock()
-		for c, g := range t.clients {
+		for c, state := range t.clients {
 			limit := header
-			if g.state == http.StateIdle {
+			if state.connState == http.StateIdle {
 				limit = idle
 			}
-			if client, ok := c.(*clientConn); ok && !g.busy && now-g.since > limit {
-				late = append(late, client)
+			if client, ok := c.(*clientConn); ok && !state.busy && now-state.since > limit {
+				expired = append(expired, client)
 			}
 		}
 		t.mu.Unlock()
-		for _, c := range late {
+		for _, c := range expired {
 			t.k.Counters.Add("gateway.clients_late", 1)
-			c.turnAway()
+			c.stopReading()
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the gateway: requests in front of services whose
-// databases each run a few at a time.
+// Package gateway implements the HTTP gateway: it forwards client requests to services whose
+// databases each run only a few requests at a time.
 package gateway
 
 import (
@@ -29,7 +29,7 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// ControlState is what the gateway needs of the control state.
+// ControlState is the part of the control state that the gateway reads.
 type ControlState interface {
 	Ready() bool
 	Config() *routeconfig.Index
@@ -39,15 +39,15 @@
 	KeysKnown() bool
 }
 
-// Config is what a gateway is built from.
+// Config holds the settings of a gateway.
 type Config struct {
 	ClientAddr string
 	Zone       string
-	NetMbps    float64 // of the machine's link, 0 if that is not known
+	NetMbps    float64 // bandwidth of the machine's link; 0 if unknown
 	Grace      func() kernel.Micros
 }
 
-// Gateway takes requests and has databases answer them.
+// Gateway accepts client requests and forwards them to databases.
 type Gateway struct {
 	k        *kernel.Kernel
 	cfg      Config
@@ -56,24 +56,24 @@
 	balancer *loadbalance.Balancer
 	health   *health.Monitor
 	ring     *membership.Ring
-	again    *retrybudget.Budget
+	retries  *retrybudget.Budget
 	quota    *quota.Client
 	failures *failurelog.Log
 	stalls   *kernel.Stalls
 	meter    *linkMeter
-	memory   *memorybudget.Budget // of requests' bodies
+	memory   *memorybudget.Budget // for request bodies
 
-	crowded atomic.Bool
-	leaving atomic.Bool
-	ending  chan struct{} // closes when whatever is still waited for is given up
-	srv     *http.Server
+	saturated    atomic.Bool
+	draining     atomic.Bool
+	drainExpired chan struct{} // closed when the drain period expires and pending waits are abandoned
+	srv          *http.Server
 
 	mu       sync.Mutex
 	listener net.Listener
 	clients  map[net.Conn]*clientState
 }
 
-// Services are the parts of the process that a gateway works with.
+// Services are the components of the process that a gateway depends on.
 type Services struct {
 	Control  ControlState
 	Conns    *httpconn.Pools
@@ -88,67 +88,67 @@
 }
 
 // New returns a gateway.
-func New(k *kernel.Kernel, cfg Config, with Services) *Gateway {
+func New(k *kernel.Kernel, cfg Config, services Services) *Gateway {
 	t := &Gateway{
-		k: k, cfg: cfg, control: with.Control, conns: with.Conns, balancer: with.Balancer, health: with.Health, ring: with.Ring,
-		again: with.Retries, quota: with.Quota, failures: with.Failures, stalls: with.Stalls, memory: with.Memory,
-		clients: map[net.Conn]*clientState{}, ending: make(chan struct{}), meter: newLinkMeter(k.Clock, cfg.NetMbps),
+		k: k, cfg: cfg, control: services.Control, conns: services.Conns, balancer: services.Balancer, health: services.Health, ring: services.Ring,
+		retries: services.Retries, quota: services.Quota, failures: services.Failures, stalls: services.Stalls, memory: services.Memory,
+		clients: map[net.Conn]*clientState{}, drainExpired: make(chan struct{}), meter: newLinkMeter(k.Clock, cfg.NetMbps),
 	}
 	t.srv = &http.Server{
-		Handler: t, MaxHeaderBytes: maxHeader, ConnState: t.noteState,
-		ErrorLog: log.New(counted{k.Counters.Of("gateway.server_notes")}, "", 0),
+		Handler: t, MaxHeaderBytes: maxHeader, ConnState: t.trackState,
+		ErrorLog: log.New(countingWriter{k.Counters.Of("gateway.server_notes")}, "", 0),
 	}
 	return t
 }
 
-// counted counts what the server would log: clients that come and go.
-type counted struct{ n *atomic.Int64 }
+// countingWriter counts the HTTP server's log messages, which are about clients connecting and
+// disconnecting, instead of printing them.
+type countingWriter struct{ n *atomic.Int64 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingWriter) Write(b []byte) (int, error) {
 	c.n.Add(1)
 	return len(b), nil
 }
 
-// maxHeader bounds a request's head before the configuration's own bound is
-// looked at.
+// maxHeader limits the size of a request header before the configured limit is checked.
 const maxHeader = 256 << 10
 
-// Ready tells whether clients should be sent here.
+// Ready reports whether clients should be sent to this gateway.
 func (t *Gateway) Ready() bool {
-	return !t.leaving.Load() && t.control.Ready() && !t.crowded.Load()
+	return !t.draining.Load() && t.control.Ready() && !t.saturated.Load()
 }
 
-// A gateway whose link is in use by more than crowdedFrom is not ready, until
-// it is by less than crowdedTo: clients are not spread evenly, and others have
-// room. That lasts for a while at most, since all may be crowded alike.
+// A gateway whose link utilization exceeds saturatedAbove reports not ready until utilization
+// falls below saturatedBelow: clients are not distributed evenly, and other gateways may have
+// capacity. It does so for maxSaturatedTime at most, since all gateways may be saturated alike.
 const (
-	crowdedFrom = 0.9
-	crowdedTo   = 0.6
-	crowdedFor  = 4 * kernel.Second
-	// fullWait is the wait at the link from which the least urgent requests are
+	saturatedAbove   = 0.9
+	saturatedBelow   = 0.6
+	maxSaturatedTime = 4 * kernel.Second
+	// linkWaitLimit is the queueing delay at the link above which the least urgent requests are
 	// refused.
-	fullWait = 120 * kernel.Millisecond
+	linkWaitLimit = 120 * kernel.Millisecond
 )
 
-// watchLink keeps crowded up to date.
-func (t *Gateway) watchLink(ctx context.Context) {
-	var since kernel.Micros
+// updateSaturation keeps saturated up to date.
+func (t *Gateway) updateSaturation(ctx context.Context) {
+	var lastSaturated kernel.Micros
 	for kernel.Sleep(ctx, 100*kernel.Millisecond) {
-		_, use := t.meter.load()
+		_, utilization := t.meter.load()
 		now := t.k.Clock.Now()
-		switch crowded := t.crowded.Load(); {
-		case !crowded && use > crowdedFrom && now-since > 2*crowdedFor:
-			since = now
-			t.crowded.Store(true)
-			t.k.Log.Info("link full, not ready", "use", use)
-		case crowded && (use < crowdedTo || now-since > crowdedFor):
-			t.crowded.Store(false)
-			t.k.Log.Info("link has room, ready", "use", use)
+		switch saturated := t.saturated.Load(); {
+		case !saturated && utilization > saturatedAbove && now-lastSaturated > 2*maxSaturatedTime:
+			lastSaturated = now
+			t.saturated.Store(true)
+			t.k.Log.Info("link saturated, reporting not ready", "use", utilization)
+		case saturated && (utilization < saturatedBelow || now-lastSaturated > maxSaturatedTime):
+			t.saturated.Store(false)
+			t.k.Log.Info("link no longer saturated, reporting ready", "use", utilization)
 		}
 	}
 }
 
-// Serve takes requests until ctx ends.
+// Serve accepts requests until ctx is done.
 func (t *Gateway) Serve(ctx context.Context) error {
 	ln, err := t.k.Net.Listen(t.cfg.ClientAddr)
 	if err != nil {
@@ -158,66 +158,66 @@
 	t.mu.Lock()
 	t.listener = ln
 	t.mu.Unlock()
-	go t.watchClients(ctx)
-	go t.watchLink(ctx)
-	if err := t.srv.Serve(clientListener{ln, t.meter}); err != nil && !errors.Is(err, http.ErrServerClosed) && !t.leaving.Load() {
+	go t.enforceClientTimeouts(ctx)
+	go t.updateSaturation(ctx)
+	if err := t.srv.Serve(clientListener{ln, t.meter}); err != nil && !errors.Is(err, http.ErrServerClosed) && !t.draining.Load() {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// connKey finds a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 // ServeHTTP implements http.Handler.
 func (t *Gateway) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	client := clientOf(q)
-	t.inHand(client, true)
-	defer t.inHand(client, false)
+	client := clientFromRequest(q)
+	t.setBusy(client, true)
+	defer t.setBusy(client, false)
 	t.k.Counters.Add("gateway.requests", 1)
 	h := w.Header()
-	if t.leaving.Load() {
+	if t.draining.Load() {
 		h.Set("Connection", "close")
-	} else if _, idle := t.limits(); idle > 2*kernel.Second {
+	} else if _, idle := t.clientTimeouts(); idle > 2*kernel.Second {
 		h.Set("Keep-Alive", "timeout="+strconv.FormatInt(int64(idle/kernel.Second)-1, 10))
 	}
-	if t.crowded.Load() {
+	if t.saturated.Load() {
 		h.Set("Connection", "close")
 	}
-	j, no := t.newJob(w, q)
+	j, refused := t.newJob(w, q)
 	defer j.memory.Release()
-	defer j.watchClient(client)()
+	defer j.watchDisconnect(client)()
 	var reply *httpconn.Reply
-	if no == nil {
-		reply, no = j.serve()
+	if refused == nil {
+		reply, refused = j.serve()
 	}
-	j.watchAnswer()
-	t.inAnswer(client)
-	if no != nil {
-		j.record(strconv.Itoa(no.status), no.text)
-		j.leaveBody(w)
-		t.refuse(w, no)
+	j.checkAnsweredInTime()
+	t.setResponding(client)
+	if refused != nil {
+		j.logFailure(strconv.Itoa(refused.status), refused.text)
+		j.limitUnreadBody(w)
+		t.writeRefusal(w, refused)
 		return
 	}
 	if reply.Status >= http.StatusInternalServerError {
-		j.record(strconv.Itoa(reply.Status), causeDatabase)
+		j.logFailure(strconv.Itoa(reply.Status), causeDatabase)
 	}
-	if reply.Rest != nil {
-		client.writeUntil(time.Now().Add(j.left().Duration()))
+	if reply.Remainder != nil {
+		client.writeUntil(time.Now().Add(j.remaining().Duration()))
 		defer client.writeUntil(time.Time{})
 	}
-	t.pass(w, reply)
+	t.forwardResponse(w, reply)
 }
 
-// hopByHop are headers that concern one connection only.
+// hopByHop are the headers that apply to a single connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// dropHops removes what concerns one connection only.
-func dropHops(h http.Header) {
+// removeHopByHop removes the headers that apply to a single connection only.
+func removeHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -228,49 +228,49 @@
 	}
 }
 
-// pass hands a database's answer on.
-func (t *Gateway) pass(w http.ResponseWriter, r *httpconn.Reply) {
+// forwardResponse forwards a database's response to the client.
+func (t *Gateway) forwardResponse(w http.ResponseWriter, r *httpconn.Reply) {
 	defer r.Close()
 	h := w.Header()
-	dropHops(r.Header)
+	removeHopByHop(r.Header)
 	for name, values := range r.Header {
 		h[name] = values
 	}
 	if r.Header["Content-Type"] == nil {
-		h["Content-Type"] = nil // or one would be guessed
+		h["Content-Type"] = nil // prevents net/http from guessing one
 	}
 	if r.Length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(r.Length, 10))
-	} else if r.Rest == nil {
+	} else if r.Remainder == nil {
 		h.Set("Content-Length", strconv.Itoa(len(r.Body)))
 	}
 	w.WriteHeader(r.Status)
 	_, err := w.Write(r.Body)
-	if err == nil && r.Rest != nil {
-		_, err = io.Copy(w, r.Rest)
+	if err == nil && r.Remainder != nil {
+		_, err = io.Copy(w, r.Remainder)
 	}
 	if err != nil {
 		t.k.Counters.Add("gateway.answers_cut", 1)
-		panic(http.ErrAbortHandler) // the client must not take it for whole
+		panic(http.ErrAbortHandler) // the client must not take the response for complete
 	}
 }
 
-// refusal is an answer of the gateway's own.
+// refusal is a response generated by the gateway itself.
 type refusal struct {
-	status int
-	text   string
-	wait   kernel.Micros // when to come back
+	status     int
+	text       string
+	retryAfter kernel.Micros // value of Retry-After; 0 for none
 }
 
-func (t *Gateway) refuse(w http.ResponseWriter, no *refusal) {
-	t.k.Counters.Add("gateway.answered_"+strconv.Itoa(no.status), 1)
+func (t *Gateway) writeRefusal(w http.ResponseWriter, refused *refusal) {
+	t.k.Counters.Add("gateway.answered_"+strconv.Itoa(refused.status), 1)
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	if no.wait > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(float64(no.wait)/float64(kernel.Second), 'f', -1, 64))
+	if refused.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(float64(refused.retryAfter)/float64(kernel.Second), 'f', -1, 64))
 	}
-	w.WriteHeader(no.status)
-	if _, err := io.WriteString(w, no.text+"\n"); err != nil {
+	w.WriteHeader(refused.status)
+	if _, err := io.WriteString(w, refused.text+"\n"); err != nil {
 		t.k.Counters.Add("gateway.answers_cut", 1)
 	}
 }
--- a/internal/gateway/invariants.go
+++ b/internal/gateway/invariants.go
@@ -5,37 +5,37 @@
 	"indigowalk/internal/kernel"
 )
 
-// answerSlack is how much later than its deadline a request may be answered.
-const answerSlack = 500 * kernel.Millisecond
+// deadlineSlack is how long after its deadline a request may be answered.
+const deadlineSlack = 500 * kernel.Millisecond
 
-// watchAnswer checks that the request that is about to be answered is not answered too
-// late, unless the process stood still meanwhile.
-func (j *job) watchAnswer() {
+// checkAnsweredInTime checks that the request that is about to be answered is not answered too
+// late, unless the process was stalled in the meantime.
+func (j *job) checkAnsweredInTime() {
 	late := j.now() - j.deadline
-	if j.deadline > 0 && late > answerSlack && !j.t.stalls.Since(j.received) {
+	if j.deadline > 0 && late > deadlineSlack && !j.t.stalls.Since(j.received) {
 		j.t.k.Invariants.Check(false, invariant.AnsweredInTime, "%s is answered %d ms after its deadline", j.id, late.Millis())
 	}
 }
 
-// watchSend checks that what must not run twice is not sent where it may have run, and
-// that no more databases are sent it than the route allows.
-func (j *job) watchSend(database string) {
-	j.t.k.Invariants.Check(!j.mayHaveRun || j.safe(), invariant.SentOnce, "%s is sent to %s, and may have run before", j.id, database)
-	j.t.k.Invariants.Check(j.tries <= max(1, j.route.Tries), invariant.TriesBounded, "%s is sent to database %d of %d", j.id, j.tries, j.route.Tries)
+// checkSend checks that a request that must not run twice is not sent again after it may have run,
+// and that the request is sent to no more databases than the route allows.
+func (j *job) checkSend(database string) {
+	j.t.k.Invariants.Check(!j.mayHaveRun || j.idempotent(), invariant.SentOnce, "%s is sent to %s, and may have run before", j.id, database)
+	j.t.k.Invariants.Check(j.attempts <= max(1, j.route.Tries), invariant.TriesBounded, "%s is sent to database %d of %d", j.id, j.attempts, j.route.Tries)
 }
 
-// watchEnd checks that everything that was read has its answer, or waits for its client
-// to take it.
-func (t *Gateway) watchEnd(began kernel.Micros) {
+// checkNothingUnanswered checks that every request that was read has been answered, or that its
+// response is being written to the client.
+func (t *Gateway) checkNothingUnanswered(since kernel.Micros) {
 	t.mu.Lock()
 	unanswered := 0
-	for _, g := range t.clients {
-		if g.busy && !g.answering {
+	for _, state := range t.clients {
+		if state.busy && !state.responding {
 			unanswered++
 		}
 	}
 	t.mu.Unlock()
-	if unanswered > 0 && !t.stalls.Since(began) {
+	if unanswered > 0 && !t.stalls.Since(since) {
 		t.k.Invariants.Check(false, invariant.NothingUnanswered, "%d requests wait for an answer", unanswered)
 	}
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -22,107 +22,107 @@
 )
 
 const (
-	// maxKept is the largest body that is kept, so that it can be sent again.
-	maxKept = 64 << 10
-	// holdShare is the part of its aim for which a request waits for a database;
-	// past it the client hears when to come back.
-	holdShare = 0.2
-	// borrowWait is how long one database is waited for before another is asked.
-	borrowWait = 40 * kernel.Millisecond
-	// comeBack is what a client that is refused is told, and half as much again.
-	comeBack = 150 * kernel.Millisecond
-	// startHold is how long a request waits for a node that has just started, and
-	// startsIn when it is told to come back if that does not do.
-	startHold = 80 * kernel.Millisecond
-	startsIn  = kernel.Second
-	// margin is kept of the deadline for the way back.
-	margin = 5 * kernel.Millisecond
-	// Of an answer that takes this many times the usual, or this part of the
-	// aim, the request is sent to a second database too.
-	quietTimes = 2.5
-	quietShare = 0.55
-	// keepForFaults is the part of the allowance left to requests that got no
-	// answer.
-	keepForFaults = 0.5
+	// maxBufferedBody is the largest body that is buffered, so that it can be sent again.
+	maxBufferedBody = 64 << 10
+	// databaseWaitShare is the fraction of its latency target for which a request waits for a
+	// database; after that the client gets a Retry-After.
+	databaseWaitShare = 0.2
+	// borrowTimeout is how long to wait for a connection to one database before trying another.
+	borrowTimeout = 40 * kernel.Millisecond
+	// retryAfterBase is the minimum Retry-After of a refused client; up to half as much again is added.
+	retryAfterBase = 150 * kernel.Millisecond
+	// configWait is how long a request waits for the configuration on a node that has just
+	// started; noConfigRetryAfter is the Retry-After if that is not long enough.
+	configWait         = 80 * kernel.Millisecond
+	noConfigRetryAfter = kernel.Second
+	// returnMargin is the part of the deadline reserved for returning the response.
+	returnMargin = 5 * kernel.Millisecond
+	// A request is hedged, that is sent to a second database too, once its response takes this
+	// multiple of the typical latency or this fraction of the latency target.
+	hedgeLatencyFactor = 2.5
+	hedgeTargetShare   = 0.55
+	// hedgeBudgetReserve is the fraction of the retry budget that hedging leaves for requests
+	// that got no response.
+	hedgeBudgetReserve = 0.5
 )
 
 // job is one request on its way to a database.
 type job struct {
-	t        *Gateway
-	in       *http.Request
-	target   *url.URL
-	id       string
-	header   http.Header
-	memory   *memorybudget.Holding // what the body takes
-	body     []byte
-	rest     *bounded // what follows a body that is not kept
-	route    *routeconfig.Route
-	tenant   *routeconfig.PublishedTenant // nil if there is none
-	permit   *quota.Permit
-	rank     int // how urgent it is: the lower, the more
-	service  string
-	received kernel.Micros
-	deadline kernel.Micros
-	giveUp   kernel.Micros // until then a database is waited for
-	tries    int           // databases that it was sent to
-	avoid    []string
-	revision int64 // of the configuration that it is served by
-	failed   []failurelog.Attempt
-	// mayHaveRun says that a database may have run it.
-	mayHaveRun bool
-	gone       <-chan struct{} // closes when the client closes its connection
+	t              *Gateway
+	in             *http.Request
+	target         *url.URL
+	id             string
+	header         http.Header
+	memory         *memorybudget.Holding // memory reserved for the body
+	body           []byte
+	streamed       *limitRecorder // the rest of a body that is too large to buffer
+	route          *routeconfig.Route
+	tenant         *routeconfig.PublishedTenant // nil if there is none
+	permit         *quota.Permit
+	priority       int // lower values are more urgent
+	service        string
+	received       kernel.Micros
+	deadline       kernel.Micros
+	waitUntil      kernel.Micros // how long to wait for a database
+	attempts       int           // databases that the request was sent to
+	excluded       []string
+	revision       int64 // of the configuration that the request is served with
+	failedAttempts []failurelog.Attempt
+	// mayHaveRun reports that a database may have run the request.
+	mayHaveRun   bool
+	disconnected <-chan struct{} // closed when the client closes its connection
 }
 
 func (j *job) now() kernel.Micros { return j.t.k.Clock.Now() }
 
-func (j *job) left() kernel.Micros { return j.deadline - j.now() }
+func (j *job) remaining() kernel.Micros { return j.deadline - j.now() }
 
-func (j *job) safe() bool { return j.route.Type == routeconfig.Idempotent }
+func (j *job) idempotent() bool { return j.route.Type == routeconfig.Idempotent }
 
-// request is what is sent to a database.
-func (j *job) request(id string) *http.Request {
+// upstreamRequest builds the request that is sent to the database with the given ID.
+func (j *job) upstreamRequest(id string) *http.Request {
 	h := j.header.Clone()
-	h.Set(httpconn.DeadlineMs, strconv.FormatInt(max(1, (j.left()-margin).Millis()), 10))
+	h.Set(httpconn.DeadlineMs, strconv.FormatInt(max(1, (j.remaining()-returnMargin).Millis()), 10))
 	h.Set(httpconn.Target, id)
 	if h["User-Agent"] == nil {
-		h["User-Agent"] = nil // or one would be made up
+		h["User-Agent"] = nil // prevents net/http from adding its own
 	}
 	q := &http.Request{Method: j.in.Method, URL: j.target, Host: j.in.Host, Header: h, ProtoMajor: 1, ProtoMinor: 1}
 	switch {
-	case j.rest != nil:
-		q.Body, q.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(j.body), j.rest)), j.in.ContentLength
+	case j.streamed != nil:
+		q.Body, q.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(j.body), j.streamed)), j.in.ContentLength
 	case len(j.body) > 0:
 		q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(j.body)), int64(len(j.body))
 	}
 	return q
 }
 
-// busy is the answer to a request that has not run and will not.
-func (j *job) busy(text string) *refusal {
-	return &refusal{http.StatusServiceUnavailable, text, comeBack + rand.N(comeBack/2)}
+// unavailable returns the response to a request that has not run and will not run.
+func (j *job) unavailable(text string) *refusal {
+	return &refusal{http.StatusServiceUnavailable, text, retryAfterBase + rand.N(retryAfterBase/2)}
 }
 
-// unclear is the answer where a database may have run the request.
-func (j *job) unclear() *refusal {
-	if j.rest != nil && j.rest.long {
+// outcomeUnknown returns the response to a request that a database may have run.
+func (j *job) outcomeUnknown() *refusal {
+	if j.streamed != nil && j.streamed.tooLong {
 		return &refusal{status: http.StatusRequestEntityTooLarge, text: "body too long"}
 	}
-	if j.left() <= 0 {
+	if j.remaining() <= 0 {
 		return &refusal{status: http.StatusGatewayTimeout, text: "no answer in time"}
 	}
 	return &refusal{status: http.StatusBadGateway, text: "no whole answer"}
 }
 
-// clientGone is the answer to a request that was given up since its client has gone:
-// whoever only stopped sending hears it.
-func (j *job) clientGone(sent bool) *refusal {
+// disconnectedRefusal returns the response to a request abandoned because its client disconnected;
+// a client that has only closed its sending side still receives it.
+func (j *job) disconnectedRefusal(sent bool) *refusal {
 	if sent {
-		return j.unclear()
+		return j.outcomeUnknown()
 	}
-	return j.busy("the client has gone")
+	return j.unavailable("the client has gone")
 }
 
-// attempt is the request at one database.
+// attempt is the sending of a request to one database.
 type attempt struct {
 	db    discovery.Database
 	conn  *httpconn.Conn
@@ -131,85 +131,85 @@
 	ch    <-chan httpconn.Result
 }
 
-// serve has a database answer, a second one if the first does not.
+// serve obtains a response from a database, trying others if the first does not respond.
 func (j *job) serve() (*httpconn.Reply, *refusal) {
 	defer j.permit.Release()
-	a, no := j.first()
-	if no != nil {
-		return nil, no
+	a, refused := j.firstAttempt()
+	if refused != nil {
+		return nil, refused
 	}
-	sent := false // some database may have run it
+	sent := false // a database may have run the request
 	for {
-		reply, quiet, err := j.await(a)
-		if quiet {
-			// The first goes on: whichever answers is the answer.
-			if b, ok := j.second(keepForFaults); ok {
+		reply, hedge, err := j.awaitOrHedge(a)
+		if hedge {
+			// The first attempt continues; the first usable response of the two is taken.
+			if b, ok := j.anotherAttempt(hedgeBudgetReserve); ok {
 				a, reply, err = j.race(a, b)
 			} else {
-				reply, err = j.answerOf(a, j.left())
+				reply, err = j.awaitResult(a, j.remaining())
 			}
 		}
-		o, verdict := j.judge(reply, err)
-		j.note(a, o, reply, err)
-		j.done(a, o, reply, err)
+		outcome, verdict := j.classify(reply, err)
+		j.recordAttempt(a, outcome, reply, err)
+		j.finish(a, outcome, reply, err)
 		switch verdict {
-		case answer:
+		case final:
 			return reply, nil
-		case ran:
+		case mayHaveRun:
 			sent, j.mayHaveRun = true, true
 		}
 		if reply != nil {
 			reply.Close()
 		}
-		if verdict == ran && !j.safe() {
-			return nil, j.unclear()
+		if verdict == mayHaveRun && !j.idempotent() {
+			return nil, j.outcomeUnknown()
 		}
-		if j.abandoned() {
-			return nil, j.clientGone(sent)
+		if j.clientDisconnected() {
+			return nil, j.disconnectedRefusal(sent)
 		}
-		b, ok := j.second(0)
+		b, ok := j.anotherAttempt(0)
 		if !ok {
 			if sent {
-				if reply != nil && reply.Rest == nil && !promises(reply.Status) {
-					return reply, nil // the database's own word is better than ours
+				if reply != nil && reply.Remainder == nil && !promisesNotRun(reply.Status) {
+					return reply, nil // the database's own response is more useful than ours
 				}
-				return nil, j.unclear()
+				return nil, j.outcomeUnknown()
 			}
-			return nil, j.busy("every database that was asked is busy")
+			return nil, j.unavailable("every database that was asked is busy")
 		}
 		a = b
 	}
 }
 
-// first sends the request to a database, waiting for one if need be.
-func (j *job) first() (*attempt, *refusal) {
+// firstAttempt sends the request to a database, waiting for one to become available if necessary.
+func (j *job) firstAttempt() (*attempt, *refusal) {
 	for {
-		if j.t.over() {
-			return nil, j.busy("this node ends")
+		if j.t.isDrainExpired() {
+			return nil, j.unavailable("this node ends")
 		}
-		if j.abandoned() {
-			return nil, j.clientGone(false)
+		if j.clientDisconnected() {
+			return nil, j.disconnectedRefusal(false)
 		}
 		changed, health := j.t.control.Changed(), j.t.health.Changed()
 		a, err := j.send()
 		if err == nil {
-			j.t.again.CountRequest(j.service)
+			j.t.retries.CountRequest(j.service)
 			return a, nil
 		}
 		if exhausted := new(quota.ExhaustedError); errors.As(err, &exhausted) {
-			return nil, j.overQuota(exhausted)
+			return nil, j.quotaExceeded(exhausted)
 		}
-		if j.now() >= min(j.giveUp, j.deadline-margin) {
-			return nil, j.busy("no database can take it now")
+		if j.now() >= min(j.waitUntil, j.deadline-returnMargin) {
+			return nil, j.unavailable("no database can take it now")
 		}
-		if errors.Is(err, errNoPlace) {
-			j.avoid = j.avoid[:0]
-			t := time.NewTimer(min(j.giveUp-j.now(), 50*kernel.Millisecond).Duration())
+		if errors.Is(err, errNoDatabase) {
+			j.excluded = j.excluded[:0]
+			t := time.NewTimer(min(j.waitUntil-j.now(), 50*kernel.Millisecond).Duration())
 			select {
 			case <-changed:
 			case <-health:
-			case <-j.t.ending:
-			case <-j.gone:
+			case <-j.t.drainExpired:
+			case <-j.disconnected:
 			case <-t.C:
 			}
 			t.Stop()
@@ -217,60 +217,61 @@
 	}
 }
 
-// errNoPlace says that there is no database to send to now.
-var errNoPlace = errors.New("gateway: no database can take it now")
+// errNoDatabase reports that no database is available to send the request to.
+var errNoDatabase = errors.New("gateway: no database can take it now")
 
-// second sends the request once more, to another database, if it may.
-func (j *job) second(keep float64) (*attempt, bool) {
-	if j.rest != nil || j.tries >= j.route.Tries || j.left() < 4*margin || j.t.over() || j.abandoned() || !j.t.again.AllowRetry(j.service, keep) {
+// anotherAttempt sends the request again, to another database, if that is allowed. It leaves the
+// fraction reserve of the retry budget unused.
+func (j *job) anotherAttempt(reserve float64) (*attempt, bool) {
+	if j.streamed != nil || j.attempts >= j.route.Tries || j.remaining() < 4*returnMargin || j.t.isDrainExpired() || j.clientDisconnected() || !j.t.retries.AllowRetry(j.service, reserve) {
 		return nil, false
 	}
 	for range 3 {
 		if a, err := j.send(); err == nil {
 			j.t.k.Counters.Add("gateway.sent_again", 1)
 			return a, true
-		} else if errors.Is(err, errNoPlace) {
+		} else if errors.Is(err, errNoDatabase) {
 			break
 		}
 	}
 	return nil, false
 }
 
-// send picks a database and sends the request there.
+// send picks a database and sends the request to it.
 func (j *job) send() (*attempt, error) {
 	t := j.t
-	if err := j.admit(); err != nil {
+	if err := j.acquireQuota(); err != nil {
 		return nil, err
 	}
-	db, ok := t.balancer.Pick(j.route.Host+j.route.Prefix, t.candidates(j.service, j.avoid))
+	db, ok := t.balancer.Pick(j.route.Host+j.route.Prefix, t.candidates(j.service, j.excluded))
 	if !ok {
-		return nil, errNoPlace
+		return nil, errNoDatabase
 	}
 	linkWait, _ := t.meter.load()
 	began := t.balancer.Begin(db.ID)
-	conn, err := t.conns.Borrow(db.ID, j.rank, httpconn.Want{Sure: !j.safe()}, min(borrowWait+2*linkWait, j.left()/4))
+	conn, err := t.conns.Borrow(db.ID, j.priority, httpconn.Want{Fresh: !j.idempotent()}, min(borrowTimeout+2*linkWait, j.remaining()/4))
 	if err != nil {
-		j.avoid = append(j.avoid, db.ID)
+		j.excluded = append(j.excluded, db.ID)
 		t.balancer.End("", db.ID, began, loadbalance.Full)
 		return nil, err
 	}
 	var ch <-chan httpconn.Result
 	if err = errors.Join(t.control.MaySend(db.ID), j.permit.Check()); err == nil {
 		j.permit.Spend()
-		ch, err = conn.Send(j.request(db.ID), j.id, j.left())
+		ch, err = conn.Send(j.upstreamRequest(db.ID), j.id, j.remaining())
 	}
 	if err != nil {
 		t.conns.Return(conn)
 		t.balancer.End("", db.ID, began, loadbalance.Unused)
 		return nil, err
 	}
-	j.tries++
-	j.watchSend(db.ID)
-	j.avoid = append(j.avoid, db.ID)
+	j.attempts++
+	j.checkSend(db.ID)
+	j.excluded = append(j.excluded, db.ID)
 	return &attempt{db, conn, t.conns.Generation(conn), began, ch}, nil
 }
 
-// candidates are what the choice of a database is made from.
+// candidates returns the input for the selection of a database.
 func (t *Gateway) candidates(service string, avoid []string) loadbalance.Candidates {
 	return loadbalance.Candidates{
 		Service: service, Databases: t.control.Serving(service), Zone: t.cfg.Zone,
@@ -278,118 +279,117 @@
 	}
 }
 
-// await waits for an attempt; quiet says that it is time to ask another.
-func (j *job) await(a *attempt) (reply *httpconn.Reply, quiet bool, err error) {
-	if soon, ask := j.quietAfter(); ask {
-		if reply, err = j.answerOf(a, soon); !errors.Is(err, httpconn.ErrQuiet) {
+// awaitOrHedge waits for an attempt; hedge reports that it is time to hedge the request.
+func (j *job) awaitOrHedge(a *attempt) (reply *httpconn.Reply, hedge bool, err error) {
+	if delay, allowed := j.hedgeDelay(); allowed {
+		if reply, err = j.awaitResult(a, delay); !errors.Is(err, httpconn.ErrNoResponse) {
 			return reply, false, err
 		}
 		return nil, true, nil
 	}
-	reply, err = j.answerOf(a, j.left())
+	reply, err = j.awaitResult(a, j.remaining())
 	return reply, false, err
 }
 
-// quietAfter is how long an answer may take before another database is asked too;
-// false if none may be.
-func (j *job) quietAfter() (kernel.Micros, bool) {
-	usual := j.t.balancer.TypicalLatency(j.route.Host + j.route.Prefix)
-	if !j.safe() || j.tries >= j.route.Tries || usual <= 0 {
+// hedgeDelay returns how long to wait for a response before a second database is tried too, and
+// false if the request must not be hedged.
+func (j *job) hedgeDelay() (kernel.Micros, bool) {
+	typical := j.t.balancer.TypicalLatency(j.route.Host + j.route.Prefix)
+	if !j.idempotent() || j.attempts >= j.route.Tries || typical <= 0 {
 		return 0, false
 	}
-	aim := float64(j.route.TargetMs) * float64(kernel.Millisecond)
-	soon := kernel.Micros(min(quietTimes*float64(usual), quietShare*aim))
-	return max(soon, margin), soon < j.left()
+	target := float64(j.route.TargetMs) * float64(kernel.Millisecond)
+	delay := kernel.Micros(min(hedgeLatencyFactor*float64(typical), hedgeTargetShare*target))
+	return max(delay, returnMargin), delay < j.remaining()
 }
 
-// race waits for the first good answer of two attempts and leaves the other
-// behind.
+// race waits for the first usable response of two attempts and discards the other.
 func (j *job) race(a, b *attempt) (*attempt, *httpconn.Reply, error) {
-	t := time.NewTimer(j.left().Duration())
+	t := time.NewTimer(j.remaining().Duration())
 	defer t.Stop()
 	var r httpconn.Result
-	var won, other *attempt
+	var finished, other *attempt
 	select {
 	case r = <-a.ch:
-		won, other = a, b
+		finished, other = a, b
 	case r = <-b.ch:
-		won, other = b, a
+		finished, other = b, a
 	case <-t.C:
-		j.leave(b)
-		return a, nil, httpconn.ErrQuiet
-	case <-j.t.ending:
-		j.leave(b)
-		return a, nil, httpconn.ErrQuiet
-	case <-j.gone: // only what may be repeated is sent twice
-		j.leave(b)
-		return a, nil, errClientGone
+		j.discard(b)
+		return a, nil, httpconn.ErrNoResponse
+	case <-j.t.drainExpired:
+		j.discard(b)
+		return a, nil, httpconn.ErrNoResponse
+	case <-j.disconnected: // only idempotent requests are sent twice
+		j.discard(b)
+		return a, nil, errClientDisconnected
 	}
-	outcome, verdict := j.judge(r.Reply, r.Err)
-	if verdict == answer {
-		j.leave(other)
-		return won, r.Reply, r.Err
+	outcome, verdict := j.classify(r.Reply, r.Err)
+	if verdict == final {
+		j.discard(other)
+		return finished, r.Reply, r.Err
 	}
-	// The other one decides.
-	j.note(won, outcome, r.Reply, r.Err)
-	j.done(won, outcome, r.Reply, r.Err)
+	// The other attempt decides.
+	j.recordAttempt(finished, outcome, r.Reply, r.Err)
+	j.finish(finished, outcome, r.Reply, r.Err)
 	if r.Reply != nil {
 		r.Reply.Close()
 	}
-	reply, err := j.answerOf(other, j.left())
+	reply, err := j.awaitResult(other, j.remaining())
 	return other, reply, err
 }
 
-// leave waits aside for an attempt whose answer is not needed any more.
-func (j *job) leave(a *attempt) {
-	wait := j.left()
+// discard waits in the background for an attempt whose result is no longer needed.
+func (j *job) discard(a *attempt) {
+	wait := j.remaining()
 	go func() {
-		reply, err := j.answerOf(a, wait)
-		o, _ := j.judge(reply, err)
-		j.done(a, o, reply, err)
+		reply, err := j.awaitResult(a, wait)
+		outcome, _ := j.classify(reply, err)
+		j.finish(a, outcome, reply, err)
 		if reply != nil {
 			reply.Close()
 		}
 	}()
 }
 
-// verdict is what an answer means for the request.
+// verdict is what the result of an attempt means for the request.
 type verdict int
 
 const (
-	answer verdict = iota
-	unrun          // promised not to have run
-	ran            // may have run
+	final      verdict = iota
+	notRun             // the database guarantees that the request has not run
+	mayHaveRun         // the request may have run
 )
 
-// judge tells how an attempt ended.
-func (j *job) judge(r *httpconn.Reply, err error) (loadbalance.Outcome, verdict) {
+// classify returns how an attempt ended.
+func (j *job) classify(r *httpconn.Reply, err error) (loadbalance.Outcome, verdict) {
 	switch {
 	case errors.Is(err, httpconn.ErrUnsent):
-		return loadbalance.Unused, unrun
-	case errors.Is(err, errClientGone):
-		return loadbalance.Unused, ran // the database is not at fault
+		return loadbalance.Unused, notRun
+	case errors.Is(err, errClientDisconnected):
+		return loadbalance.Unused, mayHaveRun // the database is not at fault
 	case err != nil:
-		return loadbalance.Failed, ran
+		return loadbalance.Failed, mayHaveRun
 	case r.Status == http.StatusMisdirectedRequest:
-		return loadbalance.Failed, unrun
+		return loadbalance.Failed, notRun
 	case r.Header.Get(httpconn.NotRun) != "":
-		return loadbalance.Full, unrun
-	case promises(r.Status), r.Status < 300 && (r.Header.Get(seal) == "" || r.Header.Get("Content-Encoding") != ""):
-		return loadbalance.Failed, ran // it can't be passed on as what it is
-	case r.Status >= 500 && r.Status != http.StatusGatewayTimeout && j.safe():
-		return loadbalance.Failed, ran
+		return loadbalance.Full, notRun
+	case promisesNotRun(r.Status), r.Status < 300 && (r.Header.Get(seal) == "" || r.Header.Get("Content-Encoding") != ""):
+		return loadbalance.Failed, mayHaveRun // must not be forwarded: it would mislead the client
+	case r.Status >= 500 && r.Status != http.StatusGatewayTimeout && j.idempotent():
+		return loadbalance.Failed, mayHaveRun
 	case r.Status >= 500:
-		return loadbalance.Failed, answer
+		return loadbalance.Failed, final
 	}
-	return loadbalance.Served, answer
+	return loadbalance.Served, final
 }
 
-// seal marks a database's success.
+// seal is the header that marks a successful response from a database.
 const seal = "X-Indigowalk-Seal"
 
-// promises tells whether a client takes the status for a promise that the
-// request has not run.
-func promises(status int) bool {
+// promisesNotRun reports whether a client takes the status as a guarantee that the request has
+// not run.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -397,29 +397,29 @@
 	return false
 }
 
-// done gives an attempt's connection back and notes how the database served.
-func (j *job) done(a *attempt, o loadbalance.Outcome, r *httpconn.Reply, err error) {
+// finish returns an attempt's connection to the pool and records how the database performed.
+func (j *job) finish(a *attempt, outcome loadbalance.Outcome, r *httpconn.Reply, err error) {
 	t := j.t
-	if errors.Is(err, errClientGone) {
+	if errors.Is(err, errClientDisconnected) {
 		t.k.Counters.Add("gateway.client_gone", 1)
 		a.conn.Close()
 	} else if err != nil && !errors.Is(err, httpconn.ErrUnsent) {
 		t.k.Counters.Add("gateway.unanswered", 1)
-		if silent := errors.Is(err, connpool.ErrSilent); silent || errors.Is(err, connpool.ErrBroken) {
-			t.health.Report(a.db.ID, a.gen, silent)
+		if unresponsive := errors.Is(err, connpool.ErrSilent); unresponsive || errors.Is(err, connpool.ErrBroken) {
+			t.health.Report(a.db.ID, a.gen, unresponsive)
 		}
 		a.conn.Close()
 	}
 	if r != nil && r.Status == http.StatusMisdirectedRequest {
 		t.k.Counters.Add("gateway.misdirected", 1)
 	}
-	if r == nil || r.Rest == nil {
+	if r == nil || r.Remainder == nil {
 		t.conns.Return(a.conn)
 	} else {
-		go func() { // its body is being passed on yet
-			<-r.Freed
+		go func() { // the body is still being forwarded
+			<-r.Released
 			t.conns.Return(a.conn)
 		}()
 	}
-	t.balancer.End(j.route.Host+j.route.Prefix, a.db.ID, a.began, o)
+	t.balancer.End(j.route.Host+j.route.Prefix, a.db.ID, a.began, outcome)
 }
--- a/internal/gateway/leave.go
+++ b/internal/gateway/leave.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// closeAfter is how long a leaving gateway still takes connections: the entry
-	// asks every second and needs two misses.
-	closeAfter = 2200 * kernel.Millisecond
-	// lastAnswers is kept of the grace for the answers to requests that are given
-	// up, and for the end of the process; lastWrites of it is for the answers.
-	lastAnswers = 600 * kernel.Millisecond
-	lastWrites  = 200 * kernel.Millisecond
-	// leaveStep is between two looks at the connections that are left.
-	leaveStep = 50 * kernel.Millisecond
+	// listenerCloseDelay is how long a draining gateway still accepts connections: the entry
+	// load balancer checks readiness every second and needs two failed checks.
+	listenerCloseDelay = 2200 * kernel.Millisecond
+	// finalResponseTime is the part of the grace period reserved for responding to abandoned
+	// requests and for process exit; finalWriteTime of it is for the responses.
+	finalResponseTime = 600 * kernel.Millisecond
+	finalWriteTime    = 200 * kernel.Millisecond
+	// drainPollInterval is the interval between checks of the remaining connections.
+	drainPollInterval = 50 * kernel.Millisecond
 )
 
-// Leave ends in order: not ready at once, every answer tells that its connection
-// closes, no connection is taken any more after a while, those that rest are
-// closed, and what is under way ends. Requests that are still waited for at the end
-// are answered as they stand.
-func (t *Gateway) Leave(ctx context.Context) {
+// Drain shuts the gateway down gracefully: it reports not ready at once, announces with every
+// response that the connection closes, stops accepting connections after a delay, closes idle
+// ones, and lets requests in progress finish. Requests still pending when the drain period
+// expires are answered with what is known by then.
+func (t *Gateway) Drain(ctx context.Context) {
 	start := t.k.Clock.Now()
-	t.leaving.Store(true)
+	t.draining.Store(true)
 	t.k.Log.Info("leaving")
-	end := start + max(0, t.stalls.Left(t.cfg.Grace())-lastAnswers)
-	if !kernel.Sleep(ctx, min(closeAfter, end-start)) {
+	deadline := start + max(0, t.stalls.Left(t.cfg.Grace())-finalResponseTime)
+	if !kernel.Sleep(ctx, min(listenerCloseDelay, deadline-start)) {
 		return
 	}
 	t.closeListener()
-	defer t.watchEnd(start)
-	for t.turnAwayIdle() > 0 {
+	defer t.checkNothingUnanswered(start)
+	for t.stopReadingIdle() > 0 {
 		now := t.k.Clock.Now()
-		if now >= end && !t.over() {
-			close(t.ending)
+		if now >= deadline && !t.isDrainExpired() {
+			close(t.drainExpired)
 		}
-		if now >= end+lastWrites || !kernel.Sleep(ctx, leaveStep) {
+		if now >= deadline+finalWriteTime || !kernel.Sleep(ctx, drainPollInterval) {
 			t.k.Counters.Add("gateway.cut_at_end", 1)
 			return
 		}
@@ -53,25 +53,25 @@
 	}
 }
 
-// turnAwayIdle ends the connections that rest and returns how many there are yet,
-// these among them.
-func (t *Gateway) turnAwayIdle() int {
+// stopReadingIdle ends the idle connections and returns how many connections are still open,
+// including the ones just ended.
+func (t *Gateway) stopReadingIdle() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for c, g := range t.clients {
-		if !g.busy && (g.state == http.StateIdle || g.state == http.StateNew) {
+	for c, state := range t.clients {
+		if !state.busy && (state.connState == http.StateIdle || state.connState == http.StateNew) {
 			if client, ok := c.(*clientConn); ok {
-				client.turnAway()
+				client.stopReading()
 			}
 		}
 	}
 	return len(t.clients)
 }
 
-// over tells whether whatever is still waited for is given up.
-func (t *Gateway) over() bool {
+// isDrainExpired reports whether the drain period has expired and pending waits are abandoned.
+func (t *Gateway) isDrainExpired() bool {
 	select {
-	case <-t.ending:
+	case <-t.drainExpired:
 		return true
 	default:
 		return false
--- a/internal/gateway/linkmeter.go
+++ b/internal/gateway/linkmeter.go
@@ -8,81 +8,81 @@
 	"indigowalk/internal/kernel"
 )
 
-// linkMeter tells how full the machine's own link is, from what this process sends
-// and receives. What waits at a full link waits for seconds, and the control
-// state's news with it; so a gateway takes no more than its link carries.
+// linkMeter estimates the utilization of the machine's own link from what this process sends
+// and receives. Traffic queued at a saturated link is delayed by seconds, updates of the control
+// state included, so a gateway accepts no more than its link can carry.
 type linkMeter struct {
 	clock   kernel.Clock
-	rate    float64 // bytes a microsecond that are counted on; 0 if not known
-	in, out way
+	rate    float64 // usable bytes per microsecond; 0 if unknown
+	in, out direction
 }
 
-// way is one direction of the link.
-type way struct {
+// direction is one direction of the link.
+type direction struct {
 	bytes atomic.Int64
 
-	mu      sync.Mutex
-	at      kernel.Micros
-	seen    int64
-	backlog float64 // bytes that must still be waiting
-	use     float64 // of late, as a part of the rate
+	mu          sync.Mutex
+	at          kernel.Micros
+	counted     int64
+	backlog     float64 // bytes that must still be queued
+	utilization float64 // recent average, as a fraction of the rate
 }
 
 const (
-	// linkUse is the part of the link that is counted on: the rest is left to
-	// the headers of packets, and to other processes.
-	linkUse = 0.85
-	// perWrite stands for the headers of what is sent or received in one piece.
-	perWrite = 80
-	// useOver is the time over which the use of a link is looked at.
-	useOver = kernel.Second
+	// usableShare is the fraction of the link's bandwidth assumed to be usable: the rest is left
+	// to packet headers and other processes.
+	usableShare = 0.85
+	// overheadPerCall is the estimated packet header overhead of each read or write, in bytes.
+	overheadPerCall = 80
+	// utilizationWindow is the period over which utilization is averaged.
+	utilizationWindow = kernel.Second
 )
 
 func newLinkMeter(clock kernel.Clock, mbps float64) *linkMeter {
-	return &linkMeter{clock: clock, rate: linkUse * mbps / 8}
+	return &linkMeter{clock: clock, rate: usableShare * mbps / 8}
 }
 
-// look brings a way up to now.
-func (w *way) look(now kernel.Micros, rate float64) (backlog kernel.Micros, use float64) {
+// update brings the estimates up to now and returns them.
+func (d *direction) update(now kernel.Micros, rate float64) (backlog kernel.Micros, utilization float64) {
 	if rate == 0 {
 		return 0, 0
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	seen := w.bytes.Load()
-	if span := float64(now - w.at); span > 0 {
-		fresh := float64(seen - w.seen)
-		w.backlog = max(0, w.backlog+fresh-rate*span)
-		weight := min(1, span/float64(useOver))
-		w.use += weight * (fresh/(rate*span) - w.use)
-		w.at, w.seen = now, seen
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	counted := d.bytes.Load()
+	if elapsed := float64(now - d.at); elapsed > 0 {
+		added := float64(counted - d.counted)
+		d.backlog = max(0, d.backlog+added-rate*elapsed)
+		weight := min(1, elapsed/float64(utilizationWindow))
+		d.utilization += weight * (added/(rate*elapsed) - d.utilization)
+		d.at, d.counted = now, counted
 	}
-	return kernel.Micros(w.backlog / rate), w.use
+	return kernel.Micros(d.backlog / rate), d.utilization
 }
 
-// load returns how long what is sent now would wait, and how much of the link is
-// in use, in the fuller direction.
-func (g *linkMeter) load() (wait kernel.Micros, use float64) {
-	now := g.clock.Now()
-	inWait, inUse := g.in.look(now, g.rate)
-	outWait, outUse := g.out.look(now, g.rate)
-	return max(inWait, outWait), max(inUse, outUse)
+// load returns how long data sent now would be queued, and the utilization of the link, each for
+// the more heavily loaded direction.
+func (m *linkMeter) load() (wait kernel.Micros, utilization float64) {
+	now := m.clock.Now()
+	inWait, inUtilization := m.in.update(now, m.rate)
+	outWait, outUtilization := m.out.update(now, m.rate)
+	return max(inWait, outWait), max(inUtilization, outUtilization)
 }
 
-// metered counts what goes through a connection.
-type metered struct {
+// meteredConn counts the bytes read from and written to a connection.
+type meteredConn struct {
 	net.Conn
-	g *linkMeter
+	meter *linkMeter
 }
 
-func (c *metered) Read(b []byte) (int, error) {
+func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.g.in.bytes.Add(int64(n) + perWrite)
+	c.meter.in.bytes.Add(int64(n) + overheadPerCall)
 	return n, err
 }
 
-func (c *metered) Write(b []byte) (int, error) {
+func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.g.out.bytes.Add(int64(n) + perWrite)
+	c.meter.out.bytes.Add(int64(n) + overheadPerCall)
 	return n, err
 }
--- a/internal/gateway/linkmeter_test.go
+++ b/internal/gateway/linkmeter_test.go
@@ -10,31 +10,31 @@
 
 func (c *clock) Now() kernel.Micros { return c.now }
 
-// What is sent faster than the link carries it waits, and the wait ends.
+// Data sent faster than the link can carry it is queued, and the queue drains.
 func TestLinkMeter(t *testing.T) {
 	c := &clock{kernel.Second}
-	g := newLinkMeter(c, 2) // 2 Mbit/s: 212 bytes a millisecond are counted on
-	g.load()
+	m := newLinkMeter(c, 2) // 2 Mbit/s: 212 usable bytes per millisecond
+	m.load()
 	for range 100 {
 		c.now += 10 * kernel.Millisecond
-		g.out.bytes.Add(1500)
-		if wait, _ := g.load(); wait > 5*kernel.Millisecond {
-			t.Fatalf("%d us to wait at 70%% of the link", wait)
+		m.out.bytes.Add(1500)
+		if wait, _ := m.load(); wait > 5*kernel.Millisecond {
+			t.Fatalf("queueing delay of %d us at 70%% utilization", wait)
 		}
 	}
-	if _, use := g.load(); use < 0.4 || use > 0.8 {
-		t.Errorf("use %.2f", use)
+	if _, utilization := m.load(); utilization < 0.4 || utilization > 0.8 {
+		t.Errorf("utilization %.2f", utilization)
 	}
 	c.now += kernel.Millisecond
-	g.in.bytes.Add(212 * 500)
-	if wait, _ := g.load(); wait < 400*kernel.Millisecond || wait > 600*kernel.Millisecond {
-		t.Errorf("%d us to wait behind what the link carries in half a second", wait)
+	m.in.bytes.Add(212 * 500)
+	if wait, _ := m.load(); wait < 400*kernel.Millisecond || wait > 600*kernel.Millisecond {
+		t.Errorf("queueing delay of %d us behind half a second of traffic", wait)
 	}
 	c.now += kernel.Second
-	if wait, _ := g.load(); wait != 0 {
-		t.Errorf("%d us to wait a second later", wait)
+	if wait, _ := m.load(); wait != 0 {
+		t.Errorf("queueing delay of %d us a second later", wait)
 	}
-	if wait, use := newLinkMeter(c, 0).load(); wait != 0 || use != 0 {
-		t.Error("a link that is not known is full")
+	if wait, utilization := newLinkMeter(c, 0).load(); wait != 0 || utilization != 0 {
+		t.Error("a link of unknown bandwidth is reported as utilized")
 	}
 }
--- a/internal/gateway/plugin.go
+++ b/internal/gateway/plugin.go
@@ -21,8 +21,8 @@
 	kernel.Register(kernel.Plugin{
 		Name: "gateway", Rank: 80, Roles: []string{"gateway"},
 		Build: func(k *kernel.Kernel) error {
-			book := kernel.Need[*settings.Live](k)
-			s := book.Now()
+			live := kernel.Need[*settings.Live](k)
+			s := live.Now()
 			if s.ClientAddr == "" {
 				return &settings.Error{Key: "listen.client_addr", Reason: "a gateway needs it"}
 			}
@@ -36,30 +36,30 @@
 				}
 				return "/healthz"
 			}))
-			again := retrybudget.New(k.Clock, func() float64 { return book.Now().RetryRatio }, kernel.Micros(s.RetryWindowS)*kernel.Second)
+			retries := retrybudget.New(k.Clock, func() float64 { return live.Now().RetryRatio }, kernel.Micros(s.RetryWindowS)*kernel.Second)
 			t := New(k, Config{
 				ClientAddr: s.ClientAddr, Zone: s.Zone, NetMbps: s.NetMbps,
-				Grace: func() kernel.Micros { return kernel.Micros(book.Now().GraceS) * kernel.Second },
+				Grace: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
 			}, Services{
 				Control:  subscriber,
 				Conns:    kernel.Need[*httpconn.Pools](k),
 				Balancer: kernel.Need[*loadbalance.Balancer](k),
 				Health:   kernel.Need[*health.Monitor](k),
 				Ring:     kernel.Need[*membership.Ring](k),
-				Retries:  again,
+				Retries:  retries,
 				Quota:    kernel.Need[*quota.Client](k),
 				Failures: kernel.Need[*failurelog.Log](k),
 				Stalls:   kernel.Need[*kernel.Stalls](k),
 				Memory:   kernel.Need[*memorybudget.Budget](k),
 			})
-			kernel.Offer[httpconn.Wrap](k, func(c net.Conn) net.Conn { return &metered{c, t.meter} })
+			kernel.Offer[httpconn.Wrap](k, func(c net.Conn) net.Conn { return &meteredConn{c, t.meter} })
 			t.srv.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 				return context.WithValue(ctx, connKey{}, c)
 			}
-			k.Counters.Observable("gateway.requests_open", t.open)
-			k.Counters.Observable("gateway.connections_open", t.connections)
+			k.Counters.Observable("gateway.requests_open", t.openRequests)
+			k.Counters.Observable("gateway.connections_open", t.openConnections)
 			k.Supervise("gateway", t.Serve)
-			k.OnLeave(t.Leave)
+			k.OnLeave(t.Drain)
 			k.Supervise("ready", func(ctx context.Context) error { return kernel.ServeReady(ctx, k.Net, s.ReadyAddr, t.Ready) })
 			return nil
 		},
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -16,18 +16,18 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// freeBody is how long a body may be without being counted.
-const freeBody = 4 << 10
+// uncountedBodyBytes is how much of a body is not charged to the memory budget.
+const uncountedBodyBytes = 4 << 10
 
 func malformed(text string) *refusal { return &refusal{status: http.StatusBadRequest, text: text} }
 
-// newJob reads a request, against one configuration. The job is there also where it is
-// refused.
+// newJob parses a request against a single configuration revision. It returns a job even if the
+// request is refused.
 func (t *Gateway) newJob(w http.ResponseWriter, q *http.Request) (*job, *refusal) {
-	j := &job{t: t, in: q, received: t.k.Clock.Now(), id: q.Header.Get(httpconn.RequestID), memory: t.memory.Hold(freeBody)}
+	j := &job{t: t, in: q, received: t.k.Clock.Now(), id: q.Header.Get(httpconn.RequestID), memory: t.memory.Hold(uncountedBodyBytes)}
 	conf := j.configuration()
 	if conf == nil {
-		return j, &refusal{http.StatusServiceUnavailable, "no configuration yet", startsIn}
+		return j, &refusal{http.StatusServiceUnavailable, "no configuration yet", noConfigRetryAfter}
 	}
 	j.revision = conf.Rev
 	if q.Method == http.MethodConnect || q.RequestURI == "*" {
@@ -40,50 +40,50 @@
 		return j, malformed(httpconn.RequestID + " is missing")
 	}
 	var ok bool
-	if j.target, ok = target(q); !ok {
+	if j.target, ok = requestTarget(q); !ok {
 		return j, malformed("the path can't be read")
 	}
 	host, _, _ := strings.Cut(strings.ToLower(q.Host), ":")
-	if j.route = conf.Match(host, pathOf(j.target)); j.route == nil {
+	if j.route = conf.Match(host, routePath(j.target)); j.route == nil {
 		return j, &refusal{status: http.StatusNotFound, text: "no route"}
 	}
-	j.rank = j.route.Prio
-	if no := j.identify(conf); no != nil {
-		return j, no
+	j.priority = j.route.Prio
+	if refused := j.authenticate(conf); refused != nil {
+		return j, refused
 	}
-	if wait, _ := t.meter.load(); wait > fullWaits(j.route.Prio) {
+	if wait, _ := t.meter.load(); wait > linkWaitLimitFor(j.route.Prio) {
 		t.k.Counters.Add("gateway.link_full", 1)
-		return j, j.busy("this node's link is full")
+		return j, j.unavailable("this node's link is full")
 	}
 	j.service = j.route.PickService(rand.Float64())
-	span := kernel.Micros(j.route.DeadlineMs) * kernel.Millisecond
+	timeout := kernel.Micros(j.route.DeadlineMs) * kernel.Millisecond
 	if text := q.Header.Get(httpconn.DeadlineMs); text != "" {
 		ms, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		if err != nil || !(ms > 0) {
 			return j, malformed(httpconn.DeadlineMs + " is no number of milliseconds")
 		}
-		span = min(span, kernel.Micros(min(ms, float64(j.route.DeadlineMs))*float64(kernel.Millisecond)))
+		timeout = min(timeout, kernel.Micros(min(ms, float64(j.route.DeadlineMs))*float64(kernel.Millisecond)))
 	}
-	j.deadline = j.received + span
-	aim := kernel.Micros(j.route.TargetMs) * kernel.Millisecond
-	if aim == 0 {
-		aim = span
+	j.deadline = j.received + timeout
+	targetLatency := kernel.Micros(j.route.TargetMs) * kernel.Millisecond
+	if targetLatency == 0 {
+		targetLatency = timeout
 	}
-	j.giveUp = j.received + kernel.Micros(holdShare*float64(min(aim, span)))
-	if no := j.read(w, conf.Limits.MaxBodyBytes); no != nil {
-		return j, no
+	j.waitUntil = j.received + kernel.Micros(databaseWaitShare*float64(min(targetLatency, timeout)))
+	if refused := j.readBody(w, conf.Limits.MaxBodyBytes); refused != nil {
+		return j, refused
 	}
-	j.introduce(j.header, conf)
+	j.setTenantHeaders(j.header, conf)
 	return j, nil
 }
 
-// configuration returns what is in force; a node that has just started may learn
-// it in a moment.
+// configuration returns the current configuration. On a node that has just started it waits
+// briefly for one to arrive.
 func (j *job) configuration() *routeconfig.Index {
-	until := j.received + startHold
+	deadline := j.received + configWait
 	for {
 		changed := j.t.control.Changed()
-		conf, wait := j.t.control.Config(), until-j.now()
+		conf, wait := j.t.control.Config(), deadline-j.now()
 		if conf != nil || wait <= 0 {
 			return conf
 		}
@@ -96,10 +96,10 @@
 	}
 }
 
-// fullWaits is the wait at the link from which requests of a rank are refused:
-// the less urgent go first.
-func fullWaits(prio int) kernel.Micros {
-	return fullWait * kernel.Micros(2+max(0, 2-prio)) / 2
+// linkWaitLimitFor returns the queueing delay at the link above which requests of a priority are
+// refused: the less urgent are refused first.
+func linkWaitLimitFor(prio int) kernel.Micros {
+	return linkWaitLimit * kernel.Micros(2+max(0, 2-prio)) / 2
 }
 
 func headSize(q *http.Request) (n int64) {
@@ -112,11 +112,11 @@
 	return n
 }
 
-// target is what is asked for, byte by byte as the client wrote it.
-func target(q *http.Request) (*url.URL, bool) {
+// requestTarget returns the request target, byte for byte as the client sent it.
+func requestTarget(q *http.Request) (*url.URL, bool) {
 	switch {
 	case strings.HasPrefix(q.RequestURI, "//"):
-		// Such a path would be taken for a host.
+		// Such a path would be parsed as a host.
 		return q.URL, q.URL.Host == "" && q.URL.RequestURI() == q.RequestURI
 	case strings.HasPrefix(q.RequestURI, "/"):
 		return &url.URL{Opaque: q.RequestURI}, true
@@ -126,8 +126,8 @@
 	return &u, strings.HasPrefix(u.RequestURI(), "/")
 }
 
-// pathOf is the path by which a route is found.
-func pathOf(u *url.URL) string {
+// routePath returns the path used for route matching.
+func routePath(u *url.URL) string {
 	if u.Opaque == "" {
 		return u.EscapedPath()
 	}
@@ -135,10 +135,10 @@
 	return path
 }
 
-// read takes the body in, as far as it is kept.
-func (j *job) read(w http.ResponseWriter, limit int64) *refusal {
+// readBody reads the body, up to the size that is buffered.
+func (j *job) readBody(w http.ResponseWriter, limit int64) *refusal {
 	j.header = j.in.Header.Clone()
-	dropHops(j.header)
+	removeHopByHop(j.header)
 	if j.in.ContentLength == 0 {
 		return nil
 	}
@@ -149,54 +149,53 @@
 	if limit > 0 {
 		body = http.MaxBytesReader(w, j.in.Body, limit)
 	}
-	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(j.left().Duration())); err != nil {
+	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(j.remaining().Duration())); err != nil {
 		j.t.k.Counters.Add("gateway.no_read_deadline", 1)
 	}
-	raw, err := j.memory.ReadAll(io.LimitReader(body, maxKept+1), 1)
-	var long *http.MaxBytesError
+	raw, err := j.memory.ReadAll(io.LimitReader(body, maxBufferedBody+1), 1)
+	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, memorybudget.ErrFull):
 		j.t.k.Counters.Add("gateway.memory_full", 1)
-		return j.busy("no memory for the body")
-	case errors.As(err, &long):
+		return j.unavailable("no memory for the body")
+	case errors.As(err, &tooLarge):
 		return &refusal{status: http.StatusRequestEntityTooLarge, text: "body over " + strconv.FormatInt(limit, 10) + " bytes"}
-	case err != nil && j.left() <= 0:
+	case err != nil && j.remaining() <= 0:
 		return &refusal{status: http.StatusRequestTimeout, text: "the body did not come in time"}
 	case err != nil:
 		return malformed("the body can't be read in full")
 	}
-	if j.body = raw; len(raw) > maxKept {
-		j.rest = &bounded{r: body}
+	if j.body = raw; len(raw) > maxBufferedBody {
+		j.streamed = &limitRecorder{r: body}
 	} else if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
 		j.t.k.Counters.Add("gateway.no_read_deadline", 1)
 	}
 	return nil
 }
 
-// leaveWait is how long the rest of a refused request's body is waited for: a connection on
-// which it has come can be kept.
-const leaveWait = 20 * kernel.Millisecond
+// unreadBodyTimeout is how long to wait for the rest of a refused request's body: a connection
+// on which it has arrived in full can be kept open.
+const unreadBodyTimeout = 20 * kernel.Millisecond
 
-// leaveBody has a refusal not wait for what is left of the body, which the HTTP server
-// reads before it answers: where that has not come, the connection closes after the answer.
-func (j *job) leaveBody(w http.ResponseWriter) {
+// limitUnreadBody keeps a refusal from waiting for the rest of the body, which the HTTP server
+// reads before it responds: if the rest has not arrived, the connection closes after the response.
+func (j *job) limitUnreadBody(w http.ResponseWriter) {
 	if j.in.ContentLength == 0 {
 		return
 	}
-	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(leaveWait.Duration())); err != nil {
+	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout.Duration())); err != nil {
 		j.t.k.Counters.Add("gateway.no_read_deadline", 1)
 	}
 }
 
-// bounded remembers whether a body that is passed on as it comes turned out
-// too long.
-type bounded struct {
-	r    io.Reader
-	long bool
+// limitRecorder records whether a body that is streamed turned out to exceed the size limit.
+type limitRecorder struct {
+	r       io.Reader
+	tooLong bool
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *limitRecorder) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
-	b.long = b.long || errors.As(err, new(*http.MaxBytesError))
+	b.tooLong = b.tooLong || errors.As(err, new(*http.MaxBytesError))
 	return n, err
 }
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -9,14 +9,14 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// tenantRanks is how many ranks routes may have: a tenant's rank comes before that of
-// the route.
-const tenantRanks = 1000
+// routePriorities is the number of priorities that routes may have: a tenant's priority takes
+// precedence over that of the route.
+const routePriorities = 1000
 
-// identify finds out whose request it is, once its route is known. Where clients have
-// keys, databases are told the tenant's name, whatever the client said, and never the
-// key.
-func (j *job) identify(conf *routeconfig.Index) *refusal {
+// authenticate determines the tenant that a request belongs to, once its route is known. Where
+// clients have API keys, databases receive the tenant's name, whatever name the client sent, and
+// never the key.
+func (j *job) authenticate(conf *routeconfig.Index) *refusal {
 	if !conf.HasTenants() {
 		return nil
 	}
@@ -29,16 +29,16 @@
 		return &refusal{status: http.StatusUnauthorized, text: "no such key"}
 	}
 	if !j.t.control.KeysKnown() {
-		return j.busy("whether the key holds is not known here")
+		return j.unavailable("whether the key holds is not known here")
 	}
 	j.tenant = tenant
 	j.permit = j.t.quota.NewPermit(tenant.Name, quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
-	j.rank = tenant.Prio*tenantRanks + min(j.route.Prio, tenantRanks-1)
+	j.priority = tenant.Prio*routePriorities + min(j.route.Prio, routePriorities-1)
 	return nil
 }
 
-// introduce puts into the header what databases are told of the client.
-func (j *job) introduce(h http.Header, conf *routeconfig.Index) {
+// setTenantHeaders sets the headers that identify the client to databases.
+func (j *job) setTenantHeaders(h http.Header, conf *routeconfig.Index) {
 	if !conf.HasTenants() {
 		return
 	}
@@ -49,17 +49,17 @@
 	}
 }
 
-// longestQuotaWait bounds how long a request waits for a slice of its tenant's quota.
-const longestQuotaWait = 150 * kernel.Millisecond
+// maxQuotaWait limits how long a request waits for a slice of its tenant's quota.
+const maxQuotaWait = 150 * kernel.Millisecond
 
-// admit has the next sending of the request counted under its tenant's limit.
-func (j *job) admit() error {
-	return j.permit.Acquire(min(j.giveUp-j.now(), longestQuotaWait))
+// acquireQuota charges the next attempt to the tenant's quota.
+func (j *job) acquireQuota() error {
+	return j.permit.Acquire(min(j.waitUntil-j.now(), maxQuotaWait))
 }
 
-// overQuota is the answer where nothing is left of a tenant's quota. The request has
-// not run and will not.
-func (j *job) overQuota(e *quota.ExhaustedError) *refusal {
+// quotaExceeded returns the response to a request whose tenant's quota is exhausted. The request
+// has not run and will not run.
+func (j *job) quotaExceeded(e *quota.ExhaustedError) *refusal {
 	j.t.k.Counters.Add("gateway.over_quota", 1)
 	return &refusal{http.StatusTooManyRequests, "over the tenant's limit", e.RetryAfter}
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -11,21 +11,21 @@
 	"indigowalk/internal/loadbalance"
 )
 
-// causeDatabase is the cause of a failure that is a database's own answer.
+// causeDatabase is the cause of a failure whose response came from a database itself.
 const causeDatabase = "answer_of_database"
 
-// note remembers an attempt that failed, for the failure log.
-func (j *job) note(a *attempt, o loadbalance.Outcome, r *httpconn.Reply, err error) {
-	if o == loadbalance.Served {
+// recordAttempt records a failed attempt for the failure log.
+func (j *job) recordAttempt(a *attempt, outcome loadbalance.Outcome, r *httpconn.Reply, err error) {
+	if outcome == loadbalance.Served {
 		return
 	}
 	result := ""
 	switch {
 	case errors.Is(err, httpconn.ErrUnsent):
 		result = "not sent"
-	case errors.Is(err, errClientGone):
+	case errors.Is(err, errClientDisconnected):
 		result = "sent: given up, the client has gone"
-	case errors.Is(err, httpconn.ErrQuiet):
+	case errors.Is(err, httpconn.ErrNoResponse):
 		result = "sent: no answer in time"
 	case errors.Is(err, connpool.ErrSilent):
 		result = "sent: silent"
@@ -38,14 +38,14 @@
 	default:
 		result = "answered " + strconv.Itoa(r.Status)
 	}
-	j.failed = append(j.failed, failurelog.Attempt{Database: a.db.ID, After: j.now() - j.received, Result: result})
+	j.failedAttempts = append(j.failedAttempts, failurelog.Attempt{Database: a.db.ID, After: j.now() - j.received, Result: result})
 }
 
-// record puts a request that was not served into the failure log.
-func (j *job) record(answer, why string) {
+// logFailure adds a request that was not served to the failure log.
+func (j *job) logFailure(response, cause string) {
 	f := failurelog.Failure{
-		ID: j.id, Route: j.in.Host, Service: j.service, Response: answer, Cause: strings.ReplaceAll(why, " ", "_"),
-		Duration: j.now() - j.received, Revision: j.revision, Attempts: j.failed,
+		ID: j.id, Route: j.in.Host, Service: j.service, Response: response, Cause: strings.ReplaceAll(cause, " ", "_"),
+		Duration: j.now() - j.received, Revision: j.revision, Attempts: j.failedAttempts,
 	}
 	if j.route != nil {
 		f.Route = j.route.Host + j.route.Prefix
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -1,5 +1,5 @@
-// Package httpconn holds the connections on which databases are spoken to in HTTP
-// requests, one at a time on each.
+// Package httpconn manages HTTP connections to databases. Each connection carries one request at
+// a time.
 package httpconn
 
 import (
@@ -23,7 +23,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// Headers of the wire.
+// HTTP headers exchanged with clients and databases.
 const (
 	RequestID  = "X-Indigowalk-Request-Id"
 	DeadlineMs = "X-Indigowalk-Deadline-Ms"
@@ -34,48 +34,49 @@
 	Tenant     = "X-Indigowalk-Tenant"
 )
 
-// Errors of this layer.
+// Errors returned by this package.
 var (
-	// ErrUnsent says that no byte of the request has left.
-	ErrUnsent = errors.New("httpconn: not sent")
-	ErrQuiet  = errors.New("httpconn: no answer yet")
-	// ErrMalformed says that the database sent something that is no answer.
-	ErrMalformed = errors.New("httpconn: malformed answer")
+	// ErrUnsent reports that no byte of the request was sent.
+	ErrUnsent = errors.New("httpconn: request not sent")
+	// ErrNoResponse reports that no response has arrived yet.
+	ErrNoResponse = errors.New("httpconn: no response yet")
+	// ErrMalformed reports that the database sent something that is not a valid response.
+	ErrMalformed = errors.New("httpconn: malformed response")
 )
 
 const (
-	maxHead    = 64 << 10 // of an answer
-	maxWhole   = 64 << 10 // bodies up to this are read whole before they are passed on
-	maxSurplus = 8        // answers to other requests, or before the final one, that are passed over
-	pollBuffer = 4 << 10
-	// nearEnd is kept to the time at which a database closes an idle connection.
-	nearEnd = 500 * kernel.Millisecond
-	// justUsed is how long a connection may have been idle to carry what must
-	// not run twice: one that is forgotten by the far end shows it only when it
-	// is written to.
-	justUsed = 100 * kernel.Millisecond
+	maxHeaderBytes      = 64 << 10 // of a response
+	maxBufferedBody     = 64 << 10 // bodies up to this size are read in full before they are forwarded
+	maxSurplusResponses = 8        // responses to other requests, or interim ones, that are skipped
+	readBufferSize      = 4 << 10
+	// idleCloseMargin is how long before the database closes an idle connection its use stops.
+	idleCloseMargin = 500 * kernel.Millisecond
+	// recentUse is how long a connection may have been idle and still carry a request that must
+	// not run twice: a connection that the far end has dropped shows it only when it is written
+	// to.
+	recentUse = 100 * kernel.Millisecond
 )
 
 // Pools hold a gateway's connections to all databases.
 type Pools = connpool.Pools[Want, *Conn]
 
-// Want is what a borrower wishes of a connection.
+// Want is what a borrower requires of a connection.
 type Want struct {
-	Sure bool // new, or used a moment ago
+	Fresh bool // new, or used a moment ago
 }
 
-// Reply is a database's answer. Its body is whole, or followed by Rest.
+// Reply is a database's response. Body holds the whole body, or its beginning if Remainder is set.
 type Reply struct {
-	Status int
-	Header http.Header
-	Body   []byte
-	Length int64 // of the whole body, -1 if that is not known
-	Rest   io.Reader
-	Freed  <-chan struct{} // with Rest: closed once the connection is free again, or broken
-	done   chan struct{}
+	Status    int
+	Header    http.Header
+	Body      []byte
+	Length    int64 // of the whole body; -1 if unknown
+	Remainder io.Reader
+	Released  <-chan struct{} // set with Remainder: closed once the connection is free again or broken
+	done      chan struct{}
 }
 
-// Close lets the connection go on after an answer with Rest.
+// Close ends the reading of a response with Remainder, so that its connection can be reused.
 func (r *Reply) Close() {
 	if r.done != nil {
 		close(r.done)
@@ -83,15 +84,15 @@
 	}
 }
 
-// asked is the request that is under way.
-type asked struct {
-	q     *http.Request
-	id    string
-	until time.Time // then its answer is of no use any more
-	ch    chan Result
+// pendingRequest is the request in progress on a connection.
+type pendingRequest struct {
+	q        *http.Request
+	id       string
+	deadline time.Time // the response is of no use afterwards
+	ch       chan Result
 }
 
-// Result is an answer, or how the request ended without one.
+// Result is a response, or the error with which the request ended.
 type Result struct {
 	Reply *Reply
 	Err   error
@@ -101,30 +102,30 @@
 type Conn struct {
 	DB discovery.Database
 
-	c     net.Conn
-	meter *meter
-	in    *bufio.Reader
-	dead  chan struct{}
-
-	mu      sync.Mutex
-	now     *asked
-	last    bool // it is not used again after the request under way
-	closed  bool
-	spoilt  bool               // the far end sent what nobody asked for
-	ids     [maxSurplus]string // of the last requests
-	sent    int                // requests
-	idleFor kernel.Micros      // the database keeps it open for, 0 if it did not say
-	silent  bool
-	onDead  func(byUs, silent bool)
-}
-
-// meter bounds what is read of an answer's head.
-type meter struct {
+	c       net.Conn
+	limiter *headerLimiter
+	in      *bufio.Reader
+	done    chan struct{}
+
+	mu                sync.Mutex
+	pending           *pendingRequest
+	closeAfterPending bool // not reused after the request in progress
+	closed            bool
+	tainted           bool                        // an unexpected response arrived, or might: not reused
+	recentIDs         [maxSurplusResponses]string // of the most recent requests
+	sent              int                         // number of requests
+	idleTimeout       kernel.Micros               // after which the database closes it; 0 if not announced
+	unresponsive      bool
+	onClose           func(byUs, silent bool)
+}
+
+// headerLimiter limits how much is read of a response's header.
+type headerLimiter struct {
 	r    io.Reader
-	left int64 // below 0: no bound
+	left int64 // negative for no limit
 }
 
-func (m *meter) Read(b []byte) (int, error) {
+func (m *headerLimiter) Read(b []byte) (int, error) {
 	if m.left == 0 {
 		return 0, ErrMalformed
 	}
@@ -140,40 +141,40 @@
 
 // Dialer opens connections.
 type Dialer struct {
-	Net     kernel.Network
-	Connect kernel.Micros
-	Silence kernel.Micros
-	Pace    chan struct{} // bounds those that are being made
-	Path    func(service string) string
-	Wrap    Wrap // of every connection
+	Net            kernel.Network
+	ConnectTimeout kernel.Micros
+	SilenceTimeout kernel.Micros
+	DialSlots      chan struct{} // limits the number of dials in progress
+	HealthPath     func(service string) string
+	Wrap           Wrap // applied to every connection
 }
 
-// Wrap stands between a connection and its use.
+// Wrap wraps a new connection before use.
 type Wrap func(net.Conn) net.Conn
 
-// Open makes a connection.
+// Open establishes a connection.
 func (d *Dialer) Open(ctx context.Context, db discovery.Database, _ kernel.Micros) (*Conn, error) {
-	c, err := connpool.Dial(ctx, d.Net, d.Pace, db.Address, d.Connect, d.Silence)
+	c, err := connpool.Dial(ctx, d.Net, d.DialSlots, db.Address, d.ConnectTimeout, d.SilenceTimeout)
 	if err != nil {
 		return nil, err
 	}
 	c = d.Wrap(c)
-	m := &meter{r: c, left: -1}
-	s := &Conn{DB: db, c: c, meter: m, in: bufio.NewReaderSize(m, pollBuffer), dead: make(chan struct{})}
-	go s.listen()
+	m := &headerLimiter{r: c, left: -1}
+	s := &Conn{DB: db, c: c, limiter: m, in: bufio.NewReaderSize(m, readBufferSize), done: make(chan struct{})}
+	go s.readLoop()
 	return s, nil
 }
 
-// Probe makes a connection and asks for the database's health. Any answer of
-// that database's own counts: whether it thinks itself well is not asked, as
-// its answer may be false either way. One that takes the connection and does
-// not answer in time is slow, which is no fault.
+// Probe opens a connection and requests the database's health. Any response that comes from that
+// database counts, whatever health it reports, because the report may be wrong either way. A
+// database that accepts the connection and does not respond in time is slow, which is not a
+// failure.
 func (d *Dialer) Probe(ctx context.Context, db discovery.Database, wait kernel.Micros) (*Conn, error) {
 	s, err := d.Open(ctx, db, wait)
 	if err != nil {
 		return nil, err
 	}
-	q, err := http.NewRequest(http.MethodGet, "http://"+db.Address+d.Path(db.Service), nil)
+	q, err := http.NewRequest(http.MethodGet, "http://"+db.Address+d.HealthPath(db.Service), nil)
 	if err != nil {
 		s.Close()
 		return nil, fmt.Errorf("%w: %v", connpool.ErrRejected, err)
@@ -186,7 +187,7 @@
 	}
 	r, err := Await(ch, wait, nil, nil)
 	switch {
-	case errors.Is(err, ErrQuiet):
+	case errors.Is(err, ErrNoResponse):
 		s.Close()
 		return nil, connpool.ErrSlow
 	case err != nil:
@@ -194,82 +195,81 @@
 		return nil, err
 	case r.Status == http.StatusMisdirectedRequest, r.Header.Get(Instance) != "" && r.Header.Get(Instance) != db.ID:
 		s.Close()
-		return nil, fmt.Errorf("%w: another has its address", connpool.ErrRejected)
+		return nil, fmt.Errorf("%w: another database responds at its address", connpool.ErrRejected)
 	}
 	return s, nil
 }
 
-// Await waits for the answer to what was sent; ErrQuiet says that there is none
-// within the span, or when ending or gone closes.
-func Await(ch <-chan Result, wait kernel.Micros, ending, gone <-chan struct{}) (*Reply, error) {
+// Await waits for the result of a request that was sent. It returns ErrNoResponse if there is none
+// within wait, or when draining or disconnected is closed.
+func Await(ch <-chan Result, wait kernel.Micros, draining, disconnected <-chan struct{}) (*Reply, error) {
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
 	select {
 	case r := <-ch:
 		return r.Reply, r.Err
 	case <-t.C:
-	case <-ending:
-	case <-gone:
+	case <-draining:
+	case <-disconnected:
 	}
 	select {
-	case r := <-ch: // it came just before the end
+	case r := <-ch: // it arrived just before the end
 		return r.Reply, r.Err
 	default:
-		return nil, ErrQuiet
+		return nil, ErrNoResponse
 	}
 }
 
-// Send writes a request within the span, unless one of the same id went this way
-// a moment ago: a surplus answer to that one could not be told from its own; the answer, or how it ended, comes on
-// the channel. If a body is not whole in memory it is streamed. What is behind a long answer's
-// beginning is read within the span too.
+// Send writes a request, and delivers its response or the error on the returned channel. It
+// refuses a request whose ID was sent on this connection recently, because a surplus response to
+// the earlier one could not be told from its own. A body that is not entirely in memory is
+// streamed. Writing, and reading the remainder of a long response, must end within wait.
 func (s *Conn) Send(q *http.Request, id string, wait kernel.Micros) (<-chan Result, error) {
-	until := time.Now().Add(wait.Duration())
-	a := &asked{q, id, until, make(chan Result, 1)}
+	deadline := time.Now().Add(wait.Duration())
+	p := &pendingRequest{q, id, deadline, make(chan Result, 1)}
 	s.mu.Lock()
-	if s.now != nil || s.closed || s.spoilt || !s.Alive() {
+	if s.pending != nil || s.closed || s.tainted || !s.Alive() {
 		s.mu.Unlock()
 		return nil, ErrUnsent
 	}
-	if id != "" && slices.Contains(s.ids[:], id) {
-		s.spoilt = true
+	if id != "" && slices.Contains(s.recentIDs[:], id) {
+		s.tainted = true
 		s.mu.Unlock()
 		return nil, ErrUnsent
 	}
-	s.ids[s.sent%len(s.ids)] = id
+	s.recentIDs[s.sent%len(s.recentIDs)] = id
 	s.sent++
-	s.now = a
+	s.pending = p
 	s.mu.Unlock()
-	if err := s.c.SetWriteDeadline(until); err != nil {
+	if err := s.c.SetWriteDeadline(deadline); err != nil {
 		s.Close()
 		return nil, ErrUnsent
 	}
-	out := &outgoing{c: s.c}
-	if err := q.Write(out); err == nil {
-		err = out.flush()
+	writer := &requestWriter{c: s.c}
+	if err := q.Write(writer); err == nil {
+		err = writer.flush()
 		if err == nil {
-			return a.ch, nil
+			return p.ch, nil
 		}
 	}
-	// What was written in part may have been read.
+	// A partly written request may have been read by the database.
 	s.Close()
-	if out.sent == 0 {
+	if writer.sent == 0 {
 		return nil, ErrUnsent
 	}
-	return a.ch, nil
+	return p.ch, nil
 }
 
-// outgoing gathers a small request to leave in one piece, and counts what has
-// left.
-type outgoing struct {
+// requestWriter buffers a small request so that it is sent in one piece, and counts the bytes sent.
+type requestWriter struct {
 	c    net.Conn
 	buf  bytes.Buffer
 	sent int64
 }
 
-func (o *outgoing) Write(b []byte) (int, error) {
+func (o *requestWriter) Write(b []byte) (int, error) {
 	o.buf.Write(b)
-	if o.buf.Len() >= maxWhole {
+	if o.buf.Len() >= maxBufferedBody {
 		if err := o.flush(); err != nil {
 			return 0, err
 		}
@@ -277,13 +277,13 @@
 	return len(b), nil
 }
 
-// WriteByte has http.Request.Write do without a buffer of its own.
-func (o *outgoing) WriteByte(b byte) error {
+// WriteByte implements io.ByteWriter, so that http.Request.Write adds no buffer of its own.
+func (o *requestWriter) WriteByte(b byte) error {
 	_, err := o.Write([]byte{b})
 	return err
 }
 
-func (o *outgoing) flush() error {
+func (o *requestWriter) flush() error {
 	if o.buf.Len() == 0 {
 		return nil
 	}
@@ -293,27 +293,27 @@
 	return err
 }
 
-// listen reads answers until the connection breaks.
-func (s *Conn) listen() {
-	err := s.read()
+// readLoop reads responses until the connection fails.
+func (s *Conn) readLoop() {
+	err := s.readResponses()
 	s.mu.Lock()
-	a := s.now
-	s.now = nil
-	s.silent = errors.Is(err, syscall.ETIMEDOUT)
-	f, byUs, silent := s.onDead, s.closed || s.spoilt, s.silent
+	p := s.pending
+	s.pending = nil
+	s.unresponsive = errors.Is(err, syscall.ETIMEDOUT)
+	onClose, byUs, unresponsive := s.onClose, s.closed || s.tainted, s.unresponsive
 	s.mu.Unlock()
-	close(s.dead)
+	close(s.done)
 	s.c.Close()
-	if a != nil {
-		a.ch <- Result{Err: ending(err)}
+	if p != nil {
+		p.ch <- Result{Err: closeError(err)}
 	}
-	if f != nil {
-		f(byUs, silent)
+	if onClose != nil {
+		onClose(byUs, unresponsive)
 	}
 }
 
-// ending turns a connection's end into this layer's errors.
-func ending(err error) error {
+// closeError converts the error that ended a connection to one of this layer's errors.
+func closeError(err error) error {
 	switch {
 	case errors.Is(err, syscall.ETIMEDOUT):
 		return connpool.ErrSilent
@@ -323,129 +323,129 @@
 	return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 }
 
-func (s *Conn) read() error {
+func (s *Conn) readResponses() error {
 	for surplus := 0; ; {
 		if _, err := s.in.Peek(1); err != nil {
 			return err
 		}
 		s.mu.Lock()
-		a := s.now
-		s.spoilt = s.spoilt || a == nil
+		p := s.pending
+		s.tainted = s.tainted || p == nil
 		s.mu.Unlock()
-		if a == nil {
-			return ErrMalformed // it answers what nobody asked
+		if p == nil {
+			return ErrMalformed // a response without a request
 		}
-		s.meter.left = maxHead
-		r, err := http.ReadResponse(s.in, a.q)
-		s.meter.left = -1
+		s.limiter.left = maxHeaderBytes
+		r, err := http.ReadResponse(s.in, p.q)
+		s.limiter.left = -1
 		if err != nil {
 			if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ETIMEDOUT) {
 				return err
 			}
 			return fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
-		mine := a.id == "" || r.Header.Get(RequestID) == a.id
-		if r.StatusCode < 200 || !mine {
-			if surplus++; surplus > maxSurplus {
+		matches := p.id == "" || r.Header.Get(RequestID) == p.id
+		if r.StatusCode < 200 || !matches {
+			if surplus++; surplus > maxSurplusResponses {
 				return ErrMalformed
 			}
 			if r.StatusCode >= 200 {
-				s.spoil()
+				s.taint()
 			}
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := s.deliver(a, r); err != nil {
+		if err := s.deliver(p, r); err != nil {
 			return err
 		}
 		surplus = 0
-		if s.spent() {
+		if s.closeIfSpent() {
 			return io.EOF
 		}
 	}
 }
 
-// spoil marks the connection as one that is used no more.
-func (s *Conn) spoil() {
+// taint marks the connection as not to be reused.
+func (s *Conn) taint() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spoilt = true
+	s.tainted = true
 }
 
-// patient reads the rest of a long answer until it is of no use any more.
-type patient struct {
-	r     io.Reader
-	c     net.Conn
-	until time.Time
+// deadlineReader reads the remainder of a long response, until its deadline.
+type deadlineReader struct {
+	r        io.Reader
+	c        net.Conn
+	deadline time.Time
 }
 
-func (p patient) Read(b []byte) (int, error) {
-	if err := p.c.SetReadDeadline(p.until); err != nil {
+func (p deadlineReader) Read(b []byte) (int, error) {
+	if err := p.c.SetReadDeadline(p.deadline); err != nil {
 		return 0, err
 	}
 	return p.r.Read(b)
 }
 
-// free ends the request under way; the connection is used no more if something
-// came behind its answer.
-func (s *Conn) free() {
+// finishRequest ends the request in progress. The connection is not reused if more data followed
+// the response.
+func (s *Conn) finishRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now = nil
-	s.spoilt = s.spoilt || s.in.Buffered() > 0
+	s.pending = nil
+	s.tainted = s.tainted || s.in.Buffered() > 0
 }
 
-// deliver hands the answer out, small ones whole.
-func (s *Conn) deliver(a *asked, r *http.Response) error {
+// deliver passes the response on, small ones in full.
+func (s *Conn) deliver(p *pendingRequest, r *http.Response) error {
 	reply := &Reply{Status: r.StatusCode, Header: r.Header, Length: r.ContentLength}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxWhole+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
 	if err != nil {
 		return err
 	}
 	reply.Body = body
-	var rest chan struct{}
-	if len(body) > maxWhole {
-		rest = make(chan struct{})
-		freed := make(chan struct{})
-		defer close(freed)
-		reply.Rest, reply.done, reply.Freed = patient{r.Body, s.c, a.until}, rest, freed
+	var done chan struct{}
+	if len(body) > maxBufferedBody {
+		done = make(chan struct{})
+		released := make(chan struct{})
+		defer close(released)
+		reply.Remainder, reply.done, reply.Released = deadlineReader{r.Body, s.c, p.deadline}, done, released
 	}
-	s.note(r)
-	if rest == nil {
-		s.free()
+	s.recordKeepAlive(r)
+	if done == nil {
+		s.finishRequest()
 	}
-	a.ch <- Result{Reply: reply}
-	if rest != nil {
-		<-rest
-		if n, err := io.Copy(io.Discard, io.LimitReader(patient{r.Body, s.c, a.until}, maxWhole)); err != nil || n == maxWhole {
-			return fmt.Errorf("%w: body not taken in full", connpool.ErrBroken)
+	p.ch <- Result{Reply: reply}
+	if done != nil {
+		<-done
+		if n, err := io.Copy(io.Discard, io.LimitReader(deadlineReader{r.Body, s.c, p.deadline}, maxBufferedBody)); err != nil || n == maxBufferedBody {
+			return fmt.Errorf("%w: response body not read to the end", connpool.ErrBroken)
 		}
-		s.free()
+		s.finishRequest()
 		return s.c.SetReadDeadline(time.Time{})
 	}
 	return nil
 }
 
-// note takes in what the answer says of the connection.
-func (s *Conn) note(r *http.Response) {
+// recordKeepAlive records what the response says about the reuse of the connection.
+func (s *Conn) recordKeepAlive(r *http.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = s.last || r.Close
+	s.closeAfterPending = s.closeAfterPending || r.Close
 	for part := range strings.SplitSeq(r.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if sec, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			s.idleFor = kernel.Micros(sec) * kernel.Second
+			s.idleTimeout = kernel.Micros(sec) * kernel.Second
 		}
 	}
 }
 
-// spent tells whether the connection ends with this answer.
-func (s *Conn) spent() bool {
+// closeIfSpent marks a connection that can't be reused as closed, and reports whether it is closed.
+func (s *Conn) closeIfSpent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last || s.spoilt {
+	if s.closeAfterPending || s.tainted {
 		s.closed = true
 	}
 	return s.closed
@@ -454,7 +454,7 @@
 // Alive implements connpool.Line.
 func (s *Conn) Alive() bool {
 	select {
-	case <-s.dead:
+	case <-s.done:
 		return false
 	default:
 		return true
@@ -465,27 +465,27 @@
 func (s *Conn) Clean() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now == nil && !s.closed && !s.last && !s.spoilt
+	return s.pending == nil && !s.closed && !s.closeAfterPending && !s.tainted
 }
 
 // Fit implements connpool.Line.
 func (s *Conn) Fit(want Want, idle kernel.Micros) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if want.Sure && idle > justUsed || s.idleFor > 0 && idle > s.idleFor-nearEnd || s.spoilt {
+	if want.Fresh && idle > recentUse || s.idleTimeout > 0 && idle > s.idleTimeout-idleCloseMargin || s.tainted {
 		return -1
 	}
 	return 0
 }
 
 // Attach implements connpool.Line.
-func (s *Conn) Attach(_ int64, died func(byUs, silent bool)) {
+func (s *Conn) Attach(_ int64, onClose func(byUs, silent bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onDead = died
+	s.onClose = onClose
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (s *Conn) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -19,13 +19,13 @@
 	"indigowalk/internal/simulation"
 )
 
-// reply is an answer to a request.
+// reply returns the raw response to a request.
 func reply(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", httpconn.RequestID, id, len(body), body)
 }
 
-// connect plays a test with a connection to a hand-made database, which answers
-// the requests in turn with the texts; the connection ends after the last.
+// connect runs f with a connection to a scripted database, which responds to successive requests
+// with the given texts and closes the connection after the last.
 func connect(t *testing.T, texts []string, f func(c *httpconn.Conn)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := simulation.NewNet(1)
@@ -52,7 +52,7 @@
 			time.Sleep(time.Second)
 		}()
 		d := httpconn.Dialer{
-			Net: n.Host("10.0.0.1"), Connect: kernel.Second, Silence: kernel.Second, Wrap: func(c net.Conn) net.Conn { return c },
+			Net: n.Host("10.0.0.1"), ConnectTimeout: kernel.Second, SilenceTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return c },
 		}
 		c, err := d.Open(t.Context(), discovery.Database{ID: "d", Address: "10.0.0.2:1"}, kernel.Second)
 		if err != nil {
@@ -65,7 +65,7 @@
 	})
 }
 
-// ask sends a request and waits for its answer; "" if there is none.
+// ask sends a request and returns the body of its response, "" if there is none.
 func ask(c *httpconn.Conn, id string, wait kernel.Micros) string {
 	q, err := http.NewRequest(http.MethodPost, "http://d/", strings.NewReader("x"))
 	if err != nil {
@@ -80,31 +80,31 @@
 		return ""
 	}
 	defer r.Close()
-	if r.Rest != nil {
-		rest, err := io.ReadAll(r.Rest)
+	if r.Remainder != nil {
+		rest, err := io.ReadAll(r.Remainder)
 		return fmt.Sprintf("%d %v", len(r.Body)+len(rest), err)
 	}
 	return string(r.Body)
 }
 
-// Invariant REQUEST: an answer is given only to the request that it answers, and
-// a connection on which that is not sure is neither used nor lent again.
-func TestREQUESTTakesNoOthersAnswer(t *testing.T) {
-	const soon, late = 50 * kernel.Millisecond, 300 * kernel.Millisecond
+// A response is delivered only to the request that it belongs to, and a connection on which that is
+// uncertain is not used or lent again.
+func TestResponsesMatchTheirRequests(t *testing.T) {
+	const early, late = 50 * kernel.Millisecond, 300 * kernel.Millisecond
 	long := strings.Repeat("y", 100<<10)
 	interim := "HTTP/1.1 100 Continue\r\n\r\n"
 	for name, c := range map[string]struct {
 		texts []string
 		ids   [2]string
-		wait  kernel.Micros // for the first answer
+		wait  kernel.Micros // for the first response
 		first string
-		clean bool // the connection may serve others then
+		clean bool // whether the connection may be reused afterwards
 		next  string
 	}{
 		"in order":                      {[]string{reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", true, "2"},
 		"interim answers":               {[]string{strings.Repeat(interim, 5) + reply("a", "1"), strings.Repeat(interim, 5) + reply("b", "2")}, [2]string{"a", "b"}, late, "1", true, "2"},
 		"interim answers without end":   {[]string{strings.Repeat(interim, 20) + reply("a", "1")}, [2]string{"a", "b"}, late, "", false, ""},
-		"given up, answered late":       {[]string{reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, soon, "", true, "2"},
+		"given up, answered late":       {[]string{reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, early, "", true, "2"},
 		"another's answer first":        {[]string{reply("z", "0") + reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", false, ""},
 		"answered twice":                {[]string{reply("a", "1") + reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", false, ""},
 		"the same id again":             {[]string{reply("a", "1"), reply("a", "1")}, [2]string{"a", "a"}, late, "1", true, ""},
@@ -115,32 +115,32 @@
 		t.Run(name, func(t *testing.T) {
 			connect(t, c.texts, func(conn *httpconn.Conn) {
 				if got := ask(conn, c.ids[0], c.wait); got != c.first {
-					t.Errorf("first answer %.20q", got)
+					t.Errorf("first response %.20q", got)
 				} else if got != "" && conn.Clean() && !c.clean {
-					t.Error("it may serve others at once")
+					t.Error("the connection may be reused at once")
 				}
-				time.Sleep(200 * time.Millisecond) // what is late comes
+				time.Sleep(200 * time.Millisecond) // a late response arrives
 				if clean := conn.Clean() && conn.Alive(); clean != c.clean {
-					t.Errorf("it may serve others: %v", clean)
+					t.Errorf("the connection may be reused: %v", clean)
 				}
 				if got := ask(conn, c.ids[1], late); got != c.next {
-					t.Errorf("next answer %.20q", got)
+					t.Errorf("next response %.20q", got)
 				}
 				if c.ids[0] == c.ids[1] && conn.Clean() {
-					t.Error("it is lent again after an id that it has carried")
+					t.Error("the connection may be reused after a repeated request ID")
 				}
 			})
 		})
 	}
 }
 
-// short is a connection whose first write fails after some bytes.
-type short struct {
+// failingConn is a connection whose writes fail after a given number of bytes.
+type failingConn struct {
 	net.Conn
 	left int
 }
 
-func (c *short) Write(b []byte) (int, error) {
+func (c *failingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b[:min(c.left, len(b))])
 	c.left -= n
 	if err == nil && n < len(b) {
@@ -149,15 +149,15 @@
 	return n, err
 }
 
-// A request of which a byte has left may have run; only one of which none has is
-// unsent. Neither connection is used again.
-func TestREQUESTOfWhichAByteHasLeftIsSent(t *testing.T) {
+// A request of which even one byte was sent may have run; only a request of which no byte was sent
+// counts as unsent. In both cases the connection is not reused.
+func TestPartlyWrittenRequestCountsAsSent(t *testing.T) {
 	for left, unsent := range map[int]bool{0: true, 1: false, 70 << 10: false} {
 		synctest.Test(t, func(t *testing.T) {
-			mine, theirs := net.Pipe()
-			go io.Copy(io.Discard, theirs)
+			local, remote := net.Pipe()
+			go io.Copy(io.Discard, remote)
 			d := httpconn.Dialer{
-				Net: wire{end: mine}, Connect: kernel.Second, Silence: kernel.Second, Wrap: func(c net.Conn) net.Conn { return &short{c, left} },
+				Net: pipeNet{c: local}, ConnectTimeout: kernel.Second, SilenceTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return &failingConn{c, left} },
 			}
 			c, err := d.Open(t.Context(), discovery.Database{ID: "d", Address: "d"}, kernel.Second)
 			if err != nil {
@@ -169,17 +169,17 @@
 			}
 			ch, err := c.Send(q, "a", kernel.Second)
 			if errors.Is(err, httpconn.ErrUnsent) != unsent {
-				t.Errorf("%d bytes have left: %v", left, err)
+				t.Errorf("%d bytes sent: %v", left, err)
 			}
 			if !unsent {
-				if _, err := httpconn.Await(ch, kernel.Second, nil, nil); err == nil || errors.Is(err, httpconn.ErrQuiet) {
-					t.Errorf("%d bytes have left, then %v", left, err)
+				if _, err := httpconn.Await(ch, kernel.Second, nil, nil); err == nil || errors.Is(err, httpconn.ErrNoResponse) {
+					t.Errorf("%d bytes sent, then %v", left, err)
 				}
 			}
 			if synctest.Wait(); c.Clean() || c.Alive() {
-				t.Errorf("%d bytes have left, and it may serve others", left)
+				t.Errorf("%d bytes sent, and the connection may be reused", left)
 			}
-			theirs.Close()
+			remote.Close()
 			time.Sleep(time.Minute)
 		})
 	}
--- a/internal/httpconn/fuzz_test.go
+++ b/internal/httpconn/fuzz_test.go
@@ -16,17 +16,17 @@
 	"indigowalk/internal/kernel"
 )
 
-// wire is a network of one connection.
-type wire struct {
+// pipeNet is a network with a single connection.
+type pipeNet struct {
 	kernel.Network
-	end net.Conn
+	c net.Conn
 }
 
-func (w wire) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return w.end, nil }
+func (w pipeNet) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return w.c, nil }
 
-// Whatever a database sends, in whatever pieces, an answer carries the id of the
-// request that it is given to and its bytes come from the stream; what is sent
-// after both requests are answered, or while none is out, ends the connection.
+// Whatever a database sends, however it is split, a response carries the ID of the request that it
+// is delivered to, and its bytes come from the stream. Data sent after both responses, or while no
+// request is in progress, ends the connection.
 func FuzzUpstream(f *testing.F) {
 	a, b := reply("a", "one"), reply("b", "two")
 	chunked := "HTTP/1.1 200 OK\r\n" + httpconn.RequestID + ": a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"
@@ -40,9 +40,9 @@
 	}
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		synctest.Test(t, func(t *testing.T) {
-			mine, theirs := net.Pipe()
-			go io.Copy(io.Discard, theirs)
-			d := httpconn.Dialer{Net: wire{end: mine}, Connect: kernel.Second, Silence: kernel.Second, Wrap: func(c net.Conn) net.Conn { return c }}
+			local, remote := net.Pipe()
+			go io.Copy(io.Discard, remote)
+			d := httpconn.Dialer{Net: pipeNet{c: local}, ConnectTimeout: kernel.Second, SilenceTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return c }}
 			c, err := d.Open(t.Context(), discovery.Database{ID: "d", Address: "d"}, kernel.Second)
 			if err != nil {
 				t.Fatal(err)
@@ -56,9 +56,9 @@
 				}
 				ch, err := c.Send(q, id, kernel.Second)
 				if err == nil && !clean {
-					t.Errorf("%s is sent on a connection that is not clean", id)
+					t.Errorf("%s is sent on a connection that must not be reused", id)
 				}
-				go theirs.Write(piece)
+				go remote.Write(piece)
 				if err != nil {
 					return
 				}
@@ -69,25 +69,25 @@
 				}
 				defer r.Close()
 				body := r.Body
-				if r.Rest != nil {
-					rest, _ := io.ReadAll(io.LimitReader(r.Rest, 1<<20))
+				if r.Remainder != nil {
+					rest, _ := io.ReadAll(io.LimitReader(r.Remainder, 1<<20))
 					body = append(bytes.Clone(body), rest...)
 				}
 				if r.Header.Get(httpconn.RequestID) != id || r.Status < 200 {
 					t.Errorf("%s got %d %v", id, r.Status, r.Header)
 				}
 				if r.Header.Get("Transfer-Encoding") == "" && r.Length >= 0 && !bytes.Contains(all, body) {
-					t.Errorf("%s got %q, which nobody sent", id, body)
+					t.Errorf("%s got %q, which the database did not send", id, body)
 				}
 			}
 			ask("a", first)
 			synctest.Wait()
 			ask("b", second)
 			synctest.Wait()
-			theirs.Close()
+			remote.Close()
 			time.Sleep(time.Minute)
 			if c.Alive() {
-				t.Error("it outlives its end")
+				t.Error("the connection is alive after its far end has closed")
 			}
 			c.Close()
 			time.Sleep(time.Minute)
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -13,57 +13,58 @@
 	"indigowalk/internal/settings"
 )
 
-// HealthPath tells where a service's databases answer how they are.
+// HealthPath returns the path of a service's health endpoint.
 type HealthPath func(service string) string
 
-// connectTimes: requests do not wait for a connection that takes long, but go
-// elsewhere, so there is time to tell a dark database from a full link.
-const connectTimes = 4
+// connectTimeoutFactor is the connect timeout as a multiple of the health check timeout. Requests
+// do not wait for a slow connection but go to another database, so there is time to tell an
+// unreachable database from a saturated link.
+const connectTimeoutFactor = 4
 
-// notSockets are descriptors that are kept for files.
-const notSockets = 200
+// reservedDescriptors are file descriptors reserved for files.
+const reservedDescriptors = 200
 
-// most is how many connections to databases there may be, half of all sockets.
-func most(fds int64) int { return int(max(0, fds-notSockets)) / 2 }
+// maxConnections returns the maximum number of connections to databases: half of all sockets.
+func maxConnections(fds int64) int { return int(max(0, fds-reservedDescriptors)) / 2 }
 
 func init() {
 	kernel.Register(kernel.Plugin{
 		Name: "httpconn", Rank: 50, Roles: []string{"gateway"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			d := &Dialer{
-				Net: k.Net, Connect: connectTimes * settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs),
-				Pace: make(chan struct{}, connpool.MaxDials),
-				Wrap: func(c net.Conn) net.Conn { return kernel.Need[Wrap](k)(c) },
-				Path: func(svc string) string { return kernel.Need[HealthPath](k)(svc) },
+			dialer := &Dialer{
+				Net: k.Net, ConnectTimeout: connectTimeoutFactor * settings.Span(s.CheckWaitMs), SilenceTimeout: settings.Span(s.SilenceMs),
+				DialSlots:  make(chan struct{}, connpool.MaxDials),
+				Wrap:       func(c net.Conn) net.Conn { return kernel.Need[Wrap](k)(c) },
+				HealthPath: func(svc string) string { return kernel.Need[HealthPath](k)(svc) },
 			}
-			r := loadbalance.New(k.Clock)
-			kernel.Offer(k, r)
-			st := connpool.New[Want](k, connpool.Config[Want, *Conn]{
+			balancer := loadbalance.New(k.Clock)
+			kernel.Offer(k, balancer)
+			pools := connpool.New[Want](k, connpool.Config[Want, *Conn]{
 				Open: func(ctx context.Context, db discovery.Database, _ Want, wait kernel.Micros) (*Conn, error) {
-					return d.Open(ctx, db, wait)
+					return dialer.Open(ctx, db, wait)
 				},
-				Probe:    d.Probe,
+				Probe:    dialer.Probe,
 				OpenWait: kernel.Second, CheckWait: settings.Span(s.CheckWaitMs),
 				IdleFor: 8 * kernel.Second, UnusedFor: 5 * kernel.Second,
 				Share: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
-				Most:  most(s.MaxFDs),
+				Most:  maxConnections(s.MaxFDs),
 				Doubt: true,
 			}, kernel.Need[*health.Monitor](k))
-			kernel.Offer(k, st)
+			kernel.Offer(k, pools)
 			kernel.Offer(k, connpool.Updater(func(dbs map[string]discovery.Database) {
-				st.Stock(dbs)
-				r.Prune(dbs)
+				pools.Stock(dbs)
+				balancer.Prune(dbs)
 			}))
-			kernel.Offer(k, connpool.Counts(st.Counts))
+			kernel.Offer(k, connpool.Counts(pools.Counts))
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
 				began := k.Clock.Now()
-				err := st.Check(ctx, id)
-				// A database that is full resets a check as it does a request. What
-				// requests show meanwhile outranks it.
-				return connpool.Stands(err) || errors.Is(err, connpool.ErrBroken) && r.LastServed(id) >= began
+				err := pools.Check(ctx, id)
+				// A database at capacity resets a health check as it does a request, so a
+				// request that it served since the check began outranks the failed check.
+				return connpool.Stands(err) || errors.Is(err, connpool.ErrBroken) && balancer.LastServed(id) >= began
 			})
-			k.Supervise("httpconn", st.Serve)
+			k.Supervise("httpconn", pools.Serve)
 			return nil
 		},
 	})
--- a/internal/memorybudget/memorybudget.go
+++ b/internal/memorybudget/memorybudget.go
@@ -1,6 +1,6 @@
-// Package memorybudget bounds the memory that a process spends on what its clients send:
-// messages that are not whole or are being worked on, and what sessions keep. Nobody
-// waits for it: what it can't bear is refused at once.
+// Package memorybudget limits the memory that a process spends on what its clients send:
+// messages that are incomplete or being processed, and the state that sessions keep. Nothing
+// waits for memory: a reservation that exceeds the limit is refused at once.
 package memorybudget
 
 import (
@@ -9,37 +9,37 @@
 	"sync/atomic"
 )
 
-// ErrFull says that the budget can't bear what is being read.
-var ErrFull = errors.New("memorybudget: clients take as much memory as they may")
+// ErrFull reports that the data being read exceeds the budget.
+var ErrFull = errors.New("memorybudget: memory limit for client data reached")
 
 const (
-	// share is the part of a process's memory that clients may take: the garbage
-	// collector lets a heap grow to twice what is in use, and the process needs the rest.
-	share = 1.0 / 6
-	// defaultMB is taken for the process's memory where that is not known.
+	// clientShare is the fraction of a process's memory that clients may use: the garbage
+	// collector lets the heap grow to twice what is in use, and the process needs the rest.
+	clientShare = 1.0 / 6
+	// defaultMB is the memory assumed for a process where it is unknown.
 	defaultMB = 256
 )
 
-// Budget is what the clients of a process may take together. It is safe for concurrent
-// use.
+// Budget is the memory that the clients of a process may use together. It is safe for
+// concurrent use.
 type Budget struct {
 	limit int64 // bytes
 	used  atomic.Int64
 }
 
-// New returns the budget of a process that has so many megabytes, 0 if that is not known.
+// New returns the budget of a process with the given memory in megabytes, 0 if unknown.
 func New(memoryMB float64) *Budget {
 	if memoryMB == 0 {
 		memoryMB = defaultMB
 	}
-	return &Budget{limit: int64(memoryMB * share * (1 << 20))}
+	return &Budget{limit: int64(memoryMB * clientShare * (1 << 20))}
 }
 
-// Used is how many bytes are taken.
+// Used returns the number of bytes reserved.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
-// take takes bytes off the budget if it bears them.
-func (b *Budget) take(bytes int64) bool {
+// reserve reserves bytes if the limit allows it.
+func (b *Budget) reserve(bytes int64) bool {
 	if b.used.Add(bytes) > b.limit {
 		b.used.Add(-bytes)
 		return false
@@ -47,38 +47,39 @@
 	return true
 }
 
-// Holding is what one client takes. Its owner alone may use it.
+// Holding is the reservation of one client. It is not safe for concurrent use.
 type Holding struct {
-	budget *Budget
-	free   int64 // bytes that are not counted
-	taken  int64
+	budget    *Budget
+	uncounted int64 // bytes that are not counted
+	reserved  int64
 }
 
-// Hold returns a holding of nothing, of which so many bytes will not be counted.
-func (b *Budget) Hold(free int64) *Holding { return &Holding{budget: b, free: free} }
+// Hold returns an empty reservation, whose first uncounted bytes are not charged to the
+// budget.
+func (b *Budget) Hold(uncounted int64) *Holding { return &Holding{budget: b, uncounted: uncounted} }
 
-// Resize says how many bytes the owner holds from now on. A growth that the budget can't
-// bear is refused, and changes nothing.
+// Resize sets the size of the reservation in bytes. Growth that the budget does not allow is
+// refused and changes nothing.
 func (h *Holding) Resize(bytes int64) bool {
-	wanted := max(0, bytes-h.free)
-	grown := wanted - h.taken
+	wanted := max(0, bytes-h.uncounted)
+	growth := wanted - h.reserved
 	switch {
-	case grown < 0:
-		h.budget.used.Add(grown)
-	case grown > 0 && !h.budget.take(grown):
+	case growth < 0:
+		h.budget.used.Add(growth)
+	case growth > 0 && !h.budget.reserve(growth):
 		return false
 	}
-	h.taken = wanted
+	h.reserved = wanted
 	return true
 }
 
-// ReadAll reads to the end and holds what it has read, so many times over as it will lie
-// in memory. What it held before is held no more.
+// ReadAll reads to the end and reserves what it has read, multiplied by the number of copies that
+// will be kept in memory. It replaces what was reserved before.
 func (h *Holding) ReadAll(r io.Reader, copies int64) ([]byte, error) {
 	return io.ReadAll(&countedReader{r: r, holding: h, copies: copies})
 }
 
-// countedReader holds what is read through it.
+// countedReader reserves memory for what is read through it.
 type countedReader struct {
 	r       io.Reader
 	holding *Holding
@@ -96,5 +97,5 @@
 	return n, err
 }
 
-// Release ends the holding.
+// Release frees the reservation.
 func (h *Holding) Release() { h.Resize(0) }
