--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -82,7 +82,7 @@
 func (j *job) watchDisconnect(client *clientConn) (stop func() bool) {
 	disconnected := make(chan struct{})
 	j.disconnected = disconnected
-	return context.AfterFunc(j.in.Context(), func() {
+	return context.AfterFunc(j.incoming.Context(), func() {
 		if client == nil || !client.readStopped.Load() {
 			close(disconnected)
 		}
@@ -107,7 +107,7 @@
 	if !j.idempotent() {
 		disconnected = nil
 	}
-	reply, err := httpconn.Await(a.ch, wait, j.t.drainExpired, disconnected)
+	reply, err := httpconn.Await(a.result, wait, j.t.drainExpired, disconnected)
 	if errors.Is(err, httpconn.ErrNoResponse) && disconnected != nil && j.clientDisconnected() {
 		return nil, errClientDisconnected
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,10 +41,10 @@
 
 // Config holds the settings of a gateway.
 type Config struct {
-	ClientAddr string
-	Zone       string
-	NetMbps    float64 // bandwidth of the machine's link; 0 if unknown
-	Grace      func() kernel.Micros
+	ClientAddr  string
+	Zone        string
+	NetMbps     float64 // bandwidth of the machine's link; 0 if unknown
+	GracePeriod func() kernel.Micros
 }
 
 // Gateway accepts client requests and forwards them to databases.
@@ -95,7 +95,7 @@
 		clients: map[net.Conn]*clientState{}, drainExpired: make(chan struct{}), meter: newLinkMeter(k.Clock, cfg.NetMbps),
 	}
 	t.srv = &http.Server{
-		Handler: t, MaxHeaderBytes: maxHeader, ConnState: t.trackState,
+		Handler: t, MaxHeaderBytes: maxHeaderBytes, ConnState: t.trackState,
 		ErrorLog: log.New(countingWriter{k.Counters.Of("gateway.server_notes")}, "", 0),
 	}
 	return t
@@ -110,8 +110,8 @@
 	return len(b), nil
 }
 
-// maxHeader limits the size of a request header before the configured limit is checked.
-const maxHeader = 256 << 10
+// maxHeaderBytes limits the size of a request header before the configured limit is checked.
+const maxHeaderBytes = 256 << 10
 
 // Ready reports whether clients should be sent to this gateway.
 func (t *Gateway) Ready() bool {
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -20,12 +20,12 @@
 	}{
 		"answered at its deadline": {func(j *job) { j.deadline = j.now(); j.checkAnsweredInTime() }, nil},
 		"answered too late":        {func(j *job) { j.deadline = j.now() - kernel.Second; j.checkAnsweredInTime() }, []invariant.Invariant{invariant.AnsweredInTime}},
-		"sent as often as may be":  {func(j *job) { j.attempts = 2; j.checkSend("a") }, nil},
+		"sent as often as allowed": {func(j *job) { j.attempts = 2; j.checkSend("a") }, nil},
 		"sent too often":           {func(j *job) { j.attempts = 3; j.checkSend("a") }, []invariant.Invariant{invariant.TriesBounded}},
-		"sent where it may have run": {func(j *job) { j.mayHaveRun = true; j.checkSend("a") },
+		"sent after it may have run": {func(j *job) { j.mayHaveRun = true; j.checkSend("a") },
 			[]invariant.Invariant{invariant.SentOnce}},
-		"being answered at the end": {func(j *job) { j.t.clients[nil].responding = true; j.t.checkNothingUnanswered(0) }, nil},
-		"waiting at the end":        {func(j *job) { j.t.checkNothingUnanswered(0) }, []invariant.Invariant{invariant.NothingUnanswered}},
+		"response in progress at shutdown": {func(j *job) { j.t.clients[nil].responding = true; j.t.checkNothingUnanswered(0) }, nil},
+		"unanswered at shutdown":           {func(j *job) { j.t.checkNothingUnanswered(0) }, []invariant.Invariant{invariant.NothingUnanswered}},
 	} {
 		k := kernel.NewKernel("gateway", nil, slog.New(slog.DiscardHandler))
 		g := &Gateway{k: k, clients: map[net.Conn]*clientState{nil: {busy: true}}}
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -49,7 +49,7 @@
 // job is one request on its way to a database.
 type job struct {
 	t              *Gateway
-	in             *http.Request
+	incoming       *http.Request
 	target         *url.URL
 	id             string
 	header         http.Header
@@ -87,10 +87,10 @@
 	if h["User-Agent"] == nil {
 		h["User-Agent"] = nil // prevents net/http from adding its own
 	}
-	q := &http.Request{Method: j.in.Method, URL: j.target, Host: j.in.Host, Header: h, ProtoMajor: 1, ProtoMinor: 1}
+	q := &http.Request{Method: j.incoming.Method, URL: j.target, Host: j.incoming.Host, Header: h, ProtoMajor: 1, ProtoMinor: 1}
 	switch {
 	case j.streamed != nil:
-		q.Body, q.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(j.body), j.streamed)), j.in.ContentLength
+		q.Body, q.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(j.body), j.streamed)), j.incoming.ContentLength
 	case len(j.body) > 0:
 		q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(j.body)), int64(len(j.body))
 	}
@@ -124,11 +124,11 @@
 
 // attempt is the sending of a request to one database.
 type attempt struct {
-	db    discovery.Database
-	conn  *httpconn.Conn
-	gen   int64
-	began kernel.Micros
-	ch    <-chan httpconn.Result
+	db         discovery.Database
+	conn       *httpconn.Conn
+	generation int64
+	began      kernel.Micros
+	result     <-chan httpconn.Result
 }
 
 // serve obtains a response from a database, trying others if the first does not respond.
@@ -310,9 +310,9 @@
 	var r httpconn.Result
 	var finished, other *attempt
 	select {
-	case r = <-a.ch:
+	case r = <-a.result:
 		finished, other = a, b
-	case r = <-b.ch:
+	case r = <-b.result:
 		finished, other = b, a
 	case <-t.C:
 		j.discard(b)
@@ -406,7 +406,7 @@
 	} else if err != nil && !errors.Is(err, httpconn.ErrUnsent) {
 		t.k.Counters.Add("gateway.unanswered", 1)
 		if unresponsive := errors.Is(err, connpool.ErrSilent); unresponsive || errors.Is(err, connpool.ErrBroken) {
-			t.health.Report(a.db.ID, a.gen, unresponsive)
+			t.health.Report(a.db.ID, a.generation, unresponsive)
 		}
 		a.conn.Close()
 	}
--- a/internal/gateway/leave.go
+++ b/internal/gateway/leave.go
@@ -27,7 +27,7 @@
 	start := t.k.Clock.Now()
 	t.draining.Store(true)
 	t.k.Log.Info("leaving")
-	deadline := start + max(0, t.stalls.Left(t.cfg.Grace())-finalResponseTime)
+	deadline := start + max(0, t.stalls.Left(t.cfg.GracePeriod())-finalResponseTime)
 	if !kernel.Sleep(ctx, min(listenerCloseDelay, deadline-start)) {
 		return
 	}
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -34,7 +34,7 @@
 		k.Clock = clock
 		stalls := kernel.NewStalls(k)
 		go stalls.Serve(ctx)
-		g := &Gateway{k: k, cfg: Config{Grace: func() kernel.Micros { return grace }}, drainExpired: make(chan struct{}), stalls: stalls}
+		g := &Gateway{k: k, cfg: Config{GracePeriod: func() kernel.Micros { return grace }}, drainExpired: make(chan struct{}), stalls: stalls}
 		g.clients = map[net.Conn]*clientState{nil: {busy: true}}
 		time.Sleep(1050 * time.Millisecond)
 		clock.ahead.Add(int64(stall))
--- a/internal/gateway/linkmeter.go
+++ b/internal/gateway/linkmeter.go
@@ -22,7 +22,7 @@
 	bytes atomic.Int64
 
 	mu          sync.Mutex
-	at          kernel.Micros
+	updatedAt   kernel.Micros
 	counted     int64
 	backlog     float64 // bytes that must still be queued
 	utilization float64 // recent average, as a fraction of the rate
@@ -50,12 +50,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	counted := d.bytes.Load()
-	if elapsed := float64(now - d.at); elapsed > 0 {
+	if elapsed := float64(now - d.updatedAt); elapsed > 0 {
 		added := float64(counted - d.counted)
 		d.backlog = max(0, d.backlog+added-rate*elapsed)
 		weight := min(1, elapsed/float64(utilizationWindow))
 		d.utilization += weight * (added/(rate*elapsed) - d.utilization)
-		d.at, d.counted = now, counted
+		d.updatedAt, d.counted = now, counted
 	}
 	return kernel.Micros(d.backlog / rate), d.utilization
 }
--- a/internal/gateway/plugin.go
+++ b/internal/gateway/plugin.go
@@ -39,7 +39,7 @@
 			retries := retrybudget.New(k.Clock, func() float64 { return live.Now().RetryRatio }, kernel.Micros(s.RetryWindowS)*kernel.Second)
 			t := New(k, Config{
 				ClientAddr: s.ClientAddr, Zone: s.Zone, NetMbps: s.NetMbps,
-				Grace: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
+				GracePeriod: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
 			}, Services{
 				Control:  subscriber,
 				Conns:    kernel.Need[*httpconn.Pools](k),
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -24,7 +24,7 @@
 // newJob parses a request against a single configuration revision. It returns a job even if the
 // request is refused.
 func (t *Gateway) newJob(w http.ResponseWriter, q *http.Request) (*job, *refusal) {
-	j := &job{t: t, in: q, received: t.k.Clock.Now(), id: q.Header.Get(httpconn.RequestID), memory: t.memory.Hold(uncountedBodyBytes)}
+	j := &job{t: t, incoming: q, received: t.k.Clock.Now(), id: q.Header.Get(httpconn.RequestID), memory: t.memory.Hold(uncountedBodyBytes)}
 	conf := j.configuration()
 	if conf == nil {
 		return j, &refusal{http.StatusServiceUnavailable, "no configuration yet", noConfigRetryAfter}
@@ -33,7 +33,7 @@
 	if q.Method == http.MethodConnect || q.RequestURI == "*" {
 		return j, malformed("no such request is served")
 	}
-	if n := conf.Limits.MaxHeaderBytes; n > 0 && headSize(q) > n {
+	if n := conf.Limits.MaxHeaderBytes; n > 0 && headerSize(q) > n {
 		return j, &refusal{status: http.StatusRequestHeaderFieldsTooLarge, text: "head over " + strconv.FormatInt(n, 10) + " bytes"}
 	}
 	if j.id == "" {
@@ -102,7 +102,7 @@
 	return linkWaitLimit * kernel.Micros(2+max(0, 2-prio)) / 2
 }
 
-func headSize(q *http.Request) (n int64) {
+func headerSize(q *http.Request) (n int64) {
 	n = int64(len(q.Method) + len(q.RequestURI) + len(q.Host))
 	for name, values := range q.Header {
 		for _, v := range values {
@@ -137,17 +137,17 @@
 
 // readBody reads the body, up to the size that is buffered.
 func (j *job) readBody(w http.ResponseWriter, limit int64) *refusal {
-	j.header = j.in.Header.Clone()
+	j.header = j.incoming.Header.Clone()
 	removeHopByHop(j.header)
-	if j.in.ContentLength == 0 {
+	if j.incoming.ContentLength == 0 {
 		return nil
 	}
-	if limit > 0 && j.in.ContentLength > limit {
+	if limit > 0 && j.incoming.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, text: "body over " + strconv.FormatInt(limit, 10) + " bytes"}
 	}
-	body := io.Reader(j.in.Body)
+	body := io.Reader(j.incoming.Body)
 	if limit > 0 {
-		body = http.MaxBytesReader(w, j.in.Body, limit)
+		body = http.MaxBytesReader(w, j.incoming.Body, limit)
 	}
 	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(j.remaining().Duration())); err != nil {
 		j.t.k.Counters.Add("gateway.no_read_deadline", 1)
@@ -180,7 +180,7 @@
 // limitUnreadBody keeps a refusal from waiting for the rest of the body, which the HTTP server
 // reads before it responds: if the rest has not arrived, the connection closes after the response.
 func (j *job) limitUnreadBody(w http.ResponseWriter) {
-	if j.in.ContentLength == 0 {
+	if j.incoming.ContentLength == 0 {
 		return
 	}
 	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout.Duration())); err != nil {
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -23,7 +23,7 @@
 	if j.route.Public {
 		return nil
 	}
-	tenant := conf.Tenant(routeconfig.DigestOf(j.in.Header.Get(httpconn.APIKey)))
+	tenant := conf.Tenant(routeconfig.DigestOf(j.incoming.Header.Get(httpconn.APIKey)))
 	if tenant == nil {
 		j.t.k.Counters.Add("gateway.denied", 1)
 		return &refusal{status: http.StatusUnauthorized, text: "no such key"}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -44,7 +44,7 @@
 // logFailure adds a request that was not served to the failure log.
 func (j *job) logFailure(response, cause string) {
 	f := failurelog.Failure{
-		ID: j.id, Route: j.in.Host, Service: j.service, Response: response, Cause: strings.ReplaceAll(cause, " ", "_"),
+		ID: j.id, Route: j.incoming.Host, Service: j.service, Response: response, Cause: strings.ReplaceAll(cause, " ", "_"),
 		Duration: j.now() - j.received, Revision: j.revision, Attempts: j.failedAttempts,
 	}
 	if j.route != nil {
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -86,10 +86,10 @@
 
 // pendingRequest is the request in progress on a connection.
 type pendingRequest struct {
-	q        *http.Request
+	request  *http.Request
 	id       string
 	deadline time.Time // the response is of no use afterwards
-	ch       chan Result
+	result   chan Result
 }
 
 // Result is a response, or the error with which the request ended.
@@ -249,7 +249,7 @@
 	if err := q.Write(writer); err == nil {
 		err = writer.flush()
 		if err == nil {
-			return p.ch, nil
+			return p.result, nil
 		}
 	}
 	// A partly written request may have been read by the database.
@@ -257,7 +257,7 @@
 	if writer.sent == 0 {
 		return nil, ErrUnsent
 	}
-	return p.ch, nil
+	return p.result, nil
 }
 
 // requestWriter buffers a small request so that it is sent in one piece, and counts the bytes sent.
@@ -305,7 +305,7 @@
 	close(s.done)
 	s.c.Close()
 	if p != nil {
-		p.ch <- Result{Err: closeError(err)}
+		p.result <- Result{Err: closeError(err)}
 	}
 	if onClose != nil {
 		onClose(byUs, unresponsive)
@@ -336,7 +336,7 @@
 			return ErrMalformed // a response without a request
 		}
 		s.limiter.left = maxHeaderBytes
-		r, err := http.ReadResponse(s.in, p.q)
+		r, err := http.ReadResponse(s.in, p.request)
 		s.limiter.left = -1
 		if err != nil {
 			if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ETIMEDOUT) {
@@ -416,7 +416,7 @@
 	if done == nil {
 		s.finishRequest()
 	}
-	p.ch <- Result{Reply: reply}
+	p.result <- Result{Reply: reply}
 	if done != nil {
 		<-done
 		if n, err := io.Copy(io.Discard, io.LimitReader(deadlineReader{r.Body, s.c, p.deadline}, maxBufferedBody)); err != nil || n == maxBufferedBody {
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -101,16 +101,16 @@
 		clean bool // whether the connection may be reused afterwards
 		next  string
 	}{
-		"in order":                      {[]string{reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", true, "2"},
-		"interim answers":               {[]string{strings.Repeat(interim, 5) + reply("a", "1"), strings.Repeat(interim, 5) + reply("b", "2")}, [2]string{"a", "b"}, late, "1", true, "2"},
-		"interim answers without end":   {[]string{strings.Repeat(interim, 20) + reply("a", "1")}, [2]string{"a", "b"}, late, "", false, ""},
-		"given up, answered late":       {[]string{reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, early, "", true, "2"},
-		"another's answer first":        {[]string{reply("z", "0") + reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", false, ""},
-		"answered twice":                {[]string{reply("a", "1") + reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", false, ""},
-		"the same id again":             {[]string{reply("a", "1"), reply("a", "1")}, [2]string{"a", "a"}, late, "1", true, ""},
-		"more behind a long answer":     {[]string{reply("a", long) + "HTTP", reply("b", "2")}, [2]string{"a", "b"}, late, "102400 <nil>", false, ""},
-		"cut off":                       {[]string{reply("a", long)[:5000]}, [2]string{"a", "b"}, 2 * kernel.Second, "", false, ""},
-		"an answer without its request": {[]string{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1", reply("b", "2")}, [2]string{"a", "b"}, late, "", false, ""},
+		"in order":                          {[]string{reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", true, "2"},
+		"interim responses":                 {[]string{strings.Repeat(interim, 5) + reply("a", "1"), strings.Repeat(interim, 5) + reply("b", "2")}, [2]string{"a", "b"}, late, "1", true, "2"},
+		"endless interim responses":         {[]string{strings.Repeat(interim, 20) + reply("a", "1")}, [2]string{"a", "b"}, late, "", false, ""},
+		"late response after a timeout":     {[]string{reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, early, "", true, "2"},
+		"response to another request first": {[]string{reply("z", "0") + reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", false, ""},
+		"response sent twice":               {[]string{reply("a", "1") + reply("a", "1"), reply("b", "2")}, [2]string{"a", "b"}, late, "1", false, ""},
+		"repeated request ID":               {[]string{reply("a", "1"), reply("a", "1")}, [2]string{"a", "a"}, late, "1", true, ""},
+		"data after a long response":        {[]string{reply("a", long) + "HTTP", reply("b", "2")}, [2]string{"a", "b"}, late, "102400 <nil>", false, ""},
+		"truncated response":                {[]string{reply("a", long)[:5000]}, [2]string{"a", "b"}, 2 * kernel.Second, "", false, ""},
+		"response without a request ID":     {[]string{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1", reply("b", "2")}, [2]string{"a", "b"}, late, "", false, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			connect(t, c.texts, func(conn *httpconn.Conn) {
--- a/internal/memorybudget/memorybudget.go
+++ b/internal/memorybudget/memorybudget.go
@@ -76,22 +76,22 @@
 // ReadAll reads to the end and reserves what it has read, multiplied by the number of copies that
 // will be kept in memory. It replaces what was reserved before.
 func (h *Holding) ReadAll(r io.Reader, copies int64) ([]byte, error) {
-	return io.ReadAll(&countedReader{r: r, holding: h, copies: copies})
+	return io.ReadAll(&countedReader{r: r, reservation: h, copies: copies})
 }
 
 // countedReader reserves memory for what is read through it.
 type countedReader struct {
-	r       io.Reader
-	holding *Holding
-	copies  int64
-	read    int64
+	r           io.Reader
+	reservation *Holding
+	copies      int64
+	read        int64
 }
 
 // Read implements io.Reader.
 func (c *countedReader) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
 	c.read += int64(n)
-	if !c.holding.Resize(c.read * c.copies) {
+	if !c.reservation.Resize(c.read * c.copies) {
 		return n, ErrFull
 	}
 	return n, err
