--- a/internal/kernel/counters.go
+++ b/internal/kernel/counters.go
@@ -5,40 +5,40 @@
 	"sync/atomic"
 )
 
-// Counters are the first thing to look at: everything that happens often is
-// counted, and only changes of state are logged.
+// Counters is the set of named counters and gauges of a process. Frequent events are
+// counted here, and only state changes are logged, so diagnosis starts with the counters.
 type Counters struct {
-	m           sync.Map // *atomic.Int64 by name
-	observables sync.Map // func() int64 by name
+	counters sync.Map // *atomic.Int64 by name
+	gauges   sync.Map // func() int64 by name
 }
 
 // NewCounters returns an empty set.
 func NewCounters() *Counters { return &Counters{} }
 
-// Add raises a counter.
+// Add increases the named counter by n.
 func (c *Counters) Add(name string, n int64) { c.Of(name).Add(n) }
 
-// Of returns the counter itself, for places that raise it often.
+// Of returns the named counter itself, for code that increments it often.
 func (c *Counters) Of(name string) *atomic.Int64 {
-	if v, ok := c.m.Load(name); ok {
+	if v, ok := c.counters.Load(name); ok {
 		return v.(*atomic.Int64)
 	}
-	v, _ := c.m.LoadOrStore(name, new(atomic.Int64))
+	v, _ := c.counters.LoadOrStore(name, new(atomic.Int64))
 	return v.(*atomic.Int64)
 }
 
-// Observable has a value that goes up and down told with the counters; it is asked for each
-// time, from any goroutine.
-func (c *Counters) Observable(name string, value func() int64) { c.observables.Store(name, value) }
+// Observable registers a gauge that is reported with the counters. The value function is
+// called on each snapshot, from any goroutine.
+func (c *Counters) Observable(name string, value func() int64) { c.gauges.Store(name, value) }
 
-// Snapshot copies all counters, and the values of all observables.
+// Snapshot returns the current values of all counters and gauges by name.
 func (c *Counters) Snapshot() map[string]int64 {
 	out := map[string]int64{}
-	c.observables.Range(func(k, v any) bool {
+	c.gauges.Range(func(k, v any) bool {
 		out[k.(string)] = v.(func() int64)()
 		return true
 	})
-	c.m.Range(func(k, v any) bool {
+	c.counters.Range(func(k, v any) bool {
 		out[k.(string)] = v.(*atomic.Int64).Load()
 		return true
 	})
--- a/internal/kernel/host_test.go
+++ b/internal/kernel/host_test.go
@@ -16,31 +16,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// stuck is a reader of the log that takes nothing until it is let.
-type stuck struct {
-	let chan struct{}
+// blockedWriter is a log output whose writes block until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.let
-	return s.Buffer.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblock
+	return w.Buffer.Write(b)
 }
 
-// A reader of the log that has stopped holds nobody up; what could not be kept is
-// told in number once it reads on.
-func TestLogHoldsNobodyUp(t *testing.T) {
+// A blocked log output does not block those who log; the number of dropped lines is
+// written once the output accepts writes again.
+func TestLogWriterNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{let: make(chan struct{})}
+		out := &blockedWriter{unblock: make(chan struct{})}
 		w := NewLogWriter(out)
 		start := time.Now()
-		for i := range logQueue + 100 {
+		for i := range logQueueLength + 100 {
 			fmt.Fprintf(w, "line %d\n", i)
 		}
 		if time.Since(start) != 0 {
 			t.Errorf("writing took %v", time.Since(start))
 		}
-		close(out.let)
+		close(out.unblock)
 		synctest.Wait()
 		fmt.Fprintln(w, "last")
 		w.Close()
@@ -51,13 +51,13 @@
 	})
 }
 
-// failing is a listener whose first accepts fail.
-type failing struct {
+// failingListener is a listener whose accepts return the given errors in turn.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if len(f.errs) == 0 {
 		return nil, net.ErrClosed
 	}
@@ -69,23 +69,23 @@
 	return nil, err
 }
 
-// A process that is out of descriptors for a moment keeps its address.
-func TestAcceptingGoesOn(t *testing.T) {
+// A process that is briefly out of file descriptors keeps its listener.
+func TestAcceptRetriesTemporaryErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		full := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
-		gone := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)}
-		l := patientListener{&failing{errs: []error{full, full, gone, nil}}}
+		aborted := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)}
+		l := retryListener{&failingListener{errs: []error{full, full, aborted, nil}}}
 		if c, err := l.Accept(); c == nil || err != nil {
 			t.Errorf("%v %v", c, err)
 		}
 		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("a closed listener: %v", err)
+			t.Errorf("accept on a closed listener: %v", err)
 		}
 	})
 }
 
-// connected returns both ends of a connection of the host's network.
-func connected(t *testing.T) (c, accepted net.Conn) {
+// connectedPair returns both ends of a TCP connection of the host's network.
+func connectedPair(t *testing.T) (c, accepted net.Conn) {
 	t.Helper()
 	ln, err := HostNetwork{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -103,12 +103,13 @@
 	return c, accepted
 }
 
-// What there is no room for is not waited for, and nothing is lost of the rest.
+// TryWrite does not block when the send buffer is full, and all that it reports as written
+// arrives.
 func TestTryWriteNeverWaits(t *testing.T) {
-	c, far := connected(t)
+	c, peer := connectedPair(t)
 	w, ok := c.(TryWriter)
 	if !ok {
-		t.Fatal("a connection of the host can't try to write")
+		t.Fatal("a connection of HostNetwork does not implement TryWriter")
 	}
 	sent := 0
 	for piece := make([]byte, 1<<20); ; {
@@ -120,10 +121,10 @@
 			break
 		}
 	}
-	if n, err := io.ReadFull(far, make([]byte, sent)); err != nil || sent == 0 {
+	if n, err := io.ReadFull(peer, make([]byte, sent)); err != nil || sent == 0 {
 		t.Errorf("%d of %d bytes arrived: %v", n, sent, err)
 	}
-	if err := far.Close(); err != nil {
+	if err := peer.Close(); err != nil {
 		t.Error(err)
 	}
 	for range 100 {
@@ -134,25 +135,25 @@
 	t.Error("writing to a connection that was closed never fails")
 }
 
-// TestFarEndsThatVanishAreAskedFor: a far end that is gone without a word is found out
-// on an accepted connection, in minutes.
-func TestFarEndsThatVanishAreAskedFor(t *testing.T) {
-	_, accepted := connected(t)
+// A peer that vanishes without closing its connection is detected on an accepted connection
+// within minutes.
+func TestAcceptedConnectionsUseKeepAlive(t *testing.T) {
+	_, accepted := connectedPair(t)
 	raw, err := accepted.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	option := func(level, name int) (value int) {
-		if outer := raw.Control(func(fd uintptr) { value, err = unix.GetsockoptInt(int(fd), level, name) }); outer != nil || err != nil {
-			t.Fatal(outer, err)
+		if controlErr := raw.Control(func(fd uintptr) { value, err = unix.GetsockoptInt(int(fd), level, name) }); controlErr != nil || err != nil {
+			t.Fatal(controlErr, err)
 		}
 		return value
 	}
 	if option(unix.SOL_SOCKET, unix.SO_KEEPALIVE) == 0 {
-		t.Fatal("the far end of a connection that rests is never asked for")
+		t.Fatal("keepalive is off on an accepted connection")
 	}
-	idle, pause, asked := option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT)
-	if seconds := idle + pause*asked; idle < 60 || seconds > 300 {
-		t.Errorf("asked for after %d s of rest, given up after %d s", idle, seconds)
+	idle, interval, probes := option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT)
+	if seconds := idle + interval*probes; idle < 60 || seconds > 300 {
+		t.Errorf("keepalive probes start after %d s idle, the connection is reset after %d s", idle, seconds)
 	}
 }
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,6 +1,6 @@
-// Package kernel is the kernel that every role of indigowalk stands on: a
-// registry of plug-ins, the supervisor tree, the seams to clock, network and
-// disk, and the counters.
+// Package kernel is the runtime that every role of indigowalk is built on: a
+// registry of plug-ins, the supervisor tree, the interfaces to clock, network
+// and disk, and the counters.
 package kernel
 
 import (
@@ -18,24 +18,25 @@
 	"indigowalk/internal/invariant"
 )
 
-// Plugin is one part of a role. Packages register theirs in init; the kernel
-// builds those of the role that runs, in order of their rank.
+// Plugin is one component of a role. Packages register their plug-ins in init;
+// the kernel builds those of its own role in ascending order of rank.
 type Plugin struct {
 	Name  string
 	Rank  int      // lower ranks are built first
-	Roles []string // roles that run it
+	Roles []string // roles that include the plug-in
 	Build func(*Kernel) error
 }
 
 var plugins []Plugin
 
-// restartPause is how long a part that has failed several times is left alone.
-const restartPause = time.Second
+// restartBackoff is how long the supervisor waits before it restarts a service that
+// has failed several times.
+const restartBackoff = time.Second
 
-// Register adds a plug-in to those a kernel can build.
+// Register adds a plug-in to the process-wide registry.
 func Register(p Plugin) { plugins = append(plugins, p) }
 
-// Kernel holds what the plug-ins of one process share.
+// Kernel holds the state and interfaces that the plug-ins of one process share.
 type Kernel struct {
 	Role     string
 	Clock    Clock
@@ -43,27 +44,27 @@
 	Sync     Sync
 	Counters *Counters
 	Log      *slog.Logger
-	Recorder *Recorder // nil unless the settings ask for one
-	// Invariants checks what must always be true in this process.
+	Recorder *Recorder // nil unless recording is enabled in the settings
+	// Invariants checks the invariants of this process.
 	Invariants *invariant.Checker
 
-	tree    *suture.Supervisor
-	offered map[reflect.Type]any
-	leaving []func(context.Context)
-	ends    []func() error
+	tree          *suture.Supervisor
+	offered       map[reflect.Type]any
+	shutdownHooks []func(context.Context)
+	exitHooks     []func() error
 }
 
-// NewKernel returns a kernel for one process of the role.
+// NewKernel returns a kernel for a process of the given role.
 func NewKernel(role string, net Network, log *slog.Logger) *Kernel {
 	k := &Kernel{
-		Role: role, Clock: SteadyClock(), Net: net, Sync: (*os.File).Sync, Counters: NewCounters(), Log: log,
+		Role: role, Clock: NewMonotonicClock(), Net: net, Sync: (*os.File).Sync, Counters: NewCounters(), Log: log,
 		offered: map[reflect.Type]any{},
 	}
 	k.Invariants = invariant.NewChecker(func(name string) { k.Counters.Add(name, 1) }, log)
 	k.tree = suture.New("indigowalk-"+role, suture.Spec{
-		// A part that keeps failing, at an address that is still in use say, is
-		// tried again soon: nobody else does its work.
-		FailureBackoff: restartPause,
+		// A service that keeps failing, for example because its address is still in
+		// use, is restarted soon: no other component takes over its work.
+		FailureBackoff: restartBackoff,
 		EventHook: func(e suture.Event) {
 			k.Counters.Add("kernel.supervisor_events", 1)
 			log.Warn("supervisor", "event", e.String())
@@ -72,11 +73,11 @@
 	return k
 }
 
-// Offer makes v available to plug-ins that are built later.
+// Offer makes v available, under its type, to plug-ins that are built later.
 func Offer[T any](k *Kernel, v T) { k.offered[reflect.TypeFor[T]()] = v }
 
-// Need returns what an earlier plug-in offered. Asking for what nobody offers
-// is a mistake in the ranks, not a condition of a running system.
+// Need returns the value of type T that an earlier plug-in offered. It panics if
+// there is none: that is a programming error in the ranks, not a runtime condition.
 func Need[T any](k *Kernel) T {
 	v, ok := k.offered[reflect.TypeFor[T]()]
 	if !ok {
@@ -85,19 +86,19 @@
 	return v.(T)
 }
 
-// Supervise puts a service under the supervisor tree.
+// Supervise adds a service to the supervisor tree, which restarts it when it fails.
 func (k *Kernel) Supervise(name string, f func(context.Context) error) {
 	k.tree.Add(&service{name: name, f: f})
 }
 
-// OnLeave registers a step of the orderly end; the steps run side by side.
-func (k *Kernel) OnLeave(f func(context.Context)) { k.leaving = append(k.leaving, f) }
+// OnLeave registers a hook for graceful shutdown; the hooks run concurrently.
+func (k *Kernel) OnLeave(f func(context.Context)) { k.shutdownHooks = append(k.shutdownHooks, f) }
 
-// Assemble builds the plug-ins of the kernel's role.
+// Assemble builds the plug-ins of the kernel's role in order of rank.
 func (k *Kernel) Assemble() error {
-	chosen := slices.Clone(plugins)
-	slices.SortStableFunc(chosen, func(a, b Plugin) int { return a.Rank - b.Rank })
-	for _, p := range chosen {
+	ordered := slices.Clone(plugins)
+	slices.SortStableFunc(ordered, func(a, b Plugin) int { return a.Rank - b.Rank })
+	for _, p := range ordered {
 		if !slices.Contains(p.Roles, k.Role) {
 			continue
 		}
@@ -108,32 +109,32 @@
 	return nil
 }
 
-// OnEnd registers what is done once every service has stopped.
-func (k *Kernel) OnEnd(f func() error) { k.ends = append(k.ends, f) }
+// OnEnd registers a hook that runs after every service has stopped.
+func (k *Kernel) OnEnd(f func() error) { k.exitHooks = append(k.exitHooks, f) }
 
-// Run serves until ctx ends.
+// Run runs the supervised services until ctx ends, then the hooks registered with OnEnd.
 func (k *Kernel) Run(ctx context.Context) error {
 	err := k.tree.Serve(ctx)
 	if errors.Is(err, context.Canceled) {
 		err = nil
 	}
-	for _, f := range k.ends {
+	for _, f := range k.exitHooks {
 		err = errors.Join(err, f())
 	}
 	return err
 }
 
-// Leave runs the steps of the orderly end and returns when all are done or
-// ctx is over.
+// Leave runs the graceful shutdown hooks and returns when all of them are done
+// or ctx ends.
 func (k *Kernel) Leave(ctx context.Context) {
-	done := make(chan struct{}, len(k.leaving))
-	for _, f := range k.leaving {
+	done := make(chan struct{}, len(k.shutdownHooks))
+	for _, f := range k.shutdownHooks {
 		go func() {
 			f(ctx)
 			done <- struct{}{}
 		}()
 	}
-	for range k.leaving {
+	for range k.shutdownHooks {
 		select {
 		case <-done:
 		case <-ctx.Done():
@@ -142,6 +143,7 @@
 	}
 }
 
+// service adapts a function to suture.Service.
 type service struct {
 	name string
 	f    func(context.Context) error
--- a/internal/kernel/listen.go
+++ b/internal/kernel/listen.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Pauses after a connection that could not be accepted.
+// Bounds of the exponential backoff after a failed accept.
 const (
-	firstAcceptPause = 5 * time.Millisecond
-	lastAcceptPause  = 200 * time.Millisecond
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 200 * time.Millisecond
 )
 
-// patientListener goes on accepting after errors that pass: a process that is out
-// of descriptors for a moment must not give its address up, and with it the
-// connections that wait there.
-type patientListener struct{ net.Listener }
+// retryListener retries accepts that fail with a temporary error: a process that is
+// briefly out of file descriptors must not close its listener, and with it the
+// connections in the accept queue.
+type retryListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l patientListener) Accept() (net.Conn, error) {
-	for pause := firstAcceptPause; ; pause = min(2*pause, lastAcceptPause) {
+func (l retryListener) Accept() (net.Conn, error) {
+	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		c, err := l.Listener.Accept()
-		if err == nil || !passes(err) {
+		if err == nil || !isTemporary(err) {
 			return c, err
 		}
-		time.Sleep(pause)
+		time.Sleep(backoff)
 	}
 }
 
-// passes tells whether accepting may work again without anything being done.
-func passes(err error) bool {
+// isTemporary reports whether a later accept may succeed without any intervention.
+func isTemporary(err error) bool {
 	for _, cause := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EINTR} {
 		if errors.Is(err, cause) {
 			return true
@@ -40,24 +40,24 @@
 	return false
 }
 
-// The operating system asks the far end of an accepted connection that rests for
-// acceptedIdle whether it is still there, and breaks the connection once acceptedAsked
-// questions have got no answer. Without it a client whose machine vanished without a word
-// would keep its session, and whatever that holds, for ever.
+// TCP keepalive of accepted connections: after keepAliveIdle without traffic the operating
+// system probes the peer, and it resets the connection once keepAliveProbes probes have gone
+// unanswered. Without it a client whose machine vanished without closing its connection would
+// keep its session, and the resources held by that session, forever.
 const (
-	acceptedIdle  = 2 * time.Minute
-	acceptedPause = 20 * time.Second
-	acceptedAsked = 3
+	keepAliveIdle     = 2 * time.Minute
+	keepAliveInterval = 20 * time.Second
+	keepAliveProbes   = 3
 )
 
 // Listen implements Network.
 func (n HostNetwork) Listen(addr string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: acceptedIdle, Interval: acceptedPause, Count: acceptedAsked,
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 	}}
-	ln, err := lc.Listen(context.Background(), "tcp4", n.local(addr))
+	ln, err := lc.Listen(context.Background(), "tcp4", n.bindAddr(addr))
 	if err != nil {
 		return nil, err
 	}
-	return patientListener{ln}, nil
+	return retryListener{ln}, nil
 }
--- a/internal/kernel/logwriter.go
+++ b/internal/kernel/logwriter.go
@@ -8,43 +8,42 @@
 	"time"
 )
 
-// LogWriter passes log lines on without ever holding up whoever writes them: lines
-// are logged under locks, and whoever reads the log may stop reading. What does
-// not fit the queue is dropped, and the number of lines is written once there is
-// room.
+// LogWriter forwards log lines asynchronously so that a write never blocks: lines are
+// logged under locks, and the reader of the log may stop reading. Lines that do not fit
+// the queue are dropped, and their number is written once there is room.
 type LogWriter struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	done    chan struct{}
-	closing sync.Once
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Int64
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 const (
-	logQueue = 1024 // lines
-	// logFlush is how long the end of a process waits for the last lines.
-	logFlush = 200 * time.Millisecond
+	logQueueLength = 1024 // lines
+	// logFlushTimeout is how long Close waits for queued lines to be written.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
-// NewLogWriter writes to out.
+// NewLogWriter returns a LogWriter that writes to out.
 func NewLogWriter(out io.Writer) *LogWriter {
-	w := &LogWriter{out: out, lines: make(chan []byte, logQueue), done: make(chan struct{})}
+	w := &LogWriter{out: out, lines: make(chan []byte, logQueueLength), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer; it takes one line and never fails.
+// Write implements io.Writer; it queues a copy of one line and never fails.
 func (w *LogWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	queued := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.lines <- queued:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// run writes the lines. An error of the reader's side is nobody's to mend here.
+// run writes queued lines. Write errors are ignored: they cannot be handled here.
 func (w *LogWriter) run() {
 	defer close(w.done)
 	for line := range w.lines {
@@ -58,17 +57,17 @@
 	}
 }
 
-// Close waits a moment for what is queued to be written. Lines that are written
-// later are lost.
+// Close waits up to logFlushTimeout for queued lines to be written. Lines that are
+// written after Close are lost.
 func (w *LogWriter) Close() {
-	w.closing.Do(func() {
+	w.closeOnce.Do(func() {
 		select {
 		case w.lines <- nil:
 		default:
 		}
 		select {
 		case <-w.done:
-		case <-time.After(logFlush):
+		case <-time.After(logFlushTimeout):
 		}
 	})
 }
--- a/internal/kernel/metrics.go
+++ b/internal/kernel/metrics.go
@@ -11,35 +11,36 @@
 	"time"
 )
 
-// MetricsPath is where a process tells its counters.
+// MetricsPath is the HTTP path at which a process serves its metrics.
 const MetricsPath = "/metrics"
 
 const (
-	// metricsAfter is how long a process that starts leaves its other addresses time
-	// to be taken, and how long it waits where the address is in use.
-	metricsAfter = 2 * Second
-	// metricsWait bounds one call.
-	metricsWait = 2 * time.Second
+	// metricsListenDelay is the delay before each attempt to listen. At startup it lets
+	// the process's other listeners bind first; after that it is the retry interval while
+	// the address is in use.
+	metricsListenDelay = 2 * Second
+	// metricsTimeout is the read, write and idle timeout of the metrics server.
+	metricsTimeout = 2 * time.Second
 )
 
-// notInName are the characters that the name of a metric can't hold.
-var notInName = regexp.MustCompile(`[^a-zA-Z0-9_]+`)
+// invalidMetricChars matches the characters that are not allowed in a metric name.
+var invalidMetricChars = regexp.MustCompile(`[^a-zA-Z0-9_]+`)
 
-// Metrics writes all counters as text, a line each: name, blank, value, in the order of
-// their names.
+// Metrics renders all counters and gauges in the Prometheus text format, one "name value"
+// line each, sorted by name.
 func (c *Counters) Metrics() []byte {
 	var out bytes.Buffer
 	all := c.Snapshot()
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		fmt.Fprintf(&out, "indigowalk_%s %d\n", notInName.ReplaceAllString(name, "_"), all[name])
+		fmt.Fprintf(&out, "indigowalk_%s %d\n", invalidMetricChars.ReplaceAllString(name, "_"), all[name])
 	}
 	return out.Bytes()
 }
 
-// ServeMetrics tells the counters at addr until ctx ends. That the address can't be
-// had ends nothing: it is tried again.
+// ServeMetrics serves the metrics at addr until ctx ends. If it cannot listen at addr,
+// it retries.
 func (k *Kernel) ServeMetrics(ctx context.Context, addr string) error {
-	for Sleep(ctx, metricsAfter) {
+	for Sleep(ctx, metricsListenDelay) {
 		ln, err := k.Net.Listen(addr)
 		if err != nil {
 			k.Counters.Add("kernel.metrics_address_in_use", 1)
@@ -52,12 +53,12 @@
 				k.Counters.Add("kernel.metrics_unsent", 1)
 			}
 		})
-		srv := &http.Server{Handler: mux, ReadTimeout: metricsWait, WriteTimeout: metricsWait, IdleTimeout: metricsWait}
+		srv := &http.Server{Handler: mux, ReadTimeout: metricsTimeout, WriteTimeout: metricsTimeout, IdleTimeout: metricsTimeout}
 		stop := context.AfterFunc(ctx, func() { srv.Close() })
 		err = srv.Serve(ln)
 		stop()
 		if ctx.Err() == nil {
-			k.Log.Warn("metrics are not served", "error", err)
+			k.Log.Warn("metrics server stopped unexpectedly; restarting it", "error", err)
 		}
 	}
 	return nil
--- a/internal/kernel/metrics_test.go
+++ b/internal/kernel/metrics_test.go
@@ -14,15 +14,16 @@
 	"time"
 )
 
-// pipeNetwork has one address, which is in use at first; connections to it are pipes.
+// pipeNetwork is a network with one address, which is in use at the first Listen; connections
+// to it are pipes.
 type pipeNetwork struct {
 	Network
-	asked int
-	conns chan net.Conn
+	listenCalls int
+	conns       chan net.Conn
 }
 
 func (n *pipeNetwork) Listen(string) (net.Listener, error) {
-	if n.asked++; n.asked == 1 {
+	if n.listenCalls++; n.listenCalls == 1 {
 		return nil, syscall.EADDRINUSE
 	}
 	return pipeListener{n}, nil
@@ -39,7 +40,7 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Counters and observables are told as text, also where the address was in use at first.
+// Counters and gauges are served as text, even if the address is in use at first.
 func TestMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipeNetwork{conns: make(chan net.Conn)}
@@ -56,11 +57,11 @@
 		if _, err := io.WriteString(ours, "GET "+MetricsPath+" HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		answer, err := http.ReadResponse(bufio.NewReader(ours), nil)
+		response, err := http.ReadResponse(bufio.NewReader(ours), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw, err := io.ReadAll(answer.Body)
+		raw, err := io.ReadAll(response.Body)
 		want := "indigowalk_connpool_open 7\nindigowalk_failure_no_replica_fresh_and_up_and_lead_moves 1\n" +
 			"indigowalk_kernel_metrics_address_in_use 1\nindigowalk_pooler_refused 3\n"
 		if err != nil || string(raw) != want {
@@ -70,19 +71,19 @@
 	})
 }
 
-// jumpingClock is a clock that stands still for a while when it is told to.
+// jumpingClock is a clock that jumps ahead by offset, as it appears to a stalled process.
 type jumpingClock struct {
 	Clock
-	ahead atomic.Int64
+	offset atomic.Int64
 }
 
-func (c *jumpingClock) Now() Micros { return c.Clock.Now() + Micros(c.ahead.Load()) }
+func (c *jumpingClock) Now() Micros { return c.Clock.Now() + Micros(c.offset.Load()) }
 
-// A process that stood still is noticed, before its own watch has run again too.
+// A stall is detected, even before the detector's own check has run again.
 func TestStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
-		clock := &jumpingClock{Clock: SteadyClock()}
+		clock := &jumpingClock{Clock: NewMonotonicClock()}
 		k.Clock = clock
 		s := NewStalls(k)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -91,11 +92,11 @@
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		if began := k.Clock.Now(); s.Since(began-Second) || k.Counters.Of("kernel.stalls").Load() != 0 {
-			t.Error("a stall where there was none")
+			t.Error("a stall is reported where there was none")
 		}
-		clock.ahead.Add(int64(2 * Second))
+		clock.offset.Add(int64(2 * Second))
 		if !s.Since(k.Clock.Now() - Second) {
-			t.Error("a stall that has just ended is not noticed")
+			t.Error("a stall that has just ended is not detected")
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -103,7 +104,7 @@
 			t.Error("a stall is not counted")
 		}
 		if s.Since(k.Clock.Now()) {
-			t.Error("a stall that is over counts on")
+			t.Error("a stall that ended earlier is still reported")
 		}
 	})
 }
--- a/internal/kernel/notify.go
+++ b/internal/kernel/notify.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// Bell wakes everyone who waits for a change.
+// Bell notifies all waiting goroutines of a change. The zero value is ready to use.
 type Bell struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
-// Wait returns a channel that is closed at the next ring.
+// Wait returns a channel that is closed at the next notification.
 func (b *Bell) Wait() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -21,7 +21,7 @@
 	return b.ch
 }
 
-// Ring wakes all who wait.
+// Ring notifies all current waiters.
 func (b *Bell) Ring() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,14 +31,14 @@
 	}
 }
 
-// Gate lets one through at a time. Unlike a mutex it may be held across calls
-// to other processes, and waiting for it ends with a context.
+// Gate is a mutual exclusion lock that may be held across calls to other processes:
+// unlike with a mutex, waiting for it can be cancelled by a context.
 type Gate chan struct{}
 
-// NewGate returns an open gate.
+// NewGate returns an unlocked Gate.
 func NewGate() Gate { return make(Gate, 1) }
 
-// Enter waits for the gate.
+// Enter acquires the lock. It returns the context's error if ctx ends first.
 func (g Gate) Enter(ctx context.Context) error {
 	select {
 	case g <- struct{}{}:
@@ -48,5 +48,5 @@
 	}
 }
 
-// Leave opens the gate for the next.
+// Leave releases the lock.
 func (g Gate) Leave() { <-g }
--- a/internal/kernel/ready.go
+++ b/internal/kernel/ready.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// ServeReady answers the entry's probe at addr until ctx ends.
+// ServeReady serves the readiness probe, GET /readyz, at addr until ctx ends. It responds
+// with 503 while ready returns false.
 func ServeReady(ctx context.Context, n Network, addr string, ready func() bool) error {
 	ln, err := n.Listen(addr)
 	if err != nil {
-		return fmt.Errorf("kernel: ready: %w", err)
+		return fmt.Errorf("kernel: readiness endpoint: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -23,7 +24,7 @@
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second}
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
 	if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("kernel: ready: %w", err)
+		return fmt.Errorf("kernel: readiness endpoint: %w", err)
 	}
 	return nil
 }
--- a/internal/kernel/recorder.go
+++ b/internal/kernel/recorder.go
@@ -10,39 +10,39 @@
 	"sync"
 )
 
-// RecordingFormat is the version of the recordings written here.
+// RecordingFormat is the version of the recording format written by Recorder.
 const RecordingFormat = 1
 
-// RecordingHead is the first line of a recording.
+// RecordingHead is the header of a recording: its first line.
 type RecordingHead struct {
 	Recording int    `json:"indigowalk_recording"`
 	Node      string `json:"node"`
 	Role      string `json:"role"`
 }
 
-// Record is one input to a decision.
+// Record is one recorded decision input, a line of a recording.
 type Record struct {
 	At   Micros          `json:"t"`
 	Kind string          `json:"k"`
 	Body json.RawMessage `json:"v"`
 }
 
-// Recorder writes the inputs of decisions to a file of bounded size. A nil
-// recorder records nothing.
+// Recorder writes decision inputs to a file of bounded size. A nil Recorder
+// records nothing.
 type Recorder struct {
 	clock    Clock
 	counters *Counters
 
-	mu   sync.Mutex
-	f    *os.File
-	left int64
+	mu        sync.Mutex
+	file      *os.File
+	remaining int64
 }
 
-// Before is what is added to the name of the recording of the process before.
+// Before is the suffix of the file that holds the previous process's recording.
 const Before = ".before"
 
-// NewRecorder starts a recording of at most size bytes. The one of the process before
-// is kept under another name.
+// NewRecorder starts a recording of at most size bytes at path. The recording of the
+// previous process, if any, is renamed to path+Before.
 func NewRecorder(k *Kernel, path, node string, size int64) (*Recorder, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, fmt.Errorf("kernel: recording: %w", err)
@@ -50,16 +50,16 @@
 	if err := os.Rename(path, path+Before); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("kernel: recording: %w", err)
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("kernel: recording: %w", err)
 	}
-	r := &Recorder{clock: k.Clock, counters: k.Counters, f: f, left: size}
+	r := &Recorder{clock: k.Clock, counters: k.Counters, file: file, remaining: size}
 	r.write(RecordingHead{RecordingFormat, node, k.Role})
 	return r, nil
 }
 
-// Add records one input.
+// Add records one decision input of the given kind.
 func (r *Recorder) Add(kind string, body any) {
 	if r == nil {
 		return
@@ -72,15 +72,16 @@
 	r.write(Record{r.clock.Now(), kind, raw})
 }
 
+// write appends v as one line of JSON. What exceeds the size limit is counted and dropped.
 func (r *Recorder) write(v any) {
 	raw, err := json.Marshal(v)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.left -= int64(len(raw)) + 1; err != nil || r.left < 0 {
+	if r.remaining -= int64(len(raw)) + 1; err != nil || r.remaining < 0 {
 		r.counters.Add("kernel.unrecorded", 1)
 		return
 	}
-	if _, err := r.f.Write(append(raw, '\n')); err != nil {
+	if _, err := r.file.Write(append(raw, '\n')); err != nil {
 		r.counters.Add("kernel.unrecorded", 1)
 	}
 }
--- a/internal/kernel/stall.go
+++ b/internal/kernel/stall.go
@@ -6,86 +6,87 @@
 )
 
 const (
-	// stallTick is between two looks at whether the process runs.
-	stallTick = 200 * Millisecond
-	// stallLeast is how late a look has to be to count: the process was frozen, or got
-	// no processor.
-	stallLeast = 150 * Millisecond
-	// LongestUnseenStall is how long the process may have stood still without being
-	// noticed. Whoever takes a wait for too long otherwise waits for longer than this.
-	LongestUnseenStall = stallTick + stallLeast
-	// stallLogged is from when on a stall is a change of state that is logged.
-	stallLogged = Second
+	// stallCheckInterval is the interval of the checks for stalls.
+	stallCheckInterval = 200 * Millisecond
+	// minStall is how late a check has to be to count as a stall: the process was frozen,
+	// or got no CPU time.
+	minStall = 150 * Millisecond
+	// LongestUnseenStall is the longest time for which the process may stall undetected.
+	// A timeout that has to rule out a stall of this process must be longer than this.
+	LongestUnseenStall = stallCheckInterval + minStall
+	// minLoggedStall is the shortest stall that is logged; shorter ones are only counted.
+	minLoggedStall = Second
 )
 
-// Stalls notices when the process has stood still, so that what came late because of
-// it can be told from what was held up by the process itself.
+// Stalls detects periods in which the process did not run, so that a delay caused by
+// such a stall can be distinguished from one caused by the process's own work.
 type Stalls struct {
-	k     *Kernel
-	until atomic.Int64 // when the last stall was over
-	due   atomic.Int64 // when the next look is due, 0 before the first
-	// lasted is how long the last stall was.
-	lasted atomic.Int64
+	k         *Kernel
+	stallEnd  atomic.Int64 // when the last stall ended
+	nextCheck atomic.Int64 // when the next check is due; 0 before the first and after Serve
+	// stallLength is how long the last stall was.
+	stallLength atomic.Int64
 }
 
-// NewStalls returns a watch that has seen none.
+// NewStalls returns a detector that has observed no stall.
 func NewStalls(k *Kernel) *Stalls { return &Stalls{k: k} }
 
-// Serve looks until ctx ends.
+// Serve checks for stalls until ctx ends.
 func (s *Stalls) Serve(ctx context.Context) error {
-	defer s.due.Store(0)
+	defer s.nextCheck.Store(0)
 	for {
-		due := s.k.Clock.Now() + stallTick
-		s.due.Store(int64(due))
-		if !Sleep(ctx, stallTick) {
+		due := s.k.Clock.Now() + stallCheckInterval
+		s.nextCheck.Store(int64(due))
+		if !Sleep(ctx, stallCheckInterval) {
 			return nil
 		}
 		now := s.k.Clock.Now()
-		s.note(now, now-due)
+		s.recordDelay(now, now-due)
 	}
 }
 
-// note takes in how late a look was.
-func (s *Stalls) note(now, late Micros) {
-	if late < stallLeast {
+// recordDelay records a stall if a check was late by at least minStall.
+func (s *Stalls) recordDelay(now, late Micros) {
+	if late < minStall {
 		return
 	}
-	s.lasted.Store(int64(late))
-	s.until.Store(int64(now))
+	s.stallLength.Store(int64(late))
+	s.stallEnd.Store(int64(now))
 	s.k.Counters.Add("kernel.stalls", 1)
 	s.k.Counters.Add("kernel.stalled_ms", late.Millis())
-	if late >= stallLogged {
-		s.k.Log.Warn("the process has stood still", "ms", late.Millis())
+	if late >= minLoggedStall {
+		s.k.Log.Warn("process stalled: it was frozen or got no CPU time", "ms", late.Millis())
 	}
 }
 
-// Left is what is left of a span that began when this process was told something, if that
-// has just come: it may have come at any moment while the process stood still.
+// Left returns what remains of a duration that started when this process was sent a signal
+// or message which it has only just received: during a stall, that may have been sent at any
+// moment, so a stall in progress or just ended is deducted.
 func (s *Stalls) Left(span Micros) Micros {
 	if s == nil {
 		return span
 	}
-	return max(0, span-s.justOver())
+	return max(0, span-s.recentStall())
 }
 
-// justOver is how long the process stood still, if it has only just gone on.
-func (s *Stalls) justOver() Micros {
+// recentStall returns the length of a stall in progress or just ended, otherwise 0.
+func (s *Stalls) recentStall() Micros {
 	now := s.k.Clock.Now()
-	if due := Micros(s.due.Load()); due > 0 && now >= due+stallLeast {
+	if due := Micros(s.nextCheck.Load()); due > 0 && now >= due+minStall {
 		return now - due
 	}
-	if now-Micros(s.until.Load()) < stallTick {
-		return Micros(s.lasted.Load())
+	if now-Micros(s.stallEnd.Load()) < stallCheckInterval {
+		return Micros(s.stallLength.Load())
 	}
 	return 0
 }
 
-// Since tells whether the process stood still at that time or later. A look that is
-// overdue says that it just has.
+// Since reports whether the process was stalled at that time or later. An overdue check
+// counts as a stall.
 func (s *Stalls) Since(at Micros) bool {
 	if s == nil {
 		return false
 	}
-	due := Micros(s.due.Load())
-	return Micros(s.until.Load()) >= at || due > 0 && s.k.Clock.Now() >= due+stallLeast
+	due := Micros(s.nextCheck.Load())
+	return Micros(s.stallEnd.Load()) >= at || due > 0 && s.k.Clock.Now() >= due+minStall
 }
--- a/internal/kernel/sweep.go
+++ b/internal/kernel/sweep.go
@@ -1,14 +1,14 @@
 package kernel
 
-// Kept is for how long something is remembered, of a database or a route say, that
-// is heard of no more.
+// Kept is the retention period of state about a database, route or the like that is no
+// longer reported by anyone.
 const Kept = 3600 * Second
 
-// Sweep paces the dropping of what has not been heard of for Kept.
+// Sweep schedules the periodic removal of state that is older than the retention period.
 type Sweep struct{ last Micros }
 
-// Due tells whether it is time to look for what is to be dropped, a few times in
-// the span that things are kept.
+// Due reports whether the next removal is due, four times per retention period, and if so
+// starts the next interval.
 func (s *Sweep) Due(now Micros) bool {
 	if now-s.last < Kept/4 {
 		return false
