--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant holds the checks that run in every process: what must always be
-// true, whatever fails around it. A check costs next to nothing, changes nothing and
-// never ends a process. A violation is counted as invariant.NAME, logged, and kept until
-// the process ends; in tests it fails the test.
+// Package invariant implements the runtime invariant checks of every process: conditions
+// that must hold whatever fails around the process. A check costs next to nothing, changes
+// no state and never terminates the process. A violation is counted as invariant.NAME and
+// logged, and the count is kept until the process ends; in tests it fails the test.
 package invariant
 
 import (
@@ -12,51 +12,52 @@
 	"sync"
 )
 
-// Invariant is one thing that must always be true.
+// Invariant is the name of a condition that must always hold.
 type Invariant string
 
-// The invariants. docs/promises.md tells which promise each of them watches.
+// The invariants. docs/promises.md lists the guarantee that each of them checks.
 const (
-	// StateKept: a control node that becomes primary, or whose word a carrier takes, has
-	// every change that was told as durable before.
+	// StateKept: a control node that becomes primary, or whose update a proxy applies, has
+	// every change that was acknowledged as durable before.
 	StateKept Invariant = "state_kept"
-	// OnePrimary: no epoch of the control state has two primaries.
+	// OnePrimary: no epoch of the control state has more than one primary.
 	OnePrimary Invariant = "one_primary_of_an_epoch"
-	// ConfigurationForward: a carrier never goes back to an older configuration.
+	// ConfigurationForward: a proxy never returns to an older configuration revision.
 	ConfigurationForward Invariant = "configuration_goes_forward"
-	// OrderRecorded: the configuration in force is that of the newest order on record.
+	// OrderRecorded: the configuration in force is that of the latest recorded command.
 	OrderRecorded Invariant = "order_in_force_is_recorded"
-	// AnsweredInTime: whatever was read is answered by its deadline and a little more,
-	// unless the process stood still.
+	// AnsweredInTime: every request that was read is answered by its deadline plus a small
+	// tolerance, unless the process stalled.
 	AnsweredInTime Invariant = "answered_in_time"
-	// SentOnce: what must not run twice is not sent again once it may have run.
+	// SentOnce: an operation that is unsafe to repeat is not retried once it may have run.
 	SentOnce Invariant = "sent_once"
-	// TriesBounded: a request reaches no more databases than its route allows.
+	// TriesBounded: a request is sent to no more databases than its route allows.
 	TriesBounded Invariant = "tries_bounded"
-	// LentOnce: a connection is lent to one at a time.
+	// LentOnce: a pooled connection is checked out by at most one user at a time.
 	LentOnce Invariant = "connection_lent_once"
-	// ConnectionsCounted: what is counted as open is idle or lent.
+	// ConnectionsCounted: every connection counted as open is either idle or checked out.
 	ConnectionsCounted Invariant = "connections_counted"
-	// CountsPositive: nothing ends more often than it began.
+	// CountsPositive: a count of operations in progress or admitted never goes below zero.
 	CountsPositive Invariant = "counts_not_negative"
-	// DownIsKnown: what is held as down is a database that there is.
+	// DownIsKnown: every database that is recorded as down is a known database.
 	DownIsKnown Invariant = "down_database_is_known"
-	// PromotedHoldsFloor: a database that was promoted holds what the choice rested on.
+	// PromotedHoldsFloor: a promoted database has received at least the minimum position on
+	// which its selection was based.
 	PromotedHoldsFloor Invariant = "promoted_holds_floor"
-	// NothingUnanswered: a process that was told to end has answered all that it read
-	// when it ends.
+	// NothingUnanswered: a process that is shut down has answered every request that it
+	// read by the time it exits.
 	NothingUnanswered Invariant = "nothing_unanswered_at_the_end"
-	// MemoryGivenBack: a process without clients holds nothing for clients.
+	// MemoryGivenBack: a process without clients has no memory reserved for clients.
 	MemoryGivenBack Invariant = "memory_given_back"
 )
 
-// All are the invariants that there are.
+// All lists all invariants.
 var All = []Invariant{
 	StateKept, OnePrimary, ConfigurationForward, OrderRecorded, AnsweredInTime, NothingUnanswered, SentOnce, TriesBounded,
 	LentOnce, ConnectionsCounted, CountsPositive, DownIsKnown, PromotedHoldsFloor, MemoryGivenBack,
 }
 
-// Violation is an invariant that was found broken.
+// Violation describes one violation of an invariant.
 type Violation struct {
 	Invariant Invariant
 	Detail    string
@@ -67,60 +68,64 @@
 // LogMessage is the message of the log line of a violation.
 const LogMessage = "invariant violated"
 
-// logged is how many violations of one invariant are logged: one that is broken by
-// each statement must not fill a disk.
-const logged = 20
+// maxLogged is how many violations of one invariant are logged: an invariant that is
+// violated by every statement must not fill the disk.
+const maxLogged = 20
 
 // Checker checks the invariants of one process. A nil Checker checks nothing.
 type Checker struct {
 	count func(name string)
 	log   *slog.Logger
 
-	mu       sync.Mutex
-	violated func(Violation)
-	counts   map[Invariant]int
+	mu          sync.Mutex
+	onViolation func(Violation)
+	counts      map[Invariant]int
 }
 
-// NewChecker returns a checker that counts by a function and logs violations.
+// NewChecker returns a checker that counts violations with the given function and logs them.
 func NewChecker(count func(name string), log *slog.Logger) *Checker {
 	return &Checker{count: count, log: log, counts: map[Invariant]int{}}
 }
 
-// OnViolation has a function called at each violation, in the goroutine that found it.
-func (c *Checker) OnViolation(violated func(Violation)) {
+// OnViolation sets the function that is called at each violation, in the goroutine that
+// detected it.
+func (c *Checker) OnViolation(onViolation func(Violation)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violated = violated
+	c.onViolation = onViolation
 }
 
-// Check notes a violation unless the invariant holds. The detail is worked out only then.
+// Check records a violation unless the invariant holds, and returns holds. The detail is
+// formatted only for a violation.
 func (c *Checker) Check(holds bool, i Invariant, format string, args ...any) bool {
 	if !holds && c != nil {
-		c.violation(Violation{i, fmt.Sprintf(format, args...)})
+		c.report(Violation{i, fmt.Sprintf(format, args...)})
 	}
 	return holds
 }
 
-func (c *Checker) violation(v Violation) {
+// report counts, logs and forwards a violation.
+func (c *Checker) report(v Violation) {
 	c.count("invariant." + string(v.Invariant))
 	c.mu.Lock()
 	c.counts[v.Invariant]++
-	n, violated := c.counts[v.Invariant], c.violated
+	n, onViolation := c.counts[v.Invariant], c.onViolation
 	c.mu.Unlock()
-	if n <= logged {
+	if n <= maxLogged {
 		c.log.Error(LogMessage, "invariant", string(v.Invariant), "detail", v.Detail, "count", n)
 	}
-	if violated != nil {
-		violated(v)
+	if onViolation != nil {
+		onViolation(v)
 	}
 }
 
-// Counts returns how often each invariant was violated, without those that never were.
+// Counts returns the number of violations by invariant; invariants without violations are
+// omitted.
 func (c *Checker) Counts() map[Invariant]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.counts)
 }
 
-// Violated lists the invariants that were violated.
+// Violated lists the invariants that have been violated, sorted by name.
 func (c *Checker) Violated() []Invariant { return slices.Sorted(maps.Keys(c.Counts())) }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -7,23 +7,27 @@
 	"strings"
 )
 
+// field is one settable struct field with its key and default value.
 type field struct {
-	key, fallback string
-	value         reflect.Value
+	key, defaultText string
+	value            reflect.Value
 }
 
-func keyOf(f reflect.StructField) string { return f.Tag.Get("key") }
+// keyTag returns the settings key of a struct field.
+func keyTag(f reflect.StructField) string { return f.Tag.Get("key") }
 
-func fieldsOf(s any) []field {
+// structFields lists the fields of the struct that s points to.
+func structFields(s any) []field {
 	v := reflect.ValueOf(s).Elem()
 	out := make([]field, 0, v.NumField())
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
-		out = append(out, field{keyOf(f), f.Tag.Get("default"), v.Field(i)})
+		out = append(out, field{keyTag(f), f.Tag.Get("default"), v.Field(i)})
 	}
 	return out
 }
 
+// set parses text according to the kind of the field and assigns it.
 func (f field) set(text string) error {
 	switch f.value.Kind() {
 	case reflect.String:
--- a/internal/settings/halfwritten_test.go
+++ b/internal/settings/halfwritten_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// halfWritten is a settings file of which the beginning is there, and the rest a while
-// later.
-func halfWritten(t *testing.T, beginning string, later time.Duration) (path string) {
+// halfWritten returns the path of a settings file that contains only its beginning at first,
+// and is complete after the delay.
+func halfWritten(t *testing.T, beginning string, delay time.Duration) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "boot.conf")
 	write := func(text string) {
@@ -21,39 +21,39 @@
 	}
 	write(beginning)
 	go func() {
-		time.Sleep(later)
+		time.Sleep(delay)
 		write(good)
 	}()
 	return path
 }
 
-func TestStartWaitsForAFileThatIsBeingWritten(t *testing.T) {
+func TestOpenWaitsForIncompleteFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, err := Open(halfWritten(t, good[:40], 300*time.Millisecond))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if b.Now().GraceS != 6 {
-			t.Errorf("grace of %d s", b.Now().GraceS)
+			t.Errorf("grace period of %d s", b.Now().GraceS)
 		}
 	})
 }
 
-func TestStartRefusesAFileThatStaysFaulty(t *testing.T) {
+func TestOpenRejectsFileThatStaysInvalid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		if _, err := Open(halfWritten(t, good[:40], time.Minute)); err == nil {
-			t.Error("half a file was taken")
+			t.Error("an incomplete file was accepted")
 		}
 		if waited := time.Since(began); waited > 2*time.Second {
-			t.Errorf("refused after %v", waited)
+			t.Errorf("rejected only after %v", waited)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// What has every key that is required may be half a file all the same.
-func TestReloadWaitsForAFileThatIsBeingWritten(t *testing.T) {
+// A file that has all required keys may still be incomplete.
+func TestReloadWaitsForIncompleteFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		beginning, _, _ := strings.Cut(good, "bounds.grace_s")
 		b, err := Open(halfWritten(t, good, 0))
@@ -68,10 +68,10 @@
 		select {
 		case <-changed:
 		default:
-			t.Error("nobody was told")
+			t.Error("the change was not notified")
 		}
 		if b.Now().GraceS != 6 {
-			t.Errorf("a grace of %d s is in force, which no file ever told", b.Now().GraceS)
+			t.Errorf("a grace period of %d s is in force, which no complete file contained", b.Now().GraceS)
 		}
 	})
 }
--- a/internal/settings/plugin.go
+++ b/internal/settings/plugin.go
@@ -46,12 +46,12 @@
 	})
 }
 
-// watch reloads at SIGHUP and when the file changes by itself.
+// watch reloads the settings on SIGHUP and, polling once a second, when the file has changed.
 func (b *Live) watch(ctx context.Context, k *kernel.Kernel) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	seen := b.loaded
+	last := b.loaded
 	tick := make(chan struct{}, 1)
 	go func() {
 		for kernel.Sleep(ctx, kernel.Second) {
@@ -66,28 +66,30 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick:
-			now := stamp(b.path)
-			if now == seen {
+			now := statFile(b.path)
+			if now == last {
 				continue
 			}
-			seen = now
+			last = now
 		case <-hup:
-			seen = stamp(b.path)
+			last = statFile(b.path)
 		}
 		if err := b.Reload(); err != nil {
 			k.Counters.Add("settings.reload_refused", 1)
-			k.Log.Warn("settings not reloaded, old values kept", "error", err)
+			k.Log.Warn("settings reload failed; previous settings stay in force", "error", err)
 			continue
 		}
 		k.Counters.Add("settings.reloads", 1)
 	}
 }
 
+// fileStamp is the size and modification time of a file, to detect changes.
 type fileStamp struct {
-	size, when int64
+	size, modTime int64
 }
 
-func stamp(path string) fileStamp {
+// statFile returns the stamp of a file, or the zero stamp if the file cannot be read.
+func statFile(path string) fileStamp {
 	fi, err := os.Stat(path)
 	if err != nil {
 		return fileStamp{}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads, checks and reloads the settings of a process.
+// Package settings reads, validates and reloads the settings of a process.
 package settings
 
 import (
@@ -18,17 +18,16 @@
 	"indigowalk/internal/kernel"
 )
 
-// EnvVar names the variable that holds the path of the settings file.
+// EnvVar is the environment variable that holds the path of the settings file.
 const EnvVar = "INDIGOWALK_SETTINGS"
 
-// Error is a fault in the settings; it names the key.
+// Error reports an invalid setting by its key.
 type Error struct{ Key, Reason string }
 
 func (e *Error) Error() string { return fmt.Sprintf("settings: %s: %s", e.Key, e.Reason) }
 
-// Settings are what a process is told. Unknown keys are ignored. Spans that
-// the operators set in milliseconds keep that unit here; Spans derives the
-// working times in microseconds.
+// Settings is the configuration of a process. Unknown keys are ignored. Durations that
+// operators set in milliseconds keep that unit here; Span converts them to microseconds.
 type Settings struct {
 	NodeName    string `key:"node_name" validate:"required"`
 	IP          string `key:"ip" validate:"required,ipv4"`
@@ -37,8 +36,8 @@
 	ClientAddr  string `key:"listen.client_addr" validate:"omitempty,hostname_port"`
 	ReadyAddr   string `key:"listen.ready_addr" validate:"omitempty,hostname_port"`
 	ControlAddr string `key:"listen.control_addr" validate:"omitempty,hostname_port"`
-	// BindIP is the address that is listened at and called from, where others reach this
-	// machine at another, behind a translation of addresses say.
+	// BindIP is the local address to listen on and dial from, if it differs from the address
+	// at which others reach this machine, for example behind NAT.
 	BindIP      string   `key:"listen.bind_ip" validate:"omitempty,ipv4"`
 	PortRange   []string `key:"port_range" validate:"len=2,dive,number"`
 	Seeds       []string `key:"seeds" validate:"required,dive,hostname_port"`
@@ -49,7 +48,7 @@
 
 	MemMB  float64 `key:"limits.mem_mb" validate:"gte=0"`
 	MaxFDs int64   `key:"limits.max_fds" validate:"gte=0"`
-	// NetMbps is the bandwidth of the machine's own link; 0 if it is not known.
+	// NetMbps is the bandwidth of the machine's own network link; 0 if unknown.
 	NetMbps float64 `key:"limits.net_mbps" validate:"gte=0"`
 
 	ContactMs  int64 `key:"bounds.contact_ms" default:"4000" validate:"gt=0"`
@@ -60,18 +59,18 @@
 	UnfreezeMs int64 `key:"bounds.unfreeze_ms" default:"300" validate:"gt=0"`
 	CatchupS   int64 `key:"bounds.catchup_s" default:"4" validate:"gt=0"`
 
-	// Whether keys that were taken away must not be served by any node, in touch or not,
-	// and how soon.
+	// Whether revoked keys must be refused by every node, even one that is cut off from the
+	// control nodes, and how soon.
 	RevokeGlobal bool  `key:"bounds.revoke_global"`
 	RevokeMs     int64 `key:"bounds.revoke_ms" default:"5000" validate:"gt=0"`
 
-	// What may be sent again, over all nodes, is this share of the first sends of a
-	// window.
+	// The retry budget: over all nodes, retries may amount to this ratio of the first
+	// attempts in a window.
 	RetryRatio   float64 `key:"bounds.retry_ratio" default:"0.2" validate:"gte=0,lte=10"`
 	RetryWindowS int64   `key:"bounds.retry_window_s" default:"10" validate:"gt=0"`
 
-	// Over all nodes a tenant's operations in a window may exceed its limit by this
-	// share of it, and by so many operations.
+	// Over all nodes, a tenant's operations in a window may exceed its limit by the
+	// fraction QuotaExcess of the limit, plus QuotaSlack operations.
 	QuotaWindowS int64   `key:"bounds.quota_window_s" default:"5" validate:"gt=0"`
 	QuotaExcess  float64 `key:"bounds.quota_excess" default:"0.1" validate:"gte=0,lte=10"`
 	QuotaSlack   float64 `key:"bounds.quota_slack" default:"20" validate:"gte=0"`
@@ -90,19 +89,19 @@
 	CheckWaitMs    int64 `key:"tune.check_wait_ms" default:"150" validate:"gte=10"`
 	QuietMs        int64 `key:"tune.quiet_ms" default:"100" validate:"gte=10"`
 	SilenceMs      int64 `key:"tune.silence_ms" default:"700" validate:"gte=50"`
-	// OrdersKept is how many orders of operators are known again when they are sent
-	// again; an older one gets no clear answer.
+	// OrdersKept is how many recent operator commands are remembered, so that a command
+	// that is sent again is recognised; resending an older one gets no definite response.
 	OrdersKept int64 `key:"tune.orders_kept" default:"512" validate:"gte=64,lte=4096"`
-	// MetricsPort is where a pooler or gateway tells its counters, and the port above it
-	// where a control node does; 0 for nowhere.
+	// MetricsPort is the port at which a pooler or gateway serves its metrics; a control
+	// node uses the next higher port. 0 disables metrics.
 	MetricsPort int64 `key:"tune.metrics_port" default:"9464" validate:"gte=0,lt=65535"`
 	RecordKB    int64 `key:"tune.record_kb" default:"0" validate:"gte=0,lte=32768"`
 }
 
-// Span converts a setting in milliseconds.
+// Span converts a setting in milliseconds to microseconds.
 func Span(ms int64) kernel.Micros { return kernel.Micros(ms) * kernel.Millisecond }
 
-// Port returns the nth free port of the range as an address on this machine.
+// Port returns this machine's address with the nth port of the port range, counted from 0.
 func (s *Settings) Port(n int) string { return net.JoinHostPort(s.IP, strconv.Itoa(s.port(n))) }
 
 func (s *Settings) port(n int) int {
@@ -110,7 +109,8 @@
 	return first + n
 }
 
-// MetricsAddr is where a process of the role tells its counters, "" for nowhere.
+// MetricsAddr returns the address at which a process of the role serves its metrics, or ""
+// if metrics are disabled.
 func (s *Settings) MetricsAddr(role string) string {
 	port := s.MetricsPort
 	switch {
@@ -122,18 +122,18 @@
 	return net.JoinHostPort(s.IP, strconv.FormatInt(port, 10))
 }
 
-// API is the kind of deployment whose services have databases that are all
-// alike, without a lead.
+// API is the value of Settings.Deploy for deployments whose services have equivalent
+// databases without a leader.
 const API = "api"
 
-// Ports of the range, by use.
+// Offsets into the port range, by use.
 const (
-	ControlPort = 0 // calls and datagrams of a control node
-	CarrierPort = 1 // calls and datagrams of a pooler or gateway
+	ControlPort = 0 // RPCs and datagrams of a control node
+	CarrierPort = 1 // RPCs and datagrams of a pooler or gateway
 )
 
-// SeedPeers turns the seeds' control addresses into the inner addresses of the
-// control nodes there: every machine has the same ports.
+// SeedPeers returns the internal addresses of the control nodes at the seeds, derived from
+// their control addresses: every machine uses the same port range.
 func (s *Settings) SeedPeers() []string {
 	out := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
@@ -145,7 +145,7 @@
 	return out
 }
 
-// Parse reads and checks settings; the error joins every fault found.
+// Parse decodes and validates settings; the error joins all errors found.
 func Parse(raw []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := Decode(raw, s); err != nil {
@@ -154,41 +154,41 @@
 	return s, nil
 }
 
-// Decode reads lines of key=value into a struct whose fields bear the tags key,
-// default and validate, and checks it; keys that no field bears are ignored. The
-// error joins every fault found.
+// Decode reads key=value lines into a struct whose fields have the tags key, default and
+// validate, and validates it. Keys without a field are ignored. The error joins all errors
+// found.
 func Decode(raw []byte, into any) error {
 	l := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	p, err := l.LoadBytes(raw)
 	if err != nil {
 		return &Error{"file", err.Error()}
 	}
-	var faults []error
-	for _, f := range fieldsOf(into) {
+	var errs []error
+	for _, f := range structFields(into) {
 		text, ok := p.Get(f.key)
 		if !ok {
-			text = f.fallback
+			text = f.defaultText
 		}
 		if text = strings.TrimSpace(text); text == "" {
 			continue
 		}
 		if err := f.set(text); err != nil {
-			faults = append(faults, &Error{f.key, err.Error()})
+			errs = append(errs, &Error{f.key, err.Error()})
 		}
 	}
-	if len(faults) == 0 {
-		faults = validate(into)
+	if len(errs) == 0 {
+		errs = validate(into)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// Overlay changes those fields of a struct that the lines name, and checks it.
+// Overlay sets only those fields of a struct whose keys occur in the lines, and validates it.
 func Overlay(raw []byte, into any) error {
 	p, err := properties.LoadString(string(raw))
 	if err != nil {
 		return &Error{"file", err.Error()}
 	}
-	for _, f := range fieldsOf(into) {
+	for _, f := range structFields(into) {
 		text, ok := p.Get(f.key)
 		if !ok {
 			continue
@@ -200,14 +200,14 @@
 	return errors.Join(validate(into)...)
 }
 
-// Unknown lists the keys of a file that no field of the struct bears.
+// Unknown lists the keys in a file for which the struct has no field.
 func Unknown(raw []byte, into any) (keys []string, err error) {
 	p, err := properties.LoadString(string(raw))
 	if err != nil {
 		return nil, &Error{"file", err.Error()}
 	}
 	known := map[string]bool{}
-	for _, f := range fieldsOf(into) {
+	for _, f := range structFields(into) {
 		known[f.key] = true
 	}
 	for _, key := range p.Keys() {
@@ -218,13 +218,14 @@
 	return keys, nil
 }
 
+// validate checks a struct against its validate tags.
 func validate(s any) []error {
 	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(keyOf)
+	v.RegisterTagNameFunc(keyTag)
 	var out []error
-	var bad validator.ValidationErrors
-	if err := v.Struct(s); errors.As(err, &bad) {
-		for _, f := range bad {
+	var invalid validator.ValidationErrors
+	if err := v.Struct(s); errors.As(err, &invalid) {
+		for _, f := range invalid {
 			reason := "fails " + f.Tag()
 			if f.Param() != "" {
 				reason += "=" + f.Param()
@@ -237,53 +238,54 @@
 	return out
 }
 
-// Live holds the settings in force and tells of changes.
+// Live holds the current settings and notifies of changes.
 type Live struct {
-	path   string
-	loaded fileStamp // of the file before it was read first
-	mu     sync.Mutex
-	now    *Settings
-	bell   kernel.Bell
+	path    string
+	loaded  fileStamp // of the file, taken before it was first read
+	mu      sync.Mutex
+	current *Settings
+	changed kernel.Bell
 }
 
-// A file may be read while it is being written.
+// The file may be read while it is still being written.
 const (
-	// startWait is for how long a start waits for a faulty file to be whole.
-	startWait = kernel.Second
-	// startPause lies between two looks at such a file.
-	startPause = 50 * kernel.Millisecond
-	// settled is for how long a file is the same before it is put in force.
-	settled = 20 * kernel.Millisecond
-	// settledLooks is how often a file that keeps changing is read at most; its next
-	// change is noticed anyway.
-	settledLooks = 10
+	// startTimeout is how long startup retries a file that is invalid, and possibly
+	// incomplete.
+	startTimeout = kernel.Second
+	// startRetryInterval is the interval of these retries.
+	startRetryInterval = 50 * kernel.Millisecond
+	// stablePeriod is how long a file must be unchanged before its settings are applied.
+	stablePeriod = 20 * kernel.Millisecond
+	// maxStableReads bounds the reads of a file that keeps changing; its next change is
+	// detected anyway.
+	maxStableReads = 10
 )
 
-// Open reads settings from path. A change of the file from then on is noticed. A faulty
-// file is refused once it has had a second to be written in full.
+// Open reads the settings from path. Later changes of the file are detected. An invalid
+// file is rejected only after startTimeout, as it may still be being written.
 func Open(path string) (*Live, error) {
-	for waited := kernel.Micros(0); ; waited += startPause {
-		before := stamp(path)
-		s, err := loadSettled(path)
+	for waited := kernel.Micros(0); ; waited += startRetryInterval {
+		before := statFile(path)
+		s, err := loadStable(path)
 		if err == nil {
-			return &Live{path: path, loaded: before, now: s}, nil
+			return &Live{path: path, loaded: before, current: s}, nil
 		}
-		if waited >= startWait {
+		if waited >= startTimeout {
 			return nil, err
 		}
-		time.Sleep(startPause.Duration())
+		time.Sleep(startRetryInterval.Duration())
 	}
 }
 
-// loadSettled reads and checks a settings file that does not change meanwhile.
-func loadSettled(path string) (*Settings, error) {
+// loadStable reads and validates a settings file once its content has stopped changing.
+func loadStable(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
-	for range settledLooks {
+	for range maxStableReads {
 		if err != nil {
 			return nil, &Error{EnvVar, err.Error()}
 		}
 		before := raw
-		time.Sleep(settled.Duration())
+		time.Sleep(stablePeriod.Duration())
 		if raw, err = os.ReadFile(path); err == nil && bytes.Equal(raw, before) {
 			break
 		}
@@ -291,28 +293,28 @@
 	return Parse(raw)
 }
 
-// NewLive wraps settings that do not change.
-func NewLive(s *Settings) *Live { return &Live{now: s} }
+// NewLive returns a Live with settings that are not backed by a file and do not change.
+func NewLive(s *Settings) *Live { return &Live{current: s} }
 
-// Now returns the settings in force; they are not to be changed.
+// Now returns the current settings; the caller must not modify them.
 func (b *Live) Now() *Settings {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.now
+	return b.current
 }
 
-// Changed returns a channel that closes at the next change.
-func (b *Live) Changed() <-chan struct{} { return b.bell.Wait() }
+// Changed returns a channel that is closed at the next change.
+func (b *Live) Changed() <-chan struct{} { return b.changed.Wait() }
 
-// Reload reads the file again. A bad file leaves the old values in force.
+// Reload reads the file again. If the file is invalid, the previous settings stay in force.
 func (b *Live) Reload() error {
-	s, err := loadSettled(b.path)
+	s, err := loadStable(b.path)
 	if err != nil {
 		return err
 	}
 	b.mu.Lock()
-	b.now = s
+	b.current = s
 	b.mu.Unlock()
-	b.bell.Ring()
+	b.changed.Ring()
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestBadReloadKeepsTheOldValues(t *testing.T) {
+func TestInvalidReloadKeepsPreviousSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.conf")
 	write := func(text string) {
 		t.Helper()
@@ -57,7 +57,7 @@
 	}
 	write(strings.Replace(good, "grace_s=6", "grace_s=x", 1))
 	if b.Reload() == nil || b.Now().GraceS != 6 {
-		t.Errorf("a bad file was taken: %d", b.Now().GraceS)
+		t.Errorf("an invalid file was applied: grace_s is %d", b.Now().GraceS)
 	}
 	changed := b.Changed()
 	write(strings.Replace(good, "grace_s=6", "grace_s=9", 1))
@@ -67,12 +67,12 @@
 	select {
 	case <-changed:
 	default:
-		t.Error("nobody was told")
+		t.Error("the change was not notified")
 	}
 }
 
-// A change of the file between the start and the first look at it is noticed.
-func TestChangeWhileStarting(t *testing.T) {
+// A change of the file between Open and the first poll of the watcher is detected.
+func TestChangeDuringStartIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.conf")
 	if err := os.WriteFile(path, []byte(good), 0o644); err != nil {
 		t.Fatal(err)
@@ -81,13 +81,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if stamp(path) != b.loaded {
-		t.Error("a file that did not change counts as changed")
+	if statFile(path) != b.loaded {
+		t.Error("an unchanged file is reported as changed")
 	}
 	if err := os.WriteFile(path, []byte(good+"more.of=it\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if stamp(path) == b.loaded {
-		t.Error("the change was not noticed")
+	if statFile(path) == b.loaded {
+		t.Error("the change was not detected")
 	}
 }
