--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -24,7 +24,7 @@
 	OnePrimary Invariant = "one_primary_of_an_epoch"
 	// ConfigurationForward: a proxy never returns to an older configuration revision.
 	ConfigurationForward Invariant = "configuration_goes_forward"
-	// OrderRecorded: the configuration in force is that of the latest recorded command.
+	// OrderRecorded: the configuration in force is that of the latest recorded change.
 	OrderRecorded Invariant = "order_in_force_is_recorded"
 	// AnsweredInTime: every request that was read is answered by its deadline plus a small
 	// tolerance, unless the process stalled.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -89,8 +89,8 @@
 	CheckWaitMs    int64 `key:"tune.check_wait_ms" default:"150" validate:"gte=10"`
 	QuietMs        int64 `key:"tune.quiet_ms" default:"100" validate:"gte=10"`
 	SilenceMs      int64 `key:"tune.silence_ms" default:"700" validate:"gte=50"`
-	// OrdersKept is how many recent operator commands are remembered, so that a command
-	// that is sent again is recognised; resending an older one gets no definite response.
+	// OrdersKept is how many recent configuration changes are remembered, so that a change
+	// that is submitted again is recognised; resubmitting an older one gets no definite response.
 	OrdersKept int64 `key:"tune.orders_kept" default:"512" validate:"gte=64,lte=4096"`
 	// MetricsPort is the port at which a pooler or gateway serves its metrics; a control
 	// node uses the next higher port. 0 disables metrics.
