--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership is the membership of indigowalk's processes: probes to a
-// few others in turn, second opinions through third parties, and suspicion
-// before removal, as in SWIM, over datagrams.
+// Package membership implements SWIM-style group membership and failure detection
+// for indigowalk's processes over UDP: members are probed in turn, a failed probe is
+// repeated indirectly through other members, and a member is suspected before it is
+// removed.
 package membership
 
 import (
@@ -17,35 +18,35 @@
 	"indigowalk/internal/kernel"
 )
 
-// Status of a member.
+// Status is the liveness of a member as far as this process knows.
 type Status int
 
-// A member is alive until a probe and the second opinions fail; then it is
-// suspected, and removed if it does not object in time.
+// A member is alive until a direct probe and the indirect probes fail. It is then
+// suspected, and declared dead if it does not refute the suspicion in time.
 const (
 	Alive Status = iota
 	Suspect
 	Dead
 )
 
-// Member is a process of the system; its inner address is its identity.
+// Member is a process of the system, identified by its internal address.
 type Member struct {
-	Addr   string `json:"a"`
-	Name   string `json:"n"`
-	Role   string `json:"r"`
-	Zone   string `json:"z"`
-	Life   int64  `json:"i"` // incarnation: rises with every start and objection
-	Status Status `json:"s"`
+	Addr        string `json:"a"`
+	Name        string `json:"n"`
+	Role        string `json:"r"`
+	Zone        string `json:"z"`
+	Incarnation int64  `json:"i"` // increases with every start and every refutation
+	Status      Status `json:"s"`
 }
 
 type packet struct {
-	Kind   string          `json:"k"`
-	Seq    uint64          `json:"q,omitempty"`
-	From   string          `json:"f"`
-	Target string          `json:"t,omitempty"`
-	News   []Member        `json:"m,omitempty"`
-	Sums   []uint32        `json:"h,omitempty"` // of the parts of the members that the sender knows
-	Body   json.RawMessage `json:"b,omitempty"`
+	Kind      string          `json:"k"`
+	Seq       uint64          `json:"q,omitempty"`
+	From      string          `json:"f"`
+	Target    string          `json:"t,omitempty"`
+	Updates   []Member        `json:"m,omitempty"`
+	Checksums []uint32        `json:"h,omitempty"` // one per partition of the members known to the sender
+	Body      json.RawMessage `json:"b,omitempty"`
 }
 
 const (
@@ -53,60 +54,60 @@
 	ack     = "ack"
 	pingReq = "ask"
 	join    = "join"
-	page    = "page" // members that differ, in answer to a join
+	page    = "page" // members that differ, in response to a join
 
-	maxNews     = 8
-	pageSize    = 24 // members in one answer to a newcomer
-	maxDatagram = 8192
-	referees    = 3
-	maxMembers  = 10_000 // more than that are not believed
+	maxUpdates       = 8
+	pageSize         = 24 // members in one datagram of a synchronization
+	maxDatagramBytes = 8192
+	indirectProbes   = 3
+	maxMembers       = 10_000 // further members are ignored
 
-	compareEvery = 3 // rounds of probes from one comparison with a member to the next
+	syncEveryRounds = 3 // probe rounds between two synchronizations with a member
 )
 
-// Config is what a ring is built from.
+// Config configures a Ring.
 type Config struct {
-	Self  Member
-	Seeds []string
-	Probe kernel.Micros // pause between probes; second opinions get the same again
+	Self          Member
+	Seeds         []string
+	ProbeInterval kernel.Micros // between probes; indirect probes may take as long again
 }
 
 type entry struct {
 	Member
-	since kernel.Micros // of the present status
-	sends int           // how often its news may be passed on yet
+	statusSince kernel.Micros // when the present status began
+	sendsLeft   int           // remaining transmissions of its update
 }
 
-// Ring is one process's view of the members.
+// Ring is the local view of the group's members and takes part in the protocol.
 type Ring struct {
 	k   *kernel.Kernel
 	cfg Config
 
-	mu        sync.Mutex
-	conn      net.PacketConn
-	self      Member
-	left      bool        // this life has said that it ends
-	unsettled atomic.Bool // the last comparison found a difference
-	members   map[string]*entry
-	fresh     []*entry // whose news may still be passed on
-	roll      *roll    // nil after a change
-	turn      []string
-	nextSeq   uint64
-	waiting   map[uint64]chan struct{}
-	handlers  map[string]func(from string, body json.RawMessage)
-	bell      kernel.Bell
+	mu             sync.Mutex
+	conn           net.PacketConn
+	self           Member
+	leaving        bool        // this incarnation has announced its departure
+	outOfSync      atomic.Bool // the last synchronization found a difference
+	members        map[string]*entry
+	updateQueue    []*entry  // entries with transmissions left
+	cachedSnapshot *snapshot // nil after a change
+	probeOrder     []string
+	nextSeq        uint64
+	pendingAcks    map[uint64]chan struct{}
+	handlers       map[string]func(from string, body json.RawMessage)
+	changeBell     kernel.Bell
 }
 
-// New returns a ring; its life starts with the time of day, so that a restart
-// outranks what was said of the life before.
+// New returns a ring. Its incarnation is the wall-clock time, so that a restarted
+// process supersedes all updates about its predecessor.
 func New(k *kernel.Kernel, cfg Config) *Ring {
-	cfg.Self.Life = time.Now().UnixMicro()
+	cfg.Self.Incarnation = time.Now().UnixMicro()
 	r := &Ring{
 		k: k, cfg: cfg, self: cfg.Self,
-		members: map[string]*entry{}, waiting: map[uint64]chan struct{}{},
+		members: map[string]*entry{}, pendingAcks: map[uint64]chan struct{}{},
 		handlers: map[string]func(string, json.RawMessage){},
 	}
-	r.unsettled.Store(true)
+	r.outOfSync.Store(true)
 	return r
 }
 
@@ -117,28 +118,29 @@
 	return r.self
 }
 
-// Changed closes at the next change of membership.
-func (r *Ring) Changed() <-chan struct{} { return r.bell.Wait() }
+// Changed returns a channel that is closed at the next change of membership.
+func (r *Ring) Changed() <-chan struct{} { return r.changeBell.Wait() }
 
-// Handle sets what is done with datagrams of a kind of another package; all
-// are set before Serve.
+// Handle registers the handler for a kind of datagram that another package defines.
+// All handlers must be registered before Serve is called.
 func (r *Ring) Handle(kind string, f func(from string, body json.RawMessage)) { r.handlers[kind] = f }
 
-// Tell sends a datagram to each of the addresses; it may be lost, repeated or
-// late. It carries no news of members: what goes to all at once must be small.
+// Tell sends a datagram to each of the addresses. It may be lost, duplicated or
+// delayed. It carries no membership updates: a datagram sent to all members at once
+// must be small.
 func (r *Ring) Tell(addrs []string, kind string, body any) {
 	raw, err := json.Marshal(body)
 	if err == nil {
-		r.send(packet{Kind: kind, Body: raw, News: []Member{}}, addrs...)
+		r.send(packet{Kind: kind, Body: raw, Updates: []Member{}}, addrs...)
 	}
 }
 
-// send sends a packet, encoded once, to the addresses.
+// send encodes a packet once and sends it to the addresses.
 func (r *Ring) send(p packet, addrs ...string) {
 	r.mu.Lock()
 	p.From = r.self.Addr
-	if p.News == nil && p.Kind != pingReq {
-		p.News = r.gossip()
+	if p.Updates == nil && p.Kind != pingReq {
+		p.Updates = r.gossip()
 	}
 	conn := r.conn
 	r.mu.Unlock()
@@ -158,24 +160,25 @@
 	}
 }
 
-// gossip picks the news that may be passed on most often yet.
+// gossip selects the updates with the most transmissions left. The caller holds the
+// lock.
 func (r *Ring) gossip() []Member {
-	r.fresh = slices.DeleteFunc(r.fresh, func(e *entry) bool { return e.sends == 0 || r.members[e.Addr] != e })
-	if len(r.fresh) == 0 {
+	r.updateQueue = slices.DeleteFunc(r.updateQueue, func(e *entry) bool { return e.sendsLeft == 0 || r.members[e.Addr] != e })
+	if len(r.updateQueue) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.fresh, func(a, b *entry) int { return b.sends - a.sends })
-	out := make([]Member, 0, maxNews)
-	for _, e := range r.fresh[:min(len(r.fresh), maxNews)] {
-		e.sends--
-		out = append(out, e.Member)
+	slices.SortStableFunc(r.updateQueue, func(a, b *entry) int { return b.sendsLeft - a.sendsLeft })
+	picked := make([]Member, 0, maxUpdates)
+	for _, e := range r.updateQueue[:min(len(r.updateQueue), maxUpdates)] {
+		e.sendsLeft--
+		picked = append(picked, e.Member)
 	}
-	return out
+	return picked
 }
 
-// rumour is how often a process passes on that a member's status has changed:
+// retransmitLimit is how often a process passes on that a member's status has changed:
 // so often that all soon know.
-func (r *Ring) rumour() int {
+func (r *Ring) retransmitLimit() int {
 	sends := 3
 	for n := len(r.members) + 1; n > 1; n /= 2 {
 		sends += 2
@@ -183,21 +186,21 @@
 	return sends
 }
 
-// greeting is how often a process passes on that a member is new. Where many
+// newMemberSends is how often a process passes on that a member is new. Where many
 // start at once each would tell all of all; whom it has not heard of in this
 // way a process learns of by comparing.
-const greeting = 2
+const newMemberSends = 2
 
-// changed notes that an entry is news, to be passed on so often. The caller
+// queueUpdate notes that an entry is news, to be passed on so often. The caller
 // holds the lock.
-func (r *Ring) changed(e *entry, sends int) {
-	e.sends, r.roll = sends, nil
-	if sends > 0 && !slices.Contains(r.fresh, e) {
-		r.fresh = append(r.fresh, e)
+func (r *Ring) queueUpdate(e *entry, sends int) {
+	e.sendsLeft, r.cachedSnapshot = sends, nil
+	if sends > 0 && !slices.Contains(r.updateQueue, e) {
+		r.updateQueue = append(r.updateQueue, e)
 	}
 }
 
-// Serve takes part until ctx ends.
+// Serve runs the membership protocol until ctx is done.
 func (r *Ring) Serve(ctx context.Context) error {
 	conn, err := r.k.Net.ListenPacket(r.cfg.Self.Addr)
 	if err != nil {
@@ -209,7 +212,7 @@
 	r.conn = conn
 	r.mu.Unlock()
 	go r.probeLoop(ctx)
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := conn.ReadFrom(buf)
 		if err != nil {
@@ -223,44 +226,44 @@
 			r.k.Counters.Add("membership.malformed", 1)
 			continue
 		}
-		r.take(ctx, p)
+		r.handlePacket(ctx, p)
 	}
 }
 
-func (r *Ring) take(ctx context.Context, p packet) {
-	for _, m := range p.News {
-		if newer, ok := r.learn(m, p.Kind != page); ok && m.Addr == p.From {
-			// Its clock may have stepped back between two lives: it learns the
-			// newest that is known, and objects with the next.
-			r.send(packet{Kind: ack, News: []Member{newer}}, p.From)
+func (r *Ring) handlePacket(ctx context.Context, p packet) {
+	for _, m := range p.Updates {
+		if newer, ok := r.mergeUpdate(m, p.Kind != page); ok && m.Addr == p.From {
+			// The sender's clock may have stepped back between two incarnations: it is
+			// sent the newest known one, and refutes it with the next.
+			r.send(packet{Kind: ack, Updates: []Member{newer}}, p.From)
 		}
 	}
 	switch p.Kind {
 	case ping:
-		r.send(packet{Kind: ack, Seq: p.Seq, News: r.aboutSelf()}, p.From)
+		r.send(packet{Kind: ack, Seq: p.Seq, Updates: r.updatesWithSelf()}, p.From)
 	case join:
-		lacks := r.differing(p.Sums)
-		if len(lacks) == 0 {
+		missing := r.differingMembers(p.Checksums)
+		if len(missing) == 0 {
 			r.send(packet{Kind: ack, Seq: p.Seq}, p.From)
 			return
 		}
-		r.pages(p.From, packet{Kind: page, Seq: p.Seq, Sums: r.sums()}, lacks)
+		r.sendPages(p.From, packet{Kind: page, Seq: p.Seq, Checksums: r.checksums()}, missing)
 	case ack, page:
 		r.mu.Lock()
-		if ch := r.waiting[p.Seq]; ch != nil {
+		if ch := r.pendingAcks[p.Seq]; ch != nil {
 			close(ch)
-			delete(r.waiting, p.Seq)
+			delete(r.pendingAcks, p.Seq)
 		}
 		r.mu.Unlock()
-		if len(p.Sums) == parts {
-			// It knows others than this process did; what it lacks itself, and
-			// whatever was lost on the way, is made up for soon.
-			r.unsettled.Store(true)
-			r.pages(p.From, packet{Kind: page}, r.differing(p.Sums))
+		if len(p.Checksums) == partitions {
+			// The sender knew other members than this process. It is sent what it lacks
+			// itself, and another synchronization soon makes up for lost datagrams.
+			r.outOfSync.Store(true)
+			r.sendPages(p.From, packet{Kind: page}, r.differingMembers(p.Checksums))
 		}
 	case pingReq:
 		go func() {
-			if r.ask(ctx, p.Target, packet{Kind: ping}, r.cfg.Probe/2) {
+			if r.sendAndAwaitAck(ctx, p.Target, packet{Kind: ping}, r.cfg.ProbeInterval/2) {
 				r.send(packet{Kind: ack, Seq: p.Seq}, p.From)
 			}
 		}()
@@ -273,57 +276,57 @@
 	}
 }
 
-// differing lists the members of the parts in which somebody with these sums
-// knows others; all, if it knows none.
-func (r *Ring) differing(sums []uint32) []Member {
-	now := r.now()
-	if len(sums) != parts {
-		return now.all
+// differingMembers lists the members of the partitions whose checksums differ from the
+// given ones, or all members if no checksums are given.
+func (r *Ring) differingMembers(sums []uint32) []Member {
+	now := r.snapshot()
+	if len(sums) != partitions {
+		return now.members
 	}
-	var out []Member
-	for _, m := range now.all {
-		if part, _ := partOf(m.Addr); now.sums[part] != sums[part] {
-			out = append(out, m)
+	var picked []Member
+	for _, m := range now.members {
+		if partition, _ := hashAddr(m.Addr); now.checksums[partition] != sums[partition] {
+			picked = append(picked, m)
 		}
 	}
-	return out
+	return picked
 }
 
-// sums are those of the members that this process knows.
-func (r *Ring) sums() []uint32 { s := r.now().sums; return s[:] }
+// checksums are those of the members that this process knows.
+func (r *Ring) checksums() []uint32 { s := r.snapshot().checksums; return s[:] }
 
-// pages sends the members page by page, since one datagram does not hold many;
+// sendPages sends the members page by page, since one datagram does not hold many;
 // the sums go with the last.
-func (r *Ring) pages(to string, p packet, members []Member) {
-	sums := p.Sums
+func (r *Ring) sendPages(to string, p packet, members []Member) {
+	sums := p.Checksums
 	for len(members) > 0 {
 		n := min(len(members), pageSize)
-		if p.News, p.Sums, members = members[:n], nil, members[n:]; len(members) == 0 {
-			p.Sums = sums
+		if p.Updates, p.Checksums, members = members[:n], nil, members[n:]; len(members) == 0 {
+			p.Checksums = sums
 		}
 		r.send(p, to)
 	}
 }
 
-// aboutSelf is the usual news with this process first.
-func (r *Ring) aboutSelf() []Member {
+// updatesWithSelf is the usual news with this process first.
+func (r *Ring) updatesWithSelf() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Member{r.self}, r.gossip()...)
 }
 
-// learn merges one piece of news; if more is known of that member already, it
+// mergeUpdate merges one piece of news; if more is known of that member already, it
 // returns what. A new member that was told of in person or by word of mouth is
 // passed on, one that was found by comparing is not.
-func (r *Ring) learn(m Member, pass bool) (newer Member, known bool) {
+func (r *Ring) mergeUpdate(m Member, gossip bool) (newer Member, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m.Addr == r.self.Addr {
-		if r.left {
-			return Member{}, false // it says so itself
+		if r.leaving {
+			return Member{}, false // it has announced its departure itself
 		}
-		if m.Life > r.self.Life || m.Status != Alive && m.Life == r.self.Life {
-			r.self.Life, r.roll = m.Life+1, nil // object
+		if m.Incarnation > r.self.Incarnation || m.Status != Alive && m.Incarnation == r.self.Incarnation {
+			r.self.Incarnation, r.cachedSnapshot = m.Incarnation+1, nil // refute
 			r.k.Counters.Add("membership.objections", 1)
 		}
 		return Member{}, false
@@ -337,41 +340,41 @@
 			r.k.Counters.Add("membership.too_many", 1)
 			return Member{}, false
 		}
-		e = &entry{Member: m, since: r.k.Clock.Now()}
+		e = &entry{Member: m, statusSince: r.k.Clock.Now()}
 		r.members[m.Addr] = e
 		sends := 0
-		if pass {
-			sends = greeting
+		if gossip {
+			sends = newMemberSends
 		}
-		r.changed(e, sends)
-		r.bell.Ring()
+		r.queueUpdate(e, sends)
+		r.changeBell.Ring()
 		return Member{}, false
 	}
-	if m.Life < e.Life || m.Life == e.Life && m.Status <= e.Status {
-		return e.Member, m.Life < e.Life || m.Status < e.Status
+	if m.Incarnation < e.Incarnation || m.Incarnation == e.Incarnation && m.Status <= e.Status {
+		return e.Member, m.Incarnation < e.Incarnation || m.Status < e.Status
 	}
 	changed := (e.Status == Dead) != (m.Status == Dead) || e.Role != m.Role
 	if e.Status != m.Status {
-		e.since = r.k.Clock.Now()
+		e.statusSince = r.k.Clock.Now()
 	}
 	e.Member = m
-	r.changed(e, r.rumour())
+	r.queueUpdate(e, r.retransmitLimit())
 	if changed {
-		r.bell.Ring()
+		r.changeBell.Ring()
 	}
 	return Member{}, false
 }
 
-// Leave tells a few others that this process ends.
+// Leave notifies a few other members that this process is shutting down.
 func (r *Ring) Leave(context.Context) {
 	r.mu.Lock()
-	r.left = true
+	r.leaving = true
 	gone := r.self
 	gone.Status = Dead
 	r.mu.Unlock()
 	for i, m := range r.Members() {
-		if i < 2*referees && m.Addr != gone.Addr {
-			r.send(packet{Kind: ack, News: []Member{gone}}, m.Addr)
+		if i < 2*indirectProbes && m.Addr != gone.Addr {
+			r.send(packet{Kind: ack, Updates: []Member{gone}}, m.Addr)
 		}
 	}
 }
--- a/internal/membership/plugin.go
+++ b/internal/membership/plugin.go
@@ -15,8 +15,8 @@
 				Self: Member{
 					Addr: kernel.Need[*rpc.Endpoint](k).Addr(), Name: s.NodeName, Role: k.Role, Zone: s.Zone,
 				},
-				Seeds: s.SeedPeers(),
-				Probe: settings.Span(s.ProbeMs),
+				Seeds:         s.SeedPeers(),
+				ProbeInterval: settings.Span(s.ProbeMs),
 			})
 			kernel.Offer(k, r)
 			k.Supervise("membership", r.Serve)
--- a/internal/rpc/plugin.go
+++ b/internal/rpc/plugin.go
@@ -13,9 +13,9 @@
 			if k.Role == "control" {
 				port = settings.ControlPort
 			}
-			b := NewEndpoint(k, kernel.Need[*settings.Live](k).Now().Port(port))
-			kernel.Offer(k, b)
-			k.Supervise("rpc", b.Serve)
+			endpoint := NewEndpoint(k, kernel.Need[*settings.Live](k).Now().Port(port))
+			kernel.Offer(k, endpoint)
+			k.Supervise("rpc", endpoint.Serve)
 			return nil
 		},
 	})
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,11 +1,12 @@
-// Package rpc carries calls between indigowalk's own processes: one JSON
-// line asks, one JSON line answers, many calls share a connection.
+// Package rpc implements remote procedure calls between indigowalk's own
+// processes. Each request and each response is one line of JSON, and many calls
+// are multiplexed over one connection.
 //
-// An answer is given only to the call that it belongs to: the one of its number
-// on its own connection, between the two lives of processes that greeted each
-// other there. The package never sends a call a second time that may have been
-// read. What comes without greeting, from another address, of an older life,
-// unasked or unreadable ends the connection and is counted.
+// A response is delivered only to the call it belongs to: the call with its ID on
+// the same connection, between the two process incarnations that exchanged hellos
+// there. A call that the peer may have read is never sent again. A message without
+// a preceding hello, from another address, from an older incarnation, unsolicited
+// or malformed closes the connection and is counted.
 package rpc
 
 import (
@@ -22,45 +23,46 @@
 	"indigowalk/internal/kernel"
 )
 
-// maxLine bounds one line: a whole control state with the largest
-// configuration fits several times.
-const maxLine = 4 << 20
+// maxLineBytes limits the length of one line. A complete control state with the
+// largest configuration fits several times.
+const maxLineBytes = 4 << 20
 
-// maxCalls bounds the calls of one connection that are being carried out; more
-// are not read.
-const maxCalls = 256
+// maxConcurrentCalls limits the calls of one connection that execute at the same
+// time. Further calls are not read until one of them completes.
+const maxConcurrentCalls = 256
 
-// silence is how long a peer may leave what was sent unacknowledged.
-const silence = 1500 * kernel.Millisecond
+// ackTimeout is how long sent data may stay unacknowledged by the peer before the
+// connection fails.
+const ackTimeout = 1500 * kernel.Millisecond
 
-// connectWait bounds the making of a connection. A peer without power answers
-// nothing, and an opening packet that was lost is sent again far too late: the
-// caller does better to ask another peer, or this one anew.
-const connectWait = 150 * kernel.Millisecond
+// connectTimeout limits connection establishment. A peer without power does not
+// respond at all, and a lost SYN is retransmitted far too late: the caller does
+// better to try another peer, or to dial this one again.
+const connectTimeout = 150 * kernel.Millisecond
 
-// ErrUnreachable says that a call got no answer; whether it was carried out
-// is not known.
+// ErrUnreachable reports that a call received no usable response. Whether the peer
+// executed it is unknown.
 var ErrUnreachable = errors.New("rpc: peer unreachable")
 
-// Refused is the peer's answer that it did not carry out the call.
+// Refused is the error that the peer returned instead of a result.
 type Refused struct{ Reason string }
 
 func (r *Refused) Error() string { return "rpc: refused: " + r.Reason }
 
-type line struct {
-	Hello *hello          `json:"hello,omitempty"` // of the first line alone
+type message struct {
+	Hello *hello          `json:"hello,omitempty"` // only in the first line
 	ID    uint64          `json:"id,omitempty"`
 	Op    string          `json:"op,omitempty"`
 	Body  json.RawMessage `json:"body,omitempty"`
 	Err   string          `json:"err,omitempty"`
 }
 
-// encode returns the line with its end. The body is JSON as it left the
-// encoder and is not looked through again.
-func (l line) encode() ([]byte, error) {
-	body := l.Body
-	l.Body = nil
-	raw, err := json.Marshal(l)
+// encode returns the message as one line including its terminator. The body is
+// already encoded JSON and is not validated or compacted again.
+func (m message) encode() ([]byte, error) {
+	body := m.Body
+	m.Body = nil
+	raw, err := json.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +72,7 @@
 	return append(raw, '\n'), nil
 }
 
-// encode encodes a message; what is raw already goes as it is.
+// encode encodes v as JSON. A json.RawMessage is returned unchanged.
 func encode(v any) (json.RawMessage, error) {
 	if raw, ok := v.(json.RawMessage); ok {
 		return raw, nil
@@ -78,109 +80,112 @@
 	return json.Marshal(v)
 }
 
-// Handler answers one kind of call; a json.RawMessage is sent as it is.
+// Handler executes one operation and returns its result. A json.RawMessage is sent
+// unchanged.
 type Handler func(ctx context.Context, body json.RawMessage) (any, error)
 
-// Endpoint takes and makes calls for one process.
+// Endpoint is both the RPC server and the RPC client of one process.
 type Endpoint struct {
 	k    *kernel.Kernel
 	addr string
 
-	mu       sync.Mutex
-	handlers map[string]Handler
-	peers    map[string]*peer
-	life     int64
-	dialled  int64 // connections made so far
-	known    map[string]*process
+	mu          sync.Mutex
+	handlers    map[string]Handler
+	peers       map[string]*peer
+	incarnation int64
+	connSeq     int64 // connections dialed so far in this incarnation
+	processes   map[string]*process
 }
 
-// NewEndpoint returns an endpoint that will listen at addr. Its life begins
-// with the time of day, so that a restart outranks the life before; where the
-// clock stepped back, whoever knows a later life says so and it takes the next.
+// NewEndpoint returns an endpoint that will listen on addr. Its incarnation is the
+// wall-clock time, so that a restarted process supersedes its predecessor. If the
+// clock has stepped back, any peer that knows a later incarnation reports it, and
+// the endpoint takes the one after it.
 func NewEndpoint(k *kernel.Kernel, addr string) *Endpoint {
 	return &Endpoint{
 		k: k, addr: addr, handlers: map[string]Handler{}, peers: map[string]*peer{},
-		life: time.Now().UnixMicro(), known: map[string]*process{},
+		incarnation: time.Now().UnixMicro(), processes: map[string]*process{},
 	}
 }
 
-// Addr is where other processes reach this one.
-func (b *Endpoint) Addr() string { return b.addr }
+// Addr returns the address at which other processes reach this one.
+func (e *Endpoint) Addr() string { return e.addr }
 
-// Handle sets the handler of an operation; all are set before Serve.
-func (b *Endpoint) Handle(op string, h Handler) { b.handlers[op] = h }
+// Handle registers the handler of an operation. All handlers must be registered
+// before Serve is called.
+func (e *Endpoint) Handle(op string, h Handler) { e.handlers[op] = h }
 
-// On registers a handler with a typed request.
-func On[Q any](b *Endpoint, op string, h func(context.Context, Q) (any, error)) {
-	b.Handle(op, func(ctx context.Context, body json.RawMessage) (any, error) {
-		var q Q
-		if err := json.Unmarshal(body, &q); err != nil {
-			b.k.Counters.Add("rpc.malformed", 1)
+// On registers a handler whose request body is decoded into a Q.
+func On[Q any](e *Endpoint, op string, h func(context.Context, Q) (any, error)) {
+	e.Handle(op, func(ctx context.Context, body json.RawMessage) (any, error) {
+		var req Q
+		if err := json.Unmarshal(body, &req); err != nil {
+			e.k.Counters.Add("rpc.malformed", 1)
 			return nil, fmt.Errorf("malformed body: %w", err)
 		}
-		return h(ctx, q)
+		return h(ctx, req)
 	})
 }
 
-// Serve takes calls until ctx ends.
-func (b *Endpoint) Serve(ctx context.Context) error {
-	ln, err := b.k.Net.Listen(b.addr)
+// Serve listens for connections and serves calls until ctx is done.
+func (e *Endpoint) Serve(ctx context.Context) error {
+	listener, err := e.k.Net.Listen(e.addr)
 	if err != nil {
 		return fmt.Errorf("rpc: %w", err)
 	}
-	stop := context.AfterFunc(ctx, func() { ln.Close() })
+	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	defer ln.Close()
-	defer b.HangUp()
+	defer listener.Close()
+	defer e.HangUp()
 	for {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
 			return fmt.Errorf("rpc: %w", err)
 		}
-		go b.serveConn(ctx, c)
+		go e.serveConn(ctx, c)
 	}
 }
 
-// HangUp closes the connections to all peers.
-func (b *Endpoint) HangUp() {
-	b.mu.Lock()
-	peers := slices.Collect(maps.Values(b.peers))
-	b.mu.Unlock()
+// HangUp closes the outgoing connections to all peers.
+func (e *Endpoint) HangUp() {
+	e.mu.Lock()
+	peers := slices.Collect(maps.Values(e.peers))
+	e.mu.Unlock()
 	for _, p := range peers {
 		p.mu.Lock()
-		if p.link != nil {
-			p.link.end(net.ErrClosed)
+		if p.conn != nil {
+			p.conn.closeWithError(net.ErrClosed)
 		}
 		p.mu.Unlock()
 	}
 }
 
-// serveConn works off the calls of one connection. Their numbers rise, so that
-// none is carried out twice.
-func (b *Endpoint) serveConn(ctx context.Context, c net.Conn) {
+// serveConn serves the calls of one connection. Call IDs must increase strictly, so
+// that no call is executed twice.
+func (e *Endpoint) serveConn(ctx context.Context, c net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	defer c.Close()
-	sc := scanner(c)
-	from, ok := b.greeted(sc, c)
-	defer b.parted(from, c)
+	sc := newLineScanner(c)
+	from, ok := e.acceptHello(sc, c)
+	defer e.forgetConn(from, c)
 	if !ok {
 		return
 	}
 	var mu sync.Mutex
 	var last uint64
-	slots := make(chan struct{}, maxCalls)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for sc.Scan() {
-		var q line
-		if err := json.Unmarshal(sc.Bytes(), &q); err != nil || q.Hello != nil || q.Op == "" || q.ID <= last {
-			b.k.Counters.Add("rpc.malformed", 1)
+		var req message
+		if err := json.Unmarshal(sc.Bytes(), &req); err != nil || req.Hello != nil || req.Op == "" || req.ID <= last {
+			e.k.Counters.Add("rpc.malformed", 1)
 			return
 		}
-		last = q.ID
+		last = req.ID
 		select {
 		case slots <- struct{}{}:
 		case <-ctx.Done():
@@ -188,13 +193,13 @@
 		}
 		go func() {
 			defer func() { <-slots }()
-			a := line{ID: q.ID}
-			if v, err := b.handle(ctx, q.Op, q.Body); err != nil {
-				a.Err = err.Error()
-			} else if a.Body, err = encode(v); err != nil {
-				a.Err = err.Error()
+			resp := message{ID: req.ID}
+			if v, err := e.dispatch(ctx, req.Op, req.Body); err != nil {
+				resp.Err = err.Error()
+			} else if resp.Body, err = encode(v); err != nil {
+				resp.Err = err.Error()
 			}
-			raw, err := a.encode()
+			raw, err := resp.encode()
 			if err != nil {
 				return
 			}
@@ -205,72 +210,73 @@
 			}
 		}()
 	}
-	b.countTooLong(sc)
+	e.countOversizedLine(sc)
 }
 
-// handle carries a call out.
-func (b *Endpoint) handle(ctx context.Context, op string, body json.RawMessage) (any, error) {
-	h := b.handlers[op]
+// dispatch executes a call with the handler of its operation.
+func (e *Endpoint) dispatch(ctx context.Context, op string, body json.RawMessage) (any, error) {
+	h := e.handlers[op]
 	if h == nil {
-		b.k.Counters.Add("rpc.unknown_op", 1)
+		e.k.Counters.Add("rpc.unknown_op", 1)
 		return nil, errors.New("unknown operation")
 	}
 	return h(ctx, body)
 }
 
-// Call asks the process at addr; answer may be nil. It waits at most for the
-// span. Whatever it returns, the call was sent once at most: it is sent anew
-// only if the other end has refused the connection before it read any call.
-func (b *Endpoint) Call(ctx context.Context, addr, op string, ask, answer any, wait kernel.Micros) error {
-	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
+// Call sends a request to the process at addr and decodes its result into response,
+// which may be nil. It waits no longer than timeout. A call is executed at most once
+// whatever Call returns: it is sent again only if the peer rejected the hello of the
+// connection, and so has not read any call.
+func (e *Endpoint) Call(ctx context.Context, addr, op string, request, response any, timeout kernel.Micros) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	body, err := encode(ask)
+	body, err := encode(request)
 	if err != nil {
 		return fmt.Errorf("rpc: %w", err)
 	}
-	if addr == b.addr {
-		return b.own(ctx, op, body, answer)
+	if addr == e.addr {
+		return e.callLocal(ctx, op, body, response)
 	}
-	b.mu.Lock()
-	p := b.peers[addr]
+	e.mu.Lock()
+	p := e.peers[addr]
 	if p == nil {
-		p = &peer{addr: addr, dialing: kernel.NewGate()}
-		b.peers[addr] = p
+		p = &peer{addr: addr, dialGate: kernel.NewGate()}
+		e.peers[addr] = p
 	}
-	b.mu.Unlock()
+	e.mu.Unlock()
 
-	a, err := p.call(ctx, b, op, body)
-	if errors.Is(err, errOldLife) {
-		a, err = p.call(ctx, b, op, body)
+	resp, err := p.call(ctx, e, op, body)
+	if errors.Is(err, errOwnIncarnationStale) {
+		resp, err = p.call(ctx, e, op, body)
 	}
 	switch {
 	case err != nil:
-		b.k.Counters.Add("rpc.unreachable", 1)
+		e.k.Counters.Add("rpc.unreachable", 1)
 		return fmt.Errorf("%w: %s: %v", ErrUnreachable, addr, err)
-	case a.Err != "":
-		return &Refused{a.Err}
-	case answer == nil:
+	case resp.Err != "":
+		return &Refused{resp.Err}
+	case response == nil:
 		return nil
 	}
-	if err := json.Unmarshal(a.Body, answer); err != nil {
-		b.k.Counters.Add("rpc.malformed", 1)
+	if err := json.Unmarshal(resp.Body, response); err != nil {
+		e.k.Counters.Add("rpc.malformed", 1)
 		return fmt.Errorf("%w: %s: %v", ErrUnreachable, addr, err)
 	}
 	return nil
 }
 
-// own has this process answer its own call.
-func (b *Endpoint) own(ctx context.Context, op string, body json.RawMessage, answer any) error {
-	v, err := b.handle(ctx, op, body)
+// callLocal has this process answer its callLocal call.
+func (e *Endpoint) callLocal(ctx context.Context, op string, body json.RawMessage, response any) error {
+	v, err := e.dispatch(ctx, op, body)
 	if err != nil {
 		return &Refused{err.Error()}
 	}
-	if answer == nil {
+	if response == nil {
 		return nil
 	}
 	raw, err := encode(v)
 	if err == nil {
-		err = json.Unmarshal(raw, answer)
+		err = json.Unmarshal(raw, response)
 	}
 	if err != nil {
 		return fmt.Errorf("rpc: %w", err)
