--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -176,8 +176,8 @@
 	return picked
 }
 
-// retransmitLimit is how often a process passes on that a member's status has changed:
-// so often that all soon know.
+// retransmitLimit returns how often a process transmits a change of a member's status.
+// It grows with the logarithm of the group size, so that all members soon know.
 func (r *Ring) retransmitLimit() int {
 	sends := 3
 	for n := len(r.members) + 1; n > 1; n /= 2 {
@@ -186,13 +186,13 @@
 	return sends
 }
 
-// newMemberSends is how often a process passes on that a member is new. Where many
-// start at once each would tell all of all; whom it has not heard of in this
-// way a process learns of by comparing.
+// newMemberSends is how often a process transmits that a member is new. It is small
+// because otherwise, when many processes start at once, each would announce all to
+// all. Members missed this way are learned by synchronization.
 const newMemberSends = 2
 
-// queueUpdate notes that an entry is news, to be passed on so often. The caller
-// holds the lock.
+// queueUpdate queues the update of an entry for the given number of transmissions and
+// invalidates the cached snapshot. The caller holds the lock.
 func (r *Ring) queueUpdate(e *entry, sends int) {
 	e.sendsLeft, r.cachedSnapshot = sends, nil
 	if sends > 0 && !slices.Contains(r.updateQueue, e) {
@@ -263,7 +263,7 @@
 		}
 	case pingReq:
 		go func() {
-			if r.sendAndAwaitAck(ctx, p.Target, packet{Kind: ping}, r.cfg.ProbeInterval/2) {
+			if r.roundTrip(ctx, p.Target, packet{Kind: ping}, r.cfg.ProbeInterval/2) {
 				r.send(packet{Kind: ack, Seq: p.Seq}, p.From)
 			}
 		}()
@@ -292,11 +292,11 @@
 	return picked
 }
 
-// checksums are those of the members that this process knows.
+// checksums returns the partition checksums of the members known to this process.
 func (r *Ring) checksums() []uint32 { s := r.snapshot().checksums; return s[:] }
 
-// sendPages sends the members page by page, since one datagram does not hold many;
-// the sums go with the last.
+// sendPages sends the members in several datagrams, since one does not hold many. The
+// checksums go with the last.
 func (r *Ring) sendPages(to string, p packet, members []Member) {
 	sums := p.Checksums
 	for len(members) > 0 {
@@ -308,17 +308,17 @@
 	}
 }
 
-// updatesWithSelf is the usual news with this process first.
+// updatesWithSelf returns the updates to transmit, with this process first.
 func (r *Ring) updatesWithSelf() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Member{r.self}, r.gossip()...)
 }
 
-// mergeUpdate merges one piece of news; if more is known of that member already, it
-// returns what. A new member that was told of in person or by word of mouth is
-// passed on, one that was found by comparing is not.
-func (r *Ring) mergeUpdate(m Member, gossip bool) (newer Member, known bool) {
+// mergeUpdate merges one update. If a newer state of that member is known already, it
+// returns that. A new member is gossiped on only if relay is true, that is unless it
+// was found by synchronization.
+func (r *Ring) mergeUpdate(m Member, relay bool) (newer Member, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m.Addr == r.self.Addr {
@@ -343,7 +343,7 @@
 		e = &entry{Member: m, statusSince: r.k.Clock.Now()}
 		r.members[m.Addr] = e
 		sends := 0
-		if gossip {
+		if relay {
 			sends = newMemberSends
 		}
 		r.queueUpdate(e, sends)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,8 +8,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// sendAndAwaitAck sends p and waits for the ack.
-func (r *Ring) sendAndAwaitAck(ctx context.Context, addr string, p packet, timeout kernel.Micros) bool {
+// roundTrip sends p and reports whether it is acknowledged within timeout.
+func (r *Ring) roundTrip(ctx context.Context, addr string, p packet, timeout kernel.Micros) bool {
 	ch := make(chan struct{})
 	r.mu.Lock()
 	r.nextSeq++
@@ -55,18 +55,19 @@
 			syncPeer = target
 		}
 		if syncPeer != "" && syncPeer != r.cfg.Self.Addr {
-			go r.sendAndAwaitAck(ctx, syncPeer, packet{Kind: join, Checksums: r.checksums()}, r.cfg.ProbeInterval/2)
+			go r.roundTrip(ctx, syncPeer, packet{Kind: join, Checksums: r.checksums()}, r.cfg.ProbeInterval/2)
 		}
 		if target == "" {
 			continue
 		}
-		if n > 0 && !r.sendAndAwaitAck(ctx, target, packet{Kind: ping}, r.cfg.ProbeInterval/2) && !r.probeIndirectly(ctx, target) && ctx.Err() == nil {
+		if n > 0 && !r.roundTrip(ctx, target, packet{Kind: ping}, r.cfg.ProbeInterval/2) && !r.probeIndirectly(ctx, target) && ctx.Err() == nil {
 			r.suspect(target)
 		}
 	}
 }
 
-// pickSyncPeer picks one of those whom all who start greet.
+// pickSyncPeer picks a random control node, or a seed if no control node is known:
+// those are the members that every starting process joins.
 func (r *Ring) pickSyncPeer() string {
 	known := r.Peers("control")
 	if len(known) == 0 {
@@ -85,13 +86,13 @@
 		e := r.members[s]
 		r.mu.Unlock()
 		if s != r.cfg.Self.Addr && (e == nil || e.Status != Alive) {
-			go r.sendAndAwaitAck(ctx, s, packet{Kind: join}, r.cfg.ProbeInterval/2)
+			go r.roundTrip(ctx, s, packet{Kind: join}, r.cfg.ProbeInterval/2)
 		}
 	}
 }
 
-// nextProbeTarget picks members in a shuffled turn, so that each is probed in bounded
-// time.
+// nextProbeTarget picks members round-robin in shuffled order, so that each is probed
+// within bounded time. It also returns the number of known members.
 func (r *Ring) nextProbeTarget() (string, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,12 +112,14 @@
 	return "", 0
 }
 
-// probeIndirectly has a few others probe a member, and tells whether it answers any.
+// probeIndirectly has indirectProbes other members probe target and reports whether it
+// answers any of them.
 func (r *Ring) probeIndirectly(ctx context.Context, target string) bool {
 	return r.probeThroughOthers(ctx, target, indirectProbes)
 }
 
-// probeThroughOthers has up to so many other members probe one, and tells whether it answers any.
+// probeThroughOthers has up to maxHelpers other members probe target and reports
+// whether it answers any of them.
 func (r *Ring) probeThroughOthers(ctx context.Context, target string, maxHelpers int) bool {
 	r.mu.Lock()
 	var helpers []string
@@ -130,9 +133,7 @@
 	helpers = helpers[:min(len(helpers), maxHelpers)]
 	acked := make(chan bool, len(helpers))
 	for _, helper := range helpers {
-		go func() {
-			acked <- r.sendAndAwaitAck(ctx, helper, packet{Kind: pingReq, Target: target}, r.cfg.ProbeInterval)
-		}()
+		go func() { acked <- r.roundTrip(ctx, helper, packet{Kind: pingReq, Target: target}, r.cfg.ProbeInterval) }()
 	}
 	for range helpers {
 		if <-acked {
@@ -142,7 +143,8 @@
 	return false
 }
 
-// reachableIndirectProbes is how many others Reachable asks at most.
+// reachableIndirectProbes is the maximum number of members that Reachable has probe a
+// process.
 const reachableIndirectProbes = 8
 
 // Reachable reports whether a process answers a probe by this one, or by any of several
@@ -150,7 +152,7 @@
 func (r *Ring) Reachable(ctx context.Context, addr string) bool {
 	helpers := make(chan bool, 1)
 	go func() { helpers <- r.probeThroughOthers(ctx, addr, reachableIndirectProbes) }()
-	return r.sendAndAwaitAck(ctx, addr, packet{Kind: ping}, r.cfg.ProbeInterval) || <-helpers
+	return r.roundTrip(ctx, addr, packet{Kind: ping}, r.cfg.ProbeInterval) || <-helpers
 }
 
 func (r *Ring) suspect(addr string) {
@@ -163,8 +165,8 @@
 	}
 }
 
-// removeExpired removes those suspected for three probes without an objection, and
-// forgets the dead after a while.
+// removeExpired declares dead the members that have been suspected for three probe
+// intervals without a refutation, and forgets dead members after 60 probe intervals.
 func (r *Ring) removeExpired() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -180,8 +180,9 @@
 	conn *clientConn
 }
 
-// clientConn is one connection to a peer. A call belongs to the clientConn on which it was
-// sent: only a line of that clientConn answers it, once, and it ends with the clientConn.
+// clientConn is one outgoing connection to a peer. A call belongs to the connection
+// on which it was sent: only a response on that connection completes it, once, and
+// the call fails when the connection closes.
 type clientConn struct {
 	conn      net.Conn
 	addr      string
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -16,28 +16,30 @@
 	"indigowalk/internal/rpc"
 )
 
-// wire is a network of one connection.
-type wire struct {
+// pipeNetwork is a network with a single connection.
+type pipeNetwork struct {
 	kernel.Network
 	end net.Conn
 	in  chan net.Conn
 }
 
-func (w wire) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return w.end, nil }
-func (w wire) Listen(string) (net.Listener, error)                           { return w, nil }
-func (w wire) Addr() net.Addr                                                { return nil }
+func (w pipeNetwork) Dial(context.Context, string, kernel.Micros) (net.Conn, error) {
+	return w.end, nil
+}
+func (w pipeNetwork) Listen(string) (net.Listener, error) { return w, nil }
+func (w pipeNetwork) Addr() net.Addr                      { return nil }
 
-func (w wire) Accept() (net.Conn, error) {
+func (w pipeNetwork) Accept() (net.Conn, error) {
 	if c, ok := <-w.in; ok {
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (w wire) Close() error { return nil }
+func (w pipeNetwork) Close() error { return nil }
 
-// seen is a line as the checks read it, apart from the package's own reading.
-type seen struct {
+// parsedLine is a line as the checks decode it, independently of the package's decoder.
+type parsedLine struct {
 	Hello *struct {
 		From, To    string
 		Life, Known int64
@@ -48,12 +50,12 @@
 	Body json.RawMessage
 }
 
-// whole returns the readable lines that have their end, up to the first that can't
-// be read.
-func whole(input []byte) (lines []seen) {
+// completeLines returns the terminated lines of the input, up to the first that is not
+// valid.
+func completeLines(input []byte) (lines []parsedLine) {
 	for {
 		raw, rest, ok := bytes.Cut(input, []byte{'\n'})
-		var s seen
+		var s parsedLine
 		if !ok || json.Unmarshal(raw, &s) != nil {
 			return lines
 		}
@@ -61,9 +63,9 @@
 	}
 }
 
-// feed writes the input in two pieces and ends the connection.
-func feed(c net.Conn, input []byte, at uint16) {
-	cut := int(at) % (len(input) + 1)
+// writeInTwo writes the input in two pieces and closes the connection.
+func writeInTwo(c net.Conn, input []byte, split uint16) {
+	cut := int(split) % (len(input) + 1)
 	for _, piece := range [][]byte{input[:cut], input[cut:]} {
 		if _, err := c.Write(piece); err != nil {
 			break
@@ -73,26 +75,26 @@
 	c.Close()
 }
 
-// Whatever a peer sends, a call gets only the first line of its number, after a
-// greeting of the process that was meant, with nothing unreadable or unasked
-// before it; and the call ends.
+// Whatever a peer sends, a call receives only the first line with its ID, after a hello
+// of the intended process and with no malformed or unsolicited line before it; and the
+// call returns.
 func FuzzAnswers(f *testing.F) {
-	hello, one, two := greeting(other, self, 10)+"\n", `{"id":1,"body":"one"}`+"\n", `{"id":2,"body":"two"}`+"\n"
+	hello, one, two := helloLine(other, self, 10)+"\n", `{"id":1,"body":"one"}`+"\n", `{"id":2,"body":"two"}`+"\n"
 	for _, text := range []string{
 		hello + one + two, hello + two + one, one + two, hello + one + one + two, hello + `{"id":3}` + "\n" + two, hello + one + two[:9],
-		greeting(third, self, 10) + "\n" + one, greeting(other, third, 10) + "\n" + one, hello + "\n" + one, hello + hello + one,
+		helloLine(third, self, 10) + "\n" + one, helloLine(other, third, 10) + "\n" + one, hello + "\n" + one, hello + hello + one,
 		`{"hello":{"from":"10.0.0.2:7440","to":"10.0.0.1:7441","life":5,"known":9000000000000000000,"old":true}}` + "\n" + one,
 		`{"hello":{"from":"10.0.0.2:7440","to":"10.0.0.1:7441","life":5,"known":1000000000000000,"old":true}}` + "\n" + one,
 		hello + `{"id":1,"err":"no"}` + "\n" + `{"id":2,"op":"x","body":"two"}` + "\n", hello + `{"id":1,"id":2,"body":"one"}` + "\n",
 	} {
 		f.Add([]byte(text), uint16(len(text)/2))
 	}
-	f.Fuzz(func(t *testing.T, input []byte, at uint16) {
+	f.Fuzz(func(t *testing.T, input []byte, split uint16) {
 		synctest.Test(t, func(t *testing.T) {
-			mine, theirs := net.Pipe()
-			k := kernel.NewKernel("pooler", wire{end: mine}, slog.New(slog.DiscardHandler))
+			local, remote := net.Pipe()
+			k := kernel.NewKernel("pooler", pipeNetwork{end: local}, slog.New(slog.DiscardHandler))
 			e := rpc.NewEndpoint(k, self)
-			go io.Copy(io.Discard, theirs)
+			go io.Copy(io.Discard, remote)
 			got := [3]string{}
 			var wg sync.WaitGroup
 			for id := 1; id <= 2; id++ {
@@ -104,13 +106,13 @@
 				})
 				synctest.Wait()
 			}
-			feed(theirs, input, at)
+			writeInTwo(remote, input, split)
 			wg.Wait()
 			e.HangUp()
 			time.Sleep(time.Minute)
 
-			lines := whole(input)
-			answers := map[uint64]bool{}
+			lines := completeLines(input)
+			responses := map[uint64]bool{}
 			for i, l := range lines {
 				if i == 0 {
 					if h := l.Hello; h == nil || h.From != other || h.To != self || h.Old || h.Life <= 0 {
@@ -118,30 +120,30 @@
 					}
 					continue
 				}
-				if l.Hello != nil || l.Op != "" || l.ID < 1 || l.ID > 2 || answers[l.ID] {
+				if l.Hello != nil || l.Op != "" || l.ID < 1 || l.ID > 2 || responses[l.ID] {
 					break
 				}
-				answers[l.ID] = true
+				responses[l.ID] = true
 				var body string
 				if g := got[l.ID]; g != "" && (json.Unmarshal(l.Body, &body) != nil || g != "="+body) {
 					t.Errorf("call %d got %q from %s", l.ID, g, l.Body)
 				}
 			}
 			for id := uint64(1); id <= 2; id++ {
-				if got[id] != "" && !answers[id] {
-					t.Errorf("call %d got %q from nowhere", id, got[id])
+				if got[id] != "" && !responses[id] {
+					t.Errorf("call %d got %q without a response", id, got[id])
 				}
 			}
 		})
 	})
 }
 
-// A peer that takes what is written slowly holds a call up no longer than it waits,
-// and ends none that waits longer.
-func TestAWriteThatTakesLongEndsNoCall(t *testing.T) {
+// A peer that reads slowly must not delay a call beyond its timeout, nor fail a call with
+// a longer timeout.
+func TestSlowWriteDoesNotFailOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mine, theirs := net.Pipe()
-		e := rpc.NewEndpoint(kernel.NewKernel("pooler", wire{end: mine}, slog.New(slog.DiscardHandler)), self)
+		local, remote := net.Pipe()
+		e := rpc.NewEndpoint(kernel.NewKernel("pooler", pipeNetwork{end: local}, slog.New(slog.DiscardHandler)), self)
 		began := time.Now()
 		call := func(wait kernel.Micros) (body string, took time.Duration, err error) {
 			err = e.Call(t.Context(), other, "op", 1, &body, wait)
@@ -150,7 +152,7 @@
 		var wg sync.WaitGroup
 		for n := range 3 {
 			wg.Go(func() {
-				if n == 1 { // between two that wait less
+				if n == 1 { // between two with shorter timeouts
 					if body, _, err := call(kernel.Second); body != "two" || err != nil {
 						t.Errorf("%q %v", body, err)
 					}
@@ -161,35 +163,35 @@
 			synctest.Wait()
 		}
 		time.Sleep(300 * time.Millisecond)
-		go io.Copy(io.Discard, theirs)
-		theirs.Write([]byte(greeting(other, self, 10) + "\n"))
+		go io.Copy(io.Discard, remote)
+		remote.Write([]byte(helloLine(other, self, 10) + "\n"))
 		synctest.Wait()
-		theirs.Write([]byte(`{"id":1,"body":"one"}` + "\n" + `{"id":2,"body":"two"}` + "\n"))
+		remote.Write([]byte(`{"id":1,"body":"one"}` + "\n" + `{"id":2,"body":"two"}` + "\n"))
 		wg.Wait()
 		e.HangUp()
-		theirs.Close()
+		remote.Close()
 		time.Sleep(time.Minute)
 	})
 }
 
-// Whatever a caller sends, only what follows a greeting that means this process
-// runs, in the order of rising numbers and so each number once; and every call
-// that ran is answered or the connection ends.
+// Whatever a caller sends, a call is executed only after a hello addressed to this
+// process, in order of increasing IDs and so each ID once; and every executed call gets a
+// response or the connection closes.
 func FuzzCalls(f *testing.F) {
-	hello, one, two := greeting(self, other, 10)+"\n", `{"id":1,"op":"op","body":1}`+"\n", `{"id":2,"op":"op","body":2}`+"\n"
+	hello, one, two := helloLine(self, other, 10)+"\n", `{"id":1,"op":"op","body":1}`+"\n", `{"id":2,"op":"op","body":2}`+"\n"
 	for _, text := range []string{
-		hello + one + two, hello + two + one, hello + one + one, one + two, greeting(self, third, 10) + "\n" + one, hello + hello + one,
+		hello + one + two, hello + two + one, hello + one + one, one + two, helloLine(self, third, 10) + "\n" + one, hello + hello + one,
 		`{"hello":{"life":1}}` + "\n" + one, hello + `{"id":1}` + "\n", hello + `{"id":1,"op":"no"}` + "\n" + two, hello + one[:20],
 		`{"hello":{"from":"10.0.0.1:7441","to":"10.0.0.2:7440","life":3,"known":1152921504606846975}}` + "\n" + one, hello + "[1]\n" + one,
 	} {
 		f.Add([]byte(text), uint16(len(text)/2))
 	}
-	f.Fuzz(func(t *testing.T, input []byte, at uint16) {
+	f.Fuzz(func(t *testing.T, input []byte, split uint16) {
 		synctest.Test(t, func(t *testing.T) {
-			mine, theirs := net.Pipe()
+			local, remote := net.Pipe()
 			in := make(chan net.Conn, 1)
-			in <- mine
-			k := kernel.NewKernel("control", wire{in: in}, slog.New(slog.DiscardHandler))
+			in <- local
+			k := kernel.NewKernel("control", pipeNetwork{in: in}, slog.New(slog.DiscardHandler))
 			e := rpc.NewEndpoint(k, other)
 			var mu sync.Mutex
 			ran := 0
@@ -200,13 +202,13 @@
 				return ran, nil
 			})
 			go e.Serve(t.Context())
-			go io.Copy(io.Discard, theirs)
-			feed(theirs, input, at)
+			go io.Copy(io.Discard, remote)
+			writeInTwo(remote, input, split)
 			close(in)
 			time.Sleep(time.Minute)
 
 			allowed, last := 0, uint64(0)
-			for i, l := range whole(input) {
+			for i, l := range completeLines(input) {
 				if i == 0 {
 					if h := l.Hello; h == nil || h.From != "" && h.To != other || h.Life <= 0 {
 						break
@@ -223,7 +225,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if ran > allowed {
-				t.Errorf("%d calls ran, %d may", ran, allowed)
+				t.Errorf("%d calls ran, at most %d are allowed", ran, allowed)
 			}
 		})
 	})
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -265,7 +265,7 @@
 	return nil
 }
 
-// callLocal has this process answer its callLocal call.
+// callLocal executes a call that this process makes to itself, without a connection.
 func (e *Endpoint) callLocal(ctx context.Context, op string, body json.RawMessage, response any) error {
 	v, err := e.dispatch(ctx, op, body)
 	if err != nil {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -25,17 +25,17 @@
 	third = "10.0.0.3:7440"
 )
 
-type bench struct {
+type testEnv struct {
 	*testing.T
 	n   *simulation.Net
 	ctx context.Context
 }
 
-// play runs a test on the simulated network and clock.
-func play(t *testing.T, f func(b bench)) {
+// simulate runs a test on the simulated network and clock.
+func simulate(t *testing.T, f func(b testEnv)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		b := bench{t, simulation.NewNet(1), ctx}
+		b := testEnv{t, simulation.NewNet(1), ctx}
 		f(b)
 		cancel()
 		for _, host := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
@@ -47,14 +47,14 @@
 
 func host(addr string) string { return addr[:strings.IndexByte(addr, ':')] }
 
-func (b bench) endpoint(addr string) (*rpc.Endpoint, *kernel.Counters) {
+func (b testEnv) endpoint(addr string) (*rpc.Endpoint, *kernel.Counters) {
 	k := kernel.NewKernel("control", b.n.Host(host(addr)), slog.New(slog.DiscardHandler))
 	return rpc.NewEndpoint(k, addr), k.Counters
 }
 
-// say greets and asks as a hand-made caller, and returns what comes back within
-// a second.
-func (b bench) say(from, to string, lines ...string) string {
+// sendLines connects as a hand-written caller, sends the lines and returns what comes
+// back within a second.
+func (b testEnv) sendLines(from, to string, lines ...string) string {
 	c, err := b.n.Host(host(from)).Dial(b.ctx, to, 0)
 	if err != nil {
 		b.Fatal(err)
@@ -66,16 +66,16 @@
 	return string(raw)
 }
 
-// peer answers at an address by hand: each line that a caller sends is given to
-// answer, which returns lines.
-func (b bench) peer(addr string, answer func(conn int, ask map[string]any) []string) {
-	ln, err := b.n.Host(host(addr)).Listen(addr)
+// peer serves an address with a hand-written responder: each line that a caller sends
+// is passed to answer, which returns the lines to send back.
+func (b testEnv) peer(addr string, answer func(conn int, ask map[string]any) []string) {
+	listener, err := b.n.Host(host(addr)).Listen(addr)
 	if err != nil {
 		b.Fatal(err)
 	}
 	go func() {
 		for n := 1; ; n++ {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -95,24 +95,24 @@
 	}()
 }
 
-func greeting(from, to string, life int) string {
+func helloLine(from, to string, life int) string {
 	return fmt.Sprintf(`{"hello":{"from":"%s","to":"%s","life":%d,"seq":1}}`, from, to, life)
 }
 
-// Invariant ANSWER: an answer is believed only from the process that was meant,
-// in its newest life, for a call that was sent on that very connection, once.
-func TestANSWERIsOnlyBelievedFromWhoWasAsked(t *testing.T) {
+// A response is accepted only from the intended process in its newest incarnation,
+// for a call that was sent on the same connection, and only once.
+func TestResponseAcceptedOnlyFromIntendedPeer(t *testing.T) {
 	good := func(id any) string { return fmt.Sprintf(`{"id":%v,"body":"ok"}`, id) }
-	hello := greeting(other, self, 10)
+	hello := helloLine(other, self, 10)
 	for _, c := range []struct {
 		name, count string
 		lines       func(id any) []string
-		answered    bool // the call itself got its answer before
+		delivered   bool // the call received its response before the connection failed
 	}{
 		{"nobody greets", "rpc.malformed", func(id any) []string { return []string{good(id)} }, false},
-		{"another address", "rpc.misdirected", func(id any) []string { return []string{greeting(third, self, 10), good(id)} }, false},
-		{"meant for another", "rpc.misdirected", func(id any) []string { return []string{greeting(other, third, 10), good(id)} }, false},
-		{"an older life", "rpc.old_life", func(id any) []string { return []string{greeting(other, self, 9), good(id)} }, false},
+		{"another address", "rpc.misdirected", func(id any) []string { return []string{helloLine(third, self, 10), good(id)} }, false},
+		{"meant for another", "rpc.misdirected", func(id any) []string { return []string{helloLine(other, third, 10), good(id)} }, false},
+		{"an older life", "rpc.old_life", func(id any) []string { return []string{helloLine(other, self, 9), good(id)} }, false},
 		{"a life past all clocks", "rpc.malformed", func(id any) []string {
 			return []string{fmt.Sprintf(`{"hello":{"from":"%s","to":"%s","life":%d}}`, other, self, int64(1)<<60), good(id)}
 		}, false},
@@ -124,8 +124,8 @@
 		{"too long", "rpc.malformed", func(id any) []string { return []string{hello, `"` + strings.Repeat("x", 5<<20), good(id)} }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(b bench) {
-				e, counts := b.endpoint(self)
+			simulate(t, func(b testEnv) {
+				e, counters := b.endpoint(self)
 				b.peer(other, func(conn int, q map[string]any) []string {
 					switch {
 					case q["id"] == nil:
@@ -146,10 +146,10 @@
 				e.HangUp()
 				a, err := call()
 				time.Sleep(10 * time.Millisecond)
-				if (err == nil) != c.answered || c.answered && a != "ok" || counts.Snapshot()[c.count] != 1 {
-					b.Errorf("%q %v %v", a, err, counts.Snapshot())
+				if (err == nil) != c.delivered || c.delivered && a != "ok" || counters.Snapshot()[c.count] != 1 {
+					b.Errorf("%q %v %v", a, err, counters.Snapshot())
 				}
-				if !c.answered && !errors.Is(err, rpc.ErrUnreachable) {
+				if !c.delivered && !errors.Is(err, rpc.ErrUnreachable) {
 					b.Error(err)
 				}
 				if a, err := call(); a != "ok" || err != nil {
@@ -160,27 +160,27 @@
 	}
 }
 
-// A call whose caller gave up may be answered late; that answers no other call,
-// and the connection goes on for those that wait on it.
-func TestALateAnswerAnswersNoOther(t *testing.T) {
-	play(t, func(b bench) {
+// The response to an abandoned call may arrive late. It must not be delivered to another
+// call, and the connection must stay usable for the calls that still wait on it.
+func TestLateResponseNotDeliveredToOtherCall(t *testing.T) {
+	simulate(t, func(b testEnv) {
 		p, _ := b.endpoint(other)
 		p.Handle("slow", func(_ context.Context, body json.RawMessage) (any, error) {
 			time.Sleep(300 * time.Millisecond)
 			return body, nil
 		})
-		e, counts := b.endpoint(self)
+		e, counters := b.endpoint(self)
 		go p.Serve(b.ctx)
 		synctest.Wait()
 		defer e.HangUp()
-		waits := make(chan error, 1)
+		waitingErr := make(chan error, 1)
 		go func() {
 			var a string
 			err := e.Call(b.ctx, other, "slow", "long", &a, kernel.Second)
 			if err == nil && a != "long" {
 				err = errors.New(a)
 			}
-			waits <- err
+			waitingErr <- err
 		}()
 		time.Sleep(100 * time.Millisecond)
 		if err := e.Call(b.ctx, other, "slow", "short", nil, 100*kernel.Millisecond); !errors.Is(err, rpc.ErrUnreachable) {
@@ -190,20 +190,20 @@
 		if err := e.Call(b.ctx, other, "slow", "next", &a, kernel.Second); err != nil || a != "next" {
 			b.Errorf("%q %v", a, err)
 		}
-		if err := <-waits; err != nil || counts.Snapshot()["rpc.unasked"] != 0 {
-			b.Errorf("%v %v", err, counts.Snapshot())
+		if err := <-waitingErr; err != nil || counters.Snapshot()["rpc.unasked"] != 0 {
+			b.Errorf("%v %v", err, counters.Snapshot())
 		}
 	})
 }
 
-// Invariant CALLER: a call is carried out only if it is meant for this process,
-// on the newest connection of the newest life of its caller, and once.
-func TestCALLERIsNewestAndMeansThisProcess(t *testing.T) {
-	play(t, func(b bench) {
+// A call is executed only if it is addressed to this process, on the newest connection
+// of the newest incarnation of its caller, and only once.
+func TestCallExecutedOnlyFromNewestConnection(t *testing.T) {
+	simulate(t, func(b testEnv) {
 		var mu sync.Mutex
 		ran := map[string]int{}
 		ended := make(chan struct{})
-		p, counts := b.endpoint(other)
+		p, counters := b.endpoint(other)
 		p.Handle("op", func(_ context.Context, body json.RawMessage) (any, error) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -221,30 +221,30 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		fmt.Fprintln(old, greeting(self, other, 5)+"\n"+`{"id":1,"op":"hold"}`)
+		fmt.Fprintln(old, helloLine(self, other, 5)+"\n"+`{"id":1,"op":"hold"}`)
 		time.Sleep(10 * time.Millisecond)
 		for _, c := range []struct {
 			name, count, want string
 			lines             []string
 		}{
-			{"a new life", "", `"id":1,"body":1`, []string{greeting(self, other, 10), `{"id":1,"op":"op","body":"a"}`}},
+			{"a new life", "", `"id":1,"body":1`, []string{helloLine(self, other, 10), `{"id":1,"op":"op","body":"a"}`}},
 			{"no greeting", "rpc.malformed", "", []string{`{"id":1,"op":"op","body":"x"}`}},
-			{"for another address", "rpc.misdirected", "hello", []string{greeting(self, third, 10), `{"id":1,"op":"op","body":"x"}`}},
-			{"an older life", "rpc.old_life", `"known":10,"old":true`, []string{greeting(self, other, 9), `{"id":1,"op":"op","body":"x"}`}},
-			{"an older connection", "rpc.old_life", `"known":10,"old":true`, []string{greeting(self, other, 10), `{"id":1,"op":"op","body":"x"}`}},
-			{"the same call twice", "rpc.malformed", "hello", []string{greeting(third, other, 1), `{"id":1,"op":"op","body":"b"}`, `{"id":1,"op":"op","body":"b"}`}},
-			{"an unknown operation", "rpc.unknown_op", `"err":"unknown operation"`, []string{greeting(self, other, 11), `{"id":1,"op":"nothing"}`}},
-			{"cut off", "", "", []string{greeting(self, other, 12)[:30]}},
+			{"for another address", "rpc.misdirected", "hello", []string{helloLine(self, third, 10), `{"id":1,"op":"op","body":"x"}`}},
+			{"an older life", "rpc.old_life", `"known":10,"old":true`, []string{helloLine(self, other, 9), `{"id":1,"op":"op","body":"x"}`}},
+			{"an older connection", "rpc.old_life", `"known":10,"old":true`, []string{helloLine(self, other, 10), `{"id":1,"op":"op","body":"x"}`}},
+			{"the same call twice", "rpc.malformed", "hello", []string{helloLine(third, other, 1), `{"id":1,"op":"op","body":"b"}`, `{"id":1,"op":"op","body":"b"}`}},
+			{"an unknown operation", "rpc.unknown_op", `"err":"unknown operation"`, []string{helloLine(self, other, 11), `{"id":1,"op":"nothing"}`}},
+			{"cut off", "", "", []string{helloLine(self, other, 12)[:30]}},
 		} {
-			before := counts.Snapshot()[c.count]
-			if got := b.say(self, other, c.lines...); !strings.Contains(got, c.want) || c.count != "" && counts.Snapshot()[c.count] != before+1 {
-				b.Errorf("%s: %q %v", c.name, got, counts.Snapshot())
+			before := counters.Snapshot()[c.count]
+			if got := b.sendLines(self, other, c.lines...); !strings.Contains(got, c.want) || c.count != "" && counters.Snapshot()[c.count] != before+1 {
+				b.Errorf("%s: %q %v", c.name, got, counters.Snapshot())
 			}
 		}
 		select {
 		case <-ended:
 		default:
-			b.Error("a call of the life before goes on")
+			b.Error("a call of the previous incarnation still runs")
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -254,17 +254,17 @@
 	})
 }
 
-// A process that restarts after its clock stepped back finds that its life is
-// older than the one before; it takes the next, both as caller and as callee.
-func TestAClockThatSteppedBackCostsNothing(t *testing.T) {
-	play(t, func(b bench) {
-		first, _ := b.endpoint(self) // its life begins now
+// A process that restarts after its clock stepped back has an older incarnation than its
+// predecessor. It must take the next one and work, both as caller and as callee.
+func TestRestartAfterClockSteppedBack(t *testing.T) {
+	simulate(t, func(b testEnv) {
+		first, _ := b.endpoint(self) // its incarnation is the present time
 		time.Sleep(time.Second)
 		later, _ := b.endpoint(self)
-		mine, _ := b.endpoint(other)
+		restarted, _ := b.endpoint(other)
 		time.Sleep(time.Second)
 		before, _ := b.endpoint(other)
-		for _, e := range []*rpc.Endpoint{first, later, mine, before} {
+		for _, e := range []*rpc.Endpoint{first, later, restarted, before} {
 			e.Handle("op", func(context.Context, json.RawMessage) (any, error) { return 1, nil })
 		}
 		serve := func(e *rpc.Endpoint) (stop func()) {
@@ -279,22 +279,22 @@
 			}
 		}
 		stop := serve(before)
-		call(later, other) // knows the callee's later life
+		call(later, other) // learns the callee's later incarnation
 		later.HangUp()
-		call(first, other) // older than the caller that was heard last
+		call(first, other) // older than the caller that connected last
 		first.HangUp()
 		stop()
-		defer serve(mine)()
-		call(later, other) // the callee is older than was known
+		defer serve(restarted)()
+		call(later, other) // the callee is older than the known incarnation
 		later.HangUp()
 		first.HangUp()
 	})
 }
 
-// A caller that gave up while a connection was being made, or whose connection
-// was reset, leaves nothing behind that would hold up or answer the next.
-func TestACallThatGaveUpWhileDialling(t *testing.T) {
-	play(t, func(b bench) {
+// A caller that is canceled while dialing, or whose connection is closed, must not leave
+// anything behind that delays the next call or is taken for its response.
+func TestCallCanceledWhileDialing(t *testing.T) {
+	simulate(t, func(b testEnv) {
 		p, _ := b.endpoint(other)
 		p.Handle("op", func(context.Context, json.RawMessage) (any, error) { return 1, nil })
 		go p.Serve(b.ctx)
