--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -16,27 +16,25 @@
 	"indigowalk/internal/rpc"
 )
 
-// pipeNetwork is a network with a single connection.
-type pipeNetwork struct {
+// pipeNet is a network with a single connection.
+type pipeNet struct {
 	kernel.Network
 	end net.Conn
 	in  chan net.Conn
 }
 
-func (w pipeNetwork) Dial(context.Context, string, kernel.Micros) (net.Conn, error) {
-	return w.end, nil
-}
-func (w pipeNetwork) Listen(string) (net.Listener, error) { return w, nil }
-func (w pipeNetwork) Addr() net.Addr                      { return nil }
+func (w pipeNet) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return w.end, nil }
+func (w pipeNet) Listen(string) (net.Listener, error)                           { return w, nil }
+func (w pipeNet) Addr() net.Addr                                                { return nil }
 
-func (w pipeNetwork) Accept() (net.Conn, error) {
+func (w pipeNet) Accept() (net.Conn, error) {
 	if c, ok := <-w.in; ok {
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (w pipeNetwork) Close() error { return nil }
+func (w pipeNet) Close() error { return nil }
 
 // parsedLine is a line as the checks decode it, independently of the package's decoder.
 type parsedLine struct {
@@ -92,7 +90,7 @@
 	f.Fuzz(func(t *testing.T, input []byte, split uint16) {
 		synctest.Test(t, func(t *testing.T) {
 			local, remote := net.Pipe()
-			k := kernel.NewKernel("pooler", pipeNetwork{end: local}, slog.New(slog.DiscardHandler))
+			k := kernel.NewKernel("pooler", pipeNet{end: local}, slog.New(slog.DiscardHandler))
 			e := rpc.NewEndpoint(k, self)
 			go io.Copy(io.Discard, remote)
 			got := [3]string{}
@@ -143,7 +141,7 @@
 func TestSlowWriteDoesNotFailOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		local, remote := net.Pipe()
-		e := rpc.NewEndpoint(kernel.NewKernel("pooler", pipeNetwork{end: local}, slog.New(slog.DiscardHandler)), self)
+		e := rpc.NewEndpoint(kernel.NewKernel("pooler", pipeNet{end: local}, slog.New(slog.DiscardHandler)), self)
 		began := time.Now()
 		call := func(wait kernel.Micros) (body string, took time.Duration, err error) {
 			err = e.Call(t.Context(), other, "op", 1, &body, wait)
@@ -191,7 +189,7 @@
 			local, remote := net.Pipe()
 			in := make(chan net.Conn, 1)
 			in <- local
-			k := kernel.NewKernel("control", pipeNetwork{in: in}, slog.New(slog.DiscardHandler))
+			k := kernel.NewKernel("control", pipeNet{in: in}, slog.New(slog.DiscardHandler))
 			e := rpc.NewEndpoint(k, other)
 			var mu sync.Mutex
 			ran := 0
