--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -279,17 +279,17 @@
 // differingMembers lists the members of the partitions whose checksums differ from the
 // given ones, or all members if no checksums are given.
 func (r *Ring) differingMembers(sums []uint32) []Member {
-	now := r.snapshot()
+	current := r.snapshot()
 	if len(sums) != partitions {
-		return now.members
+		return current.members
 	}
-	var picked []Member
-	for _, m := range now.members {
-		if partition, _ := hashAddr(m.Addr); now.checksums[partition] != sums[partition] {
-			picked = append(picked, m)
+	var differing []Member
+	for _, m := range current.members {
+		if partition, _ := hashAddr(m.Addr); current.checksums[partition] != sums[partition] {
+			differing = append(differing, m)
 		}
 	}
-	return picked
+	return differing
 }
 
 // checksums returns the partition checksums of the members known to this process.
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -18,12 +18,14 @@
 // sends it together with its first call and the callee before its first response,
 // so it costs no round trip.
 type hello struct {
-	From             string `json:"from,omitempty"` // the sender's address; empty for a command-line tool
-	To               string `json:"to,omitempty"`   // the intended receiver; empty if any process may answer
-	Incarnation      int64  `json:"life"`           // the sender's incarnation
-	Seq              int64  `json:"seq,omitempty"`  // number of the connection within the caller's incarnation
-	KnownIncarnation int64  `json:"known,omitempty"`
-	Stale            bool   `json:"old,omitempty"` // the receiver's incarnation or connection is superseded: KnownIncarnation is the newest
+	From             string `json:"from,omitempty"`  // the sender's address; empty for a command-line tool
+	To               string `json:"to,omitempty"`    // the intended receiver; empty if any process may answer
+	Incarnation      int64  `json:"life"`            // the sender's incarnation
+	Seq              int64  `json:"seq,omitempty"`   // of the connection within the caller's incarnation
+	KnownIncarnation int64  `json:"known,omitempty"` // of the receiver, as far as the sender knows
+	// Stale reports that the receiver's incarnation or connection is superseded;
+	// KnownIncarnation is then the newest incarnation.
+	Stale bool `json:"old,omitempty"`
 }
 
 // maxIncarnation is later than any wall-clock time. Incarnations from there on are
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -44,7 +44,7 @@
 // executed it is unknown.
 var ErrUnreachable = errors.New("rpc: peer unreachable")
 
-// Refused is the error that the peer returned instead of a result.
+// Refused is the error response of a peer that did not execute the call.
 type Refused struct{ Reason string }
 
 func (r *Refused) Error() string { return "rpc: refused: " + r.Reason }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -109,18 +109,18 @@
 		lines       func(id any) []string
 		delivered   bool // the call received its response before the connection failed
 	}{
-		{"nobody greets", "rpc.malformed", func(id any) []string { return []string{good(id)} }, false},
+		{"no hello", "rpc.malformed", func(id any) []string { return []string{good(id)} }, false},
 		{"another address", "rpc.misdirected", func(id any) []string { return []string{helloLine(third, self, 10), good(id)} }, false},
-		{"meant for another", "rpc.misdirected", func(id any) []string { return []string{helloLine(other, third, 10), good(id)} }, false},
-		{"an older life", "rpc.old_life", func(id any) []string { return []string{helloLine(other, self, 9), good(id)} }, false},
-		{"a life past all clocks", "rpc.malformed", func(id any) []string {
+		{"addressed to another process", "rpc.misdirected", func(id any) []string { return []string{helloLine(other, third, 10), good(id)} }, false},
+		{"an older incarnation", "rpc.old_life", func(id any) []string { return []string{helloLine(other, self, 9), good(id)} }, false},
+		{"an incarnation beyond the maximum", "rpc.malformed", func(id any) []string {
 			return []string{fmt.Sprintf(`{"hello":{"from":"%s","to":"%s","life":%d}}`, other, self, int64(1)<<60), good(id)}
 		}, false},
-		{"a call not made here", "rpc.unasked", func(id any) []string { return []string{hello, `{"id":77,"body":"no"}`, good(id)} }, false},
-		{"answered twice", "rpc.unasked", func(id any) []string { return []string{hello, good(id), good(id)} }, true},
-		{"a question for an answer", "rpc.malformed", func(id any) []string { return []string{hello, fmt.Sprintf(`{"id":%v,"op":"x"}`, id)} }, false},
-		{"greeted twice", "rpc.malformed", func(id any) []string { return []string{hello, hello, good(id)} }, false},
-		{"noise", "rpc.malformed", func(id any) []string { return []string{hello, "noise", good(id)} }, false},
+		{"response to a call that was not sent", "rpc.unasked", func(id any) []string { return []string{hello, `{"id":77,"body":"no"}`, good(id)} }, false},
+		{"two responses to one call", "rpc.unasked", func(id any) []string { return []string{hello, good(id), good(id)} }, true},
+		{"a request instead of a response", "rpc.malformed", func(id any) []string { return []string{hello, fmt.Sprintf(`{"id":%v,"op":"x"}`, id)} }, false},
+		{"two hellos", "rpc.malformed", func(id any) []string { return []string{hello, hello, good(id)} }, false},
+		{"not JSON", "rpc.malformed", func(id any) []string { return []string{hello, "noise", good(id)} }, false},
 		{"too long", "rpc.malformed", func(id any) []string { return []string{hello, `"` + strings.Repeat("x", 5<<20), good(id)} }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -227,10 +227,10 @@
 			name, count, want string
 			lines             []string
 		}{
-			{"a new life", "", `"id":1,"body":1`, []string{helloLine(self, other, 10), `{"id":1,"op":"op","body":"a"}`}},
-			{"no greeting", "rpc.malformed", "", []string{`{"id":1,"op":"op","body":"x"}`}},
-			{"for another address", "rpc.misdirected", "hello", []string{helloLine(self, third, 10), `{"id":1,"op":"op","body":"x"}`}},
-			{"an older life", "rpc.old_life", `"known":10,"old":true`, []string{helloLine(self, other, 9), `{"id":1,"op":"op","body":"x"}`}},
+			{"a new incarnation", "", `"id":1,"body":1`, []string{helloLine(self, other, 10), `{"id":1,"op":"op","body":"a"}`}},
+			{"no hello", "rpc.malformed", "", []string{`{"id":1,"op":"op","body":"x"}`}},
+			{"addressed to another process", "rpc.misdirected", "hello", []string{helloLine(self, third, 10), `{"id":1,"op":"op","body":"x"}`}},
+			{"an older incarnation", "rpc.old_life", `"known":10,"old":true`, []string{helloLine(self, other, 9), `{"id":1,"op":"op","body":"x"}`}},
 			{"an older connection", "rpc.old_life", `"known":10,"old":true`, []string{helloLine(self, other, 10), `{"id":1,"op":"op","body":"x"}`}},
 			{"the same call twice", "rpc.malformed", "hello", []string{helloLine(third, other, 1), `{"id":1,"op":"op","body":"b"}`, `{"id":1,"op":"op","body":"b"}`}},
 			{"an unknown operation", "rpc.unknown_op", `"err":"unknown operation"`, []string{helloLine(self, other, 11), `{"id":1,"op":"nothing"}`}},
