--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -39,6 +39,7 @@
 	Status      Status `json:"s"`
 }
 
+// packet is one datagram of the protocol.
 type packet struct {
 	Kind      string          `json:"k"`
 	Seq       uint64          `json:"q,omitempty"`
@@ -49,6 +50,7 @@
 	Body      json.RawMessage `json:"b,omitempty"`
 }
 
+// Kinds of packets, and limits of the protocol.
 const (
 	ping    = "ping"
 	ack     = "ack"
@@ -72,6 +74,7 @@
 	ProbeInterval kernel.Micros // between probes; indirect probes may take as long again
 }
 
+// entry is the local state of another member.
 type entry struct {
 	Member
 	statusSince kernel.Micros // when the present status began
@@ -230,6 +233,7 @@
 	}
 }
 
+// handlePacket merges the updates of a received packet and responds to its kind.
 func (r *Ring) handlePacket(ctx context.Context, p packet) {
 	for _, m := range p.Updates {
 		if newer, ok := r.mergeUpdate(m, p.Kind != page); ok && m.Addr == p.From {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -37,6 +37,8 @@
 	return false
 }
 
+// probeLoop probes one member per interval, synchronizes with others periodically, and
+// suspects a member that answers neither the direct nor the indirect probes.
 func (r *Ring) probeLoop(ctx context.Context) {
 	r.joinSeeds(ctx)
 	for round := 0; kernel.Sleep(ctx, r.cfg.ProbeInterval); round++ {
@@ -155,6 +157,7 @@
 	return r.roundTrip(ctx, addr, packet{Kind: ping}, r.cfg.ProbeInterval) || <-helpers
 }
 
+// suspect marks a member that is alive as suspected.
 func (r *Ring) suspect(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -407,6 +407,7 @@
 	}
 }
 
+// closeReason returns why the connection was closed, or nil while it is open.
 func (cc *clientConn) closeReason() error {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -49,6 +49,7 @@
 
 func (r *Refused) Error() string { return "rpc: refused: " + r.Reason }
 
+// message is one line on the wire: a hello, a request or a response.
 type message struct {
 	Hello *hello          `json:"hello,omitempty"` // only in the first line
 	ID    uint64          `json:"id,omitempty"`
