--- a/cmd/indigowalk/main.go
+++ b/cmd/indigowalk/main.go
@@ -135,10 +135,10 @@
 	defer cancel()
 	go func() {
 		<-end
-		grace := kernel.Need[*kernel.Stalls](k).Left(kernel.Micros(book.Now().GraceS) * kernel.Second)
+		grace := kernel.Need[*kernel.StallDetector](k).Remaining(kernel.Micros(book.Now().GraceS) * kernel.Second)
 		grace = max(shortestEnd, grace-lastSteps)
 		left, done := context.WithTimeout(ctx, grace.Duration())
-		k.Leave(left)
+		k.Shutdown(left)
 		done()
 		cancel()
 	}()
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -18,22 +18,22 @@
 // Errors of connecting to a database and of borrowing a connection.
 var (
 	ErrBroken          = errors.New("connpool: connection broken")
-	ErrSilent          = errors.New("connpool: database unresponsive or refusing connections")
-	ErrSlow            = errors.New("connpool: database accepted the connection but was not ready in time")
-	ErrFull            = errors.New("connpool: no connection available")
+	ErrUnresponsive    = errors.New("connpool: database unresponsive or refusing connections")
+	ErrNotReady        = errors.New("connpool: database accepted the connection but was not ready in time")
+	ErrPoolExhausted   = errors.New("connpool: no connection available")
 	ErrConnectionLimit = errors.New("connpool: database is at its connection limit")
 	ErrDeadline        = errors.New("connpool: deadline exceeded")
 	ErrRejected        = errors.New("connpool: database rejected the connection")
 )
 
-// Line is a connection as the pools use it. W describes what a borrower requires or prefers of a
+// Connection is a connection as the pools use it. W describes what a borrower requires or prefers of a
 // connection.
-type Line[W any] interface {
+type Connection[W any] interface {
 	comparable
 	Alive() bool
 	Close()
-	// Clean reports whether the connection can be handed to another borrower now.
-	Clean() bool
+	// Reusable reports whether the connection can be handed to another borrower now.
+	Reusable() bool
 	// Fit scores how well a connection that has been idle for the given time suits a borrower. A
 	// negative score means that it must not be used.
 	Fit(want W, idle kernel.Micros) int
@@ -53,20 +53,20 @@
 
 // Config configures the pools.
 type Config[W, C any] struct {
-	Open      func(ctx context.Context, db discovery.Database, want W, wait kernel.Micros) (C, error)
-	Probe     func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) // nil: Open with the zero W
-	OpenWait  kernel.Micros                                                                   // time limit of a log-in
-	CheckWait kernel.Micros                                                                   // time limit of the log-in of a health check
-	IdleFor   kernel.Micros                                                                   // after which an idle connection is closed, if others are left
-	UnusedFor kernel.Micros                                                                   // after which the last idle connections to a database are closed too
-	Share     func(service string) int
-	Most      int  // maximum connections to all databases together, 0 for no limit
-	Evict     bool // close an idle connection that suits no waiter to open one that does
-	Doubt     bool // if several databases are unresponsive, suspect the node's own link first
+	Open           func(ctx context.Context, db discovery.Database, want W, wait kernel.Micros) (C, error)
+	Probe          func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) // nil: Open with the zero W
+	OpenTimeout    kernel.Micros                                                                   // time limit of a log-in
+	CheckTimeout   kernel.Micros                                                                   // time limit of the log-in of a health check
+	IdleTimeout    kernel.Micros                                                                   // after which an idle connection is closed, if others are left
+	UnusedTimeout  kernel.Micros                                                                   // after which the last idle connections to a database are closed too
+	Share          func(service string) int
+	MaxConnections int  // maximum connections to all databases together, 0 for no limit
+	Evict          bool // close an idle connection that suits no waiter to open one that does
+	SuspectOwnLink bool // if several databases are unresponsive, suspect the node's own link first
 }
 
 // Pools holds the connections of this process to all databases.
-type Pools[W any, C Line[W]] struct {
+type Pools[W any, C Connection[W]] struct {
 	k      *kernel.Kernel
 	cfg    Config[W, C]
 	health *health.Monitor
@@ -120,8 +120,8 @@
 	err error
 }
 
-// New returns empty pools and registers the gauge of open connections.
-func New[W any, C Line[W]](k *kernel.Kernel, cfg Config[W, C], health *health.Monitor) *Pools[W, C] {
+// New returns empty pools and registers the number of open connections as an observed value.
+func New[W any, C Connection[W]](k *kernel.Kernel, cfg Config[W, C], health *health.Monitor) *Pools[W, C] {
 	if cfg.Probe == nil {
 		cfg.Probe = func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) {
 			var zero W
@@ -143,9 +143,9 @@
 	return int64(len(s.origins))
 }
 
-// Stock sets the databases. Idle connections to databases that were removed or have moved are
+// SetDatabases sets the databases. Idle connections to databases that were removed or have moved are
 // closed at once, borrowed ones when they are returned.
-func (s *Pools[W, C]) Stock(dbs map[string]discovery.Database) {
+func (s *Pools[W, C]) SetDatabases(dbs map[string]discovery.Database) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, d := range dbs {
@@ -228,7 +228,7 @@
 const queueFactor = 6
 
 // Borrow returns the connection to the database that suits best, waiting for one up to the given
-// time. ErrFull means that the queue is full of requests at least as urgent, ErrDeadline that no
+// time. ErrPoolExhausted means that the queue is full of requests at least as urgent, ErrDeadline that no
 // connection became free in time.
 func (s *Pools[W, C]) Borrow(id string, priority int, want W, wait kernel.Micros) (c C, err error) {
 	s.mu.Lock()
@@ -246,7 +246,7 @@
 	if len(p.waiting) >= queueFactor*share && !p.displaceWaiter(priority) {
 		s.mu.Unlock()
 		s.k.Counters.Add("connpool.queue_full", 1)
-		return c, ErrFull
+		return c, ErrPoolExhausted
 	}
 	w := &waiter[W, C]{priority: priority, want: want, ch: make(chan grant[C], 1)}
 	position, _ := slices.BinarySearchFunc(p.waiting, priority, func(o *waiter[W, C], priority int) int {
@@ -284,7 +284,7 @@
 	if last < 0 || p.waiting[last].priority <= priority {
 		return false
 	}
-	p.waiting[last].ch <- grant[C]{err: ErrFull}
+	p.waiting[last].ch <- grant[C]{err: ErrPoolExhausted}
 	p.waiting = p.waiting[:last]
 	return true
 }
@@ -316,7 +316,7 @@
 	at := s.markReturned(c)
 	p := at.pool
 	surplus := p.open > max(1, s.cfg.Share(p.db.Service)) // the share shrank as more proxies joined
-	if surplus || s.pools[at.id] != p || !c.Clean() || !c.Alive() || p.db.Address != at.address {
+	if surplus || s.pools[at.id] != p || !c.Reusable() || !c.Alive() || p.db.Address != at.address {
 		s.closeConn(p, c)
 		s.openForWaiters(p, max(1, s.cfg.Share(p.db.Service)))
 		return
@@ -393,10 +393,10 @@
 	now := s.k.Clock.Now()
 	for _, p := range s.pools {
 		share := max(1, s.cfg.Share(p.db.Service))
-		if n := len(p.idle); n > 0 && n == p.open && now-p.idle[n-1].since > s.cfg.UnusedFor {
+		if n := len(p.idle); n > 0 && n == p.open && now-p.idle[n-1].since > s.cfg.UnusedTimeout {
 			s.closeIdle(p)
 		}
-		for len(p.idle) > 1 && now-p.idle[0].since > s.cfg.IdleFor || len(p.idle) > 0 && p.open > share {
+		for len(p.idle) > 1 && now-p.idle[0].since > s.cfg.IdleTimeout || len(p.idle) > 0 && p.open > share {
 			s.closeConn(p, p.idle[0].c)
 			p.idle = p.idle[1:]
 		}
--- a/internal/connpool/dial.go
+++ b/internal/connpool/dial.go
@@ -9,9 +9,9 @@
 	"indigowalk/internal/kernel"
 )
 
-// MaxDials limits concurrent calls of Dial. With more at once on a small machine none would
+// MaxConcurrentDials limits concurrent calls of Dial. With more at once on a small machine none would
 // complete in time, and every database would seem unresponsive.
-const MaxDials = 16
+const MaxConcurrentDials = 16
 
 // stallFactor is how many times its time limit an attempt must take before the process itself is
 // assumed to have stalled: the limit then expired before any response could be read.
@@ -35,7 +35,7 @@
 		conn, err = dialHedged(ctx, network, addr, connect, unresponsiveTimeout)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSilent, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnresponsive, err)
 	}
 	return conn, nil
 }
--- a/internal/connpool/dial_test.go
+++ b/internal/connpool/dial_test.go
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				conn, err := Dial(t.Context(), &frozenNetwork{stall: c.stall, failures: c.failures}, nil, "10.0.0.1:1", connect, 0)
-				if unresponsive := errors.Is(err, ErrSilent); unresponsive != c.unresponsive {
+				if unresponsive := errors.Is(err, ErrUnresponsive); unresponsive != c.unresponsive {
 					t.Errorf("reported as unresponsive: %t, want %t (%v)", unresponsive, c.unresponsive, err)
 				}
 				if conn != nil {
--- a/internal/connpool/invariants_test.go
+++ b/internal/connpool/invariants_test.go
@@ -17,7 +17,7 @@
 
 func (l *fakeLine) Alive() bool                                 { return !l.closed }
 func (l *fakeLine) Close()                                      { l.closed = true }
-func (l *fakeLine) Clean() bool                                 { return true }
+func (l *fakeLine) Reusable() bool                              { return true }
 func (l *fakeLine) Fit(struct{}, kernel.Micros) int             { return 0 }
 func (l *fakeLine) Attach(int64, func(byUs, unresponsive bool)) {}
 
@@ -30,7 +30,7 @@
 		},
 		Share: func(string) int { return 4 },
 	}, health.New(k, health.Config{}))
-	s.Stock(map[string]discovery.Database{"a": {ID: "a", Address: "10.0.0.1:1"}})
+	s.SetDatabases(map[string]discovery.Database{"a": {ID: "a", Address: "10.0.0.1:1"}})
 	return k, s
 }
 
--- a/internal/connpool/open.go
+++ b/internal/connpool/open.go
@@ -44,7 +44,7 @@
 // makeRoom reports whether one more connection may be opened within the overall limit. At the
 // limit it closes the longest-idle connection to any database.
 func (s *Pools[W, C]) makeRoom() bool {
-	if s.cfg.Most == 0 || len(s.origins) < s.cfg.Most {
+	if s.cfg.MaxConnections == 0 || len(s.origins) < s.cfg.MaxConnections {
 		return true
 	}
 	var oldest *pool[W, C]
@@ -69,7 +69,7 @@
 	ctx, db := s.ctx, p.db
 	s.mu.Unlock()
 	_, gen := s.health.State(db.ID)
-	c, err := s.cfg.Open(ctx, db, w.want, s.cfg.OpenWait)
+	c, err := s.cfg.Open(ctx, db, w.want, s.cfg.OpenTimeout)
 	s.k.Counters.Add("connpool.opened", 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 		if p.open > 0 {
 			return // the waiters share the connections that are open
 		}
-		p.failWaiters(ErrFull)
+		p.failWaiters(ErrPoolExhausted)
 		return
 	}
 	if errors.Is(err, ErrRejected) {
@@ -100,14 +100,14 @@
 		p.failWaiters(ErrRejected)
 		return
 	}
-	if errors.Is(err, ErrSlow) {
+	if errors.Is(err, ErrNotReady) {
 		s.k.Counters.Add("connpool.slow_logins", 1)
 		s.openForWaiters(p, max(1, s.cfg.Share(p.db.Service)))
 		return
 	}
 	s.k.Counters.Add("connpool.open_failed", 1)
-	unresponsive := errors.Is(err, ErrSilent)
-	if unresponsive && s.cfg.Doubt && !errors.Is(err, syscall.ECONNREFUSED) && s.unresponsive.Record(s.k.Clock.Now(), id) {
+	unresponsive := errors.Is(err, ErrUnresponsive)
+	if unresponsive && s.cfg.SuspectOwnLink && !errors.Is(err, syscall.ECONNREFUSED) && s.unresponsive.Record(s.k.Clock.Now(), id) {
 		s.k.Counters.Add("connpool.silence_doubted", 1)
 		unresponsive = false
 	}
@@ -139,7 +139,7 @@
 	db := p.db
 	s.mu.Unlock()
 	up, gen := s.health.State(id)
-	c, err := s.cfg.Probe(ctx, db, s.cfg.CheckWait)
+	c, err := s.cfg.Probe(ctx, db, s.cfg.CheckTimeout)
 	if err != nil {
 		return err
 	}
@@ -152,10 +152,10 @@
 	return nil
 }
 
-// Stands reports whether a check that ended with err shows that the database is up: being at its
+// CheckPassed reports whether a check that ended with err shows that the database is up: being at its
 // connection limit or slow to log in is not a failure.
-func Stands(err error) bool {
-	return err == nil || errors.Is(err, ErrConnectionLimit) || errors.Is(err, ErrSlow)
+func CheckPassed(err error) bool {
+	return err == nil || errors.Is(err, ErrConnectionLimit) || errors.Is(err, ErrNotReady)
 }
 
 // admit adds a new connection to its pool.
--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -196,7 +196,7 @@
 
 // readBody reads a body of at most limit bytes and charges it to the memory budget. If it
 // returns false, it has written the error response.
-func (r *Server) readBody(w http.ResponseWriter, request *http.Request, holding *memorybudget.Holding, limit int64) ([]byte, bool) {
+func (r *Server) readBody(w http.ResponseWriter, request *http.Request, holding *memorybudget.Reservation, limit int64) ([]byte, bool) {
 	raw, err := holding.ReadAll(http.MaxBytesReader(w, request.Body, limit), bodyCopies)
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -218,7 +218,7 @@
 }
 
 func (r *Server) heartbeat(w http.ResponseWriter, request *http.Request) {
-	holding := r.memory.Hold(maxHeartbeat * bodyCopies)
+	holding := r.memory.NewReservation(maxHeartbeat * bodyCopies)
 	defer holding.Release()
 	raw, ok := r.readBody(w, request, holding, maxHeartbeat)
 	if !ok {
@@ -255,7 +255,7 @@
 // which it passes to apply.
 func (r *Server) changeConfig(apply func(ctx context.Context, base int64, raw []byte) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
-		holding := r.memory.Hold(0)
+		holding := r.memory.NewReservation(0)
 		defer holding.Release()
 		raw, ok := r.readBody(w, request, holding, routeconfig.MaxBody)
 		if !ok {
--- a/internal/controlstate/candidacy.go
+++ b/internal/controlstate/candidacy.go
@@ -227,7 +227,7 @@
 	if v.newestView.Epoch > c.epoch || c.wasActive && !v.active {
 		return errors.New("no longer primary")
 	}
-	v.k.Invariants.Check(state.Seq >= v.durableSeq, invariant.StateKept,
+	v.k.Invariants.Check(state.Seq >= v.durableSeq, invariant.DurableStateKept,
 		"primary of epoch %d has state up to change %d, but change %d was already durable", c.epoch, state.Seq, v.durableSeq)
 	v.leaseEnd, v.renewAt = start+v.lease, start+v.lease/3
 	if !v.active {
@@ -245,6 +245,6 @@
 	}
 	v.k.Counters.Add("controlstate.epochs", 1)
 	v.k.Log.Info("primary", "epoch", c.epoch, "backups", memberNames(c.view.Backups), "witnesses", len(c.view.Witnesses), "prior", len(c.view.Prior))
-	v.changed.Ring()
+	v.changed.NotifyAll()
 	return nil
 }
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -88,7 +88,7 @@
 	stateGate    kernel.Gate // serializes writes of the state to disk
 	registerGate kernel.Gate // serializes writes of the witness register to disk
 	intake       snapshotReceiver
-	changed      kernel.Bell
+	changed      kernel.Notifier
 	wake         chan struct{}
 }
 
@@ -134,18 +134,18 @@
 		k.Counters.Add("controlstate.torn_tails", 1)
 		k.Log.Warn("truncated an incomplete last record of the store", "bytes", st.tornBytes)
 	}
-	rpc.On(b, "controlstate.promise", v.onPromise)
-	rpc.On(b, "controlstate.accept", v.onAccept)
-	rpc.On(b, "controlstate.renew", v.onRenew)
-	rpc.On(b, "controlstate.release", v.onRelease)
-	rpc.On(b, "controlstate.register", v.onRegister)
-	rpc.On(b, "controlstate.offer", v.onOffer)
-	rpc.On(b, "controlstate.copy", v.onCopy)
-	rpc.On(b, "controlstate.write", v.onWrite)
-	rpc.On(b, "controlstate.succeed", v.onSucceed)
-	rpc.On(b, "controlstate.leaving", v.onLeaving)
-	rpc.On(b, "controlstate.tell", v.onAnnounce)
-	rpc.On(b, "controlstate.void", v.onVoidLease)
+	rpc.HandleTyped(b, "controlstate.promise", v.onPromise)
+	rpc.HandleTyped(b, "controlstate.accept", v.onAccept)
+	rpc.HandleTyped(b, "controlstate.renew", v.onRenew)
+	rpc.HandleTyped(b, "controlstate.release", v.onRelease)
+	rpc.HandleTyped(b, "controlstate.register", v.onRegister)
+	rpc.HandleTyped(b, "controlstate.offer", v.onOffer)
+	rpc.HandleTyped(b, "controlstate.copy", v.onCopy)
+	rpc.HandleTyped(b, "controlstate.write", v.onWrite)
+	rpc.HandleTyped(b, "controlstate.succeed", v.onSucceed)
+	rpc.HandleTyped(b, "controlstate.leaving", v.onLeaving)
+	rpc.HandleTyped(b, "controlstate.tell", v.onAnnounce)
+	rpc.HandleTyped(b, "controlstate.void", v.onVoidLease)
 	return v, nil
 }
 
@@ -385,11 +385,11 @@
 		v.mu.Unlock()
 		switch {
 		case active:
-			if v.writeGate.Enter(ctx) != nil {
+			if v.writeGate.Acquire(ctx) != nil {
 				return
 			}
 			v.handOver("leaving")
-			v.writeGate.Leave()
+			v.writeGate.Release()
 		case view.Epoch == 0 || !view.Has(v.self) && !slices.Contains(union(view.quorumSets()...), v.self.Addr):
 			return
 		case view.Primary.Addr != v.self.Addr:
--- a/internal/controlstate/disk.go
+++ b/internal/controlstate/disk.go
@@ -11,10 +11,10 @@
 // writeStateToDisk runs a write of the state to the disk; these writes run one at a time. A stalled
 // disk blocks only this write and no other work of the control node.
 func (v *Replica) writeStateToDisk(ctx context.Context, write func() error) error {
-	if err := v.stateGate.Enter(ctx); err != nil {
+	if err := v.stateGate.Acquire(ctx); err != nil {
 		return err
 	}
-	defer v.stateGate.Leave()
+	defer v.stateGate.Release()
 	return v.recordDiskResult(write())
 }
 
@@ -80,10 +80,10 @@
 // saveRegister writes the witness's current register to disk; a vote counts only after
 // that.
 func (v *Replica) saveRegister(ctx context.Context) error {
-	if err := v.registerGate.Enter(ctx); err != nil {
+	if err := v.registerGate.Acquire(ctx); err != nil {
 		return err
 	}
-	defer v.registerGate.Leave()
+	defer v.registerGate.Release()
 	v.mu.Lock()
 	reg := v.witness.reg
 	v.mu.Unlock()
--- a/internal/controlstate/election.go
+++ b/internal/controlstate/election.go
@@ -118,10 +118,10 @@
 // campaign tries to become the primary of a new epoch or, as primary, to form another view. After
 // a failure it schedules the next attempt with jitter.
 func (v *Replica) campaign(ctx context.Context) {
-	if v.writeGate.Enter(ctx) != nil {
+	if v.writeGate.Acquire(ctx) != nil {
 		return
 	}
-	defer v.writeGate.Leave()
+	defer v.writeGate.Release()
 	if err := v.tryCampaign(ctx); err != nil {
 		v.k.Counters.Add("controlstate.stood_in_vain", 1)
 		v.mu.Lock()
@@ -232,7 +232,7 @@
 		}
 		v.newestView, v.primaryAliveUntil = view, 0
 		v.takeoverAt = max(v.takeoverAt, v.members.takeoverTime(view, v.k.Clock.Now()))
-		v.changed.Ring()
+		v.changed.NotifyAll()
 	}
 }
 
@@ -333,7 +333,7 @@
 	v.observe(view)
 	if view.Epoch == v.newestView.Epoch && !v.active {
 		if now >= v.primaryAliveUntil {
-			v.changed.Ring() // callers can be referred to a primary again
+			v.changed.NotifyAll() // callers can be referred to a primary again
 		}
 		v.primaryAliveUntil = now + v.lease
 		v.takeoverAt = max(v.takeoverAt, v.members.takeoverTime(view, now))
--- a/internal/controlstate/invariants_test.go
+++ b/internal/controlstate/invariants_test.go
@@ -23,7 +23,7 @@
 		want []invariant.Invariant
 	}{
 		"the newest change":     {func(v *Replica) { v.becomePrimary(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 7}, 0, nil) }, nil},
-		"a durable change lost": {func(v *Replica) { v.becomePrimary(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 6}, 0, nil) }, []invariant.Invariant{invariant.StateKept}},
+		"a durable change lost": {func(v *Replica) { v.becomePrimary(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 6}, 0, nil) }, []invariant.Invariant{invariant.DurableStateKept}},
 		"one primary": {func(v *Replica) {
 			v.observe(view)
 			v.observe(view)
--- a/internal/controlstate/plugin.go
+++ b/internal/controlstate/plugin.go
@@ -16,12 +16,12 @@
 			if s.DataDir == "" {
 				return &settings.Error{Key: "data_dir", Reason: "a control node needs a disk"}
 			}
-			ring := kernel.Need[*membership.Ring](k)
+			ring := kernel.Need[*membership.Memberlist](k)
 			v, err := Open(k, kernel.Need[*rpc.Endpoint](k), Config{
 				Name: s.NodeName, Dir: s.DataDir, Bootstrap: s.Bootstrap,
 				Seeds:             func() []string { return liveSettings.Now().SeedPeers() },
-				Lease:             settings.Span(s.ControlLeaseMs),
-				WitnessTimeout:    settings.Span(s.WitnessAwayMs),
+				Lease:             settings.FromMillis(s.ControlLeaseMs),
+				WitnessTimeout:    settings.FromMillis(s.WitnessTimeoutMs),
 				CatchupTimeout:    kernel.Micros(s.CatchupS) * kernel.Second,
 				FailuresTolerated: int(s.TolerateHosts),
 				ControlNodes:      func() []string { return ring.Peers("control") },
@@ -33,8 +33,8 @@
 			}
 			kernel.Offer(k, v)
 			k.Supervise("controlstate", v.Serve)
-			k.OnLeave(v.Leave)
-			k.OnEnd(v.Close)
+			k.OnShutdown(v.Leave)
+			k.OnExit(v.Close)
 			return nil
 		},
 	})
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlstate/snapshot.go
@@ -218,10 +218,10 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	in := &v.intake
-	if err := in.gate.Enter(ctx); err != nil {
+	if err := in.gate.Acquire(ctx); err != nil {
 		return nil, err
 	}
-	defer in.gate.Leave()
+	defer in.gate.Release()
 	v.mu.Lock()
 	own := v.state
 	v.mu.Unlock()
@@ -244,10 +244,10 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	in := &v.intake
-	if err := in.gate.Enter(ctx); err != nil {
+	if err := in.gate.Acquire(ctx); err != nil {
 		return nil, err
 	}
-	defer in.gate.Leave()
+	defer in.gate.Release()
 	v.mu.Lock()
 	own := v.state
 	v.mu.Unlock()
--- a/internal/controlstate/term.go
+++ b/internal/controlstate/term.go
@@ -99,7 +99,7 @@
 	v.cancelTerm()
 	v.k.Log.Info("stepped down as primary", "epoch", v.newestView.Epoch, "why", reason)
 	v.nextCampaignAt = v.k.Clock.Now() + v.lease
-	v.changed.Ring()
+	v.changed.NotifyAll()
 	return v.newestView, true
 }
 
--- a/internal/controlstate/write.go
+++ b/internal/controlstate/write.go
@@ -29,13 +29,13 @@
 	v.mu.Lock()
 	v.queue = append(v.queue, u)
 	v.mu.Unlock()
-	if err := v.writeGate.Enter(ctx); err != nil {
+	if err := v.writeGate.Acquire(ctx); err != nil {
 		v.mu.Lock()
 		v.queue = slices.DeleteFunc(v.queue, func(o *pendingUpdate) bool { return o == u })
 		v.mu.Unlock()
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
-	defer v.writeGate.Leave()
+	defer v.writeGate.Release()
 	select {
 	case err := <-u.done:
 		return err
@@ -101,7 +101,7 @@
 		return errBackupsFailed
 	}
 	v.state = next
-	v.changed.Ring()
+	v.changed.NotifyAll()
 	return nil
 }
 
--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -22,9 +22,9 @@
 
 // Errors of waiting for the answer to a statement.
 var (
-	ErrQuiet   = errors.New("dbconn: no answer yet")
-	ErrUnbound = errors.New("dbconn: the database is marked down")
-	ErrEnding  = errors.New("dbconn: the process is shutting down")
+	ErrNoAnswerYet  = errors.New("dbconn: no answer yet")
+	ErrMarkedDown   = errors.New("dbconn: the database is marked down")
+	ErrShuttingDown = errors.New("dbconn: the process is shutting down")
 )
 
 // Pool holds the server connections of a pooler to all databases. A borrower names the session
@@ -41,10 +41,10 @@
 // been taken no other is sent, so that a late answer is never taken for that of another statement.
 // Nothing is sent after an unsolicited answer, or after one that was followed by more data.
 type Conn struct {
-	DB         discovery.Database
-	Generation int64  // generation of the database when the connection was opened
-	Login      string // position that the database reported at the log-in
-	tenant     string // tenant sent at the log-in
+	DB            discovery.Database
+	Generation    int64  // generation of the database when the connection was opened
+	LoginPosition string // position that the database reported at the log-in
+	tenant        string // tenant sent at the log-in
 
 	c            net.Conn
 	answers      chan *lineprotocol.Answer
@@ -68,25 +68,25 @@
 
 // Dialer opens connections to databases.
 type Dialer struct {
-	Net     kernel.Network
-	Who     string        // client name sent at the log-in
-	Connect kernel.Micros // time limit for establishing the connection
-	Silence kernel.Micros // about how long the database may be unresponsive before the connection breaks, 0 for no limit
+	Net                 kernel.Network
+	ClientName          string        // client name sent at the log-in
+	ConnectTimeout      kernel.Micros // time limit for establishing the connection
+	UnresponsiveTimeout kernel.Micros // about how long the database may be unresponsive before the connection breaks, 0 for no limit
 	// DialSlots, if not nil, limits concurrent connection attempts: with many at once on a small
 	// machine none would complete in time, and every database would seem unresponsive.
 	DialSlots chan struct{}
 }
 
 // Open connects to the database and logs in, stating the expected database ID. A database that
-// accepts no connection within d.Connect is unresponsive (ErrSilent). One that accepts it but does
-// not answer the log-in within wait is slow (ErrSlow), which is not a failure.
+// accepts no connection within d.ConnectTimeout is unresponsive (ErrUnresponsive). One that accepts it but does
+// not answer the log-in within wait is slow (ErrNotReady), which is not a failure.
 func (d *Dialer) Open(ctx context.Context, db discovery.Database, wait kernel.Micros) (*Conn, error) {
 	return d.OpenForTenant(ctx, db, "", wait)
 }
 
 // OpenForTenant is like Open, and logs in on behalf of a tenant if the name is not empty.
 func (d *Dialer) OpenForTenant(ctx context.Context, db discovery.Database, tenant string, wait kernel.Micros) (*Conn, error) {
-	conn, err := connpool.Dial(ctx, d.Net, d.DialSlots, db.Address, d.Connect, d.Silence)
+	conn, err := connpool.Dial(ctx, d.Net, d.DialSlots, db.Address, d.ConnectTimeout, d.UnresponsiveTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if _, err := conn.Write(lineprotocol.AppendMessage(nil, "LOGIN", db.Service, cmp.Or(tenant, d.Who), db.ID)); err != nil {
+	if _, err := conn.Write(lineprotocol.AppendMessage(nil, "LOGIN", db.Service, cmp.Or(tenant, d.ClientName), db.ID)); err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 	}
@@ -104,9 +104,9 @@
 		conn.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return nil, connpool.ErrSlow
+			return nil, connpool.ErrNotReady
 		case errors.Is(err, syscall.ETIMEDOUT):
-			return nil, fmt.Errorf("%w: %v", connpool.ErrSilent, err)
+			return nil, fmt.Errorf("%w: %v", connpool.ErrUnresponsive, err)
 		}
 		return nil, fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 	}
@@ -124,11 +124,11 @@
 	}
 	if !stop() {
 		conn.Close() // its deadline is about to be set
-		return nil, connpool.ErrSlow
+		return nil, connpool.ErrNotReady
 	}
 	_, position := lineprotocol.Word(rest)
 	s := &Conn{
-		DB: db, Login: string(position), tenant: tenant, c: conn, answers: make(chan *lineprotocol.Answer, 1), broken: make(chan struct{}),
+		DB: db, LoginPosition: string(position), tenant: tenant, c: conn, answers: make(chan *lineprotocol.Answer, 1), broken: make(chan struct{}),
 		values: map[string]string{}, names: map[string]string{}, state: 'I',
 	}
 	go s.readAnswers(reader)
@@ -163,7 +163,7 @@
 	}
 }
 
-// Attach implements connpool.Line.
+// Attach implements connpool.Connection.
 func (s *Conn) Attach(generation int64, onBroken func(byUs, unresponsive bool)) {
 	s.Generation = generation
 	s.mu.Lock()
@@ -171,15 +171,15 @@
 	s.onBroken = onBroken
 }
 
-// Clean implements connpool.Line: it reports whether the connection is in state I and every answer
+// Reusable implements connpool.Connection: it reports whether the connection is in state I and every answer
 // has been taken.
-func (s *Conn) Clean() bool {
+func (s *Conn) Reusable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state == 'I' && !s.outstanding && !s.desynchronized && !s.closed
 }
 
-// Fit implements connpool.Line: the tenant must be the same; a connection with the same values is
+// Fit implements connpool.Connection: the tenant must be the same; a connection with the same values is
 // best, one without any values next.
 func (s *Conn) Fit(want Want, _ kernel.Micros) int {
 	switch {
@@ -196,7 +196,7 @@
 // brokenError returns how a broken connection ended.
 func (s *Conn) brokenError() error {
 	if s.unresponsive {
-		return connpool.ErrSilent
+		return connpool.ErrUnresponsive
 	}
 	return connpool.ErrBroken
 }
@@ -332,10 +332,10 @@
 
 // Watch configures what may end the wait for an answer early.
 type Watch struct {
-	Quiet   kernel.Micros   // after this time without an answer Doubt is called, once
-	Doubt   func() bool     // reports whether to go on waiting; if not, the wait ends with ErrQuiet
-	Unbound <-chan struct{} // when closed, the wait ends with ErrUnbound
-	Ending  <-chan struct{} // when closed, the wait ends with ErrEnding
+	DelayThreshold kernel.Micros   // after this time without an answer OnDelay is called, once
+	OnDelay        func() bool     // reports whether to go on waiting; if not, the wait ends with ErrNoAnswerYet
+	MarkedDown     <-chan struct{} // when closed, the wait ends with ErrMarkedDown
+	ShuttingDown   <-chan struct{} // when closed, the wait ends with ErrShuttingDown
 }
 
 // Receive waits for the next answer, for at most the given time.
@@ -345,15 +345,15 @@
 		return s.takeAnswer(a), nil
 	default:
 	}
-	if w.Doubt != nil && w.Quiet < wait {
-		a, err := s.receive(w.Quiet, w)
+	if w.OnDelay != nil && w.DelayThreshold < wait {
+		a, err := s.receive(w.DelayThreshold, w)
 		if !errors.Is(err, connpool.ErrDeadline) {
 			return a, err
 		}
-		if !w.Doubt() {
-			return nil, ErrQuiet
+		if !w.OnDelay() {
+			return nil, ErrNoAnswerYet
 		}
-		wait -= w.Quiet
+		wait -= w.DelayThreshold
 	}
 	return s.receive(wait, w)
 }
@@ -364,10 +364,10 @@
 	select {
 	case a := <-s.answers:
 		return s.takeAnswer(a), nil
-	case <-w.Unbound:
-		return nil, ErrUnbound
-	case <-w.Ending:
-		return nil, ErrEnding
+	case <-w.MarkedDown:
+		return nil, ErrMarkedDown
+	case <-w.ShuttingDown:
+		return nil, ErrShuttingDown
 	case <-s.broken:
 		select {
 		case a := <-s.answers: // it arrived just before the connection broke
@@ -380,25 +380,25 @@
 	}
 }
 
-// Patience bounds the total wait for the answers to a sequence of statements of the pool's own.
-type Patience struct {
-	Until  time.Time
-	Ending <-chan struct{} // when closed, the wait ends with ErrEnding
+// WaitLimit bounds the total wait for the answers to a sequence of statements of the pool's own.
+type WaitLimit struct {
+	Until        time.Time
+	ShuttingDown <-chan struct{} // when closed, the wait ends with ErrShuttingDown
 }
 
-// For returns a Patience that lasts for the given time, and ends early when ending is closed.
-func For(timeout kernel.Micros, ending <-chan struct{}) Patience {
-	return Patience{time.Now().Add(timeout.Duration()), ending}
+// NewLimit returns a WaitLimit that lasts for the given time, and ends early when ending is closed.
+func NewLimit(timeout kernel.Micros, ending <-chan struct{}) WaitLimit {
+	return WaitLimit{time.Now().Add(timeout.Duration()), ending}
 }
 
-func (p Patience) left() kernel.Micros { return kernel.Micros(time.Until(p.Until) / time.Microsecond) }
+func (p WaitLimit) left() kernel.Micros { return kernel.Micros(time.Until(p.Until) / time.Microsecond) }
 
-// Ask executes a statement of the pool's own and returns its answer.
-func (s *Conn) Ask(text string, p Patience) (*lineprotocol.Answer, error) {
+// Execute executes a statement of the pool's own and returns its answer.
+func (s *Conn) Execute(text string, p WaitLimit) (*lineprotocol.Answer, error) {
 	if err := s.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), p.left(), nil); err != nil {
 		return nil, err
 	}
-	return s.Receive(p.left(), Watch{Ending: p.Ending})
+	return s.Receive(p.left(), Watch{ShuttingDown: p.ShuttingDown})
 }
 
 // State returns the transaction state that the database last reported: I, T or E.
--- a/internal/dbconn/conn_test.go
+++ b/internal/dbconn/conn_test.go
@@ -59,7 +59,7 @@
 			}
 			more <- n
 		}()
-		d := dbconn.Dialer{Net: wrap(n.Host("10.0.0.1")), Who: "w", Connect: kernel.Second, Silence: kernel.Second}
+		d := dbconn.Dialer{Net: wrap(n.Host("10.0.0.1")), ClientName: "w", ConnectTimeout: kernel.Second, UnresponsiveTimeout: kernel.Second}
 		c, err := d.Open(t.Context(), discovery.Database{ID: "d", Service: "s", Address: "10.0.0.2:1"}, kernel.Second)
 		f(n, c, err, more)
 		n.Reset("10.0.0.2")
@@ -99,14 +99,14 @@
 					}
 					return a.Seal
 				}
-				if got := seal(conn.Ask("FETCH 1", dbconn.For(c.wait, nil))); got != c.first {
+				if got := seal(conn.Execute("FETCH 1", dbconn.NewLimit(c.wait, nil))); got != c.first {
 					t.Errorf("first answer %q", got)
 				}
 				time.Sleep(200 * time.Millisecond) // late answers arrive meanwhile
-				if clean := conn.Clean() && conn.Alive(); clean != c.clean {
+				if clean := conn.Reusable() && conn.Alive(); clean != c.clean {
 					t.Errorf("may be lent again: %v", clean)
 				}
-				if got := seal(conn.Ask("PUT 2 x", dbconn.For(late, nil))); got != c.next {
+				if got := seal(conn.Execute("PUT 2 x", dbconn.NewLimit(late, nil))); got != c.next {
 					t.Errorf("next answer %q", got)
 				}
 				conn.Close()
@@ -155,8 +155,8 @@
 				t.Errorf("sent in part: %v", err)
 			}
 		}
-		if n := <-more; n > 0 || conn.Clean() {
-			t.Errorf("%d complete lines arrived, may be lent again: %v", n, conn.Clean())
+		if n := <-more; n > 0 || conn.Reusable() {
+			t.Errorf("%d complete lines arrived, may be lent again: %v", n, conn.Reusable())
 		}
 	})
 }
@@ -210,8 +210,8 @@
 				if a, err := conn.Receive(kernel.Second, dbconn.Watch{}); c.sent != (err == nil && a.Seal == "a") {
 					t.Errorf("answer %+v, %v", a, err)
 				}
-				if conn.Clean() != c.alive {
-					t.Errorf("clean: %v", conn.Clean())
+				if conn.Reusable() != c.alive {
+					t.Errorf("clean: %v", conn.Reusable())
 				}
 				conn.Close()
 			})
@@ -228,7 +228,7 @@
 		}
 		defer c.Close()
 		const limit = 200 * kernel.Millisecond
-		if _, err := c.Ask("OPTION colour blue", dbconn.For(limit, nil)); err != nil {
+		if _, err := c.Execute("OPTION colour blue", dbconn.NewLimit(limit, nil)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * limit.Duration())
--- a/internal/dbconn/plugin.go
+++ b/internal/dbconn/plugin.go
@@ -20,21 +20,21 @@
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
 			d := &Dialer{
-				Net: k.Net, Who: s.NodeName, Connect: settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs),
-				DialSlots: make(chan struct{}, connpool.MaxDials),
+				Net: k.Net, ClientName: s.NodeName, ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
+				DialSlots: make(chan struct{}, connpool.MaxConcurrentDials),
 			}
 			pools := connpool.New[Want](k, connpool.Config[Want, *Conn]{
 				Open: func(ctx context.Context, db discovery.Database, want Want, wait kernel.Micros) (*Conn, error) {
 					return d.OpenForTenant(ctx, db, want.Tenant, wait)
 				},
-				Evict:    true,
-				OpenWait: 2 * kernel.Second, CheckWait: settings.Span(s.CheckWaitMs), IdleFor: 15 * kernel.Second, UnusedFor: 5 * kernel.Second,
+				Evict:       true,
+				OpenTimeout: 2 * kernel.Second, CheckTimeout: settings.FromMillis(s.CheckWaitMs), IdleTimeout: 15 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
 				Share: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
 			}, kernel.Need[*health.Monitor](k))
 			kernel.Offer(k, pools)
-			kernel.Offer(k, connpool.Updater(pools.Stock))
+			kernel.Offer(k, connpool.Updater(pools.SetDatabases))
 			kernel.Offer(k, connpool.Counts(pools.Counts))
-			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool { return connpool.Stands(pools.Check(ctx, id)) })
+			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool { return connpool.CheckPassed(pools.Check(ctx, id)) })
 			k.Supervise("dbconn", pools.Serve)
 			return nil
 		},
@@ -45,8 +45,8 @@
 			s := kernel.Need[*settings.Live](k).Now()
 			v := kernel.Need[*controlstate.Replica](k)
 			d := &Dialer{
-				Net: k.Net, Who: "control", Connect: settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs),
-				DialSlots: make(chan struct{}, connpool.MaxDials),
+				Net: k.Net, ClientName: "control", ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
+				DialSlots: make(chan struct{}, connpool.MaxConcurrentDials),
 			}
 			unresponsive := &connpool.UnresponsiveTracker{}
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
@@ -70,15 +70,15 @@
 		k.Counters.Add("dbconn.unreadable", 1)
 		return true
 	}
-	conn, err := dialer.Open(ctx, db, dialer.Connect)
-	if errors.Is(err, connpool.ErrSilent) && !errors.Is(err, syscall.ECONNREFUSED) && unresponsive.Record(k.Clock.Now(), id) {
+	conn, err := dialer.Open(ctx, db, dialer.ConnectTimeout)
+	if errors.Is(err, connpool.ErrUnresponsive) && !errors.Is(err, syscall.ECONNREFUSED) && unresponsive.Record(k.Clock.Now(), id) {
 		k.Counters.Add("dbconn.probed_again", 1)
 		longer := *dialer
-		longer.Connect *= 2
-		conn, err = longer.Open(ctx, db, longer.Connect)
+		longer.ConnectTimeout *= 2
+		conn, err = longer.Open(ctx, db, longer.ConnectTimeout)
 	}
 	if err != nil {
-		return connpool.Stands(err)
+		return connpool.CheckPassed(err)
 	}
 	conn.Close()
 	return true
--- a/internal/dbconn/values.go
+++ b/internal/dbconn/values.go
@@ -22,10 +22,10 @@
 	maxPreparedBytes = 128 << 10
 )
 
-// Values sets exactly the given session values on the connection. It discards all values and
+// SetValues sets exactly the given session values on the connection. It discards all values and
 // prepared names first if a value is set that is not wanted, or if there are too many prepared
 // names.
-func (s *Conn) Values(want map[string]string, p Patience) error {
+func (s *Conn) SetValues(want map[string]string, p WaitLimit) error {
 	if s.hasUnwantedValue(want) || s.tooManyPrepared() {
 		if err := s.mustExecute("DISCARD", p); err != nil {
 			return err
@@ -62,9 +62,9 @@
 	return s.state == 'I' && (len(s.names) >= maxPrepared || s.preparedBytes > maxPreparedBytes)
 }
 
-// Name returns the name under which the statement is prepared on this connection, and prepares it
+// Prepare returns the name under which the statement is prepared on this connection, and prepares it
 // first if needed. Equal statements get equal names on all connections, unless hashes collide.
-func (s *Conn) Name(statement Prepared, p Patience) (string, error) {
+func (s *Conn) Prepare(statement Prepared, p WaitLimit) (string, error) {
 	key := statement.key()
 	if name, ok := s.names[key]; ok {
 		return name, nil
@@ -93,13 +93,13 @@
 	return false
 }
 
-// Lost removes a prepared name that the database no longer knows.
-func (s *Conn) Lost(statement Prepared) { delete(s.names, statement.key()) }
+// ForgetPrepared removes a prepared name that the database no longer knows.
+func (s *Conn) ForgetPrepared(statement Prepared) { delete(s.names, statement.key()) }
 
 // mustExecute executes a statement that only a broken connection can refuse. After any other
 // answer the state of the connection is unknown, and it is closed.
-func (s *Conn) mustExecute(text string, p Patience) error {
-	a, err := s.Ask(text, p)
+func (s *Conn) mustExecute(text string, p WaitLimit) error {
+	a, err := s.Execute(text, p)
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -99,8 +99,8 @@
 
 	mu       sync.Mutex
 	observed map[string]ObservedState
-	sweep    kernel.Sweep // of the reports of databases that are gone
-	bell     kernel.Bell
+	sweep    kernel.SweepTimer // of the reports of databases that are gone
+	bell     kernel.Notifier
 }
 
 // New returns the registry kept in that replica of the control state.
@@ -177,12 +177,12 @@
 		return false
 	}
 	if a.sweep.Due(now) {
-		maps.DeleteFunc(a.observed, func(_ string, s ObservedState) bool { return now-s.LastHeard > kernel.Kept })
+		maps.DeleteFunc(a.observed, func(_ string, s ObservedState) bool { return now-s.LastHeard > kernel.RetentionPeriod })
 	}
 	a.observed[id] = ObservedState{b.Role, b.Seq, now}
 	a.mu.Unlock()
 	if old.Role != b.Role {
-		a.bell.Ring()
+		a.bell.NotifyAll()
 	}
 	return true
 }
--- a/internal/distribution/invariants_test.go
+++ b/internal/distribution/invariants_test.go
@@ -20,11 +20,11 @@
 	}{
 		"a later epoch with more": {func(c *Subscriber) { c.check(pollReply{Epoch: 3, Seq: 6}, update{}) }, nil},
 		"a late response":         {func(c *Subscriber) { c.check(pollReply{Epoch: 2, Seq: 4}, update{Config: &routeconfig.Delta{Rev: 1}}) }, nil},
-		"a later epoch with less": {func(c *Subscriber) { c.check(pollReply{Epoch: 3, Seq: 4}, update{}) }, []invariant.Invariant{invariant.StateKept}},
+		"a later epoch with less": {func(c *Subscriber) { c.check(pollReply{Epoch: 3, Seq: 4}, update{}) }, []invariant.Invariant{invariant.DurableStateKept}},
 		"an older configuration": {func(c *Subscriber) { c.check(pollReply{Epoch: 2, Seq: 6}, update{Config: &routeconfig.Delta{Rev: 8}}) },
-			[]invariant.Invariant{invariant.ConfigurationForward}},
+			[]invariant.Invariant{invariant.ConfigurationMonotonic}},
 		"begun and ended": {func(c *Subscriber) { c.Begin("s"); c.Done("s") }, nil},
-		"ended twice":     {func(c *Subscriber) { c.Begin("s"); c.Done("s"); c.Done("s") }, []invariant.Invariant{invariant.CountsPositive}},
+		"ended twice":     {func(c *Subscriber) { c.Begin("s"); c.Done("s"); c.Done("s") }, []invariant.Invariant{invariant.CountsNonNegative}},
 	} {
 		k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 		subscriber := NewSubscriber(k, rpc.NewEndpoint(k, "10.0.0.1:7441"), SubscriberConfig{})
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -23,7 +23,7 @@
 			live := kernel.Need[*settings.Live](k)
 			health := kernel.Need[*health.Monitor](k)
 			NewPublisher(k, kernel.Need[*rpc.Endpoint](k), kernel.Need[*controlstate.Replica](k),
-				kernel.Need[*failover.Readers](k), settings.Span(live.Now().ReaderLeaseMs), longPollTimeout(live), health.HandleNotice, live.Now().NetMbps)
+				kernel.Need[*failover.Readers](k), settings.FromMillis(live.Now().ReaderLeaseMs), longPollTimeout(live), health.HandleNotice, live.Now().NetMbps)
 			return nil
 		},
 	})
@@ -31,7 +31,7 @@
 		Name: "distribution-subscriber", Rank: 70, Roles: []string{"pooler", "gateway", "hollow"},
 		Build: func(k *kernel.Kernel) error {
 			live := kernel.Need[*settings.Live](k)
-			ring := kernel.Need[*membership.Ring](k)
+			ring := kernel.Need[*membership.Memberlist](k)
 			cfg := SubscriberConfig{
 				ProxyName: live.Now().NodeName,
 				PollWait:  longPollTimeout(live),
@@ -45,15 +45,15 @@
 					return known
 				},
 				Peers:         func() []string { return ring.Peers(k.Role) },
-				Lease:         settings.Span(live.Now().ReaderLeaseMs),
+				Lease:         settings.FromMillis(live.Now().ReaderLeaseMs),
 				DownDatabases: kernel.Need[*health.Monitor](k).Down,
 				OnDatabases:   kernel.Need[connpool.Updater](k),
 				OnPosition:    func(string, kernel.Micros, lineprotocol.Position) {},
 				Bounds: func() Bounds {
 					now := live.Now()
-					bounds := Bounds{Drain: settings.Span(now.DrainMs), Contact: settings.Span(now.ContactMs)}
+					bounds := Bounds{Drain: settings.FromMillis(now.DrainMs), Contact: settings.FromMillis(now.ContactMs)}
 					if now.RevokeGlobal {
-						bounds.Revoke = settings.Span(now.RevokeMs)
+						bounds.Revoke = settings.FromMillis(now.RevokeMs)
 					}
 					return bounds
 				},
@@ -103,7 +103,7 @@
 
 // longPollTimeout is the setting for how long a control node may hold a poll.
 func longPollTimeout(live *settings.Live) func() kernel.Micros {
-	return func() kernel.Micros { return settings.Span(live.Now().PollMs) }
+	return func() kernel.Micros { return settings.FromMillis(live.Now().PollMs) }
 }
 
 // reservedShare is the share of max_conns left for health checks, the failover manager and
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -218,7 +218,7 @@
 func NewPublisher(k *kernel.Kernel, endpoint *rpc.Endpoint, replica *controlstate.Replica, readers *failover.Readers, lease kernel.Micros, pollTimeout func() kernel.Micros, reportDown func(proxy, id string), mbps float64) *Publisher {
 	o := &Publisher{k: k, replica: replica, readers: readers, lease: lease, pollTimeout: pollTimeout, reportDown: reportDown}
 	o.pacer.rate = linkShare * mbps / 8
-	rpc.On(endpoint, pollOp, o.handlePoll)
+	rpc.HandleTyped(endpoint, pollOp, o.handlePoll)
 	return o
 }
 
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -104,9 +104,9 @@
 	commits        commitTracker
 	failoverSeenAt map[string]kernel.Micros // when the current failover became known, by service
 
-	changes kernel.Bell // rings at each change
+	changes kernel.Notifier // rings at each change
 	// drained rings when nothing is in flight any more at a primary that is being replaced.
-	drained  kernel.Bell
+	drained  kernel.Notifier
 	relaying atomic.Int32 // number of peers' polls being relayed
 }
 
@@ -215,9 +215,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight[service]--
-	c.k.Invariants.Check(c.inFlight[service] >= 0, invariant.CountsPositive, "%d statements in flight at the primary of %s", c.inFlight[service], service)
+	c.k.Invariants.Check(c.inFlight[service] >= 0, invariant.CountsNonNegative, "%d statements in flight at the primary of %s", c.inFlight[service], service)
 	if c.inFlight[service] == 0 && c.leaders[service].FailoverInProgress {
-		c.drained.Ring()
+		c.drained.NotifyAll()
 	}
 }
 
@@ -430,16 +430,16 @@
 	if response.Update != nil {
 		c.cfg.OnDatabases(databases)
 	}
-	c.changes.Ring()
+	c.changes.NotifyAll()
 	return nil
 }
 
 // check checks a response against the state this proxy has. The caller holds the lock.
 func (c *Subscriber) check(response pollReply, changes update) {
-	c.k.Invariants.Check(response.Epoch <= c.epoch || response.Seq >= c.seq, invariant.StateKept,
+	c.k.Invariants.Check(response.Epoch <= c.epoch || response.Seq >= c.seq, invariant.DurableStateKept,
 		"epoch %d is at change %d, but epoch %d was at change %d", response.Epoch, response.Seq, c.epoch, c.seq)
 	if changes.Config != nil && c.config != nil && response.Epoch >= c.epoch && response.Seq >= c.seq {
-		c.k.Invariants.Check(changes.Config.Rev >= c.config.Rev, invariant.ConfigurationForward,
+		c.k.Invariants.Check(changes.Config.Rev >= c.config.Rev, invariant.ConfigurationMonotonic,
 			"configuration %d received after %d", changes.Config.Rev, c.config.Rev)
 	}
 }
--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -41,7 +41,7 @@
 
 // registerHandlers registers the operators' requests at the RPC endpoint.
 func (c *Manager) registerHandlers(b *rpc.Endpoint) {
-	rpc.On(b, AcceptOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, c.Accept(ctx, q) })
+	rpc.HandleTyped(b, AcceptOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, c.Accept(ctx, q) })
 }
 
 // Accept records a request for the failover that is waiting now, and for no other: the next one
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -65,7 +65,7 @@
 	cached                 *snapshot                // the control state as of cachedEpoch and cachedSeq
 	cachedEpoch, cachedSeq int64
 	cachedConfig           json.RawMessage // from which the cached snapshot's configuration was decoded
-	progress               kernel.Bell
+	progress               kernel.Notifier
 }
 
 // New returns a failover manager.
@@ -152,7 +152,7 @@
 		c.mu.Lock()
 		delete(c.busy, svc)
 		c.mu.Unlock()
-		c.progress.Ring()
+		c.progress.NotifyAll()
 	}()
 }
 
--- a/internal/failover/plugin.go
+++ b/internal/failover/plugin.go
@@ -18,9 +18,9 @@
 			readers := NewReaders()
 			kernel.Offer(k, readers)
 			c := New(k, Config{
-				Name: s.NodeName, Platform: s.Platform, Leaderless: s.Deploy == settings.API, ReaderLease: settings.Span(s.ReaderLeaseMs),
-				Dialer:         dbconn.Dialer{Net: k.Net, Who: "failover", Connect: settings.Span(s.CheckWaitMs), Silence: settings.Span(s.SilenceMs)},
-				RequestTimeout: kernel.Second, HeartbeatWait: 700 * kernel.Millisecond, FirstHeartbeatTimeout: settings.Span(s.HeartbeatMs + s.ContactMs),
+				Name: s.NodeName, Platform: s.PlatformAddr, Leaderless: s.Deploy == settings.DeployAPI, ReaderLease: settings.FromMillis(s.ReaderLeaseMs),
+				Dialer:         dbconn.Dialer{Net: k.Net, ClientName: "failover", ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs)},
+				RequestTimeout: kernel.Second, HeartbeatWait: 700 * kernel.Millisecond, FirstHeartbeatTimeout: settings.FromMillis(s.HeartbeatMs + s.ContactMs),
 			}, kernel.Need[*controlstate.Replica](k), kernel.Need[*discovery.Registry](k),
 				kernel.Need[*health.Monitor](k), readers)
 			kernel.Offer(k, c)
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -30,7 +30,7 @@
 	epoch   int64
 	poolers map[string]*leaseHolder
 	acks    ackTracker
-	bell    kernel.Bell
+	bell    kernel.Notifier
 }
 
 // Report is what a pooler reports about the primaries with a poll.
@@ -71,7 +71,7 @@
 		r.acks.unreportedUntil = max(r.acks.unreportedUntil, now)
 	}
 	if changed := fresh || !maps.Equal(d.Left, report.Left); changed {
-		r.bell.Ring()
+		r.bell.NotifyAll()
 	}
 	d.Report, d.lastHeard = report, now
 	return incarnation, true
--- a/internal/failover/statements.go
+++ b/internal/failover/statements.go
@@ -19,7 +19,7 @@
 // loginTerm returns the newest term that the databases reported at login.
 func loginTerm(conns map[string]*dbconn.Conn) (term int64) {
 	for _, conn := range conns {
-		if pos, ok := lineprotocol.ParsePosition(conn.Login); ok {
+		if pos, ok := lineprotocol.ParsePosition(conn.LoginPosition); ok {
 			term = max(term, pos.Term)
 		}
 	}
@@ -52,7 +52,7 @@
 // while the database has no free slot.
 func (c *Manager) executeOn(conn *dbconn.Conn, text string) (statRow, error) {
 	for end := c.k.Clock.Now() + c.cfg.RequestTimeout; ; {
-		a, err := conn.Ask(text, dbconn.For(end-c.k.Clock.Now(), nil))
+		a, err := conn.Execute(text, dbconn.NewLimit(end-c.k.Clock.Now(), nil))
 		if err != nil {
 			return statRow{}, err
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,11 +55,11 @@
 	conns    *httpconn.Pools
 	balancer *loadbalance.Balancer
 	health   *health.Monitor
-	ring     *membership.Ring
+	ring     *membership.Memberlist
 	retries  *retrybudget.Budget
 	quota    *quota.Client
 	failures *failurelog.Log
-	stalls   *kernel.Stalls
+	stalls   *kernel.StallDetector
 	meter    *linkMeter
 	memory   *memorybudget.Budget // for request bodies
 
@@ -79,11 +79,11 @@
 	Conns    *httpconn.Pools
 	Balancer *loadbalance.Balancer
 	Health   *health.Monitor
-	Ring     *membership.Ring
+	Ring     *membership.Memberlist
 	Retries  *retrybudget.Budget
 	Quota    *quota.Client
 	Failures *failurelog.Log
-	Stalls   *kernel.Stalls
+	Stalls   *kernel.StallDetector
 	Memory   *memorybudget.Budget
 }
 
@@ -96,7 +96,7 @@
 	}
 	t.srv = &http.Server{
 		Handler: t, MaxHeaderBytes: maxHeaderBytes, ConnState: t.trackState,
-		ErrorLog: log.New(countingWriter{k.Counters.Of("gateway.server_notes")}, "", 0),
+		ErrorLog: log.New(countingWriter{k.Counters.Counter("gateway.server_notes")}, "", 0),
 	}
 	return t
 }
--- a/internal/gateway/invariants.go
+++ b/internal/gateway/invariants.go
@@ -5,28 +5,28 @@
 	"indigowalk/internal/kernel"
 )
 
-// deadlineSlack is how long after its deadline a request may be answered.
-const deadlineSlack = 500 * kernel.Millisecond
+// deadlineTolerance is how long after its deadline a request may be answered.
+const deadlineTolerance = 500 * kernel.Millisecond
 
 // checkAnsweredInTime checks that the request that is about to be answered is not answered too
 // late, unless the process was stalled in the meantime.
 func (j *job) checkAnsweredInTime() {
 	late := j.now() - j.deadline
-	if j.deadline > 0 && late > deadlineSlack && !j.t.stalls.Since(j.received) {
+	if j.deadline > 0 && late > deadlineTolerance && !j.t.stalls.StalledSince(j.received) {
 		j.t.k.Invariants.Check(false, invariant.AnsweredInTime, "%s is answered %d ms after its deadline", j.id, late.Millis())
 	}
 }
 
-// checkSend checks that a request that must not run twice is not sent again after it may have run,
+// checkSentOnce checks that a request that must not run twice is not sent again after it may have run,
 // and that the request is sent to no more databases than the route allows.
-func (j *job) checkSend(database string) {
-	j.t.k.Invariants.Check(!j.mayHaveRun || j.idempotent(), invariant.SentOnce, "%s is sent to %s, and may have run before", j.id, database)
+func (j *job) checkSentOnce(database string) {
+	j.t.k.Invariants.Check(!j.mayHaveRun || j.idempotent(), invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.id, database)
 	j.t.k.Invariants.Check(j.attempts <= max(1, j.route.Tries), invariant.TriesBounded, "%s is sent to database %d of %d", j.id, j.attempts, j.route.Tries)
 }
 
-// checkNothingUnanswered checks that every request that was read has been answered, or that its
+// checkNoneUnanswered checks that every request that was read has been answered, or that its
 // response is being written to the client.
-func (t *Gateway) checkNothingUnanswered(since kernel.Micros) {
+func (t *Gateway) checkNoneUnanswered(since kernel.Micros) {
 	t.mu.Lock()
 	unanswered := 0
 	for _, state := range t.clients {
@@ -35,7 +35,7 @@
 		}
 	}
 	t.mu.Unlock()
-	if unanswered > 0 && !t.stalls.Since(since) {
+	if unanswered > 0 && !t.stalls.StalledSince(since) {
 		t.k.Invariants.Check(false, invariant.NothingUnanswered, "%d requests wait for an answer", unanswered)
 	}
 }
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -13,19 +13,19 @@
 
 // A late response, a request that is sent too often, and a request left unanswered at shutdown are
 // reported as invariant violations.
-func TestInvariantViolationsAreReported(t *testing.T) {
+func TestInvariantViolationsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		run  func(j *job)
 		want []invariant.Invariant
 	}{
 		"answered at its deadline": {func(j *job) { j.deadline = j.now(); j.checkAnsweredInTime() }, nil},
 		"answered too late":        {func(j *job) { j.deadline = j.now() - kernel.Second; j.checkAnsweredInTime() }, []invariant.Invariant{invariant.AnsweredInTime}},
-		"sent as often as allowed": {func(j *job) { j.attempts = 2; j.checkSend("a") }, nil},
-		"sent too often":           {func(j *job) { j.attempts = 3; j.checkSend("a") }, []invariant.Invariant{invariant.TriesBounded}},
-		"sent after it may have run": {func(j *job) { j.mayHaveRun = true; j.checkSend("a") },
-			[]invariant.Invariant{invariant.SentOnce}},
-		"response in progress at shutdown": {func(j *job) { j.t.clients[nil].responding = true; j.t.checkNothingUnanswered(0) }, nil},
-		"unanswered at shutdown":           {func(j *job) { j.t.checkNothingUnanswered(0) }, []invariant.Invariant{invariant.NothingUnanswered}},
+		"sent as often as allowed": {func(j *job) { j.attempts = 2; j.checkSentOnce("a") }, nil},
+		"sent too often":           {func(j *job) { j.attempts = 3; j.checkSentOnce("a") }, []invariant.Invariant{invariant.TriesBounded}},
+		"sent after it may have run": {func(j *job) { j.mayHaveRun = true; j.checkSentOnce("a") },
+			[]invariant.Invariant{invariant.NoUnsafeRetry}},
+		"response in progress at shutdown": {func(j *job) { j.t.clients[nil].responding = true; j.t.checkNoneUnanswered(0) }, nil},
+		"unanswered at shutdown":           {func(j *job) { j.t.checkNoneUnanswered(0) }, []invariant.Invariant{invariant.NothingUnanswered}},
 	} {
 		k := kernel.NewKernel("gateway", nil, slog.New(slog.DiscardHandler))
 		g := &Gateway{k: k, clients: map[net.Conn]*clientState{nil: {busy: true}}}
@@ -38,9 +38,9 @@
 }
 
 // A process that was stalled must not be mistaken for one that kept its clients waiting, so every
-// stall as long as deadlineSlack has to be detected.
-func TestRelevantStallsAreDetected(t *testing.T) {
-	if deadlineSlack <= kernel.LongestUnseenStall {
-		t.Errorf("a response counts as late after %d us, but a stall of %d us can go undetected", deadlineSlack, kernel.LongestUnseenStall)
+// stall as long as deadlineTolerance has to be detected.
+func TestStallsThatDelayResponsesAreDetected(t *testing.T) {
+	if deadlineTolerance <= kernel.MaxUndetectedStall {
+		t.Errorf("a response counts as late after %d us, but a stall of %d us can go undetected", deadlineTolerance, kernel.MaxUndetectedStall)
 	}
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -53,7 +53,7 @@
 	target         *url.URL
 	id             string
 	header         http.Header
-	memory         *memorybudget.Holding // memory reserved for the body
+	memory         *memorybudget.Reservation // memory reserved for the body
 	body           []byte
 	streamed       *limitRecorder // the rest of a body that is too large to buffer
 	route          *routeconfig.Route
@@ -266,7 +266,7 @@
 		return nil, err
 	}
 	j.attempts++
-	j.checkSend(db.ID)
+	j.checkSentOnce(db.ID)
 	j.excluded = append(j.excluded, db.ID)
 	return &attempt{db, conn, t.conns.Generation(conn), began, ch}, nil
 }
@@ -275,7 +275,7 @@
 func (t *Gateway) candidates(service string, avoid []string) loadbalance.Candidates {
 	return loadbalance.Candidates{
 		Service: service, Databases: t.control.Serving(service), Zone: t.cfg.Zone,
-		Self: t.ring.Self().Addr, Peers: t.ring.Near(), Up: t.health.Up, Avoid: avoid,
+		Self: t.ring.Self().Addr, Peers: t.ring.ZonePeers(), Up: t.health.Up, Avoid: avoid,
 	}
 }
 
@@ -405,7 +405,7 @@
 		a.conn.Close()
 	} else if err != nil && !errors.Is(err, httpconn.ErrUnsent) {
 		t.k.Counters.Add("gateway.unanswered", 1)
-		if unresponsive := errors.Is(err, connpool.ErrSilent); unresponsive || errors.Is(err, connpool.ErrBroken) {
+		if unresponsive := errors.Is(err, connpool.ErrUnresponsive); unresponsive || errors.Is(err, connpool.ErrBroken) {
 			t.health.Report(a.db.ID, a.generation, unresponsive)
 		}
 		a.conn.Close()
--- a/internal/gateway/leave.go
+++ b/internal/gateway/leave.go
@@ -27,12 +27,12 @@
 	start := t.k.Clock.Now()
 	t.draining.Store(true)
 	t.k.Log.Info("leaving")
-	deadline := start + max(0, t.stalls.Left(t.cfg.GracePeriod())-finalResponseTime)
+	deadline := start + max(0, t.stalls.Remaining(t.cfg.GracePeriod())-finalResponseTime)
 	if !kernel.Sleep(ctx, min(listenerCloseDelay, deadline-start)) {
 		return
 	}
 	t.closeListener()
-	defer t.checkNothingUnanswered(start)
+	defer t.checkNoneUnanswered(start)
 	for t.stopReadingIdle() > 0 {
 		now := t.k.Clock.Now()
 		if now >= deadline && !t.isDrainExpired() {
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -32,7 +32,7 @@
 		clock := &jumpingClock{began: time.Now()}
 		k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 		k.Clock = clock
-		stalls := kernel.NewStalls(k)
+		stalls := kernel.NewStallDetector(k)
 		go stalls.Serve(ctx)
 		g := &Gateway{k: k, cfg: Config{GracePeriod: func() kernel.Micros { return grace }}, drainExpired: make(chan struct{}), stalls: stalls}
 		g.clients = map[net.Conn]*clientState{nil: {busy: true}}
--- a/internal/gateway/plugin.go
+++ b/internal/gateway/plugin.go
@@ -45,11 +45,11 @@
 				Conns:    kernel.Need[*httpconn.Pools](k),
 				Balancer: kernel.Need[*loadbalance.Balancer](k),
 				Health:   kernel.Need[*health.Monitor](k),
-				Ring:     kernel.Need[*membership.Ring](k),
+				Ring:     kernel.Need[*membership.Memberlist](k),
 				Retries:  retries,
 				Quota:    kernel.Need[*quota.Client](k),
 				Failures: kernel.Need[*failurelog.Log](k),
-				Stalls:   kernel.Need[*kernel.Stalls](k),
+				Stalls:   kernel.Need[*kernel.StallDetector](k),
 				Memory:   kernel.Need[*memorybudget.Budget](k),
 			})
 			kernel.Offer[httpconn.Wrap](k, func(c net.Conn) net.Conn { return &meteredConn{c, t.meter} })
@@ -59,7 +59,7 @@
 			k.Counters.Observable("gateway.requests_open", t.openRequests)
 			k.Counters.Observable("gateway.connections_open", t.openConnections)
 			k.Supervise("gateway", t.Serve)
-			k.OnLeave(t.Drain)
+			k.OnShutdown(t.Drain)
 			k.Supervise("ready", func(ctx context.Context) error { return kernel.ServeReady(ctx, k.Net, s.ReadyAddr, t.Ready) })
 			return nil
 		},
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -24,7 +24,7 @@
 // newJob parses a request against a single configuration revision. It returns a job even if the
 // request is refused.
 func (t *Gateway) newJob(w http.ResponseWriter, q *http.Request) (*job, *refusal) {
-	j := &job{t: t, incoming: q, received: t.k.Clock.Now(), id: q.Header.Get(httpconn.RequestID), memory: t.memory.Hold(uncountedBodyBytes)}
+	j := &job{t: t, incoming: q, received: t.k.Clock.Now(), id: q.Header.Get(httpconn.RequestID), memory: t.memory.NewReservation(uncountedBodyBytes)}
 	conf := j.configuration()
 	if conf == nil {
 		return j, &refusal{http.StatusServiceUnavailable, "no configuration yet", noConfigRetryAfter}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -27,7 +27,7 @@
 		result = "sent: given up, the client has gone"
 	case errors.Is(err, httpconn.ErrNoResponse):
 		result = "sent: no answer in time"
-	case errors.Is(err, connpool.ErrSilent):
+	case errors.Is(err, connpool.ErrUnresponsive):
 		result = "sent: silent"
 	case errors.Is(err, httpconn.ErrMalformed):
 		result = "sent: malformed answer"
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -86,7 +86,7 @@
 	budget      byteBudget
 	faults      outbox // for all peers
 	suspicions  outbox // for the control nodes
-	bell        kernel.Bell
+	bell        kernel.Notifier
 }
 
 // New returns a health monitor.
@@ -268,7 +268,7 @@
 		}
 		if e.OK {
 			s.k.Log.Info("database up", "id", e.Database, "generation", h.generation)
-			s.bell.Ring()
+			s.bell.NotifyAll()
 			return
 		}
 		s.handleDown(e.Database, e.Generation)
@@ -286,7 +286,7 @@
 	for b := range s.bindings[id] {
 		b.apply(Notice{id, generation})
 	}
-	s.bell.Ring()
+	s.bell.NotifyAll()
 }
 
 // nextCheck returns the time until a check is due.
--- a/internal/health/plugin.go
+++ b/internal/health/plugin.go
@@ -29,12 +29,12 @@
 		Name: "health", Rank: 40, Roles: []string{"pooler", "gateway", "control", "hollow"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			ring := kernel.Need[*membership.Ring](k)
+			ring := kernel.Need[*membership.Memberlist](k)
 			acceptNotices := func() bool { return true }
 			if k.Role == "control" {
 				// A control node has no sessions; it needs the state of databases only for the
 				// failover manager, which works in the control state's primary.
-				v, hasFailovers := kernel.Need[*controlstate.Replica](k), s.Deploy != settings.API
+				v, hasFailovers := kernel.Need[*controlstate.Replica](k), s.Deploy != settings.DeployAPI
 				acceptNotices = func() bool {
 					_, left := v.Lease()
 					return hasFailovers && left > 0
@@ -42,17 +42,17 @@
 			}
 			// Where there are no failovers, control nodes need no notices.
 			proxyRole, controlNodes := "pooler", func() []string { return ring.Peers("control") }
-			if s.Deploy == settings.API {
+			if s.Deploy == settings.DeployAPI {
 				proxyRole, controlNodes = "gateway", func() []string { return nil }
 			}
 			c := New(k, Config{
-				Interval:      settings.Span(s.CheckMs),
-				FirstCheck:    settings.Span(s.CheckMs) / 10,
+				Interval:      settings.FromMillis(s.CheckMs),
+				FirstCheck:    settings.FromMillis(s.CheckMs) / 10,
 				Check:         func(ctx context.Context, id string) bool { return kernel.Need[Checker](k)(ctx, id) },
 				Self:          ring.Self().Addr,
 				Peers:         func() []string { return notificationOrder(controlNodes(), ring.Peers(proxyRole)) },
 				ControlNodes:  controlNodes,
-				Send:          ring.Tell,
+				Send:          ring.SendDatagram,
 				AcceptNotices: acceptNotices,
 				NoticeRate:    noticeLinkShare * s.NetMbps / 8,
 			})
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -189,7 +189,7 @@
 	switch {
 	case errors.Is(err, ErrNoResponse):
 		s.Close()
-		return nil, connpool.ErrSlow
+		return nil, connpool.ErrNotReady
 	case err != nil:
 		s.Close()
 		return nil, err
@@ -316,7 +316,7 @@
 func closeError(err error) error {
 	switch {
 	case errors.Is(err, syscall.ETIMEDOUT):
-		return connpool.ErrSilent
+		return connpool.ErrUnresponsive
 	case errors.Is(err, ErrMalformed):
 		return err
 	}
@@ -451,7 +451,7 @@
 	return s.closed
 }
 
-// Alive implements connpool.Line.
+// Alive implements connpool.Connection.
 func (s *Conn) Alive() bool {
 	select {
 	case <-s.done:
@@ -461,14 +461,14 @@
 	}
 }
 
-// Clean implements connpool.Line.
-func (s *Conn) Clean() bool {
+// Reusable implements connpool.Connection.
+func (s *Conn) Reusable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pending == nil && !s.closed && !s.closeAfterPending && !s.tainted
 }
 
-// Fit implements connpool.Line.
+// Fit implements connpool.Connection.
 func (s *Conn) Fit(want Want, idle kernel.Micros) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -478,7 +478,7 @@
 	return 0
 }
 
-// Attach implements connpool.Line.
+// Attach implements connpool.Connection.
 func (s *Conn) Attach(_ int64, onClose func(byUs, silent bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -116,17 +116,17 @@
 			connect(t, c.texts, func(conn *httpconn.Conn) {
 				if got := ask(conn, c.ids[0], c.wait); got != c.first {
 					t.Errorf("first response %.20q", got)
-				} else if got != "" && conn.Clean() && !c.clean {
+				} else if got != "" && conn.Reusable() && !c.clean {
 					t.Error("the connection may be reused at once")
 				}
 				time.Sleep(200 * time.Millisecond) // a late response arrives
-				if clean := conn.Clean() && conn.Alive(); clean != c.clean {
+				if clean := conn.Reusable() && conn.Alive(); clean != c.clean {
 					t.Errorf("the connection may be reused: %v", clean)
 				}
 				if got := ask(conn, c.ids[1], late); got != c.next {
 					t.Errorf("next response %.20q", got)
 				}
-				if c.ids[0] == c.ids[1] && conn.Clean() {
+				if c.ids[0] == c.ids[1] && conn.Reusable() {
 					t.Error("the connection may be reused after a repeated request ID")
 				}
 			})
@@ -176,7 +176,7 @@
 					t.Errorf("%d bytes sent, then %v", left, err)
 				}
 			}
-			if synctest.Wait(); c.Clean() || c.Alive() {
+			if synctest.Wait(); c.Reusable() || c.Alive() {
 				t.Errorf("%d bytes sent, and the connection may be reused", left)
 			}
 			remote.Close()
--- a/internal/httpconn/fuzz_test.go
+++ b/internal/httpconn/fuzz_test.go
@@ -49,7 +49,7 @@
 			}
 			all := append(bytes.Clone(first), second...)
 			ask := func(id string, piece []byte) {
-				clean := c.Clean() && c.Alive()
+				clean := c.Reusable() && c.Alive()
 				q, err := http.NewRequest(http.MethodPost, "http://d/", strings.NewReader("x"))
 				if err != nil {
 					t.Fatal(err)
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -33,8 +33,8 @@
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
 			dialer := &Dialer{
-				Net: k.Net, ConnectTimeout: connectTimeoutFactor * settings.Span(s.CheckWaitMs), SilenceTimeout: settings.Span(s.SilenceMs),
-				DialSlots:  make(chan struct{}, connpool.MaxDials),
+				Net: k.Net, ConnectTimeout: connectTimeoutFactor * settings.FromMillis(s.CheckWaitMs), SilenceTimeout: settings.FromMillis(s.PeerTimeoutMs),
+				DialSlots:  make(chan struct{}, connpool.MaxConcurrentDials),
 				Wrap:       func(c net.Conn) net.Conn { return kernel.Need[Wrap](k)(c) },
 				HealthPath: func(svc string) string { return kernel.Need[HealthPath](k)(svc) },
 			}
@@ -44,16 +44,16 @@
 				Open: func(ctx context.Context, db discovery.Database, _ Want, wait kernel.Micros) (*Conn, error) {
 					return dialer.Open(ctx, db, wait)
 				},
-				Probe:    dialer.Probe,
-				OpenWait: kernel.Second, CheckWait: settings.Span(s.CheckWaitMs),
-				IdleFor: 8 * kernel.Second, UnusedFor: 5 * kernel.Second,
-				Share: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
-				Most:  maxConnections(s.MaxFDs),
-				Doubt: true,
+				Probe:       dialer.Probe,
+				OpenTimeout: kernel.Second, CheckTimeout: settings.FromMillis(s.CheckWaitMs),
+				IdleTimeout: 8 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
+				Share:          func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
+				MaxConnections: maxConnections(s.MaxFDs),
+				SuspectOwnLink: true,
 			}, kernel.Need[*health.Monitor](k))
 			kernel.Offer(k, pools)
 			kernel.Offer(k, connpool.Updater(func(dbs map[string]discovery.Database) {
-				pools.Stock(dbs)
+				pools.SetDatabases(dbs)
 				balancer.Prune(dbs)
 			}))
 			kernel.Offer(k, connpool.Counts(pools.Counts))
@@ -62,7 +62,7 @@
 				err := pools.Check(ctx, id)
 				// A database at capacity resets a health check as it does a request, so a
 				// request that it served since the check began outranks the failed check.
-				return connpool.Stands(err) || errors.Is(err, connpool.ErrBroken) && balancer.LastServed(id) >= began
+				return connpool.CheckPassed(err) || errors.Is(err, connpool.ErrBroken) && balancer.LastServed(id) >= began
 			})
 			k.Supervise("httpconn", pools.Serve)
 			return nil
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -17,28 +17,28 @@
 
 // The invariants. docs/promises.md lists the guarantee that each of them checks.
 const (
-	// StateKept: a control node that becomes primary, or whose update a proxy applies, has
+	// DurableStateKept: a control node that becomes primary, or whose update a proxy applies, has
 	// every change that was acknowledged as durable before.
-	StateKept Invariant = "state_kept"
+	DurableStateKept Invariant = "state_kept"
 	// OnePrimary: no epoch of the control state has more than one primary.
 	OnePrimary Invariant = "one_primary_of_an_epoch"
-	// ConfigurationForward: a proxy never returns to an older configuration revision.
-	ConfigurationForward Invariant = "configuration_goes_forward"
-	// OrderRecorded: the configuration in force is that of the latest recorded change.
-	OrderRecorded Invariant = "order_in_force_is_recorded"
+	// ConfigurationMonotonic: a proxy never returns to an older configuration revision.
+	ConfigurationMonotonic Invariant = "configuration_goes_forward"
+	// ChangeRecorded: the configuration in force is that of the latest recorded change.
+	ChangeRecorded Invariant = "order_in_force_is_recorded"
 	// AnsweredInTime: every request that was read is answered by its deadline plus a small
 	// tolerance, unless the process stalled.
 	AnsweredInTime Invariant = "answered_in_time"
-	// SentOnce: an operation that is unsafe to repeat is not retried once it may have run.
-	SentOnce Invariant = "sent_once"
+	// NoUnsafeRetry: an operation that is unsafe to repeat is not retried once it may have run.
+	NoUnsafeRetry Invariant = "sent_once"
 	// TriesBounded: a request is sent to no more databases than its route allows.
 	TriesBounded Invariant = "tries_bounded"
 	// LentOnce: a pooled connection is checked out by at most one user at a time.
 	LentOnce Invariant = "connection_lent_once"
 	// ConnectionsCounted: every connection counted as open is either idle or checked out.
 	ConnectionsCounted Invariant = "connections_counted"
-	// CountsPositive: a count of operations in progress or admitted never goes below zero.
-	CountsPositive Invariant = "counts_not_negative"
+	// CountsNonNegative: a count of operations in progress or admitted never goes below zero.
+	CountsNonNegative Invariant = "counts_not_negative"
 	// DownIsKnown: every database that is recorded as down is a known database.
 	DownIsKnown Invariant = "down_database_is_known"
 	// PromotedHoldsFloor: a promoted database has received at least the minimum position on
@@ -47,14 +47,14 @@
 	// NothingUnanswered: a process that is shut down has answered every request that it
 	// read by the time it exits.
 	NothingUnanswered Invariant = "nothing_unanswered_at_the_end"
-	// MemoryGivenBack: a process without clients has no memory reserved for clients.
-	MemoryGivenBack Invariant = "memory_given_back"
+	// MemoryReleased: a process without clients has no memory reserved for clients.
+	MemoryReleased Invariant = "memory_given_back"
 )
 
 // All lists all invariants.
 var All = []Invariant{
-	StateKept, OnePrimary, ConfigurationForward, OrderRecorded, AnsweredInTime, NothingUnanswered, SentOnce, TriesBounded,
-	LentOnce, ConnectionsCounted, CountsPositive, DownIsKnown, PromotedHoldsFloor, MemoryGivenBack,
+	DurableStateKept, OnePrimary, ConfigurationMonotonic, ChangeRecorded, AnsweredInTime, NothingUnanswered, NoUnsafeRetry, TriesBounded,
+	LentOnce, ConnectionsCounted, CountsNonNegative, DownIsKnown, PromotedHoldsFloor, MemoryReleased,
 }
 
 // Violation describes one violation of an invariant.
--- a/internal/kernel/counters.go
+++ b/internal/kernel/counters.go
@@ -5,21 +5,21 @@
 	"sync/atomic"
 )
 
-// Counters is the set of named counters and gauges of a process. Frequent events are
+// Counters is the set of named counters and observed values of a process. Frequent events are
 // counted here, and only state changes are logged, so diagnosis starts with the counters.
 type Counters struct {
-	counters sync.Map // *atomic.Int64 by name
-	gauges   sync.Map // func() int64 by name
+	counters    sync.Map // *atomic.Int64 by name
+	observables sync.Map // func() int64 by name
 }
 
 // NewCounters returns an empty set.
 func NewCounters() *Counters { return &Counters{} }
 
 // Add increases the named counter by n.
-func (c *Counters) Add(name string, n int64) { c.Of(name).Add(n) }
+func (c *Counters) Add(name string, n int64) { c.Counter(name).Add(n) }
 
-// Of returns the named counter itself, for code that increments it often.
-func (c *Counters) Of(name string) *atomic.Int64 {
+// Counter returns the named counter itself, for code that increments it often.
+func (c *Counters) Counter(name string) *atomic.Int64 {
 	if v, ok := c.counters.Load(name); ok {
 		return v.(*atomic.Int64)
 	}
@@ -27,14 +27,14 @@
 	return v.(*atomic.Int64)
 }
 
-// Observable registers a gauge that is reported with the counters. The value function is
+// Observable registers an observed value that is reported with the counters. The value function is
 // called on each snapshot, from any goroutine.
-func (c *Counters) Observable(name string, value func() int64) { c.gauges.Store(name, value) }
+func (c *Counters) Observable(name string, value func() int64) { c.observables.Store(name, value) }
 
-// Snapshot returns the current values of all counters and gauges by name.
+// Snapshot returns the current values of all counters and observed values by name.
 func (c *Counters) Snapshot() map[string]int64 {
 	out := map[string]int64{}
-	c.gauges.Range(func(k, v any) bool {
+	c.observables.Range(func(k, v any) bool {
 		out[k.(string)] = v.(func() int64)()
 		return true
 	})
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -91,8 +91,8 @@
 	k.tree.Add(&service{name: name, f: f})
 }
 
-// OnLeave registers a hook for graceful shutdown; the hooks run concurrently.
-func (k *Kernel) OnLeave(f func(context.Context)) { k.shutdownHooks = append(k.shutdownHooks, f) }
+// OnShutdown registers a hook for graceful shutdown; the hooks run concurrently.
+func (k *Kernel) OnShutdown(f func(context.Context)) { k.shutdownHooks = append(k.shutdownHooks, f) }
 
 // Assemble builds the plug-ins of the kernel's role in order of rank.
 func (k *Kernel) Assemble() error {
@@ -109,10 +109,10 @@
 	return nil
 }
 
-// OnEnd registers a hook that runs after every service has stopped.
-func (k *Kernel) OnEnd(f func() error) { k.exitHooks = append(k.exitHooks, f) }
+// OnExit registers a hook that runs after every service has stopped.
+func (k *Kernel) OnExit(f func() error) { k.exitHooks = append(k.exitHooks, f) }
 
-// Run runs the supervised services until ctx ends, then the hooks registered with OnEnd.
+// Run runs the supervised services until ctx ends, then the hooks registered with OnExit.
 func (k *Kernel) Run(ctx context.Context) error {
 	err := k.tree.Serve(ctx)
 	if errors.Is(err, context.Canceled) {
@@ -124,9 +124,9 @@
 	return err
 }
 
-// Leave runs the graceful shutdown hooks and returns when all of them are done
+// Shutdown runs the graceful shutdown hooks and returns when all of them are done
 // or ctx ends.
-func (k *Kernel) Leave(ctx context.Context) {
+func (k *Kernel) Shutdown(ctx context.Context) {
 	done := make(chan struct{}, len(k.shutdownHooks))
 	for _, f := range k.shutdownHooks {
 		go func() {
--- a/internal/kernel/metrics.go
+++ b/internal/kernel/metrics.go
@@ -26,7 +26,7 @@
 // invalidMetricChars matches the characters that are not allowed in a metric name.
 var invalidMetricChars = regexp.MustCompile(`[^a-zA-Z0-9_]+`)
 
-// Metrics renders all counters and gauges in the Prometheus text format, one "name value"
+// Metrics renders all counters and observed values in the Prometheus text format, one "name value"
 // line each, sorted by name.
 func (c *Counters) Metrics() []byte {
 	var out bytes.Buffer
--- a/internal/kernel/metrics_test.go
+++ b/internal/kernel/metrics_test.go
@@ -40,7 +40,7 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Counters and gauges are served as text, even if the address is in use at first.
+// Counters and observed values are served as text, even if the address is in use at first.
 func TestMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipeNetwork{conns: make(chan net.Conn)}
@@ -85,25 +85,25 @@
 		k := NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 		clock := &jumpingClock{Clock: NewMonotonicClock()}
 		k.Clock = clock
-		s := NewStalls(k)
+		s := NewStallDetector(k)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go s.Serve(ctx)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if began := k.Clock.Now(); s.Since(began-Second) || k.Counters.Of("kernel.stalls").Load() != 0 {
+		if began := k.Clock.Now(); s.StalledSince(began-Second) || k.Counters.Counter("kernel.stalls").Load() != 0 {
 			t.Error("a stall is reported where there was none")
 		}
 		clock.offset.Add(int64(2 * Second))
-		if !s.Since(k.Clock.Now() - Second) {
+		if !s.StalledSince(k.Clock.Now() - Second) {
 			t.Error("a stall that has just ended is not detected")
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if k.Counters.Of("kernel.stalls").Load() != 1 || k.Counters.Of("kernel.stalled_ms").Load() < 1500 {
+		if k.Counters.Counter("kernel.stalls").Load() != 1 || k.Counters.Counter("kernel.stalled_ms").Load() < 1500 {
 			t.Error("a stall is not counted")
 		}
-		if s.Since(k.Clock.Now()) {
+		if s.StalledSince(k.Clock.Now()) {
 			t.Error("a stall that ended earlier is still reported")
 		}
 	})
--- a/internal/kernel/notify.go
+++ b/internal/kernel/notify.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// Bell notifies all waiting goroutines of a change. The zero value is ready to use.
-type Bell struct {
+// Notifier notifies all waiting goroutines of a change. The zero value is ready to use.
+type Notifier struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
 // Wait returns a channel that is closed at the next notification.
-func (b *Bell) Wait() <-chan struct{} {
+func (b *Notifier) Wait() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ch == nil {
@@ -21,8 +21,8 @@
 	return b.ch
 }
 
-// Ring notifies all current waiters.
-func (b *Bell) Ring() {
+// NotifyAll notifies all current waiters.
+func (b *Notifier) NotifyAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ch != nil {
@@ -38,8 +38,8 @@
 // NewGate returns an unlocked Gate.
 func NewGate() Gate { return make(Gate, 1) }
 
-// Enter acquires the lock. It returns the context's error if ctx ends first.
-func (g Gate) Enter(ctx context.Context) error {
+// Acquire acquires the lock. It returns the context's error if ctx ends first.
+func (g Gate) Acquire(ctx context.Context) error {
 	select {
 	case g <- struct{}{}:
 		return nil
@@ -48,5 +48,5 @@
 	}
 }
 
-// Leave releases the lock.
-func (g Gate) Leave() { <-g }
+// Release releases the lock.
+func (g Gate) Release() { <-g }
--- a/internal/kernel/recorder.go
+++ b/internal/kernel/recorder.go
@@ -13,8 +13,8 @@
 // RecordingFormat is the version of the recording format written by Recorder.
 const RecordingFormat = 1
 
-// RecordingHead is the header of a recording: its first line.
-type RecordingHead struct {
+// RecordingHeader is the header of a recording: its first line.
+type RecordingHeader struct {
 	Recording int    `json:"indigowalk_recording"`
 	Node      string `json:"node"`
 	Role      string `json:"role"`
@@ -38,16 +38,16 @@
 	remaining int64
 }
 
-// Before is the suffix of the file that holds the previous process's recording.
-const Before = ".before"
+// PreviousSuffix is the suffix of the file that holds the previous process's recording.
+const PreviousSuffix = ".before"
 
 // NewRecorder starts a recording of at most size bytes at path. The recording of the
-// previous process, if any, is renamed to path+Before.
+// previous process, if any, is renamed to path+PreviousSuffix.
 func NewRecorder(k *Kernel, path, node string, size int64) (*Recorder, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, fmt.Errorf("kernel: recording: %w", err)
 	}
-	if err := os.Rename(path, path+Before); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Rename(path, path+PreviousSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("kernel: recording: %w", err)
 	}
 	file, err := os.Create(path)
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("kernel: recording: %w", err)
 	}
 	r := &Recorder{clock: k.Clock, counters: k.Counters, file: file, remaining: size}
-	r.write(RecordingHead{RecordingFormat, node, k.Role})
+	r.write(RecordingHeader{RecordingFormat, node, k.Role})
 	return r, nil
 }
 
--- a/internal/kernel/stall.go
+++ b/internal/kernel/stall.go
@@ -11,16 +11,16 @@
 	// minStall is how late a check has to be to count as a stall: the process was frozen,
 	// or got no CPU time.
 	minStall = 150 * Millisecond
-	// LongestUnseenStall is the longest time for which the process may stall undetected.
+	// MaxUndetectedStall is the longest time for which the process may stall undetected.
 	// A timeout that has to rule out a stall of this process must be longer than this.
-	LongestUnseenStall = stallCheckInterval + minStall
+	MaxUndetectedStall = stallCheckInterval + minStall
 	// minLoggedStall is the shortest stall that is logged; shorter ones are only counted.
 	minLoggedStall = Second
 )
 
-// Stalls detects periods in which the process did not run, so that a delay caused by
+// StallDetector detects periods in which the process did not run, so that a delay caused by
 // such a stall can be distinguished from one caused by the process's own work.
-type Stalls struct {
+type StallDetector struct {
 	k         *Kernel
 	stallEnd  atomic.Int64 // when the last stall ended
 	nextCheck atomic.Int64 // when the next check is due; 0 before the first and after Serve
@@ -28,11 +28,11 @@
 	stallLength atomic.Int64
 }
 
-// NewStalls returns a detector that has observed no stall.
-func NewStalls(k *Kernel) *Stalls { return &Stalls{k: k} }
+// NewStallDetector returns a detector that has observed no stall.
+func NewStallDetector(k *Kernel) *StallDetector { return &StallDetector{k: k} }
 
 // Serve checks for stalls until ctx ends.
-func (s *Stalls) Serve(ctx context.Context) error {
+func (s *StallDetector) Serve(ctx context.Context) error {
 	defer s.nextCheck.Store(0)
 	for {
 		due := s.k.Clock.Now() + stallCheckInterval
@@ -46,7 +46,7 @@
 }
 
 // recordDelay records a stall if a check was late by at least minStall.
-func (s *Stalls) recordDelay(now, late Micros) {
+func (s *StallDetector) recordDelay(now, late Micros) {
 	if late < minStall {
 		return
 	}
@@ -59,10 +59,10 @@
 	}
 }
 
-// Left returns what remains of a duration that started when this process was sent a signal
+// Remaining returns what remains of a duration that started when this process was sent a signal
 // or message which it has only just received: during a stall, that may have been sent at any
 // moment, so a stall in progress or just ended is deducted.
-func (s *Stalls) Left(span Micros) Micros {
+func (s *StallDetector) Remaining(span Micros) Micros {
 	if s == nil {
 		return span
 	}
@@ -70,7 +70,7 @@
 }
 
 // recentStall returns the length of a stall in progress or just ended, otherwise 0.
-func (s *Stalls) recentStall() Micros {
+func (s *StallDetector) recentStall() Micros {
 	now := s.k.Clock.Now()
 	if due := Micros(s.nextCheck.Load()); due > 0 && now >= due+minStall {
 		return now - due
@@ -81,9 +81,9 @@
 	return 0
 }
 
-// Since reports whether the process was stalled at that time or later. An overdue check
+// StalledSince reports whether the process was stalled at that time or later. An overdue check
 // counts as a stall.
-func (s *Stalls) Since(at Micros) bool {
+func (s *StallDetector) StalledSince(at Micros) bool {
 	if s == nil {
 		return false
 	}
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -20,7 +20,7 @@
 // concurrent use.
 type Averages struct {
 	averages map[string]average
-	sweep    kernel.Sweep
+	sweep    kernel.SweepTimer
 }
 
 // Add records the response time span of a route and returns its average, in microseconds.
@@ -29,7 +29,7 @@
 		u.averages = map[string]average{}
 	}
 	if u.sweep.Due(now) {
-		maps.DeleteFunc(u.averages, func(_ string, a average) bool { return now-a.updated > kernel.Kept })
+		maps.DeleteFunc(u.averages, func(_ string, a average) bool { return now-a.updated > kernel.RetentionPeriod })
 	}
 	usual := float64(span)
 	if previous, known := u.averages[route]; known {
--- a/internal/lineprotocol/lineprotocol.go
+++ b/internal/lineprotocol/lineprotocol.go
@@ -33,9 +33,9 @@
 
 // Errors of reading messages.
 var (
-	ErrOversize  = errors.New("lineprotocol: message too long")
-	ErrMalformed = errors.New("lineprotocol: malformed message")
-	ErrNoRoom    = errors.New("lineprotocol: no memory for the message")
+	ErrOversize    = errors.New("lineprotocol: message too long")
+	ErrMalformed   = errors.New("lineprotocol: malformed message")
+	ErrOutOfMemory = errors.New("lineprotocol: no memory for the message")
 )
 
 // Position is a position in the log of a database.
@@ -70,9 +70,9 @@
 
 // Reader reads messages from a connection.
 type Reader struct {
-	// Room, if not nil, is asked whether the given number of bytes may be held for a message that
+	// ReserveMemory, if not nil, is asked whether the given number of bytes may be held for a message that
 	// arrives in parts, and is called with 0 when the next message begins.
-	Room func(bytes int) bool
+	ReserveMemory func(bytes int) bool
 
 	b          *bufio.Reader
 	part       []byte // the start of a message that is incomplete, or that is longer than the buffer
@@ -110,16 +110,16 @@
 	if r.part = r.part[:0]; cap(r.part) > maxRetainedBuffer {
 		r.part = nil
 	}
-	if r.Room != nil {
-		r.Room(0)
+	if r.ReserveMemory != nil {
+		r.ReserveMemory(0)
 	}
 }
 
 // assemble puts a message together that arrives in parts.
 func (r *Reader) assemble(line []byte, err error) ([]byte, error) {
 	for {
-		if r.Room != nil && !r.Room(len(r.part)+len(line)) {
-			return nil, ErrNoRoom
+		if r.ReserveMemory != nil && !r.ReserveMemory(len(r.part)+len(line)) {
+			return nil, ErrOutOfMemory
 		}
 		r.part = append(r.part, line...)
 		r.incomplete = len(r.part) > 0
@@ -137,8 +137,8 @@
 	}
 }
 
-// Partial returns how many bytes of an incomplete message have arrived.
-func (r *Reader) Partial() int {
+// PartialBytes returns how many bytes of an incomplete message have arrived.
+func (r *Reader) PartialBytes() int {
 	if !r.incomplete {
 		return 0
 	}
--- a/internal/lineprotocol/lineprotocol_test.go
+++ b/internal/lineprotocol/lineprotocol_test.go
@@ -66,8 +66,8 @@
 	if want := []string{"QUERY 1 PUT a " + long, "QUERY 2 FETCH b"}; !slices.Equal(got, want) {
 		t.Errorf("read %.60q", got)
 	}
-	if r.Partial() != len("QUERY 3") {
-		t.Errorf("%d bytes of the last message", r.Partial())
+	if r.PartialBytes() != len("QUERY 3") {
+		t.Errorf("%d bytes of the last message", r.PartialBytes())
 	}
 }
 
@@ -96,7 +96,7 @@
 		if s.Text != text {
 			t.Errorf("%q became %q", text, s.Text)
 		}
-		if s.Verb != Bad && (strings.HasPrefix(text, "WAITPOS") || strings.HasPrefix(text, "STAT")) {
+		if s.Verb != Invalid && (strings.HasPrefix(text, "WAITPOS") || strings.HasPrefix(text, "STAT")) {
 			t.Errorf("%q is reserved for the system", text)
 		}
 	})
--- a/internal/lineprotocol/text.go
+++ b/internal/lineprotocol/text.go
@@ -5,9 +5,9 @@
 // Verb is the operation that the text of a statement requests.
 type Verb int
 
-// Verbs that clients may send. Bad stands for anything else.
+// Verbs that clients may send. Invalid stands for anything else.
 const (
-	Bad Verb = iota
+	Invalid Verb = iota
 	Begin
 	BeginFetch
 	Commit
@@ -30,7 +30,7 @@
 	Kind Verb   // for PARSE: Fetch or Put
 }
 
-// ParseStatement parses a text. The verb is Bad if it is not one that clients may send.
+// ParseStatement parses a text. The verb is Invalid if it is not one that clients may send.
 func ParseStatement(id, text string) Statement {
 	s := Statement{ID: id, Text: text}
 	verb, rest, _ := strings.Cut(text, " ")
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -67,7 +67,7 @@
 	syncEveryRounds = 3 // probe rounds between two synchronizations with a member
 )
 
-// Config configures a Ring.
+// Config configures a Memberlist.
 type Config struct {
 	Self          Member
 	Seeds         []string
@@ -81,8 +81,8 @@
 	sendsLeft   int           // remaining transmissions of its update
 }
 
-// Ring is the local view of the group's members and takes part in the protocol.
-type Ring struct {
+// Memberlist is the local view of the group's members and takes part in the protocol.
+type Memberlist struct {
 	k   *kernel.Kernel
 	cfg Config
 
@@ -98,14 +98,14 @@
 	nextSeq        uint64
 	pendingAcks    map[uint64]chan struct{}
 	handlers       map[string]func(from string, body json.RawMessage)
-	changeBell     kernel.Bell
+	changeBell     kernel.Notifier
 }
 
-// New returns a ring. Its incarnation is the wall-clock time, so that a restarted
+// New returns a member list. Its incarnation is the wall-clock time, so that a restarted
 // process supersedes all updates about its predecessor.
-func New(k *kernel.Kernel, cfg Config) *Ring {
+func New(k *kernel.Kernel, cfg Config) *Memberlist {
 	cfg.Self.Incarnation = time.Now().UnixMicro()
-	r := &Ring{
+	r := &Memberlist{
 		k: k, cfg: cfg, self: cfg.Self,
 		members: map[string]*entry{}, pendingAcks: map[uint64]chan struct{}{},
 		handlers: map[string]func(string, json.RawMessage){},
@@ -115,23 +115,23 @@
 }
 
 // Self returns this process as a member.
-func (r *Ring) Self() Member {
+func (r *Memberlist) Self() Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.self
 }
 
 // Changed returns a channel that is closed at the next change of membership.
-func (r *Ring) Changed() <-chan struct{} { return r.changeBell.Wait() }
+func (r *Memberlist) Changed() <-chan struct{} { return r.changeBell.Wait() }
 
-// Handle registers the handler for a kind of datagram that another package defines.
+// Handle registers the handler for kind k of datagrams that another package defines.
 // All handlers must be registered before Serve is called.
-func (r *Ring) Handle(kind string, f func(from string, body json.RawMessage)) { r.handlers[kind] = f }
+func (r *Memberlist) Handle(k string, f func(from string, body json.RawMessage)) { r.handlers[k] = f }
 
-// Tell sends a datagram to each of the addresses. It may be lost, duplicated or
+// SendDatagram sends a datagram to each of the addresses. It may be lost, duplicated or
 // delayed. It carries no membership updates: a datagram sent to all members at once
 // must be small.
-func (r *Ring) Tell(addrs []string, kind string, body any) {
+func (r *Memberlist) SendDatagram(addrs []string, kind string, body any) {
 	raw, err := json.Marshal(body)
 	if err == nil {
 		r.send(packet{Kind: kind, Body: raw, Updates: []Member{}}, addrs...)
@@ -139,7 +139,7 @@
 }
 
 // send encodes a packet once and sends it to the addresses.
-func (r *Ring) send(p packet, addrs ...string) {
+func (r *Memberlist) send(p packet, addrs ...string) {
 	r.mu.Lock()
 	p.From = r.self.Addr
 	if p.Updates == nil && p.Kind != pingReq {
@@ -165,7 +165,7 @@
 
 // gossip selects the updates with the most transmissions left. The caller holds the
 // lock.
-func (r *Ring) gossip() []Member {
+func (r *Memberlist) gossip() []Member {
 	r.updateQueue = slices.DeleteFunc(r.updateQueue, func(e *entry) bool { return e.sendsLeft == 0 || r.members[e.Addr] != e })
 	if len(r.updateQueue) == 0 {
 		return nil
@@ -181,7 +181,7 @@
 
 // retransmitLimit returns how often a process transmits a change of a member's status.
 // It grows with the logarithm of the group size, so that all members soon know.
-func (r *Ring) retransmitLimit() int {
+func (r *Memberlist) retransmitLimit() int {
 	sends := 3
 	for n := len(r.members) + 1; n > 1; n /= 2 {
 		sends += 2
@@ -196,7 +196,7 @@
 
 // queueUpdate queues the update of an entry for the given number of transmissions and
 // invalidates the cached snapshot. The caller holds the lock.
-func (r *Ring) queueUpdate(e *entry, sends int) {
+func (r *Memberlist) queueUpdate(e *entry, sends int) {
 	e.sendsLeft, r.cachedSnapshot = sends, nil
 	if sends > 0 && !slices.Contains(r.updateQueue, e) {
 		r.updateQueue = append(r.updateQueue, e)
@@ -204,7 +204,7 @@
 }
 
 // Serve runs the membership protocol until ctx is done.
-func (r *Ring) Serve(ctx context.Context) error {
+func (r *Memberlist) Serve(ctx context.Context) error {
 	conn, err := r.k.Net.ListenPacket(r.cfg.Self.Addr)
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
@@ -234,7 +234,7 @@
 }
 
 // handlePacket merges the updates of a received packet and responds to its kind.
-func (r *Ring) handlePacket(ctx context.Context, p packet) {
+func (r *Memberlist) handlePacket(ctx context.Context, p packet) {
 	for _, m := range p.Updates {
 		if newer, ok := r.mergeUpdate(m, p.Kind != page); ok && m.Addr == p.From {
 			// The sender's clock may have stepped back between two incarnations: it is
@@ -282,7 +282,7 @@
 
 // differingMembers lists the members of the partitions whose checksums differ from the
 // given ones, or all members if no checksums are given.
-func (r *Ring) differingMembers(sums []uint32) []Member {
+func (r *Memberlist) differingMembers(sums []uint32) []Member {
 	current := r.snapshot()
 	if len(sums) != partitions {
 		return current.members
@@ -297,11 +297,11 @@
 }
 
 // checksums returns the partition checksums of the members known to this process.
-func (r *Ring) checksums() []uint32 { s := r.snapshot().checksums; return s[:] }
+func (r *Memberlist) checksums() []uint32 { s := r.snapshot().checksums; return s[:] }
 
 // sendPages sends the members in several datagrams, since one does not hold many. The
 // checksums go with the last.
-func (r *Ring) sendPages(to string, p packet, members []Member) {
+func (r *Memberlist) sendPages(to string, p packet, members []Member) {
 	sums := p.Checksums
 	for len(members) > 0 {
 		n := min(len(members), pageSize)
@@ -313,7 +313,7 @@
 }
 
 // updatesWithSelf returns the updates to transmit, with this process first.
-func (r *Ring) updatesWithSelf() []Member {
+func (r *Memberlist) updatesWithSelf() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Member{r.self}, r.gossip()...)
@@ -322,7 +322,7 @@
 // mergeUpdate merges one update. If a newer state of that member is known already, it
 // returns that. A new member is gossiped on only if relay is true, that is unless it
 // was found by synchronization.
-func (r *Ring) mergeUpdate(m Member, relay bool) (newer Member, known bool) {
+func (r *Memberlist) mergeUpdate(m Member, relay bool) (newer Member, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m.Addr == r.self.Addr {
@@ -351,7 +351,7 @@
 			sends = newMemberSends
 		}
 		r.queueUpdate(e, sends)
-		r.changeBell.Ring()
+		r.changeBell.NotifyAll()
 		return Member{}, false
 	}
 	if m.Incarnation < e.Incarnation || m.Incarnation == e.Incarnation && m.Status <= e.Status {
@@ -364,13 +364,13 @@
 	e.Member = m
 	r.queueUpdate(e, r.retransmitLimit())
 	if changed {
-		r.changeBell.Ring()
+		r.changeBell.NotifyAll()
 	}
 	return Member{}, false
 }
 
 // Leave notifies a few other members that this process is shutting down.
-func (r *Ring) Leave(context.Context) {
+func (r *Memberlist) Leave(context.Context) {
 	r.mu.Lock()
 	r.leaving = true
 	gone := r.self
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,7 +11,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// recordingConn records the datagrams that a ring sends.
+// recordingConn records the datagrams that a member list sends.
 type recordingConn struct {
 	net.PacketConn
 	sent [][]byte
@@ -22,7 +22,7 @@
 	return len(b), nil
 }
 
-func newTestRing(t *testing.T, members int) (*Ring, *recordingConn) {
+func newTestRing(t *testing.T, members int) (*Memberlist, *recordingConn) {
 	t.Helper()
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	r := New(k, Config{Self: Member{Addr: "10.0.0.1:7441", Role: "pooler"}, ProbeInterval: kernel.Second})
@@ -47,7 +47,7 @@
 	b.self.Addr, b.cachedSnapshot = "10.0.0.2:7441", nil
 	a.mergeUpdate(b.Self(), false)
 	b.mergeUpdate(a.Self(), false)
-	deliver := func(w *recordingConn, to *Ring) (bytes int) {
+	deliver := func(w *recordingConn, to *Memberlist) (bytes int) {
 		sent := w.sent
 		w.sent = nil
 		for _, raw := range sent {
@@ -90,7 +90,7 @@
 	w.sent = nil
 	r.handlePacket(t.Context(), packet{Kind: ping, From: "nowhere"})
 	r.handlePacket(t.Context(), packet{Kind: "none", From: "10.3.0.1:1"})
-	if r.k.Counters.Of("membership.malformed").Load() != 2 || len(w.sent) != 0 {
+	if r.k.Counters.Counter("membership.malformed").Load() != 2 || len(w.sent) != 0 {
 		t.Errorf("%d datagrams sent, counters %v", len(w.sent), r.k.Counters.Snapshot())
 	}
 }
--- a/internal/membership/plugin.go
+++ b/internal/membership/plugin.go
@@ -16,11 +16,11 @@
 					Addr: kernel.Need[*rpc.Endpoint](k).Addr(), Name: s.NodeName, Role: k.Role, Zone: s.Zone,
 				},
 				Seeds:         s.SeedPeers(),
-				ProbeInterval: settings.Span(s.ProbeMs),
+				ProbeInterval: settings.FromMillis(s.ProbeMs),
 			})
 			kernel.Offer(k, r)
 			k.Supervise("membership", r.Serve)
-			k.OnLeave(r.Leave)
+			k.OnShutdown(r.Leave)
 			return nil
 		},
 	})
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,7 +9,7 @@
 )
 
 // roundTrip sends p and reports whether it is acknowledged within timeout.
-func (r *Ring) roundTrip(ctx context.Context, addr string, p packet, timeout kernel.Micros) bool {
+func (r *Memberlist) roundTrip(ctx context.Context, addr string, p packet, timeout kernel.Micros) bool {
 	ch := make(chan struct{})
 	r.mu.Lock()
 	r.nextSeq++
@@ -39,7 +39,7 @@
 
 // probeLoop probes one member per interval, synchronizes with others periodically, and
 // suspects a member that answers neither the direct nor the indirect probes.
-func (r *Ring) probeLoop(ctx context.Context) {
+func (r *Memberlist) probeLoop(ctx context.Context) {
 	r.joinSeeds(ctx)
 	for round := 0; kernel.Sleep(ctx, r.cfg.ProbeInterval); round++ {
 		r.removeExpired()
@@ -70,7 +70,7 @@
 
 // pickSyncPeer picks a random control node, or a seed if no control node is known:
 // those are the members that every starting process joins.
-func (r *Ring) pickSyncPeer() string {
+func (r *Memberlist) pickSyncPeer() string {
 	known := r.Peers("control")
 	if len(known) == 0 {
 		known = r.cfg.Seeds
@@ -82,7 +82,7 @@
 }
 
 // joinSeeds sends a join to the seeds that are not known to be alive.
-func (r *Ring) joinSeeds(ctx context.Context) {
+func (r *Memberlist) joinSeeds(ctx context.Context) {
 	for _, s := range r.cfg.Seeds {
 		r.mu.Lock()
 		e := r.members[s]
@@ -95,7 +95,7 @@
 
 // nextProbeTarget picks members round-robin in shuffled order, so that each is probed
 // within bounded time. It also returns the number of known members.
-func (r *Ring) nextProbeTarget() (string, int) {
+func (r *Memberlist) nextProbeTarget() (string, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range 2 {
@@ -116,13 +116,13 @@
 
 // probeIndirectly has indirectProbes other members probe target and reports whether it
 // answers any of them.
-func (r *Ring) probeIndirectly(ctx context.Context, target string) bool {
+func (r *Memberlist) probeIndirectly(ctx context.Context, target string) bool {
 	return r.probeThroughOthers(ctx, target, indirectProbes)
 }
 
 // probeThroughOthers has up to maxHelpers other members probe target and reports
 // whether it answers any of them.
-func (r *Ring) probeThroughOthers(ctx context.Context, target string, maxHelpers int) bool {
+func (r *Memberlist) probeThroughOthers(ctx context.Context, target string, maxHelpers int) bool {
 	r.mu.Lock()
 	var helpers []string
 	for addr, e := range r.members {
@@ -151,14 +151,14 @@
 
 // Reachable reports whether a process answers a probe by this one, or by any of several
 // other members that are requested to probe it, before ctx is done.
-func (r *Ring) Reachable(ctx context.Context, addr string) bool {
+func (r *Memberlist) Reachable(ctx context.Context, addr string) bool {
 	helpers := make(chan bool, 1)
 	go func() { helpers <- r.probeThroughOthers(ctx, addr, reachableIndirectProbes) }()
 	return r.roundTrip(ctx, addr, packet{Kind: ping}, r.cfg.ProbeInterval) || <-helpers
 }
 
 // suspect marks a member that is alive as suspected.
-func (r *Ring) suspect(addr string) {
+func (r *Memberlist) suspect(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.members[addr]; e != nil && e.Status == Alive {
@@ -170,7 +170,7 @@
 
 // removeExpired declares dead the members that have been suspected for three probe
 // intervals without a refutation, and forgets dead members after 60 probe intervals.
-func (r *Ring) removeExpired() {
+func (r *Memberlist) removeExpired() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.k.Clock.Now()
@@ -180,7 +180,7 @@
 			e.Status, e.statusSince = Dead, now
 			r.queueUpdate(e, r.retransmitLimit())
 			r.k.Log.Info("member declared dead: suspicion not refuted in time", "name", e.Name, "role", e.Role)
-			r.changeBell.Ring()
+			r.changeBell.NotifyAll()
 		case e.Status == Dead && now-e.statusSince > 60*r.cfg.ProbeInterval:
 			delete(r.members, addr)
 		}
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -29,7 +29,7 @@
 }
 
 // snapshot returns the current snapshot, which must not be modified.
-func (r *Ring) snapshot() *snapshot {
+func (r *Memberlist) snapshot() *snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cachedSnapshot != nil {
@@ -61,12 +61,12 @@
 
 // Members returns all members that are not dead, this process included. The slice must
 // not be modified.
-func (r *Ring) Members() []Member { return r.snapshot().members }
+func (r *Memberlist) Members() []Member { return r.snapshot().members }
 
 // Peers returns the internal addresses of the other members with the role. The slice
 // must not be modified.
-func (r *Ring) Peers(role string) []string { return r.snapshot().peers[role] }
+func (r *Memberlist) Peers(role string) []string { return r.snapshot().peers[role] }
 
-// Near returns the internal addresses of the members with this process's role and zone,
+// ZonePeers returns the internal addresses of the members with this process's role and zone,
 // sorted and including its own. The slice must not be modified.
-func (r *Ring) Near() []string { return r.snapshot().sameZone }
+func (r *Memberlist) ZonePeers() []string { return r.snapshot().sameZone }
--- a/internal/memorybudget/memorybudget.go
+++ b/internal/memorybudget/memorybudget.go
@@ -47,20 +47,20 @@
 	return true
 }
 
-// Holding is the reservation of one client. It is not safe for concurrent use.
-type Holding struct {
+// Reservation is the reservation of one client. It is not safe for concurrent use.
+type Reservation struct {
 	budget    *Budget
 	uncounted int64 // bytes that are not counted
 	reserved  int64
 }
 
-// Hold returns an empty reservation, whose first uncounted bytes are not charged to the
+// NewReservation returns an empty reservation, whose first n bytes are not charged to the
 // budget.
-func (b *Budget) Hold(uncounted int64) *Holding { return &Holding{budget: b, uncounted: uncounted} }
+func (b *Budget) NewReservation(n int64) *Reservation { return &Reservation{budget: b, uncounted: n} }
 
 // Resize sets the size of the reservation in bytes. Growth that the budget does not allow is
 // refused and changes nothing.
-func (h *Holding) Resize(bytes int64) bool {
+func (h *Reservation) Resize(bytes int64) bool {
 	wanted := max(0, bytes-h.uncounted)
 	growth := wanted - h.reserved
 	switch {
@@ -75,14 +75,14 @@
 
 // ReadAll reads to the end and reserves what it has read, multiplied by the number of copies that
 // will be kept in memory. It replaces what was reserved before.
-func (h *Holding) ReadAll(r io.Reader, copies int64) ([]byte, error) {
+func (h *Reservation) ReadAll(r io.Reader, copies int64) ([]byte, error) {
 	return io.ReadAll(&countedReader{r: r, reservation: h, copies: copies})
 }
 
 // countedReader reserves memory for what is read through it.
 type countedReader struct {
 	r           io.Reader
-	reservation *Holding
+	reservation *Reservation
 	copies      int64
 	read        int64
 }
@@ -98,4 +98,4 @@
 }
 
 // Release frees the reservation.
-func (h *Holding) Release() { h.Resize(0) }
+func (h *Reservation) Release() { h.Resize(0) }
--- a/internal/memorybudget/memorybudget_test.go
+++ b/internal/memorybudget/memorybudget_test.go
@@ -9,7 +9,7 @@
 
 func TestReservations(t *testing.T) {
 	b := New(6) // 1 MiB
-	first, second := b.Hold(1000), b.Hold(0)
+	first, second := b.NewReservation(1000), b.NewReservation(0)
 	if !first.Resize(1000) || b.Used() != 0 {
 		t.Errorf("uncounted bytes are counted: %d bytes", b.Used())
 	}
@@ -35,12 +35,12 @@
 
 func TestReadAll(t *testing.T) {
 	b := New(6) // 1 MiB
-	h := b.Hold(0)
+	h := b.NewReservation(0)
 	text := strings.Repeat("x", 400<<10)
 	if raw, err := h.ReadAll(strings.NewReader(text), 2); err != nil || string(raw) != text || b.Used() != 800<<10 {
 		t.Errorf("%d bytes read, %d reserved: %v", len(raw), b.Used(), err)
 	}
-	other := b.Hold(0)
+	other := b.NewReservation(0)
 	if _, err := other.ReadAll(strings.NewReader(text), 2); !errors.Is(err, ErrFull) {
 		t.Errorf("more is read than the budget allows: %v", err)
 	}
@@ -56,7 +56,7 @@
 	var all sync.WaitGroup
 	for range 8 {
 		all.Go(func() {
-			h := b.Hold(0)
+			h := b.NewReservation(0)
 			for i := range 1000 {
 				h.Resize(int64(i) << 8)
 				if used := b.Used(); used < 0 {
--- a/internal/pooler/drain_test.go
+++ b/internal/pooler/drain_test.go
@@ -33,7 +33,7 @@
 		clock := &jumpingClock{started: time.Now()}
 		k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 		k.Clock = clock
-		stalls := kernel.NewStalls(k)
+		stalls := kernel.NewStallDetector(k)
 		go stalls.Serve(ctx)
 		d := &Pooler{k: k, cfg: Config{GracePeriod: func() kernel.Micros { return gracePeriod }}, terminate: make(chan struct{}), stalls: stalls}
 		d.sessions = map[*session]struct{}{{pooler: d, busy: true}: {}}
--- a/internal/pooler/invariants.go
+++ b/internal/pooler/invariants.go
@@ -16,7 +16,7 @@
 		return
 	}
 	late := s.pooler.k.Clock.Now() - t.job.deadline
-	if late > deadlineTolerance && !s.pooler.stalls.Since(t.started) {
+	if late > deadlineTolerance && !s.pooler.stalls.StalledSince(t.started) {
 		s.pooler.k.Invariants.Check(false, invariant.AnsweredInTime, "%s is answered %d ms after its deadline", id, late.Millis())
 	}
 }
@@ -24,7 +24,7 @@
 // checkSentOnce checks that a statement that must not run twice is not sent again after it may have
 // run.
 func (j *job) checkSentOnce(database string) {
-	j.s.pooler.k.Invariants.Check(!j.mayHaveRun, invariant.SentOnce, "%s is sent to %s, and may have run before", j.statement.ID, database)
+	j.s.pooler.k.Invariants.Check(!j.mayHaveRun, invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.statement.ID, database)
 }
 
 // checkNoneUnanswered checks, at the end of draining, that every statement that was read has been
@@ -38,7 +38,7 @@
 			unanswered++
 		}
 	})
-	if unanswered > 0 && !d.stalls.Since(drainStart) {
+	if unanswered > 0 && !d.stalls.StalledSince(drainStart) {
 		d.k.Invariants.Check(false, invariant.NothingUnanswered, "%d sessions wait for an answer", unanswered)
 	}
 }
--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -99,7 +99,7 @@
 func (j *job) remaining() kernel.Micros { return j.deadline - j.now() }
 
 // timeout returns the time limit for the pooler's own statements that must precede this one.
-func (j *job) timeout() dbconn.Patience { return dbconn.For(j.remaining(), j.s.pooler.terminate) }
+func (j *job) timeout() dbconn.WaitLimit { return dbconn.NewLimit(j.remaining(), j.s.pooler.terminate) }
 
 // want returns which connection the statement prefers.
 func (j *job) want() dbconn.Want { return dbconn.Want{Tenant: nameFor(j.tenant), Values: j.s.values} }
@@ -153,7 +153,7 @@
 			}
 			j.s.trace.addAttempt(choice.Database.ID, j.now(), errors.Join(errNotSent, err), nil)
 			switch {
-			case errors.Is(err, connpool.ErrFull):
+			case errors.Is(err, connpool.ErrPoolExhausted):
 				return nil, choice, j.unavailable(causeQueueFull, write)
 			case errors.Is(err, connpool.ErrDeadline):
 				return nil, choice, j.unavailable(causeNoConnection, write)
@@ -188,7 +188,7 @@
 	if j.statement.Verb != lineprotocol.Run {
 		return j.statement.Text, nil
 	}
-	name, err := c.Name(j.prepared, j.timeout())
+	name, err := c.Prepare(j.prepared, j.timeout())
 	if err != nil {
 		return "", err
 	}
@@ -241,7 +241,7 @@
 	if err := conn.Send(msg, j.remaining(), gate); err != nil {
 		return nil, errors.Join(errNotSent, err)
 	}
-	watch := dbconn.Watch{Ending: d.terminate, Quiet: max(d.cfg.SuspicionTimeout, suspicionFactor*d.router.TypicalLatency(j.route.Host)), Doubt: func() bool {
+	watch := dbconn.Watch{ShuttingDown: d.terminate, DelayThreshold: max(d.cfg.SuspicionTimeout, suspicionFactor*d.router.TypicalLatency(j.route.Host)), OnDelay: func() bool {
 		_, gen := b.Bound()
 		d.health.Report(choice.Database.ID, min(gen, conn.Generation), false)
 		return !j.mayResend || !d.resends.withdraw()
@@ -249,7 +249,7 @@
 	if !j.write && j.statement.Verb != lineprotocol.Commit {
 		// A read is retried elsewhere as soon as the database is considered down; the outcome of
 		// a write is known only from its response.
-		watch.Unbound = b.Unbound()
+		watch.MarkedDown = b.Unbound()
 	}
 	a, err := conn.Receive(j.remaining(), watch)
 	if err != nil {
@@ -319,7 +319,7 @@
 	// A read whose response is considered lost is sent once more, to another database if possible,
 	// and the first attempt is left to time out.
 	j.mayResend = !j.write && j.tries == 0
-	err := conn.Values(j.s.values, j.timeout())
+	err := conn.SetValues(j.s.values, j.timeout())
 	var text string
 	if err == nil {
 		text, err = j.statementText(conn)
@@ -333,7 +333,7 @@
 	if err != nil || a.Code != "" {
 		j.s.trace.addAttempt(id, j.now(), err, a)
 	}
-	if errors.Is(err, dbconn.ErrQuiet) {
+	if errors.Is(err, dbconn.ErrNoAnswerYet) {
 		j.abandonAttempt(conn, choice, release)
 		return nil
 	}
@@ -376,7 +376,7 @@
 // be made.
 func (j *job) handleAttemptError(conn *dbconn.Conn, b *health.Binding, err error) *lineprotocol.Answer {
 	d, id := j.s.pooler, conn.DB.ID
-	if silent := errors.Is(err, connpool.ErrSilent); silent || errors.Is(err, connpool.ErrBroken) {
+	if silent := errors.Is(err, connpool.ErrUnresponsive); silent || errors.Is(err, connpool.ErrBroken) {
 		_, gen := b.Bound()
 		d.health.Report(id, min(gen, conn.Generation), silent)
 	}
@@ -426,7 +426,7 @@
 		j.exclude(id)
 		return nil
 	case lineprotocol.NoSuch:
-		conn.Lost(j.prepared)
+		conn.ForgetPrepared(j.prepared)
 	case lineprotocol.Retry:
 		if !choice.Primary {
 			j.exclude(id)
--- a/internal/pooler/memory.go
+++ b/internal/pooler/memory.go
@@ -95,6 +95,6 @@
 	defer d.mu.Unlock()
 	if len(d.sessions) == 0 {
 		used := d.memory.Used()
-		d.k.Invariants.Check(used == 0, invariant.MemoryGivenBack, "%d bytes are taken by nobody", used)
+		d.k.Invariants.Check(used == 0, invariant.MemoryReleased, "%d bytes are taken by nobody", used)
 	}
 }
--- a/internal/pooler/plugin.go
+++ b/internal/pooler/plugin.go
@@ -27,7 +27,7 @@
 				return &settings.Error{Key: "listen.ready_addr", Reason: "a pooler needs it"}
 			}
 			d := New(k, Config{
-				ClientAddr: s.ClientAddr, Zone: s.Zone, SuspicionTimeout: settings.Span(s.QuietMs),
+				ClientAddr: s.ClientAddr, Zone: s.Zone, SuspicionTimeout: settings.FromMillis(s.QuietMs),
 				GracePeriod: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
 			}, Services{
 				Control:  kernel.Need[*distribution.Subscriber](k),
@@ -36,12 +36,12 @@
 				Health:   kernel.Need[*health.Monitor](k),
 				Quota:    kernel.Need[*quota.Client](k),
 				Failures: kernel.Need[*failurelog.Log](k),
-				Stalls:   kernel.Need[*kernel.Stalls](k),
+				Stalls:   kernel.Need[*kernel.StallDetector](k),
 				Memory:   kernel.Need[*memorybudget.Budget](k),
 			})
 			k.Counters.Observable("pooler.sessions_open", d.openSessions)
 			k.Supervise("pooler", d.Serve)
-			k.OnLeave(d.Drain)
+			k.OnShutdown(d.Drain)
 			k.Supervise("ready", func(ctx context.Context) error {
 				return kernel.ServeReady(ctx, k.Net, s.ReadyAddr, d.Ready)
 			})
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -42,7 +42,7 @@
 	quota   *quota.Client
 	// failures logs the statements that were not served.
 	failures *failurelog.Log
-	stalls   *kernel.Stalls
+	stalls   *kernel.StallDetector
 
 	draining  atomic.Bool
 	terminate chan struct{} // closed when pending waits are canceled
@@ -51,7 +51,7 @@
 	sessions     map[*session]struct{}
 	listener     net.Listener
 	closing      bool // sessions close as soon as their response is sent
-	sessionEnded kernel.Bell
+	sessionEnded kernel.Notifier
 
 	memory  *memorybudget.Budget // for messages and stored values of sessions
 	resends resendBudget
@@ -68,7 +68,7 @@
 	Health   *health.Monitor
 	Quota    *quota.Client
 	Failures *failurelog.Log
-	Stalls   *kernel.Stalls
+	Stalls   *kernel.StallDetector
 	Memory   *memorybudget.Budget
 }
 
@@ -79,8 +79,8 @@
 		failures: services.Failures, stalls: services.Stalls, memory: services.Memory,
 		sessions:   map[*session]struct{}{},
 		terminate:  make(chan struct{}),
-		statements: k.Counters.Of("pooler.statements"),
-		retries:    k.Counters.Of("pooler.retries"),
+		statements: k.Counters.Counter("pooler.statements"),
+		retries:    k.Counters.Counter("pooler.retries"),
 	}
 }
 
@@ -121,7 +121,7 @@
 			delete(d.sessions, s)
 			d.mu.Unlock()
 			d.checkMemoryReleased()
-			d.sessionEnded.Ring()
+			d.sessionEnded.NotifyAll()
 		}()
 	}
 }
@@ -170,7 +170,7 @@
 	start := d.k.Clock.Now()
 	d.draining.Store(true)
 	d.k.Log.Info("leaving")
-	gracePeriod := d.stalls.Left(d.cfg.GracePeriod())
+	gracePeriod := d.stalls.Remaining(d.cfg.GracePeriod())
 	half, terminateAt := start+gracePeriod/2, start+max(0, gracePeriod-responseReserve)
 	d.forEachSession((*session).drain)
 	var listenerClosed, sessionsClosed bool
--- a/internal/pooler/session.go
+++ b/internal/pooler/session.go
@@ -41,7 +41,7 @@
 	out        []byte
 	trace      trace
 
-	memory       *memorybudget.Holding
+	memory       *memorybudget.Reservation
 	messageBytes int           // size of the current message, if it arrived in parts
 	storedBytes  int           // size of values and prepared statements
 	readUntil    kernel.Micros // deadline for receiving a long message; 0 if there is none
@@ -57,9 +57,9 @@
 func newSession(d *Pooler, c net.Conn) *session {
 	s := &session{
 		pooler: d, conn: c, reader: lineprotocol.NewReader(c), values: map[string]string{}, prepared: map[string]dbconn.Prepared{}, busy: true,
-		memory: d.memory.Hold(uncountedBytes),
+		memory: d.memory.NewReservation(uncountedBytes),
 	}
-	s.reader.Room = s.reserveMessage
+	s.reader.ReserveMemory = s.reserveMessage
 	return s
 }
 
@@ -185,7 +185,7 @@
 		s.trace.setCause(causeMalformed)
 		s.sendFinalError(lineprotocol.Malformed, "lines end with CR LF")
 		s.drainInput()
-	case errors.Is(err, lineprotocol.ErrNoRoom):
+	case errors.Is(err, lineprotocol.ErrOutOfMemory):
 		s.pooler.k.Counters.Add("pooler.memory_full", 1)
 		s.trace.setCause(causeNoMemory)
 		s.sendFinalError(lineprotocol.Retry, retryAfter(kernel.Second))
@@ -226,8 +226,8 @@
 		line, err := s.reader.Line()
 		var ne net.Error
 		if err != nil && errors.As(err, &ne) && ne.Timeout() {
-			progressed := s.reader.Partial() > received // part of a message has arrived
-			received = s.reader.Partial()
+			progressed := s.reader.PartialBytes() > received // part of a message has arrived
+			received = s.reader.PartialBytes()
 			if s.shouldClose(progressed) {
 				return nil, net.ErrClosed
 			}
@@ -333,7 +333,7 @@
 
 // execute dispatches a statement to the open transaction, a database, or the session itself.
 func (s *session) execute(q lineprotocol.Statement) *lineprotocol.Answer {
-	if q.ID == "" || q.Verb == lineprotocol.Bad {
+	if q.ID == "" || q.Verb == lineprotocol.Invalid {
 		s.pooler.k.Counters.Add("pooler.malformed", 1)
 		s.trace.setCause(causeMalformed)
 		return errorResponse(lineprotocol.Malformed, "unknown text", s.state())
--- a/internal/pooler/trace.go
+++ b/internal/pooler/trace.go
@@ -70,9 +70,9 @@
 		name string
 	}{
 		{distribution.ErrNoLease, "no lease on the primary"}, {distribution.ErrDatabaseUnavailable, "the database has left"},
-		{quota.ErrAdmissionEnded, "the slice of the quota ended"}, {dbconn.ErrQuiet, "no answer yet, sent a second time"},
-		{dbconn.ErrUnbound, "the database is held as down"}, {dbconn.ErrEnding, "the process ends"},
-		{connpool.ErrDeadline, "deadline"}, {connpool.ErrSilent, "silent"}, {connpool.ErrBroken, "connection broken"},
+		{quota.ErrAdmissionEnded, "the slice of the quota ended"}, {dbconn.ErrNoAnswerYet, "no answer yet, sent a second time"},
+		{dbconn.ErrMarkedDown, "the database is held as down"}, {dbconn.ErrShuttingDown, "the process ends"},
+		{connpool.ErrDeadline, "deadline"}, {connpool.ErrUnresponsive, "silent"}, {connpool.ErrBroken, "connection broken"},
 		{connpool.ErrRejected, "rejected"},
 	} {
 		if errors.Is(err, known.err) {
--- a/internal/pooler/transaction.go
+++ b/internal/pooler/transaction.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if rollBack && t.conn.Alive() && t.conn.State() != 'I' {
-		if a, err := t.conn.Ask("ABORT", dbconn.For(rollbackTimeout, t.s.pooler.terminate)); err != nil || a.State != 'I' {
+		if a, err := t.conn.Execute("ABORT", dbconn.NewLimit(rollbackTimeout, t.s.pooler.terminate)); err != nil || a.State != 'I' {
 			t.conn.Close()
 		}
 	}
@@ -180,7 +180,7 @@
 	begin := *j
 	begin.statement = t.begin
 	var a *lineprotocol.Answer
-	err = conn.Values(j.s.values, j.timeout())
+	err = conn.SetValues(j.s.values, j.timeout())
 	if err != nil {
 		err = errors.Join(errNotSent, err)
 	} else {
@@ -212,7 +212,7 @@
 // handleConnectionError closes the connection after an error and, if it was broken or silent,
 // reports the database to the health monitor and excludes it from further attempts.
 func (j *job) handleConnectionError(t *transaction, err error) {
-	if silent := errors.Is(err, connpool.ErrSilent); silent || errors.Is(err, connpool.ErrBroken) {
+	if silent := errors.Is(err, connpool.ErrUnresponsive); silent || errors.Is(err, connpool.ErrBroken) {
 		_, gen := t.binding.Bound()
 		j.s.pooler.health.Report(t.conn.DB.ID, min(gen, t.conn.Generation), silent)
 		j.exclude(t.conn.DB.ID)
@@ -238,7 +238,7 @@
 		j.s.trace.addAttempt(t.conn.DB.ID, j.now(), err, a)
 	}
 	switch {
-	case errors.Is(err, dbconn.ErrQuiet):
+	case errors.Is(err, dbconn.ErrNoAnswerYet):
 		abandoned := *t
 		t.conn = nil
 		j.abandonAttempt(abandoned.conn, abandoned.choice, func() {
@@ -261,7 +261,7 @@
 
 // sendInTransaction sends the statement to the transaction's database and returns the response.
 func (j *job) sendInTransaction(t *transaction) (*lineprotocol.Answer, error) {
-	if err := t.conn.Values(j.s.values, j.timeout()); err != nil {
+	if err := t.conn.SetValues(j.s.values, j.timeout()); err != nil {
 		return nil, errors.Join(errNotSent, err)
 	}
 	text, err := j.statementText(t.conn)
@@ -319,7 +319,7 @@
 	mayRetry := j.tries <= j.route.Tries && j.remaining() > 0
 	switch {
 	case a.Code == lineprotocol.NoSuch:
-		t.conn.Lost(j.prepared)
+		t.conn.ForgetPrepared(j.prepared)
 		if a.State == 'T' && mayRetry {
 			return nil
 		}
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -68,7 +68,7 @@
 	pausedUntil     kernel.Micros // until then nothing is requested
 	rate            float64       // wanted operations per second, averaged, as of lastWanted
 	lastWanted      kernel.Micros // when an operation was last wanted
-	changed         kernel.Bell
+	changed         kernel.Notifier
 }
 
 // NewClient returns a client that holds nothing.
@@ -219,7 +219,7 @@
 	if a.allotment.leaseNumber == a.leaseNumber {
 		a.allotment.admitted--
 		a.allotment.free += free
-		c.k.Invariants.Check(a.allotment.admitted >= 0, invariant.CountsPositive, "%d operations of %s admitted", a.allotment.admitted, a.tenant)
+		c.k.Invariants.Check(a.allotment.admitted >= 0, invariant.CountsNonNegative, "%d operations of %s admitted", a.allotment.admitted, a.tenant)
 	}
 }
 
@@ -389,7 +389,7 @@
 		if g.RetryAfter > 0 {
 			a.pausedUntil = now + g.RetryAfter
 		}
-		a.changed.Ring()
+		a.changed.NotifyAll()
 	}
 }
 
@@ -399,7 +399,7 @@
 	for _, h := range req.Holdings {
 		if a := c.allotments[h.Tenant]; a != nil {
 			a.pausedUntil = now + unreachablePause
-			a.changed.Ring()
+			a.changed.NotifyAll()
 		}
 	}
 }
--- a/internal/quota/plugin.go
+++ b/internal/quota/plugin.go
@@ -16,10 +16,10 @@
 		Name: "quota-holder", Rank: 75, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			h := NewLedgerServer(k, kernel.Need[*controlstate.Replica](k), settings.Span(s.QuotaLeaseMs), Tolerance{
+			h := NewLedgerServer(k, kernel.Need[*controlstate.Replica](k), settings.FromMillis(s.QuotaLeaseMs), Tolerance{
 				Window: kernel.Micros(s.QuotaWindowS) * kernel.Second, Excess: s.QuotaExcess, Slack: s.QuotaSlack,
 			})
-			rpc.On(kernel.Need[*rpc.Endpoint](k), takeOp, h.onTake)
+			rpc.HandleTyped(kernel.Need[*rpc.Endpoint](k), takeOp, h.onTake)
 			kernel.Offer(k, h)
 			k.Supervise("quota", h.Serve)
 			return nil
--- a/internal/readrouting/readrouting.go
+++ b/internal/readrouting/readrouting.go
@@ -101,7 +101,7 @@
 	// By database; entries that are no longer used are dropped at the sweep.
 	lagging   map[string]lagState
 	latencies map[string]relativeLatency
-	sweep     kernel.Sweep
+	sweep     kernel.SweepTimer
 
 	typical latency.Averages
 }
@@ -170,8 +170,8 @@
 	now := a.clock.Now()
 	usual := a.typical.Add(route, span, now)
 	if a.sweep.Due(now) {
-		maps.DeleteFunc(a.lagging, func(_ string, l lagState) bool { return now-l.until > kernel.Kept })
-		maps.DeleteFunc(a.latencies, func(_ string, p relativeLatency) bool { return now-p.at > kernel.Kept })
+		maps.DeleteFunc(a.lagging, func(_ string, l lagState) bool { return now-l.until > kernel.RetentionPeriod })
+		maps.DeleteFunc(a.latencies, func(_ string, p relativeLatency) bool { return now-p.at > kernel.RetentionPeriod })
 	}
 	r := a.latencies[id].current(now)
 	a.latencies[id] = relativeLatency{r + latencyWeight*(float64(span)/max(usual, 1)-r), now}
--- a/internal/routeconfig/invariants_test.go
+++ b/internal/routeconfig/invariants_test.go
@@ -19,8 +19,8 @@
 	}{
 		"recorded":          {`{"base":3,"rev":5,"sum":"x"}`, nil},
 		"no record":         {"", nil},
-		"another change":    {`{"base":3,"rev":4,"sum":"x"}`, []invariant.Invariant{invariant.OrderRecorded}},
-		"an unreadable one": {`{"base":`, []invariant.Invariant{invariant.OrderRecorded}},
+		"another change":    {`{"base":3,"rev":4,"sum":"x"}`, []invariant.Invariant{invariant.ChangeRecorded}},
+		"an unreadable one": {`{"base":`, []invariant.Invariant{invariant.ChangeRecorded}},
 	} {
 		k := kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))
 		r := New(k, nil, 64)
--- a/internal/routeconfig/plugin.go
+++ b/internal/routeconfig/plugin.go
@@ -11,7 +11,7 @@
 		Name: "routeconfig", Rank: 30, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
 			current := kernel.Need[*settings.Live](k).Now()
-			kernel.Offer(k, New(k, kernel.Need[*controlstate.Replica](k), current.OrdersKept))
+			kernel.Offer(k, New(k, kernel.Need[*controlstate.Replica](k), current.ChangesRemembered))
 			return nil
 		},
 	})
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -351,7 +351,7 @@
 	}
 	var newest changeID
 	err := json.Unmarshal(raw, &newest)
-	c.k.Invariants.Check(err == nil && newest.Rev == current.Rev, invariant.OrderRecorded,
+	c.k.Invariants.Check(err == nil && newest.Rev == current.Rev, invariant.ChangeRecorded,
 		"configuration %d is in force, but the newest recorded change made %d (%v)", current.Rev, newest.Rev, err)
 }
 
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -205,10 +205,10 @@
 // connect returns the open connection to the peer, and dials one if needed. Concurrent
 // calls share a single dial.
 func (p *peer) connect(ctx context.Context, e *Endpoint) (*clientConn, error) {
-	if err := p.dialGate.Enter(ctx); err != nil {
+	if err := p.dialGate.Acquire(ctx); err != nil {
 		return nil, err
 	}
-	defer p.dialGate.Leave()
+	defer p.dialGate.Release()
 	p.mu.Lock()
 	cc := p.conn
 	p.mu.Unlock()
@@ -278,7 +278,7 @@
 	cc.mu.Lock()
 	cc.queued++
 	cc.mu.Unlock()
-	if err := cc.sendGate.Enter(ctx); err != nil {
+	if err := cc.sendGate.Acquire(ctx); err != nil {
 		cc.mu.Lock()
 		cc.queued--
 		cc.mu.Unlock()
@@ -287,11 +287,11 @@
 	}
 	id, ch, err := cc.registerCall()
 	if err != nil {
-		cc.sendGate.Leave()
+		cc.sendGate.Release()
 		return 0, nil, err
 	}
 	go func() {
-		defer cc.sendGate.Leave()
+		defer cc.sendGate.Release()
 		raw, err := message{ID: id, Op: op, Body: body}.encode()
 		if err == nil {
 			_, err = cc.conn.Write(append(cc.helloLine, raw...))
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -106,7 +106,7 @@
 			}
 			writeInTwo(remote, input, split)
 			wg.Wait()
-			e.HangUp()
+			e.CloseConnections()
 			time.Sleep(time.Minute)
 
 			lines := completeLines(input)
@@ -166,7 +166,7 @@
 		synctest.Wait()
 		remote.Write([]byte(`{"id":1,"body":"one"}` + "\n" + `{"id":2,"body":"two"}` + "\n"))
 		wg.Wait()
-		e.HangUp()
+		e.CloseConnections()
 		remote.Close()
 		time.Sleep(time.Minute)
 	})
--- a/internal/rpc/plugin.go
+++ b/internal/rpc/plugin.go
@@ -9,7 +9,7 @@
 	kernel.Register(kernel.Plugin{
 		Name: "rpc", Rank: 10, Roles: []string{"pooler", "gateway", "control", "hollow"},
 		Build: func(k *kernel.Kernel) error {
-			port := settings.CarrierPort
+			port := settings.ProxyPort
 			if k.Role == "control" {
 				port = settings.ControlPort
 			}
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -116,8 +116,8 @@
 // before Serve is called.
 func (e *Endpoint) Handle(op string, h Handler) { e.handlers[op] = h }
 
-// On registers a handler whose request body is decoded into a Q.
-func On[Q any](e *Endpoint, op string, h func(context.Context, Q) (any, error)) {
+// HandleTyped registers a handler whose request body is decoded into a Q.
+func HandleTyped[Q any](e *Endpoint, op string, h func(context.Context, Q) (any, error)) {
 	e.Handle(op, func(ctx context.Context, body json.RawMessage) (any, error) {
 		var req Q
 		if err := json.Unmarshal(body, &req); err != nil {
@@ -137,7 +137,7 @@
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
 	defer listener.Close()
-	defer e.HangUp()
+	defer e.CloseConnections()
 	for {
 		c, err := listener.Accept()
 		if err != nil {
@@ -150,8 +150,8 @@
 	}
 }
 
-// HangUp closes the outgoing connections to all peers.
-func (e *Endpoint) HangUp() {
+// CloseConnections closes the outgoing connections to all peers.
+func (e *Endpoint) CloseConnections() {
 	e.mu.Lock()
 	peers := slices.Collect(maps.Values(e.peers))
 	e.mu.Unlock()
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -135,7 +135,7 @@
 					}
 					return []string{hello, good(q["id"])}
 				})
-				defer e.HangUp()
+				defer e.CloseConnections()
 				call := func() (a string, err error) {
 					err = e.Call(b.ctx, other, "op", 1, &a, kernel.Second)
 					return a, err
@@ -143,7 +143,7 @@
 				if a, err := call(); a != "ok" || err != nil {
 					b.Fatalf("%q %v", a, err)
 				}
-				e.HangUp()
+				e.CloseConnections()
 				a, err := call()
 				time.Sleep(10 * time.Millisecond)
 				if (err == nil) != c.delivered || c.delivered && a != "ok" || counters.Snapshot()[c.count] != 1 {
@@ -172,7 +172,7 @@
 		e, counters := b.endpoint(self)
 		go p.Serve(b.ctx)
 		synctest.Wait()
-		defer e.HangUp()
+		defer e.CloseConnections()
 		waitingErr := make(chan error, 1)
 		go func() {
 			var a string
@@ -280,14 +280,14 @@
 		}
 		stop := serve(before)
 		call(later, other) // learns the callee's later incarnation
-		later.HangUp()
+		later.CloseConnections()
 		call(first, other) // older than the caller that connected last
-		first.HangUp()
+		first.CloseConnections()
 		stop()
 		defer serve(restarted)()
 		call(later, other) // the callee is older than the known incarnation
-		later.HangUp()
-		first.HangUp()
+		later.CloseConnections()
+		first.CloseConnections()
 	})
 }
 
@@ -300,7 +300,7 @@
 		go p.Serve(b.ctx)
 		synctest.Wait()
 		e, _ := b.endpoint(self)
-		defer e.HangUp()
+		defer e.CloseConnections()
 		b.n.Cut(host(self), host(other), true)
 		ctx, cancel := context.WithCancel(b.ctx)
 		time.AfterFunc(10*time.Millisecond, cancel)
@@ -313,7 +313,7 @@
 			if err := e.Call(b.ctx, other, "op", 1, nil, kernel.Second); err != nil {
 				b.Error(err)
 			}
-			e.HangUp()
+			e.CloseConnections()
 		}
 	})
 }
--- a/internal/settings/plugin.go
+++ b/internal/settings/plugin.go
@@ -35,7 +35,7 @@
 			kernel.Offer(k, budget)
 			k.Counters.Observable("memorybudget.used", budget.Used)
 			k.Counters.Observable("kernel.goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
-			stalls := kernel.NewStalls(k)
+			stalls := kernel.NewStallDetector(k)
 			kernel.Offer(k, stalls)
 			k.Supervise("stalls", stalls.Serve)
 			if b.path != "" {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,7 +27,7 @@
 func (e *Error) Error() string { return fmt.Sprintf("settings: %s: %s", e.Key, e.Reason) }
 
 // Settings is the configuration of a process. Unknown keys are ignored. Durations that
-// operators set in milliseconds keep that unit here; Span converts them to microseconds.
+// operators set in milliseconds keep that unit here; FromMillis converts them to microseconds.
 type Settings struct {
 	NodeName    string `key:"node_name" validate:"required"`
 	IP          string `key:"ip" validate:"required,ipv4"`
@@ -77,29 +77,29 @@
 
 	TolerateHosts int64 `key:"tolerate.hosts" validate:"gte=0"`
 
-	Platform string `key:"platform.address" validate:"omitempty,hostname_port"`
-
-	ControlLeaseMs int64 `key:"tune.control_lease_ms" default:"1200" validate:"gte=100"`
-	WitnessAwayMs  int64 `key:"tune.witness_away_ms" default:"3000" validate:"gte=100"`
-	ReaderLeaseMs  int64 `key:"tune.reader_lease_ms" default:"2500" validate:"gte=100"`
-	QuotaLeaseMs   int64 `key:"tune.quota_lease_ms" default:"600" validate:"gte=300"`
-	PollMs         int64 `key:"tune.poll_ms" default:"600" validate:"gte=20"`
-	ProbeMs        int64 `key:"tune.probe_ms" default:"1000" validate:"gte=20"`
-	CheckMs        int64 `key:"tune.check_ms" default:"1000" validate:"gte=20"`
-	CheckWaitMs    int64 `key:"tune.check_wait_ms" default:"150" validate:"gte=10"`
-	QuietMs        int64 `key:"tune.quiet_ms" default:"100" validate:"gte=10"`
-	SilenceMs      int64 `key:"tune.silence_ms" default:"700" validate:"gte=50"`
-	// OrdersKept is how many recent configuration changes are remembered, so that a change
+	PlatformAddr string `key:"platform.address" validate:"omitempty,hostname_port"`
+
+	ControlLeaseMs   int64 `key:"tune.control_lease_ms" default:"1200" validate:"gte=100"`
+	WitnessTimeoutMs int64 `key:"tune.witness_away_ms" default:"3000" validate:"gte=100"`
+	ReaderLeaseMs    int64 `key:"tune.reader_lease_ms" default:"2500" validate:"gte=100"`
+	QuotaLeaseMs     int64 `key:"tune.quota_lease_ms" default:"600" validate:"gte=300"`
+	PollMs           int64 `key:"tune.poll_ms" default:"600" validate:"gte=20"`
+	ProbeMs          int64 `key:"tune.probe_ms" default:"1000" validate:"gte=20"`
+	CheckMs          int64 `key:"tune.check_ms" default:"1000" validate:"gte=20"`
+	CheckWaitMs      int64 `key:"tune.check_wait_ms" default:"150" validate:"gte=10"`
+	QuietMs          int64 `key:"tune.quiet_ms" default:"100" validate:"gte=10"`
+	PeerTimeoutMs    int64 `key:"tune.silence_ms" default:"700" validate:"gte=50"`
+	// ChangesRemembered is how many recent configuration changes are remembered, so that a change
 	// that is submitted again is recognised; resubmitting an older one gets no definite response.
-	OrdersKept int64 `key:"tune.orders_kept" default:"512" validate:"gte=64,lte=4096"`
+	ChangesRemembered int64 `key:"tune.orders_kept" default:"512" validate:"gte=64,lte=4096"`
 	// MetricsPort is the port at which a pooler or gateway serves its metrics; a control
 	// node uses the next higher port. 0 disables metrics.
 	MetricsPort int64 `key:"tune.metrics_port" default:"9464" validate:"gte=0,lt=65535"`
 	RecordKB    int64 `key:"tune.record_kb" default:"0" validate:"gte=0,lte=32768"`
 }
 
-// Span converts a setting in milliseconds to microseconds.
-func Span(ms int64) kernel.Micros { return kernel.Micros(ms) * kernel.Millisecond }
+// FromMillis converts a setting in milliseconds to microseconds.
+func FromMillis(ms int64) kernel.Micros { return kernel.Micros(ms) * kernel.Millisecond }
 
 // Port returns this machine's address with the nth port of the port range, counted from 0.
 func (s *Settings) Port(n int) string { return net.JoinHostPort(s.IP, strconv.Itoa(s.port(n))) }
@@ -122,14 +122,14 @@
 	return net.JoinHostPort(s.IP, strconv.FormatInt(port, 10))
 }
 
-// API is the value of Settings.Deploy for deployments whose services have equivalent
+// DeployAPI is the value of Settings.Deploy for deployments whose services have equivalent
 // databases without a leader.
-const API = "api"
+const DeployAPI = "api"
 
 // Offsets into the port range, by use.
 const (
 	ControlPort = 0 // RPCs and datagrams of a control node
-	CarrierPort = 1 // RPCs and datagrams of a pooler or gateway
+	ProxyPort   = 1 // RPCs and datagrams of a pooler or gateway
 )
 
 // SeedPeers returns the internal addresses of the control nodes at the seeds, derived from
@@ -200,8 +200,8 @@
 	return errors.Join(validate(into)...)
 }
 
-// Unknown lists the keys in a file for which the struct has no field.
-func Unknown(raw []byte, into any) (keys []string, err error) {
+// UnknownKeys lists the keys in a file for which the struct has no field.
+func UnknownKeys(raw []byte, into any) (keys []string, err error) {
 	p, err := properties.LoadString(string(raw))
 	if err != nil {
 		return nil, &Error{"file", err.Error()}
@@ -244,7 +244,7 @@
 	loaded  fileStamp // of the file, taken before it was first read
 	mu      sync.Mutex
 	current *Settings
-	changed kernel.Bell
+	changed kernel.Notifier
 }
 
 // The file may be read while it is still being written.
@@ -315,6 +315,6 @@
 	b.mu.Lock()
 	b.current = s
 	b.mu.Unlock()
-	b.changed.Ring()
+	b.changed.NotifyAll()
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := s.SeedPeers(); len(got) != 2 || got[1] != "10.2.0.6:7440" || s.Port(CarrierPort) != "10.1.0.8:7441" || s.ApplyMs != 3000 {
-		t.Errorf("%v %s %d", got, s.Port(CarrierPort), s.ApplyMs)
+	if got := s.SeedPeers(); len(got) != 2 || got[1] != "10.2.0.6:7440" || s.Port(ProxyPort) != "10.1.0.8:7441" || s.ApplyMs != 3000 {
+		t.Errorf("%v %s %d", got, s.Port(ProxyPort), s.ApplyMs)
 	}
 	for _, c := range []struct{ old, new, key string }{
 		{"node_name=edge-1\n", "", "node_name"},
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -71,7 +71,7 @@
 		}
 		for z := 1; z <= poolers; z++ {
 			k := w.Process("pooler", z).Kernel
-			if n := len(kernel.Need[*membership.Ring](k).Members()); n != poolers+controlNodes {
+			if n := len(kernel.Need[*membership.Memberlist](k).Members()); n != poolers+controlNodes {
 				t.Errorf("pooler %d knows %d members", z, n)
 			}
 			if !kernel.Need[*distribution.Subscriber](k).Ready() {
--- a/internal/simulation/leaving_test.go
+++ b/internal/simulation/leaving_test.go
@@ -171,7 +171,7 @@
 		go func() { answers <- ask("GET", "/safe/a") }()
 		go func() { answers <- ask("POST", "/unsafe/b") }()
 		time.Sleep(100 * time.Millisecond)
-		w.Process("gateway", 1).Kernel.Leave(context.Background())
+		w.Process("gateway", 1).Kernel.Shutdown(context.Background())
 		for range 2 {
 			if a := <-answers; a.Status != 502 || a.Took > grace {
 				t.Errorf("answered %d after %v", a.Status, a.Took)
--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -220,8 +220,8 @@
 		for _, role := range []string{"control", "pooler"} {
 			path := filepath.Join(w.Process(role, z).dir, role+".recording")
 			paths = append(paths, path)
-			if _, err := os.Stat(path + kernel.Before); err == nil {
-				paths = append(paths, path+kernel.Before)
+			if _, err := os.Stat(path + kernel.PreviousSuffix); err == nil {
+				paths = append(paths, path+kernel.PreviousSuffix)
 			}
 		}
 	}
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -121,7 +121,7 @@
 		u.Close()
 
 		b := rpc.NewEndpoint(kernel.NewKernel("peer", host, slog.New(slog.DiscardHandler)), "10.250.0.9:7440")
-		defer b.HangUp()
+		defer b.CloseConnections()
 		stranger := controlstate.Member{Name: "stranger", Addr: "10.250.0.9:7440", Disk: "foreign"}
 		for op, ask := range map[string]any{
 			"controlstate.write": map[string]any{"epoch": 0, "seq": 1, "changes": map[string]any{"configuration": nil}},
--- a/internal/simulation/standin_test.go
+++ b/internal/simulation/standin_test.go
@@ -17,7 +17,7 @@
 // put writes at a database itself, under an id, and passes its answer on.
 func put(t *testing.T, w *World, d *Database, service, id string) <-chan *lineprotocol.Answer {
 	t.Helper()
-	dialer := &dbconn.Dialer{Net: w.Net.Host("10.251.0.1"), Who: "who", Connect: kernel.Second}
+	dialer := &dbconn.Dialer{Net: w.Net.Host("10.251.0.1"), ClientName: "who", ConnectTimeout: kernel.Second}
 	c, err := dialer.Open(context.Background(), discovery.Database{ID: d.ID, Address: d.Addr, Service: service}, kernel.Second)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -139,7 +139,7 @@
 
 // Carrier is the role that carries the traffic.
 func (w *World) Carrier() string {
-	if w.Deploy == settings.API {
+	if w.Deploy == settings.DeployAPI {
 		return "gateway"
 	}
 	return "pooler"
@@ -229,7 +229,7 @@
 func (p *Process) Term() {
 	ctx, done := context.WithTimeout(context.Background(), 6*time.Second)
 	defer done()
-	p.Kernel.Leave(ctx)
+	p.Kernel.Shutdown(ctx)
 	p.Kill()
 }
 
--- a/internal/testbed/plan.go
+++ b/internal/testbed/plan.go
@@ -107,7 +107,7 @@
 		return Plan{}, fmt.Errorf("testbed: %w", err)
 	}
 	var p Plan
-	unknown, err := settings.Unknown(raw, &p)
+	unknown, err := settings.UnknownKeys(raw, &p)
 	if err != nil {
 		return Plan{}, fmt.Errorf("testbed: %s: %w", path, err)
 	}
@@ -124,7 +124,7 @@
 func (p *Plan) Set(key, value string) error {
 	var read Plan
 	line := []byte(key + "=" + value + "\n")
-	unknown, err := settings.Unknown(line, &read)
+	unknown, err := settings.UnknownKeys(line, &read)
 	if err != nil {
 		return err
 	}
--- a/internal/tools/accept.go
+++ b/internal/tools/accept.go
@@ -54,7 +54,7 @@
 		return fmt.Errorf("service %s is at turn %d, not %d: look again at what it waits for", w.Service, w.Turn, turn)
 	}
 	b := rpc.NewEndpoint(kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler)), "")
-	defer b.HangUp()
+	defer b.CloseConnections()
 	order := failover.AcceptLoss{Service: w.Service, FailoverID: turn, By: by}
 	if err := b.Call(ctx, w.Control, failover.AcceptOp, order, nil, askWait); err != nil {
 		return fmt.Errorf("the order was not taken: %w", err)
--- a/internal/tools/failures.go
+++ b/internal/tools/failures.go
@@ -33,7 +33,7 @@
 func (s *System) Failures(ctx context.Context, n kernel.Network) *FailureReport {
 	k := kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler))
 	b := rpc.NewEndpoint(k, "")
-	defer b.HangUp()
+	defer b.CloseConnections()
 	out := &FailureReport{Missing: s.Missing}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/internal/tools/replay.go
+++ b/internal/tools/replay.go
@@ -47,7 +47,7 @@
 }
 
 // readRecording reads a recording; cutOff says that its last record is not whole.
-func readRecording(raw []byte) (head kernel.RecordingHead, records []kernel.Record, cutOff bool, err error) {
+func readRecording(raw []byte) (head kernel.RecordingHeader, records []kernel.Record, cutOff bool, err error) {
 	lines := bytes.SplitAfter(raw, []byte("\n"))
 	if json.Unmarshal(lines[0], &head) != nil || head.Recording == 0 {
 		return head, nil, false, fmt.Errorf("not a recording")
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -58,9 +58,9 @@
 		Name: "status", Rank: 90, Roles: []string{"pooler", "gateway", "control"},
 		Build: func(k *kernel.Kernel) error {
 			b := kernel.Need[*rpc.Endpoint](k)
-			rpc.On(b, statusOp, func(context.Context, struct{}) (any, error) { return report(k, b) })
+			rpc.HandleTyped(b, statusOp, func(context.Context, struct{}) (any, error) { return report(k, b) })
 			failures := kernel.Need[*failurelog.Log](k)
-			rpc.On(b, failuresOp, func(context.Context, struct{}) (any, error) { return failures.Recent(), nil })
+			rpc.HandleTyped(b, failuresOp, func(context.Context, struct{}) (any, error) { return failures.Recent(), nil })
 			return nil
 		},
 	})
@@ -70,7 +70,7 @@
 	s := kernel.Need[*settings.Live](k).Now()
 	r := &Report{
 		Node: s.NodeName, Role: k.Role, Addr: b.Addr(), Zone: s.Zone, Tolerates: s.TolerateHosts,
-		Members: kernel.Need[*membership.Ring](k).Members(),
+		Members: kernel.Need[*membership.Memberlist](k).Members(),
 		Down:    kernel.Need[*health.Monitor](k).Down(), Counters: k.Counters.Snapshot(),
 	}
 	if k.Role != "control" {
--- a/internal/tools/status.go
+++ b/internal/tools/status.go
@@ -32,7 +32,7 @@
 func Ask(ctx context.Context, n kernel.Network, addrs []string, all bool) *System {
 	k := kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler))
 	b := rpc.NewEndpoint(k, "")
-	defer b.HangUp()
+	defer b.CloseConnections()
 	sys := &System{Missing: map[string]string{}}
 	asked := map[string]bool{}
 	for len(addrs) > 0 {
