--- a/cmd/indigowalk/accept.go
+++ b/cmd/indigowalk/accept.go
@@ -26,32 +26,34 @@
     indigowalk accept-loss --turn 7 --by "on call" ledger 10.1.0.8:7440
 `
 
-func acceptTool(args []string, out, errs io.Writer) int {
+// runAcceptLoss shows which databases a service's failover waits for or, given the number of that
+// failover (--turn), accepts that the commits which only those databases hold are lost.
+func runAcceptLoss(args []string, out, errOut io.Writer) int {
 	fs := flag.NewFlagSet("accept-loss", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	asJSON := fs.Bool("json", false, "")
-	turn := fs.Int64("turn", 0, "")
-	by := fs.String("by", "", "")
+	failoverNumber := fs.Int64("turn", 0, "")
+	acceptedBy := fs.String("by", "", "")
 	err := fs.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
 		fmt.Fprint(out, acceptUsage)
 		return exitClean
 	}
-	if err != nil || fs.NArg() < 2 || (*turn == 0) != (*by == "") {
-		fmt.Fprint(errs, acceptUsage)
+	if err != nil || fs.NArg() < 2 || (*failoverNumber == 0) != (*acceptedBy == "") {
+		fmt.Fprint(errOut, acceptUsage)
 		return exitUsage
 	}
-	t := toolRun{out: out, errs: errs, json: *asJSON}
+	t := toolRun{out: out, errOut: errOut, json: *asJSON}
 	ctx, network := context.Background(), kernel.HostNetwork{}
-	sys := tools.Ask(ctx, network, fs.Args()[1:], true)
-	waiting, err := sys.WaitingOf(fs.Arg(0))
+	system := tools.Ask(ctx, network, fs.Args()[1:], true)
+	waiting, err := system.WaitingOf(fs.Arg(0))
 	if err != nil {
 		return t.fail(err)
 	}
-	if *turn == 0 {
+	if *failoverNumber == 0 {
 		return t.show(waiting, waiting.Print)
 	}
-	if err := waiting.Accept(ctx, network, *turn, *by); err != nil {
+	if err := waiting.Accept(ctx, network, *failoverNumber, *acceptedBy); err != nil {
 		return t.fail(err)
 	}
 	return t.show(waiting, func(w io.Writer) {
--- a/cmd/indigowalk/main.go
+++ b/cmd/indigowalk/main.go
@@ -1,5 +1,6 @@
-// Command indigowalk is a pool of sessions onto databases: poolers carry sessions,
-// gateways requests, control nodes keep the control state.
+// Command indigowalk is a pool of sessions onto databases. Its daemons are poolers, which proxy
+// client sessions, gateways, which proxy API requests, and control nodes, which keep the
+// replicated control state. Its other commands are tools for operators, tests and benchmarks.
 package main
 
 import (
@@ -32,7 +33,7 @@
 	_ "indigowalk/internal/tools"
 )
 
-// Exit codes.
+// Exit codes of the command.
 const (
 	exitClean = 0
 	exitFault = 1
@@ -60,86 +61,90 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-func run(args []string, out, errs io.Writer) int {
+// run dispatches to the command named by the first argument, and returns the exit code.
+func run(args []string, out, errOut io.Writer) int {
 	if len(args) == 0 {
-		fmt.Fprint(errs, usage)
+		fmt.Fprint(errOut, usage)
 		return exitUsage
 	}
 	switch args[0] {
 	case "pooler", "gateway", "control":
 		if len(args) > 1 {
-			fmt.Fprintf(errs, "indigowalk %s takes no arguments\n", args[0])
+			fmt.Fprintf(errOut, "indigowalk %s takes no arguments\n", args[0])
 			return exitUsage
 		}
-		return serve(args[0], errs)
+		return serve(args[0], errOut)
 	case "check", "plan", "replay", "status":
-		return tool(args[0], args[1:], out, errs)
+		return runTool(args[0], args[1:], out, errOut)
 	case "accept-loss":
-		return acceptTool(args[1:], out, errs)
+		return runAcceptLoss(args[1:], out, errOut)
 	case "testbed":
-		return testbedTool(args[1:], out, errs)
+		return runTestbed(args[1:], out, errOut)
 	case "scalebench":
-		return scalebenchTool(args[1:], out, errs)
+		return runScalebench(args[1:], out, errOut)
 	case "help", "-h", "--help":
 		fmt.Fprint(out, usage)
 		return exitClean
 	}
-	fmt.Fprintf(errs, "indigowalk: unknown command %q; see 'indigowalk help'\n", args[0])
+	fmt.Fprintf(errOut, "indigowalk: unknown command %q; see 'indigowalk help'\n", args[0])
 	return exitUsage
 }
 
-// tuneMemory trades a little memory for less work of the collector.
-func tuneMemory() {
+// setMemoryLimits lets the heap double between two garbage collections, to save the collector's
+// work, and collects more often as the process nears 96 MiB.
+func setMemoryLimits() {
 	debug.SetGCPercent(100)
 	debug.SetMemoryLimit(96 << 20)
 }
 
-// heedSignals keeps signals from ending the process that are not meant to: SIGHUP
-// may come before the settings are watched, and whoever reads the log may go. The
-// channel tells when the process is to end.
-func heedSignals() <-chan os.Signal {
+// handleSignals keeps SIGHUP and SIGPIPE from ending the process: SIGHUP may arrive before the
+// settings file is watched, and the reader of the log may close its pipe. The returned channel
+// receives SIGTERM and SIGINT, which request a shutdown.
+func handleSignals() <-chan os.Signal {
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
-	end := make(chan os.Signal, 1)
-	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
-	return end
+	shutdown := make(chan os.Signal, 1)
+	signal.Notify(shutdown, syscall.SIGTERM, syscall.SIGINT)
+	return shutdown
 }
 
 const (
-	// lastSteps is kept of the grace for the end of the process itself.
-	lastSteps = 300 * kernel.Millisecond
-	// shortestEnd is what a process that is told to end takes for its last answers, even
-	// where its grace should be over.
-	shortestEnd = 600 * kernel.Millisecond
+	// exitReserve is the part of the grace period that is reserved for the exit of the process
+	// after its shutdown.
+	exitReserve = 300 * kernel.Millisecond
+	// minShutdownTimeout is the time that a process always has to send its last responses, even
+	// when its grace period has already run out.
+	minShutdownTimeout = 600 * kernel.Millisecond
 )
 
-func serve(role string, errs io.Writer) int {
-	end := heedSignals()
-	tuneMemory()
-	book, err := settings.Open(os.Getenv(settings.EnvVar))
+// serve runs a daemon of the role until SIGTERM or SIGINT, and returns its exit code.
+func serve(role string, errOut io.Writer) int {
+	shutdownRequested := handleSignals()
+	setMemoryLimits()
+	liveSettings, err := settings.Open(os.Getenv(settings.EnvVar))
 	if err != nil {
-		fmt.Fprintln(errs, "indigowalk:", strings.ReplaceAll(err.Error(), "\n", "; "))
+		fmt.Fprintln(errOut, "indigowalk:", strings.ReplaceAll(err.Error(), "\n", "; "))
 		return exitFault
 	}
-	settings := book.Now()
-	lines := kernel.NewLogWriter(errs)
-	defer lines.Close()
-	log := slog.New(slog.NewJSONHandler(lines, nil)).With("node", settings.NodeName, "role", role)
-	k := kernel.NewKernel(role, kernel.HostNetwork{BindIP: settings.BindIP}, log)
-	kernel.Offer(k, book)
+	current := liveSettings.Now()
+	logWriter := kernel.NewLogWriter(errOut)
+	defer logWriter.Close()
+	log := slog.New(slog.NewJSONHandler(logWriter, nil)).With("node", current.NodeName, "role", role)
+	k := kernel.NewKernel(role, kernel.HostNetwork{BindIP: current.BindIP}, log)
+	kernel.Offer(k, liveSettings)
 	if err := k.Assemble(); err != nil {
-		fmt.Fprintln(errs, "indigowalk:", err)
+		fmt.Fprintln(errOut, "indigowalk:", err)
 		return exitFault
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		<-end
-		grace := kernel.Need[*kernel.StallDetector](k).Remaining(kernel.Micros(book.Now().GraceS) * kernel.Second)
-		grace = max(shortestEnd, grace-lastSteps)
-		left, done := context.WithTimeout(ctx, grace.Duration())
-		k.Shutdown(left)
-		done()
+		<-shutdownRequested
+		grace := kernel.Need[*kernel.StallDetector](k).Remaining(kernel.Micros(liveSettings.Now().GraceS) * kernel.Second)
+		grace = max(minShutdownTimeout, grace-exitReserve)
+		shutdownCtx, release := context.WithTimeout(ctx, grace.Duration())
+		k.Shutdown(shutdownCtx)
+		release()
 		cancel()
 	}()
 	log.Info("start")
--- a/cmd/indigowalk/main_test.go
+++ b/cmd/indigowalk/main_test.go
@@ -10,13 +10,13 @@
 	"indigowalk/internal/controlstate"
 )
 
-func call(args ...string) (code int, out, errs string) {
+func runCommand(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = run(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-func file(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -49,45 +49,45 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	chosenWrong := strings.Replace(recording, `"to":"y"`, `"to":"x"`, 1)
+	wrongChoice := strings.Replace(recording, `"to":"y"`, `"to":"x"`, 1)
 	for _, c := range []struct {
-		name string
-		args []string
-		code int
-		says string
+		name       string
+		args       []string
+		code       int
+		wantOutput string
 	}{
 		{"no command", nil, exitUsage, "indigowalk pooler"},
 		{"unknown command", []string{"lend"}, exitUsage, "unknown command"},
 		{"help", []string{"help"}, exitClean, "Exit codes"},
 		{"a tool's help", []string{"check", "--help"}, exitClean, "check store DIR"},
-		{"good settings", []string{"check", "settings", file(t, "a", settings)}, exitClean, "clean"},
-		{"two faults", []string{"check", "settings", file(t, "a", strings.Replace(settings, "zone=z\nport_range=7440,7455", "port_range=7440", 1))}, exitFault, "zone: fails required\nport_range: fails len=2"},
+		{"good settings", []string{"check", "settings", writeFile(t, "a", settings)}, exitClean, "clean"},
+		{"two faults", []string{"check", "settings", writeFile(t, "a", strings.Replace(settings, "zone=z\nport_range=7440,7455", "port_range=7440", 1))}, exitFault, "zone: fails required\nport_range: fails len=2"},
 		{"the deploy file", []string{"check", "deploy", "../../deploy/system.toml"}, exitClean, "clean"},
-		{"a role that serves nowhere", []string{"check", "deploy", file(t, "a", "build='x'\n[roles.a]\nrun='x'\n")}, exitFault, "roles[a].on: fails required"},
-		{"config", []string{"check", "config", file(t, "a", config)}, exitClean, "clean"},
-		{"config on its own version", []string{"check", "config", file(t, "a", config), "--on", file(t, "b", config)}, exitFault, "rev: 3 is not higher"},
-		{"config as JSON", []string{"check", "--json", "config", file(t, "a", `{"rev":`)}, exitFault, `"place": "body"`},
+		{"a role that serves nowhere", []string{"check", "deploy", writeFile(t, "a", "build='x'\n[roles.a]\nrun='x'\n")}, exitFault, "roles[a].on: fails required"},
+		{"config", []string{"check", "config", writeFile(t, "a", config)}, exitClean, "clean"},
+		{"config on its own version", []string{"check", "config", writeFile(t, "a", config), "--on", writeFile(t, "b", config)}, exitFault, "rev: 3 is not higher"},
+		{"config as JSON", []string{"check", "--json", "config", writeFile(t, "a", `{"rev":`)}, exitFault, `"place": "body"`},
 		{"store", []string{"check", "store", store}, exitClean, "clean"},
 		{"no store", []string{"check", "store", t.TempDir()}, exitFault, "no store"},
 		{"missing file", []string{"check", "config", "nowhere"}, exitFault, "no such file"},
 		{"wrong use", []string{"check", "config"}, exitUsage, "indigowalk check"},
-		{"replay", []string{"replay", file(t, "a", recording)}, exitClean, "4 records; every rule kept"},
-		{"replay shows changes", []string{"replay", file(t, "a", recording)}, exitClean, "2 us: a up, generation 1, after checked"},
-		{"replay cut off", []string{"replay", file(t, "a", recording[:len(recording)-9])}, exitClean, "3 records, the last one cut off"},
-		{"replay of a broken rule", []string{"replay", file(t, "a", chosenWrong)}, exitFault, "broken at record 4: x was chosen, though y had received more"},
-		{"replay of votes", []string{"replay", file(t, "a", votes)}, exitClean, "2 us: epoch 4 of a, accept granted"},
-		{"replay of a vote for an old epoch", []string{"replay", file(t, "a", votes+`{"t":3,"k":"vote","v":{"kind":"promise","epoch":4,"from":"b","granted":true}}`+"\n")}, exitFault, "broken at record 3: epoch 4 was promised after epoch 4"},
-		{"replay of a foreign file", []string{"replay", file(t, "a", "hello\n")}, exitFault, "not a recording"},
-		{"replay of a newer one", []string{"replay", file(t, "a", `{"indigowalk_recording":9}`+"\n")}, exitFault, "reads up to 1"},
-		{"quotas", []string{"check", "quota", file(t, "a", recording)}, exitClean, "no window is over a limit"},
-		{"quotas of a foreign file", []string{"check", "quota", file(t, "a", "hello\n")}, exitFault, "not a recording"},
+		{"replay", []string{"replay", writeFile(t, "a", recording)}, exitClean, "4 records; every rule kept"},
+		{"replay shows changes", []string{"replay", writeFile(t, "a", recording)}, exitClean, "2 us: a up, generation 1, after checked"},
+		{"replay cut off", []string{"replay", writeFile(t, "a", recording[:len(recording)-9])}, exitClean, "3 records, the last one cut off"},
+		{"replay of a broken rule", []string{"replay", writeFile(t, "a", wrongChoice)}, exitFault, "broken at record 4: x was chosen, though y had received more"},
+		{"replay of votes", []string{"replay", writeFile(t, "a", votes)}, exitClean, "2 us: epoch 4 of a, accept granted"},
+		{"replay of a vote for an old epoch", []string{"replay", writeFile(t, "a", votes+`{"t":3,"k":"vote","v":{"kind":"promise","epoch":4,"from":"b","granted":true}}`+"\n")}, exitFault, "broken at record 3: epoch 4 was promised after epoch 4"},
+		{"replay of a foreign file", []string{"replay", writeFile(t, "a", "hello\n")}, exitFault, "not a recording"},
+		{"replay of a newer one", []string{"replay", writeFile(t, "a", `{"indigowalk_recording":9}`+"\n")}, exitFault, "reads up to 1"},
+		{"quotas", []string{"check", "quota", writeFile(t, "a", recording)}, exitClean, "no window is over a limit"},
+		{"quotas of a foreign file", []string{"check", "quota", writeFile(t, "a", "hello\n")}, exitFault, "not a recording"},
 		{"status of nobody", []string{"status", "127.0.0.1:1"}, exitFault, "no answer from 127.0.0.1:1"},
-		{"plan from a foreign file", []string{"plan", "--view", file(t, "a", "{}"), "restart"}, exitFault, "no reports"},
+		{"plan from a foreign file", []string{"plan", "--view", writeFile(t, "a", "{}"), "restart"}, exitFault, "no reports"},
 		{"plan without a source", []string{"plan", "restart"}, exitUsage, "SOURCE"},
 	} {
-		code, out, errs := call(c.args...)
-		if code != c.code || !strings.Contains(out+errs, c.says) {
-			t.Errorf("%s: exit %d, said %s%s", c.name, code, out, errs)
+		code, out, errOut := runCommand(c.args...)
+		if code != c.code || !strings.Contains(out+errOut, c.wantOutput) {
+			t.Errorf("%s: exit %d, said %s%s", c.name, code, out, errOut)
 		}
 	}
 }
--- a/cmd/indigowalk/scalebench.go
+++ b/cmd/indigowalk/scalebench.go
@@ -27,10 +27,12 @@
     indigowalk scalebench --json --databases 450 --routes 1500 410 > size.json
 `
 
-// mostNodes bounds a scale benchmark to what one machine plays.
-const mostNodes = 1000
+// maxNodes is the largest number of hollow nodes that one machine can run.
+const maxNodes = 1000
 
-func scalebenchTool(args []string, out, errs io.Writer) int {
+// runScalebench runs the scalebench command. The flag --hollow, which the help leaves out, makes
+// the process a host of hollow nodes; the benchmark starts such processes itself.
+func runScalebench(args []string, out, errOut io.Writer) int {
 	fs := flag.NewFlagSet("scalebench", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	asJSON := fs.Bool("json", false, "")
@@ -38,85 +40,86 @@
 	databases := fs.Int("databases", 450, "")
 	routes := fs.Int("routes", 1500, "")
 	changes := fs.Int("changes", 10, "")
-	quiet := fs.Int("quiet", 10, "")
+	quietSeconds := fs.Int("quiet", 10, "")
 	sessions := fs.Int("sessions", 0, "")
-	if err := fs.Parse(args); err != nil || fs.NArg() == 0 || *databases < 1 || *routes < 1 || *changes < 1 || *quiet < 1 || *sessions < 0 {
+	if err := fs.Parse(args); err != nil || fs.NArg() == 0 || *databases < 1 || *routes < 1 || *changes < 1 || *quietSeconds < 1 || *sessions < 0 {
 		if err == flag.ErrHelp {
 			fmt.Fprint(out, scalebenchUsage)
 			return exitClean
 		}
-		fmt.Fprint(errs, scalebenchUsage)
+		fmt.Fprint(errOut, scalebenchUsage)
 		return exitUsage
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
-	t := toolRun{out: out, errs: errs, json: *asJSON}
+	t := toolRun{out: out, errOut: errOut, json: *asJSON}
 	if *hollow != "" {
-		return t.hollow(ctx, *hollow, fs.Arg(0))
+		return t.runHollowNodes(ctx, *hollow, fs.Arg(0))
 	}
-	return t.scalebench(ctx, fs.Args(), scalebench.Config{
+	return t.measureSizes(ctx, fs.Args(), scalebench.Config{
 		ControlNodes: 4, Databases: *databases, Routes: *routes,
-		Changes: *changes, Quiet: time.Duration(*quiet) * time.Second, Sessions: *sessions,
+		Changes: *changes, QuietPeriod: time.Duration(*quietSeconds) * time.Second, Sessions: *sessions,
 	})
 }
 
-// hollow runs hollow nodes: which is the first and how many, with a comma between.
-func (t toolRun) hollow(ctx context.Context, which, seeds string) int {
-	first, count, _ := strings.Cut(which, ",")
-	f, err1 := strconv.Atoi(first)
-	c, err2 := strconv.Atoi(count)
+// runHollowNodes runs the hollow nodes that nodeRange names: the number of the first node, a
+// comma, and how many there are.
+func (t toolRun) runHollowNodes(ctx context.Context, nodeRange, seeds string) int {
+	first, count, _ := strings.Cut(nodeRange, ",")
+	firstNode, err1 := strconv.Atoi(first)
+	nodeCount, err2 := strconv.Atoi(count)
 	if err1 != nil || err2 != nil {
 		return exitUsage
 	}
-	if err := scalebench.Hollow(ctx, f, c, seeds, t.out); err != nil {
+	if err := scalebench.RunHollowNodes(ctx, firstNode, nodeCount, seeds, t.out); err != nil {
 		return t.fail(err)
 	}
 	return exitClean
 }
 
-// scalebench measures at each number of nodes, one after the other.
-func (t toolRun) scalebench(ctx context.Context, numbers []string, cfg scalebench.Config) int {
+// measureSizes runs the benchmark at each cluster size, one after the other.
+func (t toolRun) measureSizes(ctx context.Context, sizes []string, cfg scalebench.Config) int {
 	var err error
 	if cfg.Program, err = os.Executable(); err != nil {
 		return t.fail(err)
 	}
-	var sizes []*scalebench.Size
-	for _, number := range numbers {
-		nodes, err := strconv.Atoi(number)
-		if err != nil || nodes < 1 || nodes > mostNodes {
-			fmt.Fprintf(t.errs, "indigowalk scalebench: %q is no number of nodes from 1 to %d\n", number, mostNodes)
+	var results []*scalebench.Result
+	for _, size := range sizes {
+		nodes, err := strconv.Atoi(size)
+		if err != nil || nodes < 1 || nodes > maxNodes {
+			fmt.Fprintf(t.errOut, "indigowalk scalebench: %q is no number of nodes from 1 to %d\n", size, maxNodes)
 			return exitUsage
 		}
 		if cfg.Dir, err = os.MkdirTemp("", "scalebench"); err != nil {
 			return t.fail(err)
 		}
 		cfg.Nodes = nodes
-		size, err := scalebench.Run(ctx, cfg)
+		result, err := scalebench.Run(ctx, cfg)
 		os.RemoveAll(cfg.Dir)
 		if err != nil {
 			return t.fail(err)
 		}
-		sizes = append(sizes, size)
+		results = append(results, result)
 		if !t.json {
-			printSize(t.out, size, cfg.Sessions)
+			printResult(t.out, result, cfg.Sessions)
 		}
 	}
 	if !t.json {
 		return exitClean
 	}
-	if err := tools.WriteJSON(t.out, sizes); err != nil {
+	if err := tools.WriteJSON(t.out, results); err != nil {
 		return t.fail(err)
 	}
 	return exitClean
 }
 
-// printSize writes what was measured at one size.
-func printSize(w io.Writer, size *scalebench.Size, sessions int) {
+// printResult writes the measurements at one cluster size as text.
+func printResult(w io.Writer, result *scalebench.Result, sessions int) {
 	fmt.Fprintf(w, "%d nodes, %d databases, %d routes: all started in %d ms; a node %.0f B/s, %.2f thousandths of a core, %.0f KB;"+
 		" primary %.1f thousandths, %.0f MB, other control nodes %.1f at most; a change in force everywhere in %v ms, %.0f B a node; after the primary's kill in %d ms\n",
-		size.Nodes, size.Databases, size.Routes, size.StartMs, size.NodeBytes, size.NodeCPU, size.NodeKB,
-		size.PrimaryCPU, size.PrimaryMB, size.ControlCPU, size.ChangeMs, size.ChangeBytes, size.TakeoverMs)
+		result.Nodes, result.Databases, result.Routes, result.StartMs, result.NodeBytes, result.NodeCPU, result.NodeKB,
+		result.PrimaryCPU, result.PrimaryMB, result.ControlCPU, result.ChangeMs, result.ChangeBytes, result.TakeoverMs)
 	if sessions > 0 {
-		fmt.Fprintf(w, "a pooler of %.0f MB; %.0f bytes an idle session, of %d\n", size.PoolerMB, size.SessionBytes, sessions)
+		fmt.Fprintf(w, "a pooler of %.0f MB; %.0f bytes an idle session, of %d\n", result.PoolerMB, result.SessionBytes, sessions)
 	}
 }
--- a/cmd/indigowalk/sizes_test.go
+++ b/cmd/indigowalk/sizes_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	longestFile     = 500 // lines
-	longestFunction = 60  // lines; tests may be longer, since many are tables
+	maxFileLines     = 500 // lines
+	maxFunctionLines = 60  // lines; tests may be longer, since many are tables
 )
 
-// Files and functions stay small enough to be read at one go.
+// TestSizes keeps files and functions short enough to be read in one go.
 func TestSizes(t *testing.T) {
 	root := os.DirFS("../..")
 	err := fs.WalkDir(root, ".", func(path string, entry fs.DirEntry, err error) error {
@@ -28,8 +28,8 @@
 		if err != nil {
 			return err
 		}
-		if lines := bytes.Count(source, []byte("\n")); lines > longestFile {
-			t.Errorf("%s has %d lines, over %d", path, lines, longestFile)
+		if lines := bytes.Count(source, []byte("\n")); lines > maxFileLines {
+			t.Errorf("%s has %d lines, over %d", path, lines, maxFileLines)
 		}
 		files := token.NewFileSet()
 		file, err := parser.ParseFile(files, path, source, parser.SkipObjectResolution)
@@ -41,8 +41,8 @@
 			if !ok {
 				continue
 			}
-			if lines := files.Position(function.End()).Line - files.Position(function.Pos()).Line + 1; lines > longestFunction {
-				t.Errorf("%s: %s has %d lines, over %d", path, function.Name.Name, lines, longestFunction)
+			if lines := files.Position(function.End()).Line - files.Position(function.Pos()).Line + 1; lines > maxFunctionLines {
+				t.Errorf("%s: %s has %d lines, over %d", path, function.Name.Name, lines, maxFunctionLines)
 			}
 		}
 		return nil
--- a/cmd/indigowalk/testbed.go
+++ b/cmd/indigowalk/testbed.go
@@ -59,7 +59,9 @@
 it can't be played, 2 wrong use.
 `
 
-func testbedTool(args []string, out, errs io.Writer) int {
+// runTestbed runs the testbed command. Its exit code is exitFault if a rule was broken or a process
+// ended by itself, or if the run failed.
+func runTestbed(args []string, out, errOut io.Writer) int {
 	fs := flag.NewFlagSet("testbed", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	asJSON := fs.Bool("json", false, "")
@@ -71,13 +73,13 @@
 			fmt.Fprint(out, testbedUsage)
 			return exitClean
 		}
-		fmt.Fprint(errs, testbedUsage)
+		fmt.Fprint(errOut, testbedUsage)
 		return exitUsage
 	}
-	t := toolRun{out: out, errs: errs, json: *asJSON}
-	plan, err := planOf(*planPath, fs.Args())
+	t := toolRun{out: out, errOut: errOut, json: *asJSON}
+	plan, err := loadPlan(*planPath, fs.Args())
 	if err != nil {
-		fmt.Fprintln(errs, "indigowalk:", strings.ReplaceAll(err.Error(), "\n", "; "))
+		fmt.Fprintln(errOut, "indigowalk:", strings.ReplaceAll(err.Error(), "\n", "; "))
 		return exitUsage
 	}
 	if *program == "" {
@@ -88,11 +90,11 @@
 	if info, err := os.Stat(*program); err != nil || info.IsDir() {
 		return t.fail(fmt.Errorf("testbed: %s is no program: %v", *program, err))
 	}
-	dir, clean, err := folder(*keep)
+	dir, cleanUp, err := workDir(*keep)
 	if err != nil {
 		return t.fail(err)
 	}
-	defer clean()
+	defer cleanUp()
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
 	report, err := testbed.Run(ctx, testbed.Config{Plan: plan, Program: *program, Dir: dir})
@@ -108,20 +110,21 @@
 	return exitClean
 }
 
-// planOf reads a plan, if one is named, and changes what the words say.
-func planOf(path string, words []string) (testbed.Plan, error) {
+// loadPlan returns the plan in the file at path, or the default plan without a path, changed by
+// assignments of the form KEY=VALUE.
+func loadPlan(path string, assignments []string) (testbed.Plan, error) {
 	plan := testbed.DefaultPlan()
 	if path != "" {
-		read, err := testbed.LoadPlan(path)
+		loaded, err := testbed.LoadPlan(path)
 		if err != nil {
 			return plan, err
 		}
-		plan = read
+		plan = loaded
 	}
-	for _, word := range words {
-		key, value, ok := strings.Cut(word, "=")
+	for _, assignment := range assignments {
+		key, value, ok := strings.Cut(assignment, "=")
 		if !ok {
-			return plan, fmt.Errorf("testbed: %q is not KEY=VALUE", word)
+			return plan, fmt.Errorf("testbed: %q is not KEY=VALUE", assignment)
 		}
 		if err := plan.Set(key, value); err != nil {
 			return plan, err
@@ -130,9 +133,9 @@
 	return plan, nil
 }
 
-// folder returns an empty folder, the named one if there is a name, and what is to
-// be done with it at the end.
-func folder(name string) (dir string, clean func(), err error) {
+// workDir returns an empty folder for a run, and a function to call after the run. A named folder
+// is kept; without a name the folder is a temporary one, which that function removes.
+func workDir(name string) (dir string, cleanUp func(), err error) {
 	if name == "" {
 		dir, err := os.MkdirTemp("", "testbed")
 		return dir, func() { os.RemoveAll(dir) }, err
--- a/cmd/indigowalk/tools.go
+++ b/cmd/indigowalk/tools.go
@@ -58,8 +58,9 @@
     indigowalk status --all --json 10.1.0.8:7440 > view.json
 `
 
-// tool runs one of the tools's commands.
-func tool(name string, args []string, out, errs io.Writer) int {
+// runTool runs one of the commands check, plan, replay and status. Flags may stand before, between
+// and after the other arguments.
+func runTool(name string, args []string, out, errOut io.Writer) int {
 	usage := map[string]string{"check": checkUsage, "plan": planUsage, "replay": replayUsage, "status": statusUsage}[name]
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
@@ -71,54 +72,56 @@
 	from := fs.String("from", "", "")
 	view := fs.String("view", "", "")
 	base := fs.String("on", "", "")
-	var words []string
-	for rest := args; ; {
-		if err := fs.Parse(rest); err != nil {
+	var operands []string
+	for remaining := args; ; {
+		if err := fs.Parse(remaining); err != nil {
 			if err == flag.ErrHelp {
 				fmt.Fprint(out, usage)
 				return exitClean
 			}
-			fmt.Fprintf(errs, "indigowalk %s: %v\n%s", name, err, usage)
+			fmt.Fprintf(errOut, "indigowalk %s: %v\n%s", name, err, usage)
 			return exitUsage
 		}
 		if fs.NArg() == 0 {
 			break
 		}
-		words, rest = append(words, fs.Arg(0)), fs.Args()[1:]
+		operands, remaining = append(operands, fs.Arg(0)), fs.Args()[1:]
 	}
-	t := toolRun{out: out, errs: errs, json: *asJSON}
+	t := toolRun{out: out, errOut: errOut, json: *asJSON}
 	code := exitUsage
 	switch {
-	case name == "check" && len(words) >= 2 && words[0] == "quota":
-		code = t.checkQuota(words[1:])
-	case name == "check" && len(words) == 2:
-		code = t.check(words[0], words[1], *base)
-	case name == "plan" && len(words) > 0 && (*from == "") != (*view == ""):
-		code = t.plan(*from, *view, words)
-	case name == "replay" && len(words) == 1:
-		code = t.replay(words[0])
-	case name == "status" && len(words) > 0 && *failures:
-		code = t.failures(words, *all, *only)
-	case name == "status" && len(words) > 0:
-		code = t.status(words, *all, *details, *only)
+	case name == "check" && len(operands) >= 2 && operands[0] == "quota":
+		code = t.checkQuota(operands[1:])
+	case name == "check" && len(operands) == 2:
+		code = t.check(operands[0], operands[1], *base)
+	case name == "plan" && len(operands) > 0 && (*from == "") != (*view == ""):
+		code = t.plan(*from, *view, operands)
+	case name == "replay" && len(operands) == 1:
+		code = t.replay(operands[0])
+	case name == "status" && len(operands) > 0 && *failures:
+		code = t.failures(operands, *all, *only)
+	case name == "status" && len(operands) > 0:
+		code = t.status(operands, *all, *details, *only)
 	}
 	if code == exitUsage {
-		fmt.Fprint(errs, usage)
+		fmt.Fprint(errOut, usage)
 	}
 	return code
 }
 
+// toolRun is the output of one run of a command: its streams, and whether it writes JSON.
 type toolRun struct {
-	out, errs io.Writer
-	json      bool
+	out, errOut io.Writer
+	json        bool
 }
 
+// fail writes err to the error output, and returns exitFault.
 func (t toolRun) fail(err error) int {
-	fmt.Fprintln(t.errs, "indigowalk:", err)
+	fmt.Fprintln(t.errOut, "indigowalk:", err)
 	return exitFault
 }
 
-// show prints v as JSON, or as text by print.
+// show writes v as JSON where that is asked for, or else as text with print.
 func (t toolRun) show(v any, print func(io.Writer)) int {
 	if !t.json {
 		print(t.out)
@@ -172,40 +175,40 @@
 	return code
 }
 
-func (t toolRun) plan(from, view string, words []string) int {
-	var sys *tools.System
+func (t toolRun) plan(from, view string, operands []string) int {
+	var system *tools.System
 	if view != "" {
 		raw, err := os.ReadFile(view)
 		if err != nil {
 			return t.fail(err)
 		}
-		if sys, err = tools.ReadSystem(raw); err != nil {
+		if system, err = tools.ReadSystem(raw); err != nil {
 			return t.fail(fmt.Errorf("%s: %w", view, err))
 		}
 	} else {
-		sys = tools.Ask(context.Background(), kernel.HostNetwork{}, []string{from}, true)
+		system = tools.Ask(context.Background(), kernel.HostNetwork{}, []string{from}, true)
 	}
-	step, what := words[0], ""
-	var conf *routeconfig.Configuration
+	step, target := operands[0], ""
+	var config *routeconfig.Configuration
 	switch {
-	case step == "restart" && len(words) == 1:
-	case len(words) != 2:
+	case step == "restart" && len(operands) == 1:
+	case len(operands) != 2:
 		return exitUsage
 	case step == "config":
-		raw, err := os.ReadFile(words[1])
+		raw, err := os.ReadFile(operands[1])
 		if err != nil {
 			return t.fail(err)
 		}
 		var faults []routeconfig.Fault
-		if conf, faults = routeconfig.Parse(raw); faults != nil {
-			return t.fail(fmt.Errorf("%s: %w", words[1], faults[0]))
+		if config, faults = routeconfig.Parse(raw); faults != nil {
+			return t.fail(fmt.Errorf("%s: %w", operands[1], faults[0]))
 		}
 	case step == "drain", step == "release", step == "lose", step == "grow":
-		what = words[1]
+		target = operands[1]
 	default:
 		return exitUsage
 	}
-	p, err := sys.Make(step, what, conf)
+	p, err := system.Make(step, target, config)
 	if err != nil {
 		return t.fail(err)
 	}
@@ -254,9 +257,9 @@
 }
 
 func (t toolRun) status(addrs []string, all, details bool, only string) int {
-	sys := tools.Ask(context.Background(), kernel.HostNetwork{}, addrs, all)
-	code := t.show(sys, func(w io.Writer) { sys.Print(w, details, only) })
-	if len(sys.Missing) > 0 {
+	system := tools.Ask(context.Background(), kernel.HostNetwork{}, addrs, all)
+	code := t.show(system, func(w io.Writer) { system.Print(w, details, only) })
+	if len(system.Missing) > 0 {
 		return exitFault
 	}
 	return code
--- a/internal/scalebench/hollow.go
+++ b/internal/scalebench/hollow.go
@@ -1,6 +1,6 @@
-// Package scalebench measures what the control state costs at a number of nodes:
-// real control nodes as processes, and hollow nodes, which take part in membership
-// and hear the news but carry no traffic, many of them in a process.
+// Package scalebench measures the cost of the control state at a given cluster size. It runs
+// real control nodes, one process each, and hollow nodes, many in one process, which take part
+// in membership and receive all updates but serve no traffic.
 package scalebench
 
 import (
@@ -22,9 +22,10 @@
 	"indigowalk/internal/settings"
 )
 
-// Role is that of hollow nodes.
+// Role is the kernel role under which hollow nodes run.
 const Role = "hollow"
 
+// A hollow node has no connection pools to update, and takes every database as healthy.
 func init() {
 	kernel.Register(kernel.Plugin{
 		Name: "hollow", Rank: 50, Roles: []string{Role},
@@ -36,83 +37,86 @@
 	})
 }
 
-// metered counts what goes through a network.
-type metered struct {
+// meteredNetwork is the host's network with counters of the bytes received and sent through it.
+type meteredNetwork struct {
 	kernel.HostNetwork
 	in, out *atomic.Int64
 }
 
+// meteredConn is a connection whose bytes are counted.
 type meteredConn struct {
 	net.Conn
-	m metered
+	network meteredNetwork
 }
 
 func (c meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.in.Add(int64(n))
+	c.network.in.Add(int64(n))
 	return n, err
 }
 
 func (c meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.out.Add(int64(n))
+	c.network.out.Add(int64(n))
 	return n, err
 }
 
 // Dial implements kernel.Network.
-func (m metered) Dial(ctx context.Context, addr string, silence kernel.Micros) (net.Conn, error) {
-	c, err := m.HostNetwork.Dial(ctx, addr, silence)
+func (m meteredNetwork) Dial(ctx context.Context, addr string, peerTimeout kernel.Micros) (net.Conn, error) {
+	c, err := m.HostNetwork.Dial(ctx, addr, peerTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return meteredConn{c, m}, nil
 }
 
-type meteredPackets struct {
+// meteredPacketConn is a packet socket whose bytes are counted.
+type meteredPacketConn struct {
 	net.PacketConn
-	m metered
+	network meteredNetwork
 }
 
-func (p meteredPackets) ReadFrom(b []byte) (int, net.Addr, error) {
+func (p meteredPacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	n, from, err := p.PacketConn.ReadFrom(b)
-	p.m.in.Add(int64(n))
+	p.network.in.Add(int64(n))
 	return n, from, err
 }
 
-func (p meteredPackets) WriteTo(b []byte, to net.Addr) (int, error) {
+func (p meteredPacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	n, err := p.PacketConn.WriteTo(b, to)
-	p.m.out.Add(int64(n))
+	p.network.out.Add(int64(n))
 	return n, err
 }
 
 // ListenPacket implements kernel.Network.
-func (m metered) ListenPacket(addr string) (net.PacketConn, error) {
+func (m meteredNetwork) ListenPacket(addr string) (net.PacketConn, error) {
 	p, err := m.HostNetwork.ListenPacket(addr)
 	if err != nil {
 		return nil, err
 	}
-	return meteredPackets{p, m}, nil
+	return meteredPacketConn{p, m}, nil
 }
 
-// line is what a process of hollow nodes tells: how many know a configuration
-// and databases, the oldest version among them and since when, and the bytes they
-// have sent and received.
-type line struct {
+// hollowStatus is one status report of a hollow node process, written as a line of JSON: how many
+// of its nodes have a configuration and databases, the oldest configuration version among them,
+// when the last of them received it, and the bytes that its nodes have received and sent.
+type hollowStatus struct {
 	Ready int   `json:"ready"`
 	Rev   int64 `json:"rev"`
-	AtUs  int64 `json:"at_us"` // time of day at which the last of them learnt it
+	AtUs  int64 `json:"at_us"` // wall-clock time at which the last of them received it
 	In    int64 `json:"in"`
 	Out   int64 `json:"out"`
 }
 
-// Hollow runs the nodes from first on, and tells how they are, until ctx ends.
-func Hollow(ctx context.Context, first, count int, seeds string, out io.Writer) error {
-	m := metered{in: new(atomic.Int64), out: new(atomic.Int64)}
+// RunHollowNodes runs count hollow nodes, numbered from first on, and writes their status to out
+// every 50 ms until ctx is done.
+func RunHollowNodes(ctx context.Context, first, count int, seeds string, out io.Writer) error {
+	m := meteredNetwork{in: new(atomic.Int64), out: new(atomic.Int64)}
 	var mu sync.Mutex
-	revs, learnt := make([]int64, count), make([]time.Time, count)
+	revs, receivedAt := make([]int64, count), make([]time.Time, count)
 	var running sync.WaitGroup
 	for i := range count {
-		s, err := settings.Parse([]byte(settingsOf(first+i, Role, seeds, "")))
+		s, err := settings.Parse([]byte(settingsText(first+i, Role, seeds, "")))
 		if err != nil {
 			return fmt.Errorf("scalebench: %w", err)
 		}
@@ -129,7 +133,7 @@
 				if _, _, rev, _ := subscriber.Version(); subscriber.Ready() {
 					mu.Lock()
 					if rev > revs[i] {
-						revs[i], learnt[i] = rev, time.Now()
+						revs[i], receivedAt[i] = rev, time.Now()
 					}
 					mu.Unlock()
 				}
@@ -140,22 +144,22 @@
 			}
 		})
 	}
-	e := json.NewEncoder(out)
+	encoder := json.NewEncoder(out)
 	for kernel.Sleep(ctx, 50*kernel.Millisecond) {
-		l := line{In: m.in.Load(), Out: m.out.Load()}
+		status := hollowStatus{In: m.in.Load(), Out: m.out.Load()}
 		mu.Lock()
 		for i, rev := range revs {
 			if rev > 0 {
-				l.Ready++
+				status.Ready++
 			}
-			if at := learnt[i].UnixMicro(); i == 0 || rev < l.Rev {
-				l.Rev, l.AtUs = rev, at
-			} else if rev == l.Rev {
-				l.AtUs = max(l.AtUs, at)
+			if at := receivedAt[i].UnixMicro(); i == 0 || rev < status.Rev {
+				status.Rev, status.AtUs = rev, at
+			} else if rev == status.Rev {
+				status.AtUs = max(status.AtUs, at)
 			}
 		}
 		mu.Unlock()
-		if err := e.Encode(l); err != nil {
+		if err := encoder.Encode(status); err != nil {
 			return fmt.Errorf("scalebench: %w", err)
 		}
 	}
@@ -163,14 +167,14 @@
 	return nil
 }
 
-// address is that of a node on the loopback.
-func address(node int) string {
+// nodeAddress returns the loopback address of a node.
+func nodeAddress(node int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 10+node/40000, node/200%200, node%200+1)
 }
 
-// settingsOf returns the settings file of a node.
-func settingsOf(node int, role, seeds, dir string) string {
-	ip := address(node)
+// settingsText returns the text of a node's settings file.
+func settingsText(node int, role, seeds, dir string) string {
+	ip := nodeAddress(node)
 	return fmt.Sprintf(`node_name=%[2]s-%[1]d
 ip=%[3]s
 zone=zone-%[4]d
--- a/internal/scalebench/scalebench.go
+++ b/internal/scalebench/scalebench.go
@@ -19,104 +19,108 @@
 	"time"
 )
 
-// Config says what is measured.
+// Config holds the parameters of a benchmark run at one cluster size.
 type Config struct {
-	Program      string // this program, to run control nodes and hollow nodes with
-	Dir          string // for settings and stores
+	Program      string // path of the indigowalk binary, which runs control nodes, hollow nodes and the pooler
+	Dir          string // folder for settings files and data folders
 	Nodes        int
 	ControlNodes int
 	Databases    int
 	Routes       int
-	Changes      int           // of the configuration
-	Quiet        time.Duration // for which nothing is asked of it
-	Sessions     int           // idle ones at one pooler
+	Changes      int           // number of configuration changes
+	QuietPeriod  time.Duration // how long the cost without configuration changes is measured
+	Sessions     int           // number of idle sessions opened at one pooler; 0 skips that measurement
 }
 
-// Size is what was measured at one number of nodes. Processor time is in
-// thousandths of a core.
-type Size struct {
+// Result holds the measurements at one cluster size. Processor time is in thousandths of a
+// core. "Quiet" means that heartbeats arrive but the configuration does not change.
+type Result struct {
 	Nodes        int     `json:"nodes"`
 	Databases    int     `json:"databases"`
 	Routes       int     `json:"routes"`
-	StartMs      int64   `json:"start_ms"`    // until all nodes had the state
-	NodeBytes    float64 `json:"node_bytes"`  // a second, sent and received by a node, quiet
-	NodeCPU      float64 `json:"node_cpu"`    // of a node, quiet
-	NodeKB       float64 `json:"node_kb"`     // of memory a node
-	PrimaryCPU   float64 `json:"primary_cpu"` // quiet
-	ControlCPU   float64 `json:"control_cpu"` // of the busiest other
+	StartMs      int64   `json:"start_ms"`    // until all hollow nodes have the state
+	NodeBytes    float64 `json:"node_bytes"`  // per second, sent and received by one hollow node, quiet
+	NodeCPU      float64 `json:"node_cpu"`    // of one hollow node, quiet
+	NodeKB       float64 `json:"node_kb"`     // resident memory per hollow node
+	PrimaryCPU   float64 `json:"primary_cpu"` // of the busiest control node, taken to be the primary; quiet
+	ControlCPU   float64 `json:"control_cpu"` // of the busiest other control node; quiet
 	PrimaryMB    float64 `json:"primary_mb"`
-	ChangeMs     []int64 `json:"change_ms"`               // from sending until in force everywhere
-	ChangeBytes  float64 `json:"change_bytes"`            // to and from a node for one change, beyond the quiet
-	TakeoverMs   int64   `json:"takeover_ms"`             // from the primary's kill until a change is in force everywhere
-	PoolerMB     float64 `json:"pooler_mb,omitempty"`     // of a pooler without sessions
-	SessionBytes float64 `json:"session_bytes,omitempty"` // of its memory, an idle session
+	ChangeMs     []int64 `json:"change_ms"`               // from sending a change until every hollow node has it
+	ChangeBytes  float64 `json:"change_bytes"`            // sent and received per hollow node and change, beyond the quiet rate
+	TakeoverMs   int64   `json:"takeover_ms"`             // from killing the primary until every hollow node has a new change
+	PoolerMB     float64 `json:"pooler_mb,omitempty"`     // resident memory of a pooler without sessions
+	SessionBytes float64 `json:"session_bytes,omitempty"` // pooler memory per idle session
 }
 
-// perProcess is how many hollow nodes share a process.
-const perProcess = 52
+// hollowNodesPerProcess is the maximum number of hollow nodes in one process.
+const hollowNodesPerProcess = 52
 
-// wait bounds each step.
-const wait = 60 * time.Second
+// stepTimeout bounds each wait of the benchmark.
+const stepTimeout = 60 * time.Second
 
-var errTooLong = errors.New("scalebench: a step takes too long")
+var errStepTimeout = errors.New("scalebench: a step takes too long")
 
-// Run measures one size.
-func Run(ctx context.Context, cfg Config) (*Size, error) {
+// Run measures one cluster size and kills every process that it started.
+func Run(ctx context.Context, cfg Config) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &run{cfg: cfg, size: &Size{Nodes: cfg.Nodes, Databases: cfg.Databases, Routes: cfg.Routes}}
-	defer r.end()
+	r := &run{cfg: cfg, result: &Result{Nodes: cfg.Nodes, Databases: cfg.Databases, Routes: cfg.Routes}}
+	defer r.killAll()
 	var seeds []string
 	for i := range min(3, cfg.ControlNodes) {
-		seeds = append(seeds, address(i)+":8782")
+		seeds = append(seeds, nodeAddress(i)+":8782")
 	}
 	for i := range cfg.ControlNodes {
 		if err := r.startControl(ctx, i, strings.Join(seeds, ",")); err != nil {
 			return nil, err
 		}
 	}
-	go r.beats(ctx)
-	if err := r.change(1); err != nil {
+	go r.sendHeartbeats(ctx)
+	if err := r.publishConfig(1); err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	for first := 0; first < cfg.Nodes; first += perProcess {
-		if err := r.startHollow(ctx, cfg.ControlNodes+first, min(perProcess, cfg.Nodes-first), strings.Join(seeds, ",")); err != nil {
+	for first := 0; first < cfg.Nodes; first += hollowNodesPerProcess {
+		if err := r.startHollow(ctx, cfg.ControlNodes+first, min(hollowNodesPerProcess, cfg.Nodes-first), strings.Join(seeds, ",")); err != nil {
 			return nil, err
 		}
 	}
-	at, err := r.everywhere(1)
+	at, err := r.awaitVersion(1)
 	if err != nil {
 		return nil, err
 	}
-	r.size.StartMs = at.Sub(began).Milliseconds()
-	time.Sleep(5 * time.Second) // members are compared
-	quiet := r.quiet()
-	if err := r.changes(quiet); err != nil {
+	r.result.StartMs = at.Sub(began).Milliseconds()
+	time.Sleep(5 * time.Second) // lets membership's state comparison finish before the quiet measurement
+	quietRate := r.measureQuiet()
+	if err := r.measureChanges(quietRate); err != nil {
 		return nil, err
 	}
-	if err := r.sessions(ctx, strings.Join(seeds, ",")); err != nil {
+	if err := r.measureSessions(ctx, strings.Join(seeds, ",")); err != nil {
 		return nil, err
 	}
-	return r.size, r.takeover()
+	return r.result, r.measureTakeover()
 }
 
+// process is a child process of the benchmark.
 type process struct {
 	cmd *exec.Cmd
 
-	mu   sync.Mutex
-	line line // of hollow nodes
+	mu     sync.Mutex
+	status hollowStatus // last report of a hollow node process
 }
 
+// run is the state of one benchmark run.
 type run struct {
-	cfg          Config
-	size         *Size
-	controlNodes []*process
-	hollow       []*process
-	rev          int64
+	cfg             Config
+	result          *Result
+	controlNodes    []*process
+	hollowProcesses []*process
+	rev             int64 // configuration version last put in force
 }
 
-func (r *run) start(ctx context.Context, env string, args ...string) (*process, io.Reader, error) {
+// startProcess starts the program with an addition to its environment, and returns the process
+// and its standard output.
+func (r *run) startProcess(ctx context.Context, env string, args ...string) (*process, io.Reader, error) {
 	p := &process{cmd: exec.CommandContext(ctx, r.cfg.Program, args...)}
 	p.cmd.Env = append(os.Environ(), env)
 	out, err := p.cmd.StdoutPipe()
@@ -129,30 +133,30 @@
 	return p, out, nil
 }
 
-// startReal starts a daemon as it is.
-func (r *run) startReal(ctx context.Context, node int, role, seeds string) (*process, error) {
+// startDaemon writes a node's settings file and starts the unmodified daemon of that role.
+func (r *run) startDaemon(ctx context.Context, node int, role, seeds string) (*process, error) {
 	path := filepath.Join(r.cfg.Dir, fmt.Sprintf("%s-%d.conf", role, node))
-	text := settingsOf(node, role, seeds, filepath.Join(r.cfg.Dir, fmt.Sprintf("%s-%d", role, node)))
+	text := settingsText(node, role, seeds, filepath.Join(r.cfg.Dir, fmt.Sprintf("%s-%d", role, node)))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return nil, fmt.Errorf("scalebench: %w", err)
 	}
-	p, _, err := r.start(ctx, "INDIGOWALK_SETTINGS="+path, role)
+	p, _, err := r.startProcess(ctx, "INDIGOWALK_SETTINGS="+path, role)
 	return p, err
 }
 
 func (r *run) startControl(ctx context.Context, node int, seeds string) error {
-	p, err := r.startReal(ctx, node, "control", seeds)
+	p, err := r.startDaemon(ctx, node, "control", seeds)
 	r.controlNodes = append(r.controlNodes, p)
 	return err
 }
 
-// sessions measures what idle sessions cost a pooler.
-func (r *run) sessions(ctx context.Context, seeds string) error {
+// measureSessions measures the memory that idle sessions take in a pooler.
+func (r *run) measureSessions(ctx context.Context, seeds string) error {
 	if r.cfg.Sessions == 0 {
 		return nil
 	}
 	node := r.cfg.ControlNodes + r.cfg.Nodes
-	pooler, err := r.startReal(ctx, node, "pooler", seeds)
+	pooler, err := r.startDaemon(ctx, node, "pooler", seeds)
 	if err != nil {
 		return err
 	}
@@ -160,60 +164,61 @@
 		pooler.cmd.Process.Kill()
 		pooler.cmd.Wait()
 	}()
-	var open []net.Conn
+	var conns []net.Conn
 	defer func() {
-		for _, c := range open {
+		for _, c := range conns {
 			c.Close()
 		}
 	}()
 	login := func() error {
-		c, err := net.DialTimeout("tcp4", address(node)+":8784", time.Second)
+		c, err := net.DialTimeout("tcp4", nodeAddress(node)+":8784", time.Second)
 		if err != nil {
 			return err
 		}
-		open = append(open, c)
+		conns = append(conns, c)
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		if _, err := io.WriteString(c, "LOGIN host0 someone\r\n"); err != nil {
 			return err
 		}
-		answer, err := bufio.NewReader(c).ReadString('\n')
-		if err != nil || !strings.HasPrefix(answer, "IDLE") {
-			return fmt.Errorf("scalebench: log-in answered %q: %v", answer, err)
+		reply, err := bufio.NewReader(c).ReadString('\n')
+		if err != nil || !strings.HasPrefix(reply, "IDLE") {
+			return fmt.Errorf("scalebench: log-in answered %q: %v", reply, err)
 		}
 		return nil
 	}
-	for end := time.Now().Add(wait); login() != nil; time.Sleep(100 * time.Millisecond) {
-		if time.Now().After(end) {
-			return errTooLong
+	for deadline := time.Now().Add(stepTimeout); login() != nil; time.Sleep(100 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return errStepTimeout
 		}
 	}
 	time.Sleep(3 * time.Second)
-	_, before := pooler.used()
+	_, before := pooler.usage()
 	for range r.cfg.Sessions {
 		if err := login(); err != nil {
 			return err
 		}
 	}
 	time.Sleep(3 * time.Second)
-	_, after := pooler.used()
-	r.size.PoolerMB = float64(before) / (1 << 20)
-	r.size.SessionBytes = float64(after-before) / float64(r.cfg.Sessions)
+	_, after := pooler.usage()
+	r.result.PoolerMB = float64(before) / (1 << 20)
+	r.result.SessionBytes = float64(after-before) / float64(r.cfg.Sessions)
 	return nil
 }
 
+// startHollow starts a process of count hollow nodes, and keeps its last status report.
 func (r *run) startHollow(ctx context.Context, first, count int, seeds string) error {
-	p, out, err := r.start(ctx, "", "scalebench", "--hollow", fmt.Sprintf("%d,%d", first, count), seeds)
+	p, out, err := r.startProcess(ctx, "", "scalebench", "--hollow", fmt.Sprintf("%d,%d", first, count), seeds)
 	if err != nil {
 		return err
 	}
-	r.hollow = append(r.hollow, p)
+	r.hollowProcesses = append(r.hollowProcesses, p)
 	go func() {
-		sc := bufio.NewScanner(out)
-		for sc.Scan() {
-			var l line
-			if json.Unmarshal(sc.Bytes(), &l) == nil {
+		scanner := bufio.NewScanner(out)
+		for scanner.Scan() {
+			var status hollowStatus
+			if json.Unmarshal(scanner.Bytes(), &status) == nil {
 				p.mu.Lock()
-				p.line = l
+				p.status = status
 				p.mu.Unlock()
 			}
 		}
@@ -221,9 +226,9 @@
 	return nil
 }
 
-// end ends every process that this run started.
-func (r *run) end() {
-	for _, p := range append(r.controlNodes, r.hollow...) {
+// killAll kills the control node and hollow node processes and waits for them to exit.
+func (r *run) killAll() {
+	for _, p := range append(r.controlNodes, r.hollowProcesses...) {
 		if p != nil {
 			p.cmd.Process.Kill()
 			p.cmd.Wait()
@@ -231,8 +236,9 @@
 	}
 }
 
-// beats has the databases tell of themselves.
-func (r *run) beats(ctx context.Context) {
+// sendHeartbeats sends a heartbeat of every database each 1200 ms, evenly spread, until ctx is
+// done.
+func (r *run) sendHeartbeats(ctx context.Context) {
 	for seq := 1; ctx.Err() == nil; seq++ {
 		start := time.Now()
 		for i := range r.cfg.Databases {
@@ -242,7 +248,7 @@
 			}
 			body := fmt.Sprintf(`{"svc":"s%d","address":"127.250.%d.%d:9000","zone":"zone-%d","slots":7,"status":"up","target_role":%q,"call_seq":%d}`,
 				i/3, i/200, i%200+1, i%11, role, seq)
-			r.call("/Servers.Heartbeat/i-"+strconv.Itoa(i), nil, []byte(body))
+			r.post("/Servers.Heartbeat/i-"+strconv.Itoa(i), nil, []byte(body))
 			time.Sleep(time.Until(start.Add(time.Duration(i+1) * 1200 * time.Millisecond / time.Duration(r.cfg.Databases))))
 		}
 	}
@@ -250,69 +256,71 @@
 
 var client = &http.Client{Timeout: time.Second}
 
-// call sends to any control node that takes it.
-func (r *run) call(path string, header map[string]string, body []byte) bool {
+// post sends a request to the control nodes in turn until one accepts it, and reports whether
+// one did.
+func (r *run) post(path string, header map[string]string, body []byte) bool {
 	for i := range r.cfg.ControlNodes {
-		q, err := http.NewRequest(http.MethodPost, "http://"+address(i)+":8782"+path, bytes.NewReader(body))
+		request, err := http.NewRequest(http.MethodPost, "http://"+nodeAddress(i)+":8782"+path, bytes.NewReader(body))
 		if err != nil {
 			return false
 		}
 		for k, v := range header {
-			q.Header.Set(k, v)
+			request.Header.Set(k, v)
 		}
-		a, err := client.Do(q)
+		response, err := client.Do(request)
 		if err != nil {
 			continue
 		}
-		io.Copy(io.Discard, a.Body)
-		a.Body.Close()
-		if a.StatusCode == http.StatusOK {
+		io.Copy(io.Discard, response.Body)
+		response.Body.Close()
+		if response.StatusCode == http.StatusOK {
 			return true
 		}
 	}
 	return false
 }
 
-// change puts the next version in force: one route of many differs.
-func (r *run) change(rev int64) error {
+// publishConfig puts configuration version rev in force, retrying for up to stepTimeout. Two
+// successive versions differ in the deadlines of two routes at most.
+func (r *run) publishConfig(rev int64) error {
 	var routes, services []map[string]any
 	for i := range (r.cfg.Databases + 2) / 3 {
 		services = append(services, map[string]any{"name": fmt.Sprint("s", i), "max_conns": 1200, "sync_replicas": 1})
 	}
 	for i := range r.cfg.Routes {
-		deadline := 2000
+		deadlineMs := 2000
 		if i == int(rev)%r.cfg.Routes {
-			deadline += int(rev)
+			deadlineMs += int(rev)
 		}
 		routes = append(routes, map[string]any{
 			"name": fmt.Sprint("r-", i), "host": fmt.Sprint("host", i), "path_prefix": "/", "type": "bounded", "prio": 1,
-			"svc": fmt.Sprint("s", i%len(services)), "deadline_ms": deadline, "target_ms": 250, "tries": 2, "stale_ms": 1500,
+			"svc": fmt.Sprint("s", i%len(services)), "deadline_ms": deadlineMs, "target_ms": 250, "tries": 2, "stale_ms": 1500,
 		})
 	}
 	body, err := json.Marshal(map[string]any{"rev": rev, "routes": routes, "services": services})
 	if err != nil {
 		return fmt.Errorf("scalebench: %w", err)
 	}
-	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if r.call("/Conf.Replace", map[string]string{"X-Indigowalk-Base-Version": strconv.FormatInt(r.rev, 10)}, body) {
+	for deadline := time.Now().Add(stepTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if r.post("/Conf.Replace", map[string]string{"X-Indigowalk-Base-Version": strconv.FormatInt(r.rev, 10)}, body) {
 			r.rev = rev
 			return nil
 		}
 	}
-	return errTooLong
+	return errStepTimeout
 }
 
-// everywhere waits until every node has a version, and returns when the last
-// one learnt it.
-func (r *run) everywhere(rev int64) (time.Time, error) {
-	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// awaitVersion waits until every hollow node has version rev or a later one, and returns when the
+// last node received it.
+func (r *run) awaitVersion(rev int64) (time.Time, error) {
+	for deadline := time.Now().Add(stepTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		var last int64
 		ready := 0
-		for _, p := range r.hollow {
+		for _, p := range r.hollowProcesses {
 			p.mu.Lock()
-			if p.line.Rev >= rev {
-				ready += p.line.Ready
-				last = max(last, p.line.AtUs)
+			if p.status.Rev >= rev {
+				ready += p.status.Ready
+				last = max(last, p.status.AtUs)
 			}
 			p.mu.Unlock()
 		}
@@ -320,114 +328,116 @@
 			return time.UnixMicro(last), nil
 		}
 	}
-	return time.Time{}, errTooLong
+	return time.Time{}, errStepTimeout
 }
 
-// bytes is what all nodes have sent and received.
-func (r *run) bytes() (n int64) {
-	for _, p := range r.hollow {
+// totalBytes returns the bytes that all hollow nodes have sent and received so far.
+func (r *run) totalBytes() (n int64) {
+	for _, p := range r.hollowProcesses {
 		p.mu.Lock()
-		n += p.line.In + p.line.Out
+		n += p.status.In + p.status.Out
 		p.mu.Unlock()
 	}
 	return n
 }
 
-// used is a process's processor time and memory.
-func (p *process) used() (cpu time.Duration, bytes int64) {
+// usage returns the process's total processor time and its resident memory in bytes, or zeros if
+// /proc cannot be read.
+func (p *process) usage() (cpu time.Duration, memory int64) {
 	stat, err1 := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	statm, err2 := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err1 != nil || err2 != nil {
 		return 0, 0
 	}
 	_, after, _ := strings.Cut(string(stat), ") ")
-	f, m := strings.Fields(after), strings.Fields(string(statm))
-	if len(f) < 13 || len(m) < 2 {
+	statFields, statmFields := strings.Fields(after), strings.Fields(string(statm))
+	if len(statFields) < 13 || len(statmFields) < 2 {
 		return 0, 0
 	}
-	user, _ := strconv.ParseInt(f[11], 10, 64)
-	system, _ := strconv.ParseInt(f[12], 10, 64)
-	pages, _ := strconv.ParseInt(m[1], 10, 64)
+	user, _ := strconv.ParseInt(statFields[11], 10, 64)
+	system, _ := strconv.ParseInt(statFields[12], 10, 64)
+	pages, _ := strconv.ParseInt(statmFields[1], 10, 64)
 	return time.Duration(user+system) * 10 * time.Millisecond, pages * int64(os.Getpagesize())
 }
 
-// quiet measures a span in which nothing is asked, and returns the bytes a
-// second of all nodes.
-func (r *run) quiet() float64 {
-	all := append(append([]*process{}, r.controlNodes...), r.hollow...)
-	before := make([]time.Duration, len(all))
+// measureQuiet measures the cost over a period without configuration changes, and returns the
+// bytes per second of all hollow nodes together.
+func (r *run) measureQuiet() float64 {
+	all := append(append([]*process{}, r.controlNodes...), r.hollowProcesses...)
+	cpuBefore := make([]time.Duration, len(all))
 	for i, p := range all {
-		before[i], _ = p.used()
-	}
-	sent, start := r.bytes(), time.Now()
-	time.Sleep(r.cfg.Quiet)
-	span := time.Since(start)
-	perSecond := float64(r.bytes()-sent) / span.Seconds()
-	var nodes time.Duration
-	var memory int64
+		cpuBefore[i], _ = p.usage()
+	}
+	bytesBefore, start := r.totalBytes(), time.Now()
+	time.Sleep(r.cfg.QuietPeriod)
+	elapsed := time.Since(start)
+	perSecond := float64(r.totalBytes()-bytesBefore) / elapsed.Seconds()
+	var totalCPU time.Duration
+	var totalMemory int64
 	for i, p := range all {
-		cpu, bytes := p.used()
-		cores := 1000 * float64(cpu-before[i]) / float64(span)
+		cpu, memory := p.usage()
+		millicores := 1000 * float64(cpu-cpuBefore[i]) / float64(elapsed)
 		if i >= len(r.controlNodes) {
-			nodes += cpu - before[i]
-			memory += bytes
+			totalCPU += cpu - cpuBefore[i]
+			totalMemory += memory
 			continue
 		}
-		if cores > r.size.PrimaryCPU {
-			r.size.ControlCPU = max(r.size.ControlCPU, r.size.PrimaryCPU)
-			r.size.PrimaryCPU, r.size.PrimaryMB = cores, float64(bytes)/(1<<20)
+		if millicores > r.result.PrimaryCPU {
+			r.result.ControlCPU = max(r.result.ControlCPU, r.result.PrimaryCPU)
+			r.result.PrimaryCPU, r.result.PrimaryMB = millicores, float64(memory)/(1<<20)
 		} else {
-			r.size.ControlCPU = max(r.size.ControlCPU, cores)
+			r.result.ControlCPU = max(r.result.ControlCPU, millicores)
 		}
 	}
 	n := float64(r.cfg.Nodes)
-	r.size.NodeBytes = perSecond / n
-	r.size.NodeCPU = 1000 * float64(nodes) / float64(span) / n
-	r.size.NodeKB = float64(memory) / 1024 / n
+	r.result.NodeBytes = perSecond / n
+	r.result.NodeCPU = 1000 * float64(totalCPU) / float64(elapsed) / n
+	r.result.NodeKB = float64(totalMemory) / 1024 / n
 	return perSecond
 }
 
-// changes measures how long changes take to be in force everywhere.
-func (r *run) changes(quiet float64) error {
-	sent, began := r.bytes(), time.Now()
+// measureChanges measures how long changes take to reach every hollow node, and the traffic that
+// they cause beyond quietRate, in bytes per second.
+func (r *run) measureChanges(quietRate float64) error {
+	bytesBefore, began := r.totalBytes(), time.Now()
 	for range r.cfg.Changes {
 		start := time.Now()
-		if err := r.change(r.rev + 1); err != nil {
+		if err := r.publishConfig(r.rev + 1); err != nil {
 			return err
 		}
-		at, err := r.everywhere(r.rev)
+		at, err := r.awaitVersion(r.rev)
 		if err != nil {
 			return err
 		}
-		r.size.ChangeMs = append(r.size.ChangeMs, at.Sub(start).Milliseconds())
+		r.result.ChangeMs = append(r.result.ChangeMs, at.Sub(start).Milliseconds())
 		time.Sleep(300 * time.Millisecond)
 	}
-	beyond := float64(r.bytes()-sent) - quiet*time.Since(began).Seconds()
-	r.size.ChangeBytes = max(0, beyond) / float64(r.cfg.Changes) / float64(r.cfg.Nodes)
+	extra := float64(r.totalBytes()-bytesBefore) - quietRate*time.Since(began).Seconds()
+	r.result.ChangeBytes = max(0, extra) / float64(r.cfg.Changes) / float64(r.cfg.Nodes)
 	return nil
 }
 
-// takeover kills the primary, which is the busiest control node, and measures until a
-// change is in force everywhere again.
-func (r *run) takeover() error {
+// measureTakeover kills the primary, taken to be the control node with the most processor time,
+// and measures how long it takes until a new change has reached every hollow node.
+func (r *run) measureTakeover() error {
 	var primary int
-	var most time.Duration
+	var maxCPU time.Duration
 	for i, p := range r.controlNodes {
-		if cpu, _ := p.used(); cpu > most {
-			primary, most = i, cpu
+		if cpu, _ := p.usage(); cpu > maxCPU {
+			primary, maxCPU = i, cpu
 		}
 	}
 	start := time.Now()
 	if err := r.controlNodes[primary].cmd.Process.Kill(); err != nil {
 		return fmt.Errorf("scalebench: %w", err)
 	}
-	if err := r.change(r.rev + 1); err != nil {
+	if err := r.publishConfig(r.rev + 1); err != nil {
 		return err
 	}
-	at, err := r.everywhere(r.rev)
+	at, err := r.awaitVersion(r.rev)
 	if err != nil {
 		return err
 	}
-	r.size.TakeoverMs = at.Sub(start).Milliseconds()
+	r.result.TakeoverMs = at.Sub(start).Milliseconds()
 	return nil
 }
