--- a/internal/scalebench/scalebench.go
+++ b/internal/scalebench/scalebench.go
@@ -21,7 +21,7 @@
 
 // Config holds the parameters of a benchmark run at one cluster size.
 type Config struct {
-	Program      string // path of the indigowalk binary, which runs control nodes, hollow nodes and the pooler
+	Program      string // path of the indigowalk binary, which every process runs
 	Dir          string // folder for settings files and data folders
 	Nodes        int
 	ControlNodes int
@@ -33,21 +33,22 @@
 }
 
 // Result holds the measurements at one cluster size. Processor time is in thousandths of a
-// core. "Quiet" means that heartbeats arrive but the configuration does not change.
+// core. "Quiet" means that heartbeats arrive but the configuration does not change. Bytes are those
+// sent and received; nodes are hollow nodes unless control nodes are named.
 type Result struct {
 	Nodes        int     `json:"nodes"`
 	Databases    int     `json:"databases"`
 	Routes       int     `json:"routes"`
 	StartMs      int64   `json:"start_ms"`    // until all hollow nodes have the state
-	NodeBytes    float64 `json:"node_bytes"`  // per second, sent and received by one hollow node, quiet
+	NodeBytes    float64 `json:"node_bytes"`  // per second and hollow node, quiet
 	NodeCPU      float64 `json:"node_cpu"`    // of one hollow node, quiet
 	NodeKB       float64 `json:"node_kb"`     // resident memory per hollow node
 	PrimaryCPU   float64 `json:"primary_cpu"` // of the busiest control node, taken to be the primary; quiet
 	ControlCPU   float64 `json:"control_cpu"` // of the busiest other control node; quiet
 	PrimaryMB    float64 `json:"primary_mb"`
-	ChangeMs     []int64 `json:"change_ms"`               // from sending a change until every hollow node has it
-	ChangeBytes  float64 `json:"change_bytes"`            // sent and received per hollow node and change, beyond the quiet rate
-	TakeoverMs   int64   `json:"takeover_ms"`             // from killing the primary until every hollow node has a new change
+	ChangeMs     []int64 `json:"change_ms"`               // from sending a change until all nodes have it
+	ChangeBytes  float64 `json:"change_bytes"`            // per hollow node and change, beyond the quiet rate
+	TakeoverMs   int64   `json:"takeover_ms"`             // from the primary's kill until all nodes have a new change
 	PoolerMB     float64 `json:"pooler_mb,omitempty"`     // resident memory of a pooler without sessions
 	SessionBytes float64 `json:"session_bytes,omitempty"` // pooler memory per idle session
 }
