--- a/internal/tools/accept.go
+++ b/internal/tools/accept.go
@@ -12,35 +12,36 @@
 	"indigowalk/internal/rpc"
 )
 
-// Waiting is a service whose move waits for a database.
+// Waiting describes a service whose failover is blocked until a database responds.
 type Waiting struct {
 	Service string `json:"svc"`
 	Turn    int64  `json:"turn"`
 	Why     string `json:"why"`
-	Control string `json:"control"` // inner address of the control node that tells so
+	Control string `json:"control"` // internal address of the control node that reported it
 }
 
-// errNoPrimary says that none of the processes that were asked leads.
+// errNoPrimary is returned if none of the queried processes is the primary control node.
 var errNoPrimary = errors.New("no control node that was asked leads; ask others, or all with the primary among them")
 
-// WaitingOf tells what the move of a service's lead waits for.
+// WaitingOf reports why the failover of a service is blocked. It returns an error if there is no
+// primary among the reports, or if the service is unknown or not waiting.
 func (s *System) WaitingOf(service string) (*Waiting, error) {
 	p := s.Primary()
 	if p == nil {
 		return nil, errNoPrimary
 	}
-	lead, known := p.Leads[service]
+	leader, known := p.Leads[service]
 	if !known {
 		return nil, fmt.Errorf("no service %q has a lead", service)
 	}
-	why, waits := p.Waits[service]
-	if !waits || !lead.FailoverInProgress {
-		return nil, fmt.Errorf("service %s does not wait: %s leads it", service, lead.ID)
+	reason, waiting := p.Waits[service]
+	if !waiting || !leader.FailoverInProgress {
+		return nil, fmt.Errorf("service %s does not wait: %s leads it", service, leader.ID)
 	}
-	return &Waiting{service, lead.FailoverID, why, p.Addr}, nil
+	return &Waiting{service, leader.FailoverID, reason, p.Addr}, nil
 }
 
-// Print writes what waits, and what may be done.
+// Print writes the reason for the wait, and the command by which an operator can accept the loss.
 func (w *Waiting) Print(out io.Writer) {
 	fmt.Fprintf(out, "service %s waits: %s\n", w.Service, w.Why)
 	fmt.Fprintln(out, "If that database does not come back, and only then, the loss can be accepted:")
@@ -48,15 +49,16 @@
 	fmt.Fprintln(out, "Commits that clients were told of may be gone then. The order is kept with the service's lead.")
 }
 
-// Accept gives the order.
+// Accept sends the order to accept the loss of acknowledged commits to the control node. It is
+// refused locally if turn is not the failover number that was reported.
 func (w *Waiting) Accept(ctx context.Context, n kernel.Network, turn int64, by string) error {
 	if turn != w.Turn {
 		return fmt.Errorf("service %s is at turn %d, not %d: look again at what it waits for", w.Service, w.Turn, turn)
 	}
-	b := rpc.NewEndpoint(kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler)), "")
-	defer b.CloseConnections()
+	endpoint := rpc.NewEndpoint(kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler)), "")
+	defer endpoint.CloseConnections()
 	order := failover.AcceptLoss{Service: w.Service, FailoverID: turn, By: by}
-	if err := b.Call(ctx, w.Control, failover.AcceptOp, order, nil, askWait); err != nil {
+	if err := endpoint.Call(ctx, w.Control, failover.AcceptOp, order, nil, requestTimeout); err != nil {
 		return fmt.Errorf("the order was not taken: %w", err)
 	}
 	return nil
--- a/internal/tools/check.go
+++ b/internal/tools/check.go
@@ -19,7 +19,7 @@
 	"indigowalk/internal/settings"
 )
 
-// Fault is something wrong, with its place.
+// Fault is a problem found by a check, with its location: a key, a field or a file.
 type Fault struct {
 	Place  string `json:"place"`
 	Reason string `json:"reason"`
@@ -27,7 +27,7 @@
 
 func (f Fault) String() string { return f.Place + ": " + f.Reason }
 
-func read(path string) ([]byte, []Fault) {
+func readFile(path string) ([]byte, []Fault) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, []Fault{{path, err.Error()}}
@@ -35,24 +35,24 @@
 	return raw, nil
 }
 
-// CheckSettings checks a settings file.
+// CheckSettings validates a settings file.
 func CheckSettings(path string) []Fault {
-	raw, faults := read(path)
+	raw, faults := readFile(path)
 	if faults != nil {
 		return faults
 	}
 	_, err := settings.Parse(raw)
-	var all interface{ Unwrap() []error }
-	var one *settings.Error
+	var joined interface{ Unwrap() []error }
+	var single *settings.Error
 	switch {
-	case errors.As(err, &all):
-		for _, e := range all.Unwrap() {
-			if errors.As(e, &one) {
-				faults = append(faults, Fault{one.Key, one.Reason})
+	case errors.As(err, &joined):
+		for _, e := range joined.Unwrap() {
+			if errors.As(e, &single) {
+				faults = append(faults, Fault{single.Key, single.Reason})
 			}
 		}
-	case errors.As(err, &one):
-		faults = append(faults, Fault{one.Key, one.Reason})
+	case errors.As(err, &single):
+		faults = append(faults, Fault{single.Key, single.Reason})
 	}
 	return faults
 }
@@ -68,15 +68,16 @@
 	Share float64 `toml:"share" validate:"gte=0,lte=1"`
 	Count int     `toml:"count" validate:"gte=0"`
 	Apart bool    `toml:"apart"`
-	// Metrics is the port and path at which the role tells its counters.
+	// Metrics is the port and path at which the role exposes its counters.
 	Metrics string   `toml:"metrics"`
 	Serves  []string `toml:"serves" validate:"dive,oneof=edge ctl"`
-	For     []string `toml:"for"` // kinds of deployment; all, if empty
+	For     []string `toml:"for"` // kinds of deployment; all if empty
 }
 
-// CheckDeploy checks a deploy file.
+// CheckDeploy validates a deploy file, and that no two roles of one kind of deployment serve the
+// same traffic on the same machine class.
 func CheckDeploy(path string) []Fault {
-	raw, faults := read(path)
+	raw, faults := readFile(path)
 	if faults != nil {
 		return faults
 	}
@@ -88,9 +89,9 @@
 	for _, key := range meta.Undecoded() {
 		faults = append(faults, Fault{key.String(), "is not known"})
 	}
-	var bad validator.ValidationErrors
-	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(d); errors.As(err, &bad) {
-		for _, f := range bad {
+	var invalid validator.ValidationErrors
+	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(d); errors.As(err, &invalid) {
+		for _, f := range invalid {
 			_, place, _ := strings.Cut(f.Namespace(), ".")
 			faults = append(faults, Fault{strings.ToLower(place), "fails " + f.Tag()})
 		}
@@ -104,7 +105,7 @@
 		for _, other := range names[:i] {
 			o := d.Roles[other]
 			for _, s := range r.Serves {
-				if r.On == o.On && r.meets(o) && slices.Contains(o.Serves, s) {
+				if r.On == o.On && r.sharesDeployment(o) && slices.Contains(o.Serves, s) {
 					faults = append(faults, Fault{"roles." + name + ".serves", s + " is served by " + other + " on the same class"})
 				}
 			}
@@ -113,31 +114,31 @@
 	return faults
 }
 
-// meets tells whether two roles run in one kind of deployment.
-func (r deployRole) meets(o deployRole) bool {
+// sharesDeployment reports whether there is a kind of deployment in which both roles run.
+func (r deployRole) sharesDeployment(o deployRole) bool {
 	return len(r.For) == 0 || len(o.For) == 0 || slices.ContainsFunc(r.For, func(kind string) bool { return slices.Contains(o.For, kind) })
 }
 
-// CheckConfig checks a configuration, as a change on top of another if base is
-// not "".
+// CheckConfig validates a configuration. If base is not empty, it also checks that the revision is
+// higher than that of the configuration in base.
 func CheckConfig(path, base string) []Fault {
-	raw, faults := read(path)
+	raw, faults := readFile(path)
 	if faults != nil {
 		return faults
 	}
-	conf, found := routeconfig.Parse(raw)
-	for _, f := range found {
+	conf, problems := routeconfig.Parse(raw)
+	for _, f := range problems {
 		faults = append(faults, Fault{f.Field, f.Reason})
 	}
 	if base == "" {
 		return faults
 	}
-	raw, missing := read(base)
+	raw, missing := readFile(base)
 	if missing != nil {
 		return append(faults, missing...)
 	}
-	old, found := routeconfig.Parse(raw)
-	for _, f := range found {
+	old, problems := routeconfig.Parse(raw)
+	for _, f := range problems {
 		faults = append(faults, Fault{"base: " + f.Field, f.Reason})
 	}
 	if conf != nil && old != nil && conf.Rev <= old.Rev {
@@ -146,12 +147,12 @@
 	return faults
 }
 
-// CheckStore checks the store of a stopped control node. It works on a copy.
+// CheckStore verifies the store of a stopped control node. It works on a temporary copy.
 func CheckStore(dir string) []Fault {
 	if _, err := os.Stat(filepath.Join(dir, controlstate.StoreFile)); err != nil {
 		return []Fault{{dir, "no store of a control node: " + err.Error()}}
 	}
-	raw, faults := read(filepath.Join(dir, controlstate.StoreFile))
+	raw, faults := readFile(filepath.Join(dir, controlstate.StoreFile))
 	if faults != nil {
 		return faults
 	}
--- a/internal/tools/failures.go
+++ b/internal/tools/failures.go
@@ -15,51 +15,51 @@
 	"indigowalk/internal/rpc"
 )
 
-// FailureReport is what processes keep of requests that were not served.
+// FailureReport holds the recently failed requests that processes have logged.
 type FailureReport struct {
 	Failures []NodeFailure     `json:"failures"`
-	Missing  map[string]string `json:"missing,omitempty"` // processes that gave no answer, with the reason
+	Missing  map[string]string `json:"missing,omitempty"` // by address, why a process did not respond
 }
 
-// NodeFailure is a failure with the process where it happened.
+// NodeFailure is a failed request together with the process that logged it.
 type NodeFailure struct {
 	Node string `json:"node"`
 	Role string `json:"role"`
 	failurelog.Failure
 }
 
-// Failures asks all processes of a system for the requests that they did not serve, the
-// oldest first.
+// Failures collects the recently failed requests from all reporting processes, oldest first.
 func (s *System) Failures(ctx context.Context, n kernel.Network) *FailureReport {
 	k := kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler))
-	b := rpc.NewEndpoint(k, "")
-	defer b.CloseConnections()
-	out := &FailureReport{Missing: s.Missing}
+	endpoint := rpc.NewEndpoint(k, "")
+	defer endpoint.CloseConnections()
+	report := &FailureReport{Missing: s.Missing}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, r := range s.Reports {
 		wg.Go(func() {
 			var recent []failurelog.Failure
-			err := b.Call(ctx, r.Addr, failuresOp, struct{}{}, &recent, askWait)
+			err := endpoint.Call(ctx, r.Addr, failuresOp, struct{}{}, &recent, requestTimeout)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				out.Missing[r.Addr] = err.Error()
+				report.Missing[r.Addr] = err.Error()
 			}
 			for _, f := range recent {
-				out.Failures = append(out.Failures, NodeFailure{r.Node, r.Role, f})
+				report.Failures = append(report.Failures, NodeFailure{r.Node, r.Role, f})
 			}
 		})
 	}
 	wg.Wait()
-	slices.SortFunc(out.Failures, func(a, b NodeFailure) int { return a.At.Compare(b.At) })
-	return out
+	slices.SortFunc(report.Failures, func(a, b NodeFailure) int { return a.At.Compare(b.At) })
+	return report
 }
 
-// Only leaves out the failures of which no text contains what is looked for.
+// Only keeps the failures of which the node, role, request ID, route, service, tenant or cause
+// contains text.
 func (r *FailureReport) Only(text string) {
 	r.Failures = slices.DeleteFunc(r.Failures, func(f NodeFailure) bool {
-		return !named(text, f.Node, f.Role, f.ID, f.Route, f.Service, f.Tenant, f.Cause)
+		return !anyContains(text, f.Node, f.Role, f.ID, f.Route, f.Service, f.Tenant, f.Cause)
 	})
 }
 
@@ -83,7 +83,7 @@
 	if len(r.Failures) == 0 {
 		fmt.Fprintln(w, "no request failed of late")
 	}
-	for addr, why := range r.Missing {
-		fmt.Fprintf(w, "no answer from %s: %s\n", addr, why)
+	for addr, reason := range r.Missing {
+		fmt.Fprintf(w, "no answer from %s: %s\n", addr, reason)
 	}
 }
--- a/internal/tools/plan.go
+++ b/internal/tools/plan.go
@@ -16,17 +16,17 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// Plan is what a step would do; it changes nothing.
+// Plan describes the expected effects of an operational step. Making one changes nothing.
 type Plan struct {
 	Step     string         `json:"step"`
 	Effects  []string       `json:"effects"`
 	Warnings []string       `json:"warnings,omitempty"`
-	Conns    map[string]int `json:"connections"` // per pooler and database, by service
-	Headroom map[string]int `json:"headroom"`    // slots of a service's other databases
-	Restart  []string       `json:"restart"`     // in which order to restart the processes
+	Conns    map[string]int `json:"connections"` // per proxy and database, by service
+	Headroom map[string]int `json:"headroom"`    // by service, connection slots of the databases that remain in use
+	Restart  []string       `json:"restart"`     // order in which to restart the processes
 }
 
-// ReadSystem reads what status --all --json wrote.
+// ReadSystem parses the output of status --all --json.
 func ReadSystem(raw []byte) (*System, error) {
 	s := &System{}
 	if err := json.Unmarshal(raw, s); err != nil {
@@ -38,36 +38,35 @@
 	return s, nil
 }
 
-// Make plans a step: "config" with a parsed configuration, "drain" or
-// "release" of a database, "lose" of a node, "restart" of all, or "grow" to a
-// number of poolers.
+// Make returns the plan of a step: "config" with a parsed configuration, "drain" or "release" with
+// a database, "lose" with a node, "restart" of all processes, or "grow" to a number of poolers.
 func (s *System) Make(step, what string, conf *routeconfig.Configuration) (*Plan, error) {
 	p := s.Primary()
 	if p == nil {
 		return nil, fmt.Errorf("the view holds no control node with a lease: ask all members")
 	}
 	plan := &Plan{Step: strings.TrimSpace(step + " " + what), Conns: map[string]int{}, Headroom: map[string]int{}}
-	poolers := len(s.nodes("pooler")) + len(s.nodes("gateway"))
+	poolers := len(s.withRole("pooler")) + len(s.withRole("gateway"))
 	var lost string
 	switch step {
 	case "config":
-		plan.configure(p, conf)
+		plan.addConfigEffects(p, conf)
 	case "drain", "release":
 		d, ok := p.Databases[what]
 		if !ok {
 			return nil, fmt.Errorf("no database %q", what)
 		}
 		lost = what
-		plan.release(p, d)
+		plan.addDrainEffects(p, d)
 	case "lose":
 		found := false
 		for _, r := range s.Reports {
 			if r.Node == what {
 				found = true
-				if carries(r.Role) {
+				if isProxy(r.Role) {
 					poolers--
 				}
-				plan.lose(s, p, r)
+				plan.addNodeLossEffects(s, p, r)
 			}
 		}
 		if !found {
@@ -79,7 +78,7 @@
 		if err != nil || n < 1 {
 			return nil, fmt.Errorf("%q is not a number of poolers", what)
 		}
-		if err := plan.grow(p, poolers, n); err != nil {
+		if err := plan.addGrowthEffects(p, poolers, n); err != nil {
 			return nil, err
 		}
 		poolers = n
@@ -89,10 +88,10 @@
 	if conf == nil {
 		conf = p.Config
 	}
-	plan.count(p, conf, poolers, lost)
+	plan.countConnections(p, conf, poolers, lost)
 	plan.Restart = s.restartOrder(p)
-	if why := s.outdated(p); why != "" {
-		plan.warn("%s", why)
+	if reason := s.staleReason(p); reason != "" {
+		plan.warn("%s", reason)
 	}
 	if len(s.Missing) > 0 {
 		plan.Warnings = append(plan.Warnings, fmt.Sprintf("%d members gave no report; the plan leaves them out", len(s.Missing)))
@@ -100,7 +99,7 @@
 	return plan, nil
 }
 
-func (s *System) nodes(role string) (out []*Report) {
+func (s *System) withRole(role string) (out []*Report) {
 	for _, r := range s.Reports {
 		if r.Role == role {
 			out = append(out, r)
@@ -117,7 +116,7 @@
 	p.Warnings = append(p.Warnings, fmt.Sprintf(format, args...))
 }
 
-func (p *Plan) configure(r *Report, conf *routeconfig.Configuration) {
+func (p *Plan) addConfigEffects(r *Report, conf *routeconfig.Configuration) {
 	old := map[string]routeconfig.Route{}
 	if r.Config != nil {
 		if conf.Rev <= r.Config.Rev {
@@ -142,8 +141,8 @@
 	slices.Sort(p.Effects)
 }
 
-func (p *Plan) release(r *Report, d discovery.Database) {
-	if _, led := r.Leads[d.Service]; !led {
+func (p *Plan) addDrainEffects(r *Report, d discovery.Database) {
+	if _, hasLeader := r.Leads[d.Service]; !hasLeader {
 		p.effect("%s gets no more requests of %s: they go to the others", d.ID, d.Service)
 		return
 	}
@@ -151,66 +150,66 @@
 		p.effect("%s is a replica of %s: its reads go to the others", d.ID, d.Service)
 		return
 	}
-	var next, silent []string
+	var candidates, unreachable []string
 	for id, o := range r.Databases {
 		if o.Service != d.Service || id == d.ID || o.Gone {
 			continue
 		}
 		if _, down := r.Down[id]; down {
-			silent = append(silent, id)
+			unreachable = append(unreachable, id)
 		} else if !o.Draining {
-			next = append(next, id)
+			candidates = append(candidates, id)
 		}
 	}
-	slices.Sort(next)
-	p.effect("the lead of %s moves to the furthest of %v", d.Service, next)
-	if len(next) == 0 {
+	slices.Sort(candidates)
+	p.effect("the lead of %s moves to the furthest of %v", d.Service, candidates)
+	if len(candidates) == 0 {
 		p.warn("nobody can follow %s", d.ID)
 	}
-	if len(silent) > 0 {
-		p.warn("%v are down: should %s fail before it has handed over, the move waits for them", silent, d.ID)
+	if len(unreachable) > 0 {
+		p.warn("%v are down: should %s fail before it has handed over, the move waits for them", unreachable, d.ID)
 	}
 }
 
-func (p *Plan) lose(s *System, prim, r *Report) {
+func (p *Plan) addNodeLossEffects(s *System, primary, r *Report) {
 	p.effect("%s %s is lost", r.Role, r.Node)
 	if r.Role != "control" {
 		return
 	}
 	spares := 0
-	for _, a := range s.nodes("control") {
-		if !slices.Contains(prim.Witnesses, a.Addr) && a.Addr != r.Addr {
+	for _, a := range s.withRole("control") {
+		if !slices.Contains(primary.Witnesses, a.Addr) && a.Addr != r.Addr {
 			spares++
 		}
 	}
 	switch {
-	case r.Addr == prim.View.Primary.Addr:
-		p.effect("%s, a backup, takes over after the lease", prim.View.Backups[0].Name)
-	case slices.ContainsFunc(prim.View.Backups, func(m controlstate.Member) bool { return m.Addr == r.Addr }):
+	case r.Addr == primary.View.Primary.Addr:
+		p.effect("%s, a backup, takes over after the lease", primary.View.Backups[0].Name)
+	case slices.ContainsFunc(primary.View.Backups, func(m controlstate.Member) bool { return m.Addr == r.Addr }):
 		p.effect("the primary takes another backup")
 	}
-	if slices.Contains(prim.Witnesses, r.Addr) && spares > 0 {
+	if slices.Contains(primary.Witnesses, r.Addr) && spares > 0 {
 		p.effect("another control node becomes a witness in its place")
 	}
-	left := 0
-	for _, a := range s.nodes("control") {
-		if a.Addr != r.Addr && slices.Contains(prim.View.Witnesses, a.Addr) && !a.Abstains {
-			left++
+	remaining := 0
+	for _, a := range s.withRole("control") {
+		if a.Addr != r.Addr && slices.Contains(primary.View.Witnesses, a.Addr) && !a.Abstains {
+			remaining++
 		}
 	}
-	if n := len(prim.View.Witnesses); left < n/2+1 {
-		p.warn("only %d of %d witnesses remain: no lease could be granted", left, n)
-	} else if more := s.bearable(prim, r.Addr); int64(more) < prim.Tolerates {
-		p.effect("%d of %d witnesses remain; %d more may be lost, of the %d to be tolerated", left, n, more, prim.Tolerates)
+	if n := len(primary.View.Witnesses); remaining < n/2+1 {
+		p.warn("only %d of %d witnesses remain: no lease could be granted", remaining, n)
+	} else if tolerated := s.failuresTolerated(primary, r.Addr); int64(tolerated) < primary.Tolerates {
+		p.effect("%d of %d witnesses remain; %d more may be lost, of the %d to be tolerated", remaining, n, tolerated, primary.Tolerates)
 	}
-	if len(s.nodes("control")) <= 2 {
+	if len(s.withRole("control")) <= 2 {
 		p.warn("without a backup nothing can be acknowledged")
 	}
 }
 
-// grow tells what a number of poolers costs in connections, and what a pooler that
-// comes is sent before it serves.
-func (p *Plan) grow(r *Report, now, poolers int) error {
+// addGrowthEffects estimates how many connections the given number of proxies opens, and how much state a
+// new pooler is sent before it serves.
+func (p *Plan) addGrowthEffects(r *Report, current, poolers int) error {
 	if r.Config == nil {
 		return fmt.Errorf("no configuration is in force yet")
 	}
@@ -230,21 +229,21 @@
 	}
 	known := len(r.Members)
 	p.effect("a pooler that comes is sent some %d KB: %d members, the configuration of %d routes and %d databases",
-		(len(members)*(known+poolers-now)/max(known, 1)+len(conf)+len(state))>>10, known+poolers-now, len(r.Config.Routes), len(r.Databases))
+		(len(members)*(known+poolers-current)/max(known, 1)+len(conf)+len(state))>>10, known+poolers-current, len(r.Config.Routes), len(r.Databases))
 	for _, s := range r.Config.Services {
 		if s.MaxConns == 0 {
 			continue
 		}
-		each := distribution.ConnectionShare(s.MaxConns, poolers)
-		p.effect("%s: up to %d of its %d connections to each database", s.Name, each*poolers, s.MaxConns)
-		if each*poolers > s.MaxConns {
+		perProxy := distribution.ConnectionShare(s.MaxConns, poolers)
+		p.effect("%s: up to %d of its %d connections to each database", s.Name, perProxy*poolers, s.MaxConns)
+		if perProxy*poolers > s.MaxConns {
 			p.warn("%s: %d poolers with one connection each are over its max_conns of %d", s.Name, poolers, s.MaxConns)
 		}
 	}
 	return nil
 }
 
-func (p *Plan) count(r *Report, conf *routeconfig.Configuration, poolers int, lost string) {
+func (p *Plan) countConnections(r *Report, conf *routeconfig.Configuration, poolers int, lost string) {
 	if conf == nil {
 		return
 	}
@@ -258,14 +257,14 @@
 	}
 }
 
-// restartOrder: carriers zone by zone, then control nodes, the primary last of all
-// and its backups before it.
+// restartOrder lists the proxies first, then the control nodes: the primary last of all, and its
+// backups right before it.
 func (s *System) restartOrder(p *Report) (out []string) {
-	for _, d := range append(s.nodes("pooler"), s.nodes("gateway")...) {
+	for _, d := range append(s.withRole("pooler"), s.withRole("gateway")...) {
 		out = append(out, d.Role+" "+d.Node)
 	}
 	var last []string
-	for _, a := range s.nodes("control") {
+	for _, a := range s.withRole("control") {
 		switch {
 		case a.Addr == p.View.Primary.Addr:
 			last = append(last, "control node "+a.Node)
@@ -278,7 +277,7 @@
 	return append(out, last...)
 }
 
-// Print writes the plan for people.
+// Print writes the plan as text.
 func (p *Plan) Print(w io.Writer) {
 	fmt.Fprintln(w, "step:", p.Step)
 	for _, e := range p.Effects {
--- a/internal/tools/quota.go
+++ b/internal/tools/quota.go
@@ -13,21 +13,21 @@
 	"indigowalk/internal/quota"
 )
 
-// QuotaCheck is what the recordings of all nodes show of tenants' quotas. Nodes are in
-// one group if answered calls join them, so that their clocks can be compared; windows
-// are counted in each group by itself.
+// QuotaCheck is the result of checking tenants' quotas against the recordings of all nodes. Nodes
+// belong to one group if they are connected by answered calls, so that their clocks can be
+// compared. Windows are counted in each group separately.
 type QuotaCheck struct {
 	Recordings  int           `json:"recordings"`
 	Groups      int           `json:"groups"`
 	Operations  int           `json:"operations"`
 	Tenants     int           `json:"tenants"`
-	UncertainUs kernel.Micros `json:"uncertain_us"`       // the most by which a time may be wrong
-	LeftOut     []string      `json:"left_out,omitempty"` // nodes that no call joins to a ledger
-	Excess      *QuotaExcess  `json:"excess,omitempty"`   // the first of the first group that has one
+	UncertainUs kernel.Micros `json:"uncertain_us"`       // maximum error of an aligned time
+	LeftOut     []string      `json:"left_out,omitempty"` // nodes not connected to a ledger by any call
+	Excess      *QuotaExcess  `json:"excess,omitempty"`   // the earliest one of the first group that has any
 }
 
-// QuotaExcess is a window with more operations than the limit allows, in the time of the
-// group's first ledger.
+// QuotaExcess is a window with more operations than the limit allows. Its times are on the clock of
+// the group's first ledger.
 type QuotaExcess struct {
 	Tenant string         `json:"tenant"`
 	FromUs kernel.Micros  `json:"from_us"`
@@ -37,7 +37,7 @@
 	ByNode map[string]int `json:"by_node"`
 }
 
-// Print writes the result for people.
+// Print writes the result as text.
 func (c *QuotaCheck) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d operations of %d tenants in %d recordings; times within %.1f ms\n", c.Operations, c.Tenants, c.Recordings, float64(c.UncertainUs)/1000)
 	if c.Groups > 1 {
@@ -53,46 +53,45 @@
 	fmt.Fprintln(w, "no window is over a limit")
 }
 
-// CheckQuota counts every window of every tenant again, from the recordings of all
-// nodes.
+// CheckQuota recounts every window of every tenant from the recordings of all nodes.
 func CheckQuota(paths []string) (*QuotaCheck, error) {
-	c := &quotaCheck{taken: map[quota.CallRecord]reading{}}
+	c := &quotaRecordings{received: map[quota.CallRecord]nodeTime{}}
 	for _, path := range paths {
 		if err := c.load(path); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	differences := c.differences()
-	out := &QuotaCheck{Recordings: len(c.nodes)}
+	clockSkews := c.clockSkews()
+	result := &QuotaCheck{Recordings: len(c.nodes)}
 	for _, n := range c.nodes {
-		if !n.placed && len(n.limits) > 0 {
-			out.Groups++
-			newQuotaGroup(n, differences).count(out)
+		if !n.aligned && len(n.limits) > 0 {
+			result.Groups++
+			newQuotaGroup(n, clockSkews).countWindows(result)
 		}
 	}
 	for _, n := range c.nodes {
-		if !n.placed && len(n.sent) > 0 {
-			out.LeftOut = append(out.LeftOut, n.name)
+		if !n.aligned && len(n.sent) > 0 {
+			result.LeftOut = append(result.LeftOut, n.name)
 		}
 	}
-	return out, nil
+	return result, nil
 }
 
-// quotaCheck is the recordings as far as they concern quotas.
-type quotaCheck struct {
-	nodes []*recordedNode
-	taken map[quota.CallRecord]reading // by a call without its time at the carrier
+// quotaRecordings holds the quota records of all recordings.
+type quotaRecordings struct {
+	nodes    []*recordedNode
+	received map[quota.CallRecord]nodeTime // keyed by the call with RequestedAt zeroed
 }
 
-// recordedNode is one recording.
+// recordedNode holds the quota records of one node's recording.
 type recordedNode struct {
-	name      string
-	sent      []operation
-	calls     []answeredCall
-	limits    []limitsAt
-	placed    bool
-	offset    kernel.Micros // to be added to its times
-	uncertain kernel.Micros
+	name        string
+	sent        []operation
+	calls       []answeredCall
+	limits      []timedLimits
+	aligned     bool
+	offset      kernel.Micros // added to its times to convert them to the first ledger's clock
+	uncertainty kernel.Micros
 }
 
 type operation struct {
@@ -102,23 +101,23 @@
 }
 
 type answeredCall struct {
-	call     quota.CallRecord
-	asked    kernel.Micros
-	answered kernel.Micros
+	call        quota.CallRecord
+	requestedAt kernel.Micros
+	respondedAt kernel.Micros
 }
 
-// reading is a time at a node.
-type reading struct {
+// nodeTime is a time on a node's clock.
+type nodeTime struct {
 	node *recordedNode
 	at   kernel.Micros
 }
 
-type limitsAt struct {
+type timedLimits struct {
 	quota.LimitsRecord
 	at kernel.Micros
 }
 
-func (c *quotaCheck) load(path string) error {
+func (c *quotaRecordings) load(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -130,15 +129,15 @@
 	n := &recordedNode{name: head.Node + "/" + head.Role}
 	c.nodes = append(c.nodes, n)
 	for i, r := range records {
-		if err := c.note(n, r); err != nil {
+		if err := c.addRecord(n, r); err != nil {
 			return fmt.Errorf("record %d: %w", i+1, err)
 		}
 	}
 	return nil
 }
 
-// note takes one record in.
-func (c *quotaCheck) note(n *recordedNode, r kernel.Record) (err error) {
+// addRecord adds a record if it concerns quotas.
+func (c *quotaRecordings) addRecord(n *recordedNode, r kernel.Record) (err error) {
 	switch r.Kind {
 	case quota.SentKind:
 		var s quota.SentRecord
@@ -147,126 +146,126 @@
 	case quota.RequestedKind:
 		var call quota.CallRecord
 		err = json.Unmarshal(r.Body, &call)
-		asked := call.RequestedAt
+		requestedAt := call.RequestedAt
 		call.RequestedAt = 0
-		n.calls = append(n.calls, answeredCall{call, asked, r.At})
+		n.calls = append(n.calls, answeredCall{call, requestedAt, r.At})
 	case quota.ReceivedKind:
 		var call quota.CallRecord
 		err = json.Unmarshal(r.Body, &call)
-		c.taken[call] = reading{n, r.At}
+		c.received[call] = nodeTime{n, r.At}
 	case quota.LimitsKind:
-		l := limitsAt{at: r.At}
+		l := timedLimits{at: r.At}
 		err = json.Unmarshal(r.Body, &l.LimitsRecord)
 		n.limits = append(n.limits, l)
 	}
 	return err
 }
 
-// difference is how much the clock of a carrier is ahead of that of a ledger: what was
-// taken was taken between the asking and the answer.
-type difference struct{ least, most kernel.Micros }
+// clockSkew bounds how far a proxy's clock is ahead of a ledger's: the ledger received each call
+// between the proxy's request and the response.
+type clockSkew struct{ minimum, maximum kernel.Micros }
 
-func (d difference) width() kernel.Micros  { return d.most - d.least }
-func (d difference) middle() kernel.Micros { return d.least + d.width()/2 }
+func (s clockSkew) width() kernel.Micros    { return s.maximum - s.minimum }
+func (s clockSkew) midpoint() kernel.Micros { return s.minimum + s.width()/2 }
 
-type pair struct{ carrier, ledger *recordedNode }
+type nodePair struct{ proxy, ledger *recordedNode }
 
-// differences compares the clocks of carriers and of ledgers that answered them.
-func (c *quotaCheck) differences() map[pair]difference {
-	out := map[pair]difference{}
+// clockSkews estimates the skew between each proxy and each ledger that answered it.
+func (c *quotaRecordings) clockSkews() map[nodePair]clockSkew {
+	result := map[nodePair]clockSkew{}
 	for _, n := range c.nodes {
 		for _, call := range n.calls {
-			taken, known := c.taken[call.call]
+			received, known := c.received[call.call]
 			if !known {
 				continue
 			}
-			p := pair{n, taken.node}
-			d, known := out[p]
+			p := nodePair{n, received.node}
+			skew, known := result[p]
 			if !known {
-				d = difference{math.MinInt64 / 4, math.MaxInt64 / 4}
+				skew = clockSkew{math.MinInt64 / 4, math.MaxInt64 / 4}
 			}
-			out[p] = difference{max(d.least, call.asked-taken.at), min(d.most, call.answered-taken.at)}
+			result[p] = clockSkew{max(skew.minimum, call.requestedAt-received.at), min(skew.maximum, call.respondedAt-received.at)}
 		}
 	}
-	return out
+	return result
 }
 
-// quotaGroup is nodes whose clocks can be compared.
+// quotaGroup is a set of nodes whose clocks can be compared.
 type quotaGroup struct {
-	nodes  []*recordedNode
-	limits []limitsAt
-	at     map[string][]operation // by tenant
+	nodes      []*recordedNode
+	limits     []timedLimits
+	operations map[string][]operation // by tenant
 }
 
-// newQuotaGroup places all nodes that calls join to one, along the narrowest
-// differences.
-func newQuotaGroup(first *recordedNode, differences map[pair]difference) *quotaGroup {
-	g := &quotaGroup{nodes: []*recordedNode{first}, at: map[string][]operation{}}
-	first.placed = true
-	for n := placeNext(differences); n != nil; n = placeNext(differences) {
+// newQuotaGroup aligns the clocks of all nodes that calls connect to first, always following the
+// narrowest skew bounds next.
+func newQuotaGroup(first *recordedNode, clockSkews map[nodePair]clockSkew) *quotaGroup {
+	g := &quotaGroup{nodes: []*recordedNode{first}, operations: map[string][]operation{}}
+	first.aligned = true
+	for n := alignNext(clockSkews); n != nil; n = alignNext(clockSkews) {
 		g.nodes = append(g.nodes, n)
 	}
 	return g
 }
 
-// placeNext places the node that is joined most closely to one that is placed, and
-// returns it; nil if there is none.
-func placeNext(differences map[pair]difference) *recordedNode {
-	var best pair
+// alignNext aligns the node that has the narrowest skew bounds to an already aligned node, and
+// returns it. It returns nil if there is none.
+func alignNext(clockSkews map[nodePair]clockSkew) *recordedNode {
+	var best nodePair
 	narrowest := kernel.Micros(math.MaxInt64)
-	for p, d := range differences {
-		if p.carrier.placed != p.ledger.placed && d.width() < narrowest {
-			best, narrowest = p, d.width()
+	for p, skew := range clockSkews {
+		if p.proxy.aligned != p.ledger.aligned && skew.width() < narrowest {
+			best, narrowest = p, skew.width()
 		}
 	}
-	switch d := differences[best]; {
-	case best.carrier == nil:
+	switch skew := clockSkews[best]; {
+	case best.proxy == nil:
 		return nil
-	case best.ledger.placed:
-		return best.carrier.place(best.ledger, -d.middle(), d)
+	case best.ledger.aligned:
+		return best.proxy.align(best.ledger, -skew.midpoint(), skew)
 	default:
-		return best.ledger.place(best.carrier, d.middle(), d)
+		return best.ledger.align(best.proxy, skew.midpoint(), skew)
 	}
 }
 
-func (n *recordedNode) place(by *recordedNode, ahead kernel.Micros, d difference) *recordedNode {
-	n.placed = true
-	n.offset = by.offset + ahead
-	n.uncertain = by.uncertain + max(0, d.width())/2
+func (n *recordedNode) align(reference *recordedNode, ahead kernel.Micros, skew clockSkew) *recordedNode {
+	n.aligned = true
+	n.offset = reference.offset + ahead
+	n.uncertainty = reference.uncertainty + max(0, skew.width())/2
 	return n
 }
 
-// count adds the group's windows to what is told.
-func (g *quotaGroup) count(out *QuotaCheck) {
+// countWindows counts the group's windows and adds the outcome to the result.
+func (g *quotaGroup) countWindows(result *QuotaCheck) {
 	for _, n := range g.nodes {
-		out.UncertainUs = max(out.UncertainUs, n.uncertain)
-		out.Operations += len(n.sent)
+		result.UncertainUs = max(result.UncertainUs, n.uncertainty)
+		result.Operations += len(n.sent)
 		for _, o := range n.sent {
 			o.at += n.offset
-			g.at[o.tenant] = append(g.at[o.tenant], o)
+			g.operations[o.tenant] = append(g.operations[o.tenant], o)
 		}
 		for _, l := range n.limits {
 			l.at += n.offset
 			g.limits = append(g.limits, l)
 		}
 	}
-	out.Tenants = max(out.Tenants, len(g.at))
-	slices.SortFunc(g.limits, func(a, b limitsAt) int { return cmp.Compare(a.at, b.at) })
+	result.Tenants = max(result.Tenants, len(g.operations))
+	slices.SortFunc(g.limits, func(a, b timedLimits) int { return cmp.Compare(a.at, b.at) })
 	var first *QuotaExcess
-	for tenant, operations := range g.at {
+	for tenant, operations := range g.operations {
 		slices.SortFunc(operations, func(a, b operation) int { return cmp.Compare(a.at, b.at) })
 		if e := g.firstExcess(tenant, operations); e != nil && (first == nil || e.ToUs < first.ToUs) {
 			first = e
 		}
 	}
-	out.Excess = cmp.Or(out.Excess, first)
+	result.Excess = cmp.Or(result.Excess, first)
 }
 
-// limitSettles is for how long after a lower limit another may yet hold: until carriers
-// know of it, and slices of the higher one are over.
-const limitSettles = 10 * kernel.Second
+// limitPropagation is how long a previous, higher limit may remain in effect after it was lowered:
+// until proxies have learned of the change and the slices granted under the old limit have expired.
+const limitPropagation = 10 * kernel.Second
 
-// firstExcess returns the first window of a tenant with too many operations.
+// firstExcess returns the first window in which a tenant exceeded its limit, or nil.
 func (g *quotaGroup) firstExcess(tenant string, operations []operation) *QuotaExcess {
 	window := g.limits[0].Tolerance.Window
 	for first, last := 0, 0; last < len(operations); last++ {
@@ -274,8 +273,8 @@
 			first++
 		}
 		from, to := operations[first].at, operations[last].at
-		if most := g.most(tenant, from, to); float64(last-first+1) > most {
-			e := &QuotaExcess{Tenant: tenant, FromUs: from, ToUs: to, Count: last - first + 1, Most: most, ByNode: map[string]int{}}
+		if allowed := g.maxAllowed(tenant, from, to); float64(last-first+1) > allowed {
+			e := &QuotaExcess{Tenant: tenant, FromUs: from, ToUs: to, Count: last - first + 1, Most: allowed, ByNode: map[string]int{}}
 			for _, o := range operations[first : last+1] {
 				e.ByNode[o.node]++
 			}
@@ -285,17 +284,18 @@
 	return nil
 }
 
-// most is what is allowed between two times, by the highest limit that may have held.
-func (g *quotaGroup) most(tenant string, from, to kernel.Micros) (most float64) {
+// maxAllowed returns how many operations are allowed in a window between two times, under the
+// highest limit that may have been in effect.
+func (g *quotaGroup) maxAllowed(tenant string, from, to kernel.Micros) (allowed float64) {
 	for i, l := range g.limits {
-		if l.at > to || i+1 < len(g.limits) && g.limits[i+1].at+limitSettles < from {
+		if l.at > to || i+1 < len(g.limits) && g.limits[i+1].at+limitPropagation < from {
 			continue
 		}
 		limit, known := l.Limits[tenant]
 		if known && limit.Unlimited() {
 			return math.Inf(1)
 		}
-		most = max(most, l.Tolerance.MaxOperations(limit))
+		allowed = max(allowed, l.Tolerance.MaxOperations(limit))
 	}
-	return most
+	return allowed
 }
--- a/internal/tools/quota_test.go
+++ b/internal/tools/quota_test.go
@@ -12,14 +12,14 @@
 	"indigowalk/internal/quota"
 )
 
-// recordingOf is a recording that is made up, on a clock of its own.
-type recordingOf struct {
+// fakeRecording is a synthetic recording of one node, on a clock of its own.
+type fakeRecording struct {
 	node  string
 	ahead kernel.Micros
 	lines []string
 }
 
-func (r *recordingOf) add(t *testing.T, at kernel.Micros, kind string, body any) {
+func (r *fakeRecording) add(t *testing.T, at kernel.Micros, kind string, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 }
 
 // write writes the recording to a folder and returns its path.
-func (r *recordingOf) write(t *testing.T, dir string) string {
+func (r *fakeRecording) write(t *testing.T, dir string) string {
 	head := fmt.Sprintf(`{"indigowalk_recording":1,"node":%q,"role":"x"}`, r.node)
 	path := filepath.Join(dir, r.node)
 	if err := os.WriteFile(path, []byte(strings.Join(append([]string{head}, r.lines...), "\n")+"\n"), 0o600); err != nil {
@@ -41,21 +41,21 @@
 	return path
 }
 
-// fleet is two ledgers and carriers whose clocks differ by minutes.
+// fleet is two ledgers and three proxies whose clocks differ by minutes.
 type fleet struct {
 	*testing.T
-	ledgers  [2]*recordingOf
-	carriers [3]*recordingOf
-	calls    int64
+	ledgers [2]*fakeRecording
+	proxies [3]*fakeRecording
+	calls   int64
 }
 
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{T: t}
 	for i := range f.ledgers {
-		f.ledgers[i] = &recordingOf{node: fmt.Sprint("ledger-", i), ahead: kernel.Micros(i) * 1000 * kernel.Second}
+		f.ledgers[i] = &fakeRecording{node: fmt.Sprint("ledger-", i), ahead: kernel.Micros(i) * 1000 * kernel.Second}
 	}
-	for i := range f.carriers {
-		f.carriers[i] = &recordingOf{node: fmt.Sprint("carrier-", i), ahead: kernel.Micros(i+1) * 333 * kernel.Second}
+	for i := range f.proxies {
+		f.proxies[i] = &fakeRecording{node: fmt.Sprint("carrier-", i), ahead: kernel.Micros(i+1) * 333 * kernel.Second}
 	}
 	f.limit(0, 0, 10)
 	return f
@@ -67,25 +67,25 @@
 	})
 }
 
-// call is a carrier's at a ledger, which takes a millisecond each way.
-func (f *fleet) call(carrier, ledger int, at kernel.Micros) {
+// call records a call from a proxy to a ledger, with a latency of one millisecond each way.
+func (f *fleet) call(proxy, ledger int, at kernel.Micros) {
 	f.calls++
-	c := f.carriers[carrier]
+	c := f.proxies[proxy]
 	call := quota.CallRecord{Proxy: c.node, Incarnation: 1, Seq: f.calls}
 	f.ledgers[ledger].add(f.T, at+kernel.Millisecond, quota.ReceivedKind, call)
 	call.RequestedAt = at + c.ahead
 	c.add(f.T, at+2*kernel.Millisecond, quota.RequestedKind, call)
 }
 
-func (f *fleet) send(carrier int, tenant string, at kernel.Micros) {
-	f.carriers[carrier].add(f.T, at, quota.SentKind, quota.SentRecord{Tenant: tenant})
+func (f *fleet) send(proxy int, tenant string, at kernel.Micros) {
+	f.proxies[proxy].add(f.T, at, quota.SentKind, quota.SentRecord{Tenant: tenant})
 }
 
 func (f *fleet) check() *QuotaCheck {
 	f.Helper()
 	dir := f.TempDir()
 	var paths []string
-	for _, r := range append(f.ledgers[:], f.carriers[:]...) {
+	for _, r := range append(f.ledgers[:], f.proxies[:]...) {
 		paths = append(paths, r.write(f.T, dir))
 	}
 	c, err := CheckQuota(paths)
@@ -95,12 +95,12 @@
 	return c
 }
 
-// Operations of several nodes, whose clocks differ, add up to a window that is full; one
-// more is one too many, wherever it was sent.
+// Operations sent by several nodes with different clocks are summed up: a full window is accepted,
+// and one more operation exceeds the limit whichever node sent it.
 func TestCheckQuota(t *testing.T) {
 	for extra := -1; extra < 3; extra++ {
 		f := newFleet(t)
-		// The third carrier has only asked the second ledger, which the second joins.
+		// The third proxy has only called the second ledger, which the second proxy connects to the first.
 		f.call(0, 0, kernel.Second)
 		f.call(1, 0, kernel.Second)
 		f.call(1, 1, 3*kernel.Second)
@@ -119,16 +119,16 @@
 		}
 		switch {
 		case extra < 0 && c.Excess != nil:
-			t.Errorf("a window that is full: %+v", c.Excess)
-		case extra >= 0 && (c.Excess == nil || c.Excess.Tenant != "ann" || c.Excess.Count != 11 || c.Excess.ByNode[f.carriers[extra].node+"/x"] < 4):
-			t.Errorf("one more of carrier %d: %+v", extra, c.Excess)
+			t.Errorf("a full window was reported as over the limit: %+v", c.Excess)
+		case extra >= 0 && (c.Excess == nil || c.Excess.Tenant != "ann" || c.Excess.Count != 11 || c.Excess.ByNode[f.proxies[extra].node+"/x"] < 4):
+			t.Errorf("one more operation of proxy %d: %+v", extra, c.Excess)
 		}
 	}
 }
 
-// A limit holds from when its carriers can know of it, and a node whose clock can't be
-// compared is named.
-func TestCheckQuotaOfOtherLimits(t *testing.T) {
+// A lowered limit is enforced only once proxies can know of it, and a node whose clock can't be
+// compared is reported as left out.
+func TestCheckQuotaLoweredLimit(t *testing.T) {
 	f := newFleet(t)
 	f.call(0, 0, kernel.Second)
 	f.limit(0, 10*kernel.Second, 1)
@@ -145,7 +145,7 @@
 	f.send(0, "ann", 30*kernel.Second)
 	f.send(0, "ann", 30*kernel.Second+1)
 	if c := f.check(); c.Excess == nil || c.Excess.Count != 2 || c.Excess.Most != 1 {
-		t.Errorf("under the lower limit: %+v", c.Excess)
+		t.Errorf("two operations under the lowered limit: %+v", c.Excess)
 	}
 	var out strings.Builder
 	f.check().Print(&out)
--- a/internal/tools/replay.go
+++ b/internal/tools/replay.go
@@ -16,37 +16,37 @@
 	"indigowalk/internal/quota"
 )
 
-// Replayed is what a recording showed.
-type Replayed struct {
+// ReplayResult is the outcome of replaying a recording.
+type ReplayResult struct {
 	Records int    `json:"records"`
-	CutOff  bool   `json:"cut_off,omitempty"` // the last record is not whole
-	Broken  int    `json:"broken,omitempty"`  // record at which a rule was first broken
+	CutOff  bool   `json:"cut_off,omitempty"` // the last record is truncated
+	Broken  int    `json:"broken,omitempty"`  // number of the first record that violates a rule, from 1
 	Rule    string `json:"rule,omitempty"`
 }
 
-// Replay plays a recording through the decisions' own code, writes the changes
-// of state to w and checks what must hold at each record.
-func Replay(raw []byte, w io.Writer) (*Replayed, error) {
+// Replay feeds a recording through the code that made the recorded decisions. It writes the state
+// changes to w and checks the invariants at each record.
+func Replay(raw []byte, w io.Writer) (*ReplayResult, error) {
 	_, records, cutOff, err := readRecording(raw)
 	if err != nil {
 		return nil, err
 	}
-	p := &player{w: w, c: health.NewCoordinator()}
-	out := &Replayed{CutOff: cutOff}
+	p := &replayer{w: w, coordinator: health.NewCoordinator()}
+	result := &ReplayResult{CutOff: cutOff}
 	for _, r := range records {
-		out.Records++
-		rule, err := p.play(r)
+		result.Records++
+		rule, err := p.replay(r)
 		if err != nil {
-			return nil, fmt.Errorf("record %d: %w", out.Records, err)
+			return nil, fmt.Errorf("record %d: %w", result.Records, err)
 		}
-		if rule != "" && out.Broken == 0 {
-			out.Broken, out.Rule = out.Records, rule
+		if rule != "" && result.Broken == 0 {
+			result.Broken, result.Rule = result.Records, rule
 		}
 	}
-	return out, nil
+	return result, nil
 }
 
-// readRecording reads a recording; cutOff says that its last record is not whole.
+// readRecording parses a recording. cutOff reports that its last record is truncated.
 func readRecording(raw []byte) (head kernel.RecordingHeader, records []kernel.Record, cutOff bool, err error) {
 	lines := bytes.SplitAfter(raw, []byte("\n"))
 	if json.Unmarshal(lines[0], &head) != nil || head.Recording == 0 {
@@ -71,18 +71,18 @@
 	return head, records, false, nil
 }
 
-type player struct {
-	w     io.Writer
-	c     *health.Coordinator
-	at    kernel.Micros
-	epoch int64
+type replayer struct {
+	w           io.Writer
+	coordinator *health.Coordinator
+	at          kernel.Micros
+	epoch       int64
 
 	promised, accepted int64 // by this witness
-	to                 string
+	promisedTo         string
 }
 
-// play returns the rule that the record breaks, if it does.
-func (p *player) play(r kernel.Record) (rule string, err error) {
+// replay applies a record and returns the rule that it violates, or "".
+func (p *replayer) replay(r kernel.Record) (rule string, err error) {
 	if r.At < p.at {
 		return "time goes back", nil
 	}
@@ -107,33 +107,33 @@
 		}
 		return p.choice(c), nil
 	case quota.SentKind, quota.RequestedKind, quota.ReceivedKind, quota.LimitsKind, failurelog.Kind:
-		return "", nil // they tell something only beside those of other nodes
+		return "", nil // only meaningful together with the recordings of other nodes
 	}
 	return "", fmt.Errorf("unknown kind %q", r.Kind)
 }
 
-func (p *player) health(e health.Event) string {
-	up, gen := p.c.Up(e.Database)
+func (p *replayer) health(e health.Event) string {
+	wasUp, gen := p.coordinator.Up(e.Database)
 	if e.Generation > gen {
 		return fmt.Sprintf("an event of %s under generation %d, before there is one after %d", e.Database, e.Generation, gen)
 	}
-	changed := p.c.Apply(e)
-	nowUp, now := p.c.Up(e.Database)
+	changed := p.coordinator.Apply(e)
+	upAfter, genAfter := p.coordinator.Up(e.Database)
 	if changed {
-		fmt.Fprintf(p.w, "%d us: %s %s, generation %d, after %s\n", p.at, e.Database, map[bool]string{true: "up", false: "down"}[nowUp], now, e.Kind)
+		fmt.Fprintf(p.w, "%d us: %s %s, generation %d, after %s\n", p.at, e.Database, map[bool]string{true: "up", false: "down"}[upAfter], genAfter, e.Kind)
 	}
 	switch {
 	case e.Generation < gen && changed:
 		return "an event of an older generation counted"
-	case now < gen, now > gen+1, now > gen && !nowUp:
+	case genAfter < gen, genAfter > gen+1, genAfter > gen && !upAfter:
 		return "a generation does not rise by one with each recovery"
-	case up && !nowUp && e.Kind != "report" && (e.Kind != "checked" || e.OK):
+	case wasUp && !upAfter && e.Kind != "report" && (e.Kind != "checked" || e.OK):
 		return "a database went down without a fault or a failed check"
 	}
 	return ""
 }
 
-func (p *player) vote(v controlstate.Vote) string {
+func (p *replayer) vote(v controlstate.Vote) string {
 	if !v.Granted {
 		return ""
 	}
@@ -143,18 +143,18 @@
 		return fmt.Sprintf("epoch %d was promised after epoch %d", v.Epoch, p.promised)
 	case v.Kind == "accept" && (v.Epoch < p.promised || v.Epoch <= p.accepted):
 		return fmt.Sprintf("epoch %d was accepted after %d was promised and %d accepted", v.Epoch, p.promised, p.accepted)
-	case v.Kind == "accept" && v.Epoch == p.promised && p.to != "" && v.From != p.to:
-		return fmt.Sprintf("epoch %d was promised to %s and accepted of %s", v.Epoch, p.to, v.From)
+	case v.Kind == "accept" && v.Epoch == p.promised && p.promisedTo != "" && v.From != p.promisedTo:
+		return fmt.Sprintf("epoch %d was promised to %s and accepted of %s", v.Epoch, p.promisedTo, v.From)
 	}
-	if p.promised, p.to = v.Epoch, v.From; v.Kind == "accept" {
+	if p.promised, p.promisedTo = v.Epoch, v.From; v.Kind == "accept" {
 		p.accepted = v.Epoch
 	}
 	return ""
 }
 
-func (p *player) choice(c failover.Choice) string {
-	to, why := failover.ChoosePrimary(c.Situation)
-	fmt.Fprintf(p.w, "%d us: lead of %s: %s\n", p.at, c.Service, cmp.Or(to, "waits, "+why))
+func (p *replayer) choice(c failover.Choice) string {
+	to, reason := failover.ChoosePrimary(c.Situation)
+	fmt.Fprintf(p.w, "%d us: lead of %s: %s\n", p.at, c.Service, cmp.Or(to, "waits, "+reason))
 	if c.Epoch < p.epoch {
 		return fmt.Sprintf("a choice in epoch %d after epoch %d", c.Epoch, p.epoch)
 	}
@@ -167,11 +167,11 @@
 		return fmt.Sprintf("%s was chosen and did not answer", c.To)
 	}
 	if to == "" {
-		return fmt.Sprintf("%s was chosen, though %s", c.To, why)
+		return fmt.Sprintf("%s was chosen, though %s", c.To, reason)
 	}
 	received := c.Situation.Copies[at].Received
 	if acked := c.Situation.AckedUpperBound; acked != nil && !received.Less(*acked) {
-		return "" // it holds all that clients were told of
+		return "" // it holds all commits that were acknowledged to clients
 	}
 	for _, o := range c.Situation.Copies {
 		if received.Less(o.Received) {
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -1,5 +1,5 @@
-// Package tools holds the tools round the daemons: check, plan, replay and
-// status, on the daemons' own packages.
+// Package tools implements the operator commands: accept-loss, check, failures, plan, replay and
+// status. They reuse the packages of the daemons.
 package tools
 
 import (
@@ -25,28 +25,28 @@
 	failuresOp = "failures"
 )
 
-// Report is one process's view.
+// Report is the state of the system as one process sees it.
 type Report struct {
 	Node      string                        `json:"node"`
 	Role      string                        `json:"role"`
 	Addr      string                        `json:"addr"`
 	Zone      string                        `json:"zone"`
-	Tolerates int64                         `json:"tolerates"` // machines with a disk that may be lost at once
+	Tolerates int64                         `json:"tolerates"` // machines, disks included, that may be lost at once
 	Members   []membership.Member           `json:"members"`
 	Epoch     int64                         `json:"epoch"`
 	Rev       int64                         `json:"rev"`
-	LeaseUs   kernel.Micros                 `json:"lease_us"` // control state's lease, or a pooler's read lease
+	LeaseUs   kernel.Micros                 `json:"lease_us"` // remaining lease: of the control state's primary, or a proxy's read lease
 	View      *controlstate.View            `json:"view,omitempty"`
 	Witnesses []string                      `json:"witnesses,omitempty"`
 	Abstains  bool                          `json:"abstains,omitempty"` // as a witness
-	Unsure    bool                          `json:"unsure,omitempty"`   // a control node that neither leads nor heard the primary within a lease: its view may be old
-	HeardUs   map[string]kernel.Micros      `json:"heard_us,omitempty"` // since each control node last took part, on the primary
+	Unsure    bool                          `json:"unsure,omitempty"`   // a control node that is not the primary and has not heard from it within a lease: its view may be stale
+	HeardUs   map[string]kernel.Micros      `json:"heard_us,omitempty"` // on the primary, time since the last contact with each control node
 	Config    *routeconfig.Configuration    `json:"config,omitempty"`
 	Databases map[string]discovery.Database `json:"databases,omitempty"`
 	Leads     map[string]failover.Leader    `json:"leads,omitempty"`
-	Waits     map[string]string             `json:"waits,omitempty"`  // by service, why the move of its lead waits
-	Roles     map[string]string             `json:"roles,omitempty"`  // as the databases see themselves
-	Down      map[string]int64              `json:"down,omitempty"`   // with the generation
+	Waits     map[string]string             `json:"waits,omitempty"`  // by service, why its failover is blocked
+	Roles     map[string]string             `json:"roles,omitempty"`  // as reported by the databases themselves
+	Down      map[string]int64              `json:"down,omitempty"`   // unreachable databases, with the generation
 	Conns     map[string][2]int             `json:"conns,omitempty"`  // open and idle, by database
 	Quotas    map[string]quota.Account      `json:"quotas,omitempty"` // by tenant, on the primary
 	Uses      map[string]quota.TenantUsage  `json:"uses,omitempty"`   // by tenant, on a pooler or gateway
@@ -57,19 +57,19 @@
 	kernel.Register(kernel.Plugin{
 		Name: "status", Rank: 90, Roles: []string{"pooler", "gateway", "control"},
 		Build: func(k *kernel.Kernel) error {
-			b := kernel.Need[*rpc.Endpoint](k)
-			rpc.HandleTyped(b, statusOp, func(context.Context, struct{}) (any, error) { return report(k, b) })
+			endpoint := kernel.Need[*rpc.Endpoint](k)
+			rpc.HandleTyped(endpoint, statusOp, func(context.Context, struct{}) (any, error) { return report(k, endpoint) })
 			failures := kernel.Need[*failurelog.Log](k)
-			rpc.HandleTyped(b, failuresOp, func(context.Context, struct{}) (any, error) { return failures.Recent(), nil })
+			rpc.HandleTyped(endpoint, failuresOp, func(context.Context, struct{}) (any, error) { return failures.Recent(), nil })
 			return nil
 		},
 	})
 }
 
-func report(k *kernel.Kernel, b *rpc.Endpoint) (*Report, error) {
+func report(k *kernel.Kernel, endpoint *rpc.Endpoint) (*Report, error) {
 	s := kernel.Need[*settings.Live](k).Now()
 	r := &Report{
-		Node: s.NodeName, Role: k.Role, Addr: b.Addr(), Zone: s.Zone, Tolerates: s.TolerateHosts,
+		Node: s.NodeName, Role: k.Role, Addr: endpoint.Addr(), Zone: s.Zone, Tolerates: s.TolerateHosts,
 		Members: kernel.Need[*membership.Memberlist](k).Members(),
 		Down:    kernel.Need[*health.Monitor](k).Down(), Counters: k.Counters.Snapshot(),
 	}
@@ -79,30 +79,30 @@
 		r.Uses = kernel.Need[*quota.Client](k).Usage()
 		return r, nil
 	}
-	v := kernel.Need[*controlstate.Replica](k)
-	term, err := v.Term()
+	replica := kernel.Need[*controlstate.Replica](k)
+	term, err := replica.Term()
 	if err == nil {
-		if err := r.lead(k, v); err != nil {
+		if err := r.addPrimaryState(k, replica); err != nil {
 			return nil, err
 		}
 	}
-	view, _ := v.Primary()
-	r.View, r.Epoch, r.Witnesses, r.Abstains = &view, view.Epoch, v.Witnesses(), v.Abstains()
+	view, _ := replica.Primary()
+	r.View, r.Epoch, r.Witnesses, r.Abstains = &view, view.Epoch, replica.Witnesses(), replica.Abstains()
 	if _, r.LeaseUs = term.Lease(); r.LeaseUs == 0 {
-		// What was read in a term that is over is not told.
+		// The term has ended: data read in it may be stale and is not reported.
 		r.HeardUs, r.Config, r.Rev, r.Databases, r.Leads, r.Roles, r.Quotas = nil, nil, 0, nil, nil, nil, nil
-		_, known := v.KnownPrimary()
+		_, known := replica.KnownPrimary()
 		r.Unsure = !known
 	}
 	return r, nil
 }
 
-// lead adds what only the control state's primary knows.
-func (r *Report) lead(k *kernel.Kernel, v *controlstate.Replica) error {
-	r.HeardUs = v.SinceLastContact()
-	state, err := v.Durable()
+// addPrimaryState adds what only the control state's primary knows.
+func (r *Report) addPrimaryState(k *kernel.Kernel, replica *controlstate.Replica) error {
+	r.HeardUs = replica.SinceLastContact()
+	state, err := replica.Durable()
 	if err != nil {
-		return nil // it has just ceased to be the primary
+		return nil // this node has just ceased to be the primary
 	}
 	if _, r.Config, err = routeconfig.Decode(state.Entries[routeconfig.Key]); err != nil {
 		return err
@@ -119,8 +119,8 @@
 	r.Quotas = kernel.Need[*quota.LedgerServer](k).Accounts()
 	r.Waits = kernel.Need[*failover.Manager](k).WaitReasons()
 	r.Roles = map[string]string{}
-	for id, soft := range kernel.Need[*discovery.Registry](k).Observed() {
-		r.Roles[id] = soft.Role
+	for id, observed := range kernel.Need[*discovery.Registry](k).Observed() {
+		r.Roles[id] = observed.Role
 	}
 	return nil
 }
--- a/internal/tools/status.go
+++ b/internal/tools/status.go
@@ -19,20 +19,20 @@
 	"indigowalk/internal/rpc"
 )
 
-// System is the reports of several processes, and who gave none.
+// System holds the reports of several processes, and which processes gave none.
 type System struct {
 	Reports []*Report         `json:"reports"`
 	Missing map[string]string `json:"missing,omitempty"` // by address, with the reason
 }
 
-const askWait = 2 * kernel.Second
+const requestTimeout = 2 * kernel.Second
 
-// Ask asks the processes at the inner addresses, and with all set every
-// member that they know too.
+// Ask collects the reports of the processes at the given internal addresses. With all set, it also
+// queries every member that they know.
 func Ask(ctx context.Context, n kernel.Network, addrs []string, all bool) *System {
 	k := kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler))
-	b := rpc.NewEndpoint(k, "")
-	defer b.CloseConnections()
+	endpoint := rpc.NewEndpoint(k, "")
+	defer endpoint.CloseConnections()
 	sys := &System{Missing: map[string]string{}}
 	asked := map[string]bool{}
 	for len(addrs) > 0 {
@@ -46,7 +46,7 @@
 			asked[addr] = true
 			wg.Go(func() {
 				r := &Report{}
-				err := b.Call(ctx, addr, statusOp, struct{}{}, r, askWait)
+				err := endpoint.Call(ctx, addr, statusOp, struct{}{}, r, requestTimeout)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -70,8 +70,8 @@
 	return sys
 }
 
-// Primary is the report of the control node that holds the lease, the newest if
-// several held one when they were asked; nil if none does.
+// Primary returns the report of the control node that holds the lease. If several held one when they
+// were queried, it is the one with the highest epoch; if none did, it is nil.
 func (s *System) Primary() (p *Report) {
 	for _, r := range s.Reports {
 		if r.Role == "control" && r.LeaseUs > 0 && (p == nil || r.Epoch > p.Epoch) {
@@ -81,10 +81,10 @@
 	return p
 }
 
-// newest is the report of a control node that knows the newest view, nil if no
-// control node gave one.
-func (s *System) newest() (n *Report) {
-	for _, r := range s.nodes("control") {
+// newestView returns the report of a control node with the highest epoch, or nil if no control node
+// gave a report.
+func (s *System) newestView() (n *Report) {
+	for _, r := range s.withRole("control") {
 		if n == nil || r.Epoch > n.Epoch {
 			n = r
 		}
@@ -92,68 +92,67 @@
 	return n
 }
 
-// outdated says why what p told may not be current, "" if nothing speaks for
-// that.
-func (s *System) outdated(p *Report) string {
-	if n := s.newest(); n.Epoch > p.Epoch {
+// staleReason returns why the report p may be stale, or "" if nothing indicates that.
+func (s *System) staleReason(p *Report) string {
+	if n := s.newestView(); n.Epoch > p.Epoch {
 		return fmt.Sprintf("not current: %s knows epoch %d", n.Node, n.Epoch)
 	}
 	return ""
 }
 
-// Print writes the system's state for people: how many there are of what, and
-// whoever differs. With all set each database and process has a line; only
-// names those whose name, role, zone or service contains it.
-func (s *System) Print(w io.Writer, all bool, only string) {
+// Print writes the system's state as text: totals, and a line for each database or process that
+// deviates. With all set, every database and process has a line. A filter that is not empty selects
+// those whose name, role, zone or service contains it.
+func (s *System) Print(w io.Writer, all bool, filter string) {
 	p := s.Primary()
 	if p == nil {
 		fmt.Fprint(w, "control state: not current, no primary among those asked")
-		if n := s.newest(); n != nil {
+		if n := s.newestView(); n != nil {
 			fmt.Fprintf(w, "; the last that %s heard of is epoch %d of %s", n.Node, n.Epoch, n.View.Primary.Name)
 		}
 		fmt.Fprintln(w)
 	} else {
-		if why := s.outdated(p); why != "" {
-			fmt.Fprintln(w, why)
+		if reason := s.staleReason(p); reason != "" {
+			fmt.Fprintln(w, reason)
 		}
 		var backups []string
 		for _, b := range p.View.Backups {
 			backups = append(backups, b.Name)
 		}
 		fmt.Fprintf(w, "control state: epoch %d, primary %s, backups %v, lease %d ms more, witnesses %v, %d losses can be borne now\n",
-			p.Epoch, p.View.Primary.Name, backups, p.LeaseUs.Millis(), p.Witnesses, s.bearable(p, ""))
+			p.Epoch, p.View.Primary.Name, backups, p.LeaseUs.Millis(), p.Witnesses, s.failuresTolerated(p, ""))
 		fmt.Fprintf(w, "configuration: version %d\n", p.Rev)
-		s.printDatabases(w, p, all, only)
-		s.printTenants(w, p, all, only)
+		s.printDatabases(w, p, all, filter)
+		s.printTenants(w, p, all, filter)
 	}
 	for _, role := range []string{"control", "pooler", "gateway"} {
-		s.printNodes(w, role, all, only)
+		s.printNodes(w, role, all, filter)
 	}
 	for _, addr := range slices.Sorted(maps.Keys(s.Missing)) {
 		fmt.Fprintf(w, "no answer from %s: %s\n", addr, s.Missing[addr])
 	}
 }
 
-// process names a process of a role.
-func process(role string) string {
+// processName returns the display name of a role.
+func processName(role string) string {
 	if role == "control" {
 		return "control node"
 	}
 	return role
 }
 
-// carries tells whether processes of a role carry clients' traffic.
-func carries(role string) bool { return role == "pooler" || role == "gateway" }
+// isProxy reports whether processes of a role carry client traffic.
+func isProxy(role string) bool { return role == "pooler" || role == "gateway" }
 
-// named tells whether one of the names contains what is looked for.
-func named(only string, names ...string) bool {
-	return slices.ContainsFunc(names, func(n string) bool { return strings.Contains(n, only) })
+// anyContains reports whether one of the names contains the filter.
+func anyContains(filter string, names ...string) bool {
+	return slices.ContainsFunc(names, func(n string) bool { return strings.Contains(n, filter) })
 }
 
-func (s *System) printDatabases(w io.Writer, p *Report, all bool, only string) {
+func (s *System) printDatabases(w io.Writer, p *Report, all bool, filter string) {
 	services := map[string]bool{}
 	var lines []string
-	odd := 0
+	deviating := 0
 	for _, id := range slices.Sorted(maps.Keys(p.Databases)) {
 		d, l := p.Databases[id], p.Leads[p.Databases[id].Service]
 		services[d.Service] = true
@@ -163,36 +162,36 @@
 			state = fmt.Sprintf("down since generation %d", gen)
 		}
 		role := cmp.Or(p.Roles[id], "not heard of yet")
-		moving := l.FailoverInProgress && l.ID == id
+		failingOver := l.FailoverInProgress && l.ID == id
 		if l.ID == id {
 			role += fmt.Sprintf(", lead of term %d", l.Term)
 		}
-		if moving {
+		if failingOver {
 			role += ", moving to " + cmp.Or(l.To, "one to be chosen")
 		}
-		differs := down || moving || d.Draining || d.Gone
+		differs := down || failingOver || d.Draining || d.Gone
 		if differs {
-			odd++
+			deviating++
 		}
-		if (all || differs || only != "") && named(only, id, d.Service, d.Zone) {
+		if (all || differs || filter != "") && anyContains(filter, id, d.Service, d.Zone) {
 			lines = append(lines, fmt.Sprintf("  database %s of %s in %s: %s, %s%s%s", id, d.Service, d.Zone, role, state,
-				flag(d.Draining, ", draining"), flag(d.Gone, ", gone")))
+				textIf(d.Draining, ", draining"), textIf(d.Gone, ", gone")))
 		}
 	}
-	led := 0
+	withLeader := 0
 	for svc := range services {
 		l, known := p.Leads[svc]
 		if known && !l.FailoverInProgress {
-			led++
+			withLeader++
 		}
 		if a := l.Accepted; a.FailoverID > 0 {
 			at := time.UnixMilli(a.AtMs).UTC().Format(time.RFC3339)
 			lines = append(lines, fmt.Sprintf("  service %s: at turn %d %s accepted that acknowledged commits are lost, %s", svc, a.FailoverID, a.By, at))
 		}
 	}
-	fmt.Fprintf(w, "databases: %d of %d services, %d with a lead; %d down, moving, draining or gone\n", len(p.Databases), len(services), led, odd)
+	fmt.Fprintf(w, "databases: %d of %d services, %d with a lead; %d down, moving, draining or gone\n", len(p.Databases), len(services), withLeader, deviating)
 	for _, svc := range slices.Sorted(maps.Keys(p.Waits)) {
-		if named(only, svc) {
+		if anyContains(filter, svc) {
 			fmt.Fprintf(w, "  service %s waits: %s\n", svc, p.Waits[svc])
 		}
 	}
@@ -201,46 +200,46 @@
 	}
 }
 
-// printTenants writes what there is of tenants' quotas: whose stock is empty, and with
-// all set every tenant that was heard of late.
-func (s *System) printTenants(w io.Writer, p *Report, all bool, only string) {
+// printTenants writes a summary of tenants' quotas: those that have exhausted theirs, and with all set
+// every tenant that has a limit.
+func (s *System) printTenants(w io.Writer, p *Report, all bool, filter string) {
 	if p.Config == nil || len(p.Config.Tenants) == 0 {
 		return
 	}
 	demand := map[string]float64{}
 	for _, r := range s.Reports {
-		for tenant, use := range r.Uses {
-			demand[tenant] += use.PerS
+		for tenant, usage := range r.Uses {
+			demand[tenant] += usage.PerS
 		}
 	}
 	var lines []string
-	limited, empty := 0, 0
+	limited, exhausted := 0, 0
 	for _, t := range p.Config.Tenants {
 		if t.RatePerS <= 0 {
 			continue
 		}
 		limited++
 		a, asked := p.Quotas[t.Name]
-		isEmpty := asked && a.Stock < 1
-		if isEmpty {
-			empty++
+		isExhausted := asked && a.Stock < 1
+		if isExhausted {
+			exhausted++
 		}
-		if (all || isEmpty || only != "") && named(only, t.Name) {
+		if (all || isExhausted || filter != "") && anyContains(filter, t.Name) {
 			lines = append(lines, fmt.Sprintf("  tenant %s: %.1f of %.1f in stock, %d in slices of %d nodes; %.1f operations a second wanted of %.1f allowed",
 				t.Name, a.Stock, a.Capacity, a.Outstanding, a.Holders, demand[t.Name], t.RatePerS))
 		}
 	}
-	fmt.Fprintf(w, "tenants: %d, %d with a limit, %d with nothing in stock\n", len(p.Config.Tenants), limited, empty)
+	fmt.Fprintf(w, "tenants: %d, %d with a limit, %d with nothing in stock\n", len(p.Config.Tenants), limited, exhausted)
 	for _, line := range lines {
 		fmt.Fprintln(w, line)
 	}
 }
 
-// usual is what most of the reports agree on.
-func usual[T comparable](reports []*Report, of func(*Report) T) (most T) {
+// mostCommon returns the most frequent value among the reports.
+func mostCommon[T comparable](reports []*Report, value func(*Report) T) (most T) {
 	counts := map[T]int{}
 	for _, r := range reports {
-		v := of(r)
+		v := value(r)
 		if counts[v]++; counts[v] > counts[most] {
 			most = v
 		}
@@ -248,25 +247,25 @@
 	return most
 }
 
-// differs tells in which points a process is not as most of its role are.
-func (s *System) differs(r *Report, peers []*Report) (points []string) {
-	rev := usual(peers, func(r *Report) int64 { return r.Rev })
-	if p := s.Primary(); p != nil && carries(r.Role) {
+// deviations lists how a process deviates from most processes of its role.
+func (s *System) deviations(r *Report, peers []*Report) (points []string) {
+	rev := mostCommon(peers, func(r *Report) int64 { return r.Rev })
+	if p := s.Primary(); p != nil && isProxy(r.Role) {
 		rev = p.Rev
 	}
-	if carries(r.Role) && r.Rev != rev {
+	if isProxy(r.Role) && r.Rev != rev {
 		points = append(points, "another configuration")
 	}
-	if r.Epoch != usual(peers, func(r *Report) int64 { return r.Epoch }) {
+	if r.Epoch != mostCommon(peers, func(r *Report) int64 { return r.Epoch }) {
 		points = append(points, "another epoch")
 	}
-	if carries(r.Role) && r.LeaseUs <= 0 {
+	if isProxy(r.Role) && r.LeaseUs <= 0 {
 		points = append(points, "no lease")
 	}
-	if len(r.Members) != usual(s.Reports, func(r *Report) int { return len(r.Members) }) {
+	if len(r.Members) != mostCommon(s.Reports, func(r *Report) int { return len(r.Members) }) {
 		points = append(points, "other members")
 	}
-	if carries(r.Role) && len(r.Down) != usual(peers, func(r *Report) int { return len(r.Down) }) {
+	if isProxy(r.Role) && len(r.Down) != mostCommon(peers, func(r *Report) int { return len(r.Down) }) {
 		points = append(points, "other databases down")
 	}
 	if r.Unsure {
@@ -283,7 +282,7 @@
 	return points
 }
 
-func (s *System) printNodes(w io.Writer, role string, all bool, only string) {
+func (s *System) printNodes(w io.Writer, role string, all bool, filter string) {
 	var peers []*Report
 	for _, r := range s.Reports {
 		if r.Role == role {
@@ -291,17 +290,17 @@
 		}
 	}
 	var lines []string
-	odd := 0
+	deviating := 0
 	for _, r := range peers {
-		points := s.differs(r, peers)
+		points := s.deviations(r, peers)
 		if len(points) > 0 {
-			odd++
+			deviating++
 		}
-		if !all && len(points) == 0 && only == "" || !named(only, r.Node, r.Role, r.Zone) {
+		if !all && len(points) == 0 && filter == "" || !anyContains(filter, r.Node, r.Role, r.Zone) {
 			continue
 		}
-		line := fmt.Sprintf("  %s %s in %s: epoch %d, configuration %d, lease %d ms more, %d members", process(r.Role), r.Node, r.Zone, r.Epoch, r.Rev, r.LeaseUs.Millis(), len(r.Members))
-		if carries(r.Role) {
+		line := fmt.Sprintf("  %s %s in %s: epoch %d, configuration %d, lease %d ms more, %d members", processName(r.Role), r.Node, r.Zone, r.Epoch, r.Rev, r.LeaseUs.Millis(), len(r.Members))
+		if isProxy(r.Role) {
 			open := 0
 			for _, c := range r.Conns {
 				open += c[0]
@@ -321,40 +320,40 @@
 	if len(peers) == 0 && role != "control" {
 		return
 	}
-	fmt.Fprintf(w, "%ss: %d asked, %d as most are, %d differ\n", process(role), len(peers), len(peers)-odd, odd)
+	fmt.Fprintf(w, "%ss: %d asked, %d as most are, %d differ\n", processName(role), len(peers), len(peers)-deviating, deviating)
 	for _, line := range lines {
 		fmt.Fprintln(w, line)
 	}
 }
 
-// bearable is how many control nodes may be lost at once, with their disks, so that
-// the state survives and a majority of the witnesses can still vote or be
-// restored; lost is one that is taken for gone already.
-func (s *System) bearable(p *Report, lost string) int {
-	taking := 0
+// failuresTolerated returns how many control nodes may be lost at once, with their disks, such that
+// the state survives and a majority of the witnesses can still vote or be restored. The node at the
+// address lost is counted as lost already.
+func (s *System) failuresTolerated(p *Report, lost string) int {
+	voters := 0
 	copies := 0
-	for _, a := range s.nodes("control") {
+	for _, a := range s.withRole("control") {
 		if a.Addr == lost {
 			continue
 		}
 		if slices.Contains(p.View.Witnesses, a.Addr) && !a.Abstains {
-			taking++
+			voters++
 		}
 		if a.Addr == p.View.Primary.Addr || slices.ContainsFunc(p.View.Backups, func(m controlstate.Member) bool { return m.Addr == a.Addr }) {
 			copies++
 		}
 	}
-	return max(0, min(copies-1, taking-(len(p.View.Witnesses)/2+1)))
+	return max(0, min(copies-1, voters-(len(p.View.Witnesses)/2+1)))
 }
 
-func flag(on bool, text string) string {
+func textIf(on bool, text string) string {
 	if on {
 		return text
 	}
 	return ""
 }
 
-// WriteJSON writes v indented.
+// WriteJSON writes v as indented JSON.
 func WriteJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
