--- a/internal/tools/accept.go
+++ b/internal/tools/accept.go
@@ -34,7 +34,7 @@
 	if !known {
 		return nil, fmt.Errorf("no service %q has a lead", service)
 	}
-	reason, waiting := p.Waits[service]
+	reason, waiting := p.WaitReasons[service]
 	if !waiting || !leader.FailoverInProgress {
 		return nil, fmt.Errorf("service %s does not wait: %s leads it", service, leader.ID)
 	}
--- a/internal/tools/failures.go
+++ b/internal/tools/failures.go
@@ -33,7 +33,7 @@
 	k := kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler))
 	endpoint := rpc.NewEndpoint(k, "")
 	defer endpoint.CloseConnections()
-	report := &FailureReport{Missing: s.Missing}
+	result := &FailureReport{Missing: s.Missing}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, r := range s.Reports {
@@ -43,16 +43,16 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				report.Missing[r.Addr] = err.Error()
+				result.Missing[r.Addr] = err.Error()
 			}
 			for _, f := range recent {
-				report.Failures = append(report.Failures, NodeFailure{r.Node, r.Role, f})
+				result.Failures = append(result.Failures, NodeFailure{r.Node, r.Role, f})
 			}
 		})
 	}
 	wg.Wait()
-	slices.SortFunc(report.Failures, func(a, b NodeFailure) int { return a.At.Compare(b.At) })
-	return report
+	slices.SortFunc(result.Failures, func(a, b NodeFailure) int { return a.At.Compare(b.At) })
+	return result
 }
 
 // Only keeps the failures of which the node, role, request ID, route, service, tenant or cause
--- a/internal/tools/quota.go
+++ b/internal/tools/quota.go
@@ -29,12 +29,12 @@
 // QuotaExcess is a window with more operations than the limit allows. Its times are on the clock of
 // the group's first ledger.
 type QuotaExcess struct {
-	Tenant string         `json:"tenant"`
-	FromUs kernel.Micros  `json:"from_us"`
-	ToUs   kernel.Micros  `json:"to_us"`
-	Count  int            `json:"count"`
-	Most   float64        `json:"most"`
-	ByNode map[string]int `json:"by_node"`
+	Tenant  string         `json:"tenant"`
+	FromUs  kernel.Micros  `json:"from_us"`
+	ToUs    kernel.Micros  `json:"to_us"`
+	Count   int            `json:"count"`
+	Allowed float64        `json:"most"`
+	ByNode  map[string]int `json:"by_node"`
 }
 
 // Print writes the result as text.
@@ -47,7 +47,7 @@
 		fmt.Fprintf(w, "left out: %s, which no answered call joins to the others\n", node)
 	}
 	if e := c.Excess; e != nil {
-		fmt.Fprintf(w, "over the limit: %s, %d operations between %d us and %d us, and %.0f are allowed: %v\n", e.Tenant, e.Count, e.FromUs, e.ToUs, e.Most, e.ByNode)
+		fmt.Fprintf(w, "over the limit: %s, %d operations between %d us and %d us, and %.0f are allowed: %v\n", e.Tenant, e.Count, e.FromUs, e.ToUs, e.Allowed, e.ByNode)
 		return
 	}
 	fmt.Fprintln(w, "no window is over a limit")
@@ -274,7 +274,7 @@
 		}
 		from, to := operations[first].at, operations[last].at
 		if allowed := g.maxAllowed(tenant, from, to); float64(last-first+1) > allowed {
-			e := &QuotaExcess{Tenant: tenant, FromUs: from, ToUs: to, Count: last - first + 1, Most: allowed, ByNode: map[string]int{}}
+			e := &QuotaExcess{Tenant: tenant, FromUs: from, ToUs: to, Count: last - first + 1, Allowed: allowed, ByNode: map[string]int{}}
 			for _, o := range operations[first : last+1] {
 				e.ByNode[o.node]++
 			}
--- a/internal/tools/quota_test.go
+++ b/internal/tools/quota_test.go
@@ -144,7 +144,7 @@
 	}
 	f.send(0, "ann", 30*kernel.Second)
 	f.send(0, "ann", 30*kernel.Second+1)
-	if c := f.check(); c.Excess == nil || c.Excess.Count != 2 || c.Excess.Most != 1 {
+	if c := f.check(); c.Excess == nil || c.Excess.Count != 2 || c.Excess.Allowed != 1 {
 		t.Errorf("two operations under the lowered limit: %+v", c.Excess)
 	}
 	var out strings.Builder
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -27,30 +27,30 @@
 
 // Report is the state of the system as one process sees it.
 type Report struct {
-	Node      string                        `json:"node"`
-	Role      string                        `json:"role"`
-	Addr      string                        `json:"addr"`
-	Zone      string                        `json:"zone"`
-	Tolerates int64                         `json:"tolerates"` // machines, disks included, that may be lost at once
-	Members   []membership.Member           `json:"members"`
-	Epoch     int64                         `json:"epoch"`
-	Rev       int64                         `json:"rev"`
-	LeaseUs   kernel.Micros                 `json:"lease_us"` // remaining lease: of the control state's primary, or a proxy's read lease
-	View      *controlstate.View            `json:"view,omitempty"`
-	Witnesses []string                      `json:"witnesses,omitempty"`
-	Abstains  bool                          `json:"abstains,omitempty"` // as a witness
-	Unsure    bool                          `json:"unsure,omitempty"`   // a control node that is not the primary and has not heard from it within a lease: its view may be stale
-	HeardUs   map[string]kernel.Micros      `json:"heard_us,omitempty"` // on the primary, time since the last contact with each control node
-	Config    *routeconfig.Configuration    `json:"config,omitempty"`
-	Databases map[string]discovery.Database `json:"databases,omitempty"`
-	Leads     map[string]failover.Leader    `json:"leads,omitempty"`
-	Waits     map[string]string             `json:"waits,omitempty"`  // by service, why its failover is blocked
-	Roles     map[string]string             `json:"roles,omitempty"`  // as reported by the databases themselves
-	Down      map[string]int64              `json:"down,omitempty"`   // unreachable databases, with the generation
-	Conns     map[string][2]int             `json:"conns,omitempty"`  // open and idle, by database
-	Quotas    map[string]quota.Account      `json:"quotas,omitempty"` // by tenant, on the primary
-	Uses      map[string]quota.TenantUsage  `json:"uses,omitempty"`   // by tenant, on a pooler or gateway
-	Counters  map[string]int64              `json:"counters"`
+	Node           string                        `json:"node"`
+	Role           string                        `json:"role"`
+	Addr           string                        `json:"addr"`
+	Zone           string                        `json:"zone"`
+	Tolerates      int64                         `json:"tolerates"` // machines, disks included, that may be lost at once
+	Members        []membership.Member           `json:"members"`
+	Epoch          int64                         `json:"epoch"`
+	Rev            int64                         `json:"rev"`
+	LeaseUs        kernel.Micros                 `json:"lease_us"` // remaining lease: of the control state's primary, or a proxy's read lease
+	View           *controlstate.View            `json:"view,omitempty"`
+	Witnesses      []string                      `json:"witnesses,omitempty"`
+	Abstains       bool                          `json:"abstains,omitempty"` // as a witness
+	NoPrimaryHeard bool                          `json:"unsure,omitempty"`   // a control node that is not the primary and has not heard from it within a lease: its view may be stale
+	HeardUs        map[string]kernel.Micros      `json:"heard_us,omitempty"` // on the primary, time since the last contact with each control node
+	Config         *routeconfig.Configuration    `json:"config,omitempty"`
+	Databases      map[string]discovery.Database `json:"databases,omitempty"`
+	Leads          map[string]failover.Leader    `json:"leads,omitempty"`
+	WaitReasons    map[string]string             `json:"waits,omitempty"`  // by service, why its failover is blocked
+	Roles          map[string]string             `json:"roles,omitempty"`  // as reported by the databases themselves
+	Down           map[string]int64              `json:"down,omitempty"`   // unreachable databases, with the generation
+	Conns          map[string][2]int             `json:"conns,omitempty"`  // open and idle, by database
+	Quotas         map[string]quota.Account      `json:"quotas,omitempty"` // by tenant, on the primary
+	Usage          map[string]quota.TenantUsage  `json:"uses,omitempty"`   // by tenant, on a pooler or gateway
+	Counters       map[string]int64              `json:"counters"`
 }
 
 func init() {
@@ -76,7 +76,7 @@
 	if k.Role != "control" {
 		r.Epoch, _, r.Rev, r.LeaseUs = kernel.Need[*distribution.Subscriber](k).Version()
 		r.Conns = kernel.Need[connpool.Counts](k)()
-		r.Uses = kernel.Need[*quota.Client](k).Usage()
+		r.Usage = kernel.Need[*quota.Client](k).Usage()
 		return r, nil
 	}
 	replica := kernel.Need[*controlstate.Replica](k)
@@ -92,7 +92,7 @@
 		// The term has ended: data read in it may be stale and is not reported.
 		r.HeardUs, r.Config, r.Rev, r.Databases, r.Leads, r.Roles, r.Quotas = nil, nil, 0, nil, nil, nil, nil
 		_, known := replica.KnownPrimary()
-		r.Unsure = !known
+		r.NoPrimaryHeard = !known
 	}
 	return r, nil
 }
@@ -117,7 +117,7 @@
 		return err
 	}
 	r.Quotas = kernel.Need[*quota.LedgerServer](k).Accounts()
-	r.Waits = kernel.Need[*failover.Manager](k).WaitReasons()
+	r.WaitReasons = kernel.Need[*failover.Manager](k).WaitReasons()
 	r.Roles = map[string]string{}
 	for id, observed := range kernel.Need[*discovery.Registry](k).Observed() {
 		r.Roles[id] = observed.Role
--- a/internal/tools/status.go
+++ b/internal/tools/status.go
@@ -190,9 +190,9 @@
 		}
 	}
 	fmt.Fprintf(w, "databases: %d of %d services, %d with a lead; %d down, moving, draining or gone\n", len(p.Databases), len(services), withLeader, deviating)
-	for _, svc := range slices.Sorted(maps.Keys(p.Waits)) {
+	for _, svc := range slices.Sorted(maps.Keys(p.WaitReasons)) {
 		if anyContains(filter, svc) {
-			fmt.Fprintf(w, "  service %s waits: %s\n", svc, p.Waits[svc])
+			fmt.Fprintf(w, "  service %s waits: %s\n", svc, p.WaitReasons[svc])
 		}
 	}
 	for _, line := range lines {
@@ -208,7 +208,7 @@
 	}
 	demand := map[string]float64{}
 	for _, r := range s.Reports {
-		for tenant, usage := range r.Uses {
+		for tenant, usage := range r.Usage {
 			demand[tenant] += usage.PerS
 		}
 	}
@@ -268,7 +268,7 @@
 	if isProxy(r.Role) && len(r.Down) != mostCommon(peers, func(r *Report) int { return len(r.Down) }) {
 		points = append(points, "other databases down")
 	}
-	if r.Unsure {
+	if r.NoPrimaryHeard {
 		points = append(points, "hears no primary")
 	}
 	if r.Abstains {
