--- a/internal/tools/accept.go
+++ b/internal/tools/accept.go
@@ -50,14 +50,14 @@
 }
 
 // Accept sends the order to accept the loss of acknowledged commits to the control node. It is
-// refused locally if turn is not the failover number that was reported.
-func (w *Waiting) Accept(ctx context.Context, n kernel.Network, turn int64, by string) error {
-	if turn != w.Turn {
-		return fmt.Errorf("service %s is at turn %d, not %d: look again at what it waits for", w.Service, w.Turn, turn)
+// refused locally if failoverID is not the failover number that was reported.
+func (w *Waiting) Accept(ctx context.Context, n kernel.Network, failoverID int64, by string) error {
+	if failoverID != w.Turn {
+		return fmt.Errorf("service %s is at turn %d, not %d: look again at what it waits for", w.Service, w.Turn, failoverID)
 	}
 	endpoint := rpc.NewEndpoint(kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler)), "")
 	defer endpoint.CloseConnections()
-	order := failover.AcceptLoss{Service: w.Service, FailoverID: turn, By: by}
+	order := failover.AcceptLoss{Service: w.Service, FailoverID: failoverID, By: by}
 	if err := endpoint.Call(ctx, w.Control, failover.AcceptOp, order, nil, requestTimeout); err != nil {
 		return fmt.Errorf("the order was not taken: %w", err)
 	}
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -46,7 +46,7 @@
 	Leads          map[string]failover.Leader    `json:"leads,omitempty"`
 	WaitReasons    map[string]string             `json:"waits,omitempty"`  // by service, why its failover is blocked
 	Roles          map[string]string             `json:"roles,omitempty"`  // as reported by the databases themselves
-	Down           map[string]int64              `json:"down,omitempty"`   // unreachable databases, with the generation
+	Down           map[string]int64              `json:"down,omitempty"`   // databases that are down, with the generation
 	Conns          map[string][2]int             `json:"conns,omitempty"`  // open and idle, by database
 	Quotas         map[string]quota.Account      `json:"quotas,omitempty"` // by tenant, on the primary
 	Usage          map[string]quota.TenantUsage  `json:"uses,omitempty"`   // by tenant, on a pooler or gateway
