--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -13,66 +13,68 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Database is a stand-in for one database.
+// Database is a stand-in for one database of a replicated Group. The group's lock guards its
+// mutable state.
 type Database struct {
 	ID   string
 	IP   string
 	Addr string
 
-	g        *Group
-	zone     string
-	role     string
-	term     int64
-	held     int64
-	log      []entry // received; clipped when it is shared, so that whoever appends copies
-	deaf     bool
-	alive    bool
-	taken    bool // somebody has it crash or leave
-	draining bool
-	leftAt   time.Time // when a control node first acknowledged that it drains
-	seq      int64
-	beatAddr string
-	stop     chan struct{}
-	ran      map[string]bool
-	slow     time.Duration // more time for every log-in and statement
-	lose     int           // answers to be lost, their connections kept
-	quiet    bool          // it says nothing of its leaving but that it has left
-	late     time.Duration // that a beat is on its way
-	prepared int           // the most prepared names that one connection had
-
-	manner      Manner
-	mannerShare float64
+	g                  *Group
+	zone               string
+	role               string
+	term               int64
+	pausedTerm         int64
+	log                []entry // received entries; clipped when shared, so that an append copies
+	replicationStopped bool
+	alive              bool
+	reserved           bool // by a fault that crashes or drains it; see Take
+	draining           bool
+	drainAckedAt       time.Time // when a control node first acknowledged that it drains or has deregistered
+	seq                int64
+	heartbeatAddr      string
+	stop               chan struct{}
+	applied            map[string]bool
+	extraTime          time.Duration // added to every login and statement
+	answersToDrop      int           // answers to drop while keeping their connections open
+	hidesDraining      bool          // its heartbeats say "up" while it drains; it only deregisters
+	heartbeatDelay     time.Duration // how long a heartbeat is in transit
+	maxPrepared        int           // the most prepared statements that one connection had
+
+	misbehaviour      Manner
+	misbehaviourShare float64
 }
 
+// start listens for connections and begins to send heartbeats.
 func (d *Database) start() {
 	stop := make(chan struct{})
 	d.g.mu.Lock()
 	d.alive, d.stop = true, stop
 	d.g.mu.Unlock()
 	serveAt(d.network(), d.Addr, d.serve)
-	go d.beats(stop)
+	go d.heartbeatLoop(stop)
 }
 
-// Take has a database that runs crash or leave by one at a time; false if it does
-// already.
+// Take reserves a running database for one fault that crashes or drains it. It returns false if
+// the database is already reserved, not running or draining.
 func (d *Database) Take() bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	if d.taken || !d.alive || d.draining {
+	if d.reserved || !d.alive || d.draining {
 		return false
 	}
-	d.taken = true
+	d.reserved = true
 	return true
 }
 
-// Give ends what Take began.
+// Give releases the reservation that Take made.
 func (d *Database) Give() {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	d.taken = false
+	d.reserved = false
 }
 
-// Crash ends the database; a dark one just falls silent.
+// Crash stops the database. If dark is set, its host becomes unresponsive as well.
 func (d *Database) Crash(dark bool) {
 	d.g.mu.Lock()
 	if !d.alive {
@@ -88,41 +90,41 @@
 	d.g.env.Reset(d.IP)
 }
 
-// Return brings a crashed database back, with its log and under a new id.
+// Return restarts a crashed database with its log and under a new id.
 func (d *Database) Return(id string) {
 	d.g.mu.Lock()
-	d.ID, d.seq, d.held, d.beatAddr = id, 0, 0, ""
-	d.leftAt, d.manner = time.Time{}, WellBehaved
+	d.ID, d.seq, d.pausedTerm, d.heartbeatAddr = id, 0, 0, ""
+	d.drainAckedAt, d.misbehaviour = time.Time{}, WellBehaved
 	if d.role == "primary" && d.g.term > d.term {
 		d.role = replica
 	}
 	if d.role == replica {
-		d.catchUp()
+		d.copyPrimaryLog()
 	}
 	d.g.mu.Unlock()
 	d.g.env.Silence(d.IP, false)
 	d.start()
 }
 
-// Deaf keeps a replica from receiving.
-func (d *Database) Deaf(deaf bool) {
+// Deaf stops a replica from receiving replicated writes, or lets it receive them again.
+func (d *Database) Deaf(stopped bool) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	if d.deaf = deaf; !deaf && d.alive && d.role == replica {
-		d.catchUp()
+	if d.replicationStopped = stopped; !stopped && d.alive && d.role == replica {
+		d.copyPrimaryLog()
 	}
 }
 
-// Drain says that the database is to be replaced.
+// Drain reports to the control nodes that the database is draining and to be replaced.
 func (d *Database) Drain() {
 	d.g.mu.Lock()
 	d.draining = true
 	d.g.mu.Unlock()
-	go d.beat()
+	go d.sendHeartbeat()
 }
 
-// Leave has the database drain, serve on for that long, deregister, if it gets
-// to that, and end. Its log is gone then.
+// Leave drains the database, keeps it serving for the given time, then deregisters it if
+// deregister is set, and stops it. Its log is lost then.
 func (d *Database) Leave(after time.Duration, deregister bool) {
 	d.Drain()
 	time.AfterFunc(after, func() {
@@ -133,15 +135,16 @@
 	})
 }
 
-// Role is how the database sees itself.
+// Role returns the role that the database believes it has.
 func (d *Database) Role() string {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.role
 }
 
-// catchUp copies what the leading database holds.
-func (d *Database) catchUp() {
+// copyPrimaryLog replaces the log by that of the current term's primary, if that runs. The caller
+// holds the group's lock.
+func (d *Database) copyPrimaryLog() {
 	for _, p := range d.g.dbs {
 		if p != d && p.role == "primary" && p.alive && p.term == d.g.term {
 			d.log = slices.Clip(p.log)
@@ -150,6 +153,7 @@
 	}
 }
 
+// pos returns the position of the last log entry. The caller holds the group's lock.
 func (d *Database) pos() lineprotocol.Position {
 	if len(d.log) == 0 {
 		return lineprotocol.Position{Term: d.term}
@@ -157,12 +161,13 @@
 	return d.log[len(d.log)-1].pos
 }
 
-func (d *Database) beats(stop chan struct{}) {
+// heartbeatLoop sends a heartbeat every 1200 ms until stop is closed.
+func (d *Database) heartbeatLoop(stop chan struct{}) {
 	for {
-		if d.late > 0 {
-			go d.beat() // the next one does not wait for it
+		if d.heartbeatDelay > 0 {
+			go d.sendHeartbeat() // the next heartbeat does not wait for this one
 		} else {
-			d.beat()
+			d.sendHeartbeat()
 		}
 		select {
 		case <-stop:
@@ -172,7 +177,8 @@
 	}
 }
 
-func (d *Database) beat() {
+// sendHeartbeat sends one heartbeat and notes when a control node acknowledges the draining.
+func (d *Database) sendHeartbeat() {
 	d.g.mu.Lock()
 	if !d.alive {
 		d.g.mu.Unlock()
@@ -180,22 +186,22 @@
 	}
 	d.seq++
 	status := "up"
-	if d.draining && !d.quiet {
+	if d.draining && !d.hidesDraining {
 		status = "draining"
 	}
 	body, _ := json.Marshal(map[string]any{
 		"svc": d.g.Service, "address": d.Addr, "zone": d.zone, "rev": "v1", "slots": 7,
 		"status": status, "call_seq": d.seq, "target_role": d.role,
 	})
-	path, drains, late := "/Servers.Heartbeat/"+d.ID, status == "draining", d.late
+	path, drains, late := "/Servers.Heartbeat/"+d.ID, status == "draining", d.heartbeatDelay
 	d.g.mu.Unlock()
 	time.Sleep(late)
 	if d.call(path, body) && drains {
-		d.left()
+		d.recordDrainAcked()
 	}
 }
 
-// call makes a call to the first control node that acknowledges it, if any does.
+// call posts to the control nodes in turn until one acknowledges; false if none does.
 func (d *Database) call(path string, body []byte) bool {
 	for _, a := range d.g.env.Controls() {
 		if code, _ := Call(d.network(), http.MethodPost, a, path, nil, body); code == http.StatusOK {
@@ -205,13 +211,14 @@
 	return false
 }
 
-// drainBound is bounds.drain_ms, here and in the settings of what is tested.
-const drainBound = 7 * time.Second
+// maxDrain is how long after an acknowledged draining statements may still begin; it equals
+// bounds.drain_ms in the settings of the system under test.
+const maxDrain = 7 * time.Second
 
-// port is that of every database.
+// port is the port that every database listens on.
 const port = "8080"
 
-// How a database sees itself.
+// Roles of databases.
 const (
 	primary = "primary"
 	replica = "replica"
@@ -219,8 +226,8 @@
 
 func (d *Database) network() kernel.Network { return d.g.env.Network(d.IP) }
 
-// holds are the ids of the statements that the log holds. The caller holds the lock.
-func (d *Database) holds() map[string]bool {
+// statementIDs returns the ids of the statements in the log. The caller holds the group's lock.
+func (d *Database) statementIDs() map[string]bool {
 	held := make(map[string]bool, len(d.log))
 	for _, e := range d.log {
 		held[e.id] = true
@@ -228,86 +235,89 @@
 	return held
 }
 
-// Position is the last place in its log, and the term at which it is paused, 0 if
-// it is not.
+// Position returns the last position in the log, and the term for which the database is paused,
+// 0 if it is not paused.
 func (d *Database) Position() (last lineprotocol.Position, held int64) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	return d.pos(), d.held
+	return d.pos(), d.pausedTerm
 }
 
-// Holds lists the ids of the statements that its log holds.
+// Holds returns the sorted ids of the statements in its log.
 func (d *Database) Holds() []string {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	return slices.Sorted(maps.Keys(d.holds()))
+	return slices.Sorted(maps.Keys(d.statementIDs()))
 }
 
-// Forget drops the last writes from its log, as a database that lost them does.
+// Forget truncates the last n writes from its log, as a database that lost them does.
 func (d *Database) Forget(n int) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	d.log = slices.Clip(d.log[:max(0, len(d.log)-n)])
 }
 
-// Leaves tells whether it drains.
+// Leaves reports whether the database is draining.
 func (d *Database) Leaves() bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.draining
 }
 
-// Alive tells whether the database runs.
+// Alive reports whether the database is running.
 func (d *Database) Alive() bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.alive
 }
 
-// note checks a client's statement that is about to run. One that begins at the
-// database later than its leaving allows breaks DRAIN.
-func (d *Database) note(id, who string, begins bool) {
+// checkStatement checks a client's statement that is about to run and reports it to the observer.
+// A statement of another tenant's session violates UNASKED; one that begins later than maxDrain
+// after the draining was acknowledged violates DRAIN.
+func (d *Database) checkStatement(id, user string, begins bool) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	session, _, _ := strings.Cut(id, ".")
-	if owner, known := d.g.owners[session]; known && owner != "" && owner != who {
-		d.g.broke("UNASKED: %s of %s runs at %s for %q", id, owner, d.ID, who)
+	if owner, known := d.g.owners[session]; known && owner != "" && owner != user {
+		d.g.recordViolation("UNASKED: %s of %s runs at %s for %q", id, owner, d.ID, user)
 	}
 	if d.g.Observe.Ran != nil {
-		d.g.Observe.Ran(Run{Service: d.g.Service, Database: d.ID, ID: id, Who: who, Begins: begins})
+		d.g.Observe.Ran(Run{Service: d.g.Service, Database: d.ID, ID: id, Who: user, Begins: begins})
 	}
-	if after := time.Since(d.leftAt); begins && !d.leftAt.IsZero() && after > drainBound {
-		d.g.broke("DRAIN: %s begins at %s %v after its leaving was acknowledged", id, d.ID, after)
+	if after := time.Since(d.drainAckedAt); begins && !d.drainAckedAt.IsZero() && after > maxDrain {
+		d.g.recordViolation("DRAIN: %s begins at %s %v after its leaving was acknowledged", id, d.ID, after)
 	}
 }
 
-// Slow gives the database more work to do on everything.
+// Slow adds latency to every login and statement.
 func (d *Database) Slow(more time.Duration) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	d.slow = more
+	d.extraTime = more
 }
 
-// Lose has the next answers to reads and writes lost.
+// Lose drops the next n answers to reads and writes; the connections stay open.
 func (d *Database) Lose(n int) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	d.lose = n
+	d.answersToDrop = n
 }
 
-func (d *Database) work(t time.Duration) {
+// simulateWork sleeps for the time that a login or statement takes.
+func (d *Database) simulateWork(t time.Duration) {
 	d.g.mu.Lock()
-	t += d.slow
+	t += d.extraTime
 	d.g.mu.Unlock()
 	time.Sleep(t)
 }
 
-func (d *Database) loses(text []byte) bool {
+// dropsAnswer reports whether the answer to this statement is to be dropped, and counts it.
+func (d *Database) dropsAnswer(text []byte) bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	if d.lose == 0 || !bytes.HasPrefix(text, []byte("FETCH")) && !bytes.HasPrefix(text, []byte("PUT")) {
+	if d.answersToDrop == 0 || !bytes.HasPrefix(text, []byte("FETCH")) && !bytes.HasPrefix(text, []byte("PUT")) {
 		return false
 	}
-	d.lose--
+	d.answersToDrop--
 	return true
 }
--- a/internal/standin/environment.go
+++ b/internal/standin/environment.go
@@ -1,7 +1,8 @@
-// Package standin holds stand-ins for what surrounds the system: databases that
-// speak the wire and replicate to each other, the platform that promotes them, and
-// clients with their sessions. They check what they see against the rules. The
-// simulation plays them on a simulated network, the testbed beside real processes.
+// Package standin provides stand-ins for the system's environment: databases that speak the
+// line protocol and replicate to each other, request-serving databases, the platform that
+// promotes databases, and clients. They check what they observe against the system's rules and
+// record violations. The simulation runs them on a simulated network, the testbed beside real
+// processes.
 package standin
 
 import (
@@ -15,28 +16,29 @@
 	"indigowalk/internal/kernel"
 )
 
-// Environment is what stand-ins need of the network.
+// Environment is what stand-ins need of the network and its fault injection.
 type Environment interface {
-	// Network is that of a host.
+	// Network returns the network as seen from the host with this IP address.
 	Network(ip string) kernel.Network
 	// Controls lists the addresses of the control nodes, as the platform knows them.
 	Controls() []string
-	// Reaches tells whether packets pass from one address to another.
+	// Reaches reports whether packets pass from one address to another.
 	Reaches(from, to string) bool
-	// Made tells whether a connection that broke had reached whom it was made to: where
-	// a relay stands between, that takes calls for others, it may not have.
+	// Made reports whether a broken connection had reached its intended peer. It may not have
+	// where a relay in between accepts connections on behalf of others.
 	Made(c net.Conn) bool
-	// Silence has a host answer nothing any more, or answer again.
+	// Silence makes a host unresponsive, or responsive again.
 	Silence(ip string, silent bool)
 	// Reset breaks a host's connections and closes its addresses.
 	Reset(ip string)
 }
 
-// serveAt has connections to an address be served until the address is closed.
+// serveAt accepts connections at an address and serves each one until the listener is closed.
+// It panics if it can't listen there.
 func serveAt(network kernel.Network, addr string, serve func(net.Conn)) {
 	ln, err := network.Listen(addr)
 	if err != nil {
-		panic(err) // two stand-ins at one address
+		panic(err) // two stand-ins share one address
 	}
 	go func() {
 		for {
@@ -50,22 +52,22 @@
 }
 
 const (
-	// callWait is how long callers of the control address wait for an answer.
-	callWait = time.Second
-	// redirects are how many a caller follows.
-	redirects = 2
+	// callTimeout is how long callers of a control address wait for a response.
+	callTimeout = time.Second
+	// maxRedirects is how many redirects Call follows.
+	maxRedirects = 2
 )
 
-// Call makes one call of a host to the control address of a node, as databases and
-// operators do. The status is 0 if there was no answer.
+// Call makes one HTTP call from a host to the control address of a node, as databases and
+// operators do. The status is 0 if there was no whole response.
 func Call(network kernel.Network, method, addr, path string, header map[string]string, body []byte) (int, []byte) {
-	return CallFollowing(network, redirects, method, addr, path, header, body)
+	return CallFollowing(network, maxRedirects, method, addr, path, header, body)
 }
 
-// CallFollowing is a Call that follows so many redirects.
+// CallFollowing is like Call, but follows up to the given number of redirects.
 func CallFollowing(network kernel.Network, hops int, method, addr, path string, header map[string]string, body []byte) (int, []byte) {
 	client := &http.Client{
-		Timeout: callWait,
+		Timeout: callTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
 			return network.Dial(ctx, a, 0)
 		}},
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -12,50 +12,50 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Group is a service's databases and what must hold between them.
+// Group is the replicated databases of a service. It checks the invariants between them.
 type Group struct {
 	Service string
-	Promote time.Duration // that a promotion takes
+	Promote time.Duration // how long a promotion takes
 	Observe Observer
 
-	env    Environment
-	mu     sync.Mutex
-	dbs    []*Database
-	term   int64
-	acked  map[string]bool   // query ids that clients may rely on
-	owners map[string]string // tenant by session, of those that are known
-	seals  int
-	broken []string // rules that were broken
+	env        Environment
+	mu         sync.Mutex
+	dbs        []*Database
+	term       int64
+	acked      map[string]bool   // ids of the statements whose commit was acknowledged to clients
+	owners     map[string]string // tenant by session, for the sessions whose tenant is known
+	sealCount  int
+	violations []string
 }
 
-// Observer is told what happens at the databases; what is nil is not told.
+// Observer holds callbacks for events at the databases; nil ones are not called.
 type Observer struct {
 	Ran      func(Run)
-	Drains   func(service, database string) // a control node has acknowledged it
+	Drains   func(service, database string) // a control node has acknowledged the draining
 	Promoted func(Promotion)
 }
 
-// Run is a statement that a database runs.
+// Run is a statement or request that a database runs.
 type Run struct {
 	Service, Database string
-	ID                string // of the statement
-	Who               string // the tenant whose connection it came on
-	Begins            bool   // outside a transaction, or as the first in one
+	ID                string // of the statement or request
+	Who               string // the user that the connection's login named
+	Begins            bool   // it is outside a transaction, or the first statement in one
 }
 
-// Promotion is a database that becomes the primary of a term.
+// Promotion is the event of a database becoming the primary of a term.
 type Promotion struct {
 	Service, Database string
 	Term              int64
-	Holds             []string // ids of the statements that its log holds
+	Holds             []string // ids of the statements in its log
 }
 
-// promoteSpan is what a promotion takes if nothing else is said.
-const promoteSpan = 300 * time.Millisecond
+// defaultPromotionTime is how long a promotion takes unless Group.Promote is set otherwise.
+const defaultPromotionTime = 300 * time.Millisecond
 
 // NewGroup returns a service without databases.
 func NewGroup(env Environment, service string) *Group {
-	return &Group{Service: service, Promote: promoteSpan, env: env, term: 1, acked: map[string]bool{}, owners: map[string]string{}}
+	return &Group{Service: service, Promote: defaultPromotionTime, env: env, term: 1, acked: map[string]bool{}, owners: map[string]string{}}
 }
 
 // Databases returns the databases in the order in which they were added.
@@ -65,25 +65,27 @@
 	return slices.Clone(g.dbs)
 }
 
-// DB returns a database, by the order in which they were added.
+// DB returns the database that was added as number i, counted from 0.
 func (g *Group) DB(i int) *Database { return g.Databases()[i] }
 
-// Lead returns the database that leads the newest term and runs.
+// Lead returns the primary of the newest term, or nil if there is none that runs.
 func (g *Group) Lead() *Database {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lead()
+	return g.currentPrimary()
 }
 
-func (g *Group) lead() *Database {
-	if d := g.newest(); d != nil && d.alive {
+// currentPrimary is Lead for a caller that holds the lock.
+func (g *Group) currentPrimary() *Database {
+	if d := g.newestPrimary(); d != nil && d.alive {
 		return d
 	}
 	return nil
 }
 
-// newest is the database that leads the newest term, whether it runs or not.
-func (g *Group) newest() *Database {
+// newestPrimary returns the primary of the newest term, whether it runs or not. The caller holds
+// the lock.
+func (g *Group) newestPrimary() *Database {
 	for _, d := range g.dbs {
 		if d.role == primary && d.term == g.term {
 			return d
@@ -92,95 +94,98 @@
 	return nil
 }
 
-// Own has the statements of a session be those of a tenant, or of nobody's if "".
+// Own records the tenant that a session belongs to; its statements may run for no other tenant.
+// With "" they are not checked.
 func (g *Group) Own(session, tenant string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.owners[session] = tenant
 }
 
-// Acked is how many commits clients were told of.
+// Acked returns the number of commits that were acknowledged to clients.
 func (g *Group) Acked() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.acked)
 }
 
-// Ack notes that a client was told of a commit.
+// Ack records that a commit was acknowledged to a client.
 func (g *Group) Ack(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.acked[id] = true
 }
 
-// Forgive lets whatever clients have been told of so far be lost.
+// Forgive discards the record of acknowledged commits, so that their loss is no violation.
 func (g *Group) Forgive() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.acked)
 }
 
-// Broken lists the rules that were broken.
+// Broken returns the violations recorded so far.
 func (g *Group) Broken() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.broken)
+	return slices.Clone(g.violations)
 }
 
-// Broke notes a rule that was broken.
+// Broke records a violation.
 func (g *Group) Broke(format string, args ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.broke(format, args...)
+	g.recordViolation(format, args...)
 }
 
-// Final checks, at the end, that the primary holds what clients were told of, and
-// nothing that they were promised not to be kept.
+// Final checks, at the end of a run, that the newest primary has every acknowledged commit, and
+// none of the statements that clients were promised would not be committed.
 func (g *Group) Final(promised map[string]promise) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	lead := g.newest()
-	if lead == nil {
+	newest := g.newestPrimary()
+	if newest == nil {
 		return
 	}
-	held := lead.holds()
+	held := newest.statementIDs()
 	for id := range held {
 		if p, ok := promised[id]; ok {
-			g.broke("REFUSED: %s was committed, though %s answered %s at %s", id, p.pooler, p.code, p.at.Format(time.StampMilli))
+			g.recordViolation("REFUSED: %s was committed, though %s answered %s at %s", id, p.pooler, p.code, p.at.Format(time.StampMilli))
 		}
 	}
 	for id := range g.acked {
 		if !held[id] {
-			g.broke("LOST: acknowledged %s is gone from %s", id, lead.ID)
+			g.recordViolation("LOST: acknowledged %s is gone from %s", id, newest.ID)
 		}
 	}
 }
 
-// End ends every database.
+// End stops every database.
 func (g *Group) End() {
 	for _, d := range g.Databases() {
 		d.Crash(false)
 	}
 }
 
+// entry is one write in a database's log.
 type entry struct {
-	pos         lineprotocol.Position
-	id          string
-	thing, data string
+	pos        lineprotocol.Position
+	id         string
+	key, value string
 }
 
-func (g *Group) broke(format string, args ...any) {
-	g.broken = append(g.broken, fmt.Sprintf(format, args...))
+// recordViolation is Broke for a caller that holds the lock.
+func (g *Group) recordViolation(format string, args ...any) {
+	g.violations = append(g.violations, fmt.Sprintf(format, args...))
 }
 
-// Add starts a database.
+// Add starts a database and adds it to the group.
 func (g *Group) Add(id, ip, zone, role string) *Database { return g.AddLate(id, ip, zone, role, 0) }
 
-// AddLate starts a database whose beats are on their way for a span.
+// AddLate is like Add, for a database whose heartbeats take the given time to arrive.
 func (g *Group) AddLate(id, ip, zone, role string, late time.Duration) *Database {
 	d := &Database{
 		g: g, ID: id, IP: ip, Addr: net.JoinHostPort(ip, port), zone: zone,
-		role: role, term: 1, ran: map[string]bool{}, late: late,
+		role: role, term: 1, applied: map[string]bool{}, heartbeatDelay: late,
 	}
 	g.mu.Lock()
 	g.dbs = append(g.dbs, d)
@@ -189,16 +194,17 @@
 	return d
 }
 
-// outcome is what came of a commit.
+// outcome is the result of a commit.
 type outcome int
 
 const (
-	committed outcome = iota
-	notRun            // the database does not lead
-	unclear           // it is in the log, and whether a replica has received it is not known
+	committed      outcome = iota
+	notRun                 // the database is not a primary
+	unknownOutcome         // it is in the log, but whether a replica has received it is not known
 )
 
-// commit appends at the primary and waits until one replica has received it.
+// commit appends writes to the primary's log and waits until one replica has received them.
+// A statement that is applied a second time violates TWICE.
 func (d *Database) commit(writes []entry) outcome {
 	g := d.g
 	g.mu.Lock()
@@ -208,20 +214,20 @@
 	}
 	pos := lineprotocol.Position{Term: d.term, Number: int64(len(d.log)) + 1}
 	for _, e := range writes {
-		if d.ran[e.id] {
-			g.broke("TWICE: %s took effect twice", e.id)
+		if d.applied[e.id] {
+			g.recordViolation("TWICE: %s took effect twice", e.id)
 		}
-		d.ran[e.id] = true
+		d.applied[e.id] = true
 		e.pos = pos
 		d.log = append(d.log, e)
 	}
 	for {
 		if !d.alive || d.role != primary {
-			return unclear // another commit may have taken it to a replica
+			return unknownOutcome // another commit may have replicated it
 		}
 		received := false
 		for _, r := range g.dbs {
-			if r != d && r.role == replica && r.alive && !r.deaf && r.held == 0 && r.term <= d.term && g.env.Reaches(r.Addr, d.Addr) {
+			if r != d && r.role == replica && r.alive && !r.replicationStopped && r.pausedTerm == 0 && r.term <= d.term && g.env.Reaches(r.Addr, d.Addr) {
 				r.log, r.term = slices.Clip(d.log), d.term
 				received = true
 			}
@@ -235,8 +241,9 @@
 	}
 }
 
-// PromoteTo makes the database the primary of the next term, as the platform does,
-// and returns the platform's answer.
+// PromoteTo starts to promote the database to primary of the next term, as the platform does, and
+// returns the HTTP status of the platform's response. A promoted database whose log lacks an
+// acknowledged commit violates LOST.
 func (g *Group) PromoteTo(id string) int {
 	g.mu.Lock()
 	var d *Database
@@ -260,23 +267,23 @@
 		if !d.alive || d.role == primary {
 			return
 		}
-		held := d.holds()
+		held := d.statementIDs()
 		for id := range g.acked {
 			if !held[id] {
-				g.broke("LOST: acknowledged %s is not in the log of the promoted %s", id, d.ID)
+				g.recordViolation("LOST: acknowledged %s is not in the log of the promoted %s", id, d.ID)
 			}
 		}
 		g.term++
 		if g.Observe.Promoted != nil {
 			g.Observe.Promoted(Promotion{g.Service, d.ID, g.term, slices.Sorted(maps.Keys(held))})
 		}
-		d.role, d.term, d.held = primary, g.term, 0
+		d.role, d.term, d.pausedTerm = primary, g.term, 0
 		for _, o := range g.dbs {
-			if o.alive && !o.deaf && o != d && o.role == replica && g.env.Reaches(o.Addr, d.Addr) {
-				o.log, o.term, o.held = slices.Clip(d.log), d.term, 0
+			if o.alive && !o.replicationStopped && o != d && o.role == replica && g.env.Reaches(o.Addr, d.Addr) {
+				o.log, o.term, o.pausedTerm = slices.Clip(d.log), d.term, 0
 			}
 		}
-		go d.beat()
+		go d.sendHeartbeat()
 	})
 	return http.StatusOK
 }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -13,98 +13,100 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Deadline is that of the load's routes, after which a statement runs no more.
+// Deadline is the deadline of the load's routes, after which a statement no longer runs.
 const Deadline = 2 * time.Second
 
-// Stale is stale_ms of the routes on which reads may be old.
+// Stale is stale_ms of the routes on which reads may be stale.
 const Stale = 1500 * time.Millisecond
 
-// Kinds of routes, by the first letter of their types; the route of a kind to a
-// service is called KIND.SERVICE.
+// Kinds of routes, named by the first letter of their types (primary, bounded, nearest). The route
+// of a kind to a service is named KIND.SERVICE.
 const (
 	PrimaryRoute = "p"
 	BoundedRoute = "b"
 	NearestRoute = "n"
 )
 
-// Pooler is where sessions are opened.
+// Pooler is a pooler as its clients reach it.
 type Pooler struct {
-	Number  int            // names what is written through it
-	Address func() string  // as the entry has it now
-	Network kernel.Network // of the clients there
+	Number  int            // part of the keys that are written through it
+	Address func() string  // the current address
+	Network kernel.Network // of its clients
 }
 
-// At is the address of a pooler that never moves.
+// At returns an Address function for a pooler whose address never changes.
 func At(address string) func() string { return func() string { return address } }
 
-// Statement is what a client asked, and what came of it.
+// Statement is a client's statement and its result.
 type Statement struct {
 	Pooler, Route string
 	ID            string
 	Write         bool
 	Thing         string
 	Value         int  // written, or read
-	Own           bool // a read of what the session wrote itself
+	Own           bool // a read of a key that the session itself writes
 	Sent, Done    time.Time
-	Last          time.Time // when the last message of it was sent: a COMMIT, where it is one in a transaction
+	Last          time.Time // when its last message was sent: the COMMIT, for a write in a transaction
 	Code          string    // of the error, "" for success
 }
 
-// Load is a workload that checks what clients are promised.
+// Load is a workload of readers and writers that checks the guarantees given to clients.
 type Load struct {
 	g       *Group
 	poolers []Pooler
 	observe func(Statement)
 
 	mu       sync.Mutex
-	acks     map[string][]ack   // by thing: counters acknowledged, with the time
-	promised map[string]promise // by id, of which nothing may be kept
+	acks     map[string][]ack   // by key: the acknowledged counters and when they were acknowledged
+	promised map[string]promise // by id: statements that must not be committed
 	Served   int
 	Refused  int
 	Unsure   int
-	Slowest  time.Duration // between two served writes
+	Slowest  time.Duration // the longest time between two served writes
 
 	lastServed time.Time
 	stop       chan struct{}
 	wg         sync.WaitGroup
 }
 
-// promise is an answer after which nothing may be kept.
+// promise is an error answer after which the statement must not be committed.
 type promise struct {
 	pooler, code string
 	at           time.Time
 }
 
+// ack is an acknowledged write of the counter n.
 type ack struct {
 	n  int
 	at time.Time
 }
 
-// writersAPooler are the clients that write through each pooler, each a thing of
-// its own.
-const writersAPooler = 2
+// writersPerPooler is the number of clients that write through each pooler, each to its own key.
+const writersPerPooler = 2
 
-// NewLoad starts writers and readers of the group at the poolers; observe, if there
-// is one, is told of every statement.
+// NewLoad starts writers and readers of the group at the poolers. If observe is not nil, it is
+// called with every statement.
 func NewLoad(g *Group, seed uint64, poolers []Pooler, observe func(Statement)) *Load {
 	l := &Load{
 		g: g, poolers: poolers, observe: observe, acks: map[string][]ack{}, promised: map[string]promise{},
 		stop: make(chan struct{}), lastServed: time.Now(),
 	}
 	for _, p := range poolers {
-		for i := range writersAPooler {
-			l.start(seed, p, func(r *rand.Rand) { l.writer(r, p, thingOf(p.Number, i)) })
+		for i := range writersPerPooler {
+			l.startClient(seed, p, func(r *rand.Rand) { l.writer(r, p, keyFor(p.Number, i)) })
 		}
 		for _, kind := range []string{PrimaryRoute, BoundedRoute, NearestRoute} {
-			l.start(seed, p, func(r *rand.Rand) { l.reader(r, p, kind) })
+			l.startClient(seed, p, func(r *rand.Rand) { l.reader(r, p, kind) })
 		}
 	}
 	return l
 }
 
-func thingOf(pooler, writer int) string { return fmt.Sprintf("t%d.%d", pooler, writer) }
+// keyFor returns the key that a writer at a pooler writes.
+func keyFor(pooler, writer int) string { return fmt.Sprintf("t%d.%d", pooler, writer) }
 
-func (l *Load) start(seed uint64, p Pooler, f func(*rand.Rand)) {
+// startClient runs a client with its own random source.
+func (l *Load) startClient(seed uint64, p Pooler, f func(*rand.Rand)) {
 	l.wg.Add(1)
 	r := rand.New(rand.NewPCG(seed, uint64(p.Number)))
 	go func() {
@@ -113,7 +115,7 @@
 	}()
 }
 
-// Stop ends the load and checks the promises that were made.
+// Stop ends the load and runs the group's final checks.
 func (l *Load) Stop() {
 	close(l.stop)
 	l.wg.Wait()
@@ -122,7 +124,8 @@
 	l.g.Final(l.promised)
 }
 
-func (l *Load) over() bool {
+// stopped reports whether Stop was called.
+func (l *Load) stopped() bool {
 	select {
 	case <-l.stop:
 		return true
@@ -131,7 +134,7 @@
 	}
 }
 
-// Promises tells whether the code of an error promises that nothing is kept.
+// Promises reports whether an error code guarantees that the statement is not committed.
 func Promises(code string) bool {
 	switch code {
 	case lineprotocol.Retry, lineprotocol.RolledBack, lineprotocol.Lagging, lineprotocol.ReadOnly, lineprotocol.WrongNode, lineprotocol.MaxConn:
@@ -140,10 +143,11 @@
 	return false
 }
 
-// pause is what a client waits between two operations.
+// pause sleeps for the time that a client waits between two operations, 20 to 49 ms.
 func pause(r *rand.Rand) { time.Sleep(time.Duration(20+r.IntN(30)) * time.Millisecond) }
 
-// login opens a session with a value of its own.
+// login opens a session and sets an option on it to a value that is unique to the session. Both
+// results are nil if the session can't be opened.
 func (l *Load) login(p Pooler, kind string) (*Session, *lineprotocol.Answer) {
 	s, _ := Login(p.Network, p.Address(), kind+"."+l.g.Service)
 	if s == nil {
@@ -153,8 +157,8 @@
 	return s, a
 }
 
-// told tells the observer of a statement on a session.
-func (l *Load) told(session *Session, kind string, s Statement, a *lineprotocol.Answer) {
+// notifyObserver completes a statement of a session and passes it to the observer.
+func (l *Load) notifyObserver(session *Session, kind string, s Statement, a *lineprotocol.Answer) {
 	if l.observe == nil {
 		return
 	}
@@ -162,23 +166,23 @@
 	l.observe(s)
 }
 
-// writer counts a thing up, sometimes in a transaction.
-func (l *Load) writer(r *rand.Rand, p Pooler, thing string) {
+// writer increments a key's counter, sometimes in a transaction, until the load is stopped.
+func (l *Load) writer(r *rand.Rand, p Pooler, key string) {
 	var s *Session
-	for n := 1; !l.over(); n++ {
+	for n := 1; !l.stopped(); n++ {
 		pause(r)
 		if s == nil {
 			if s, _ = l.login(p, PrimaryRoute); s == nil {
 				continue
 			}
 		}
-		a := l.write(r, p, s, thing, n)
+		a := l.write(r, p, s, key, n)
 		if a.Code == Cut || s.State != "I" {
 			s.Close()
 			s = nil
 		}
 		if a.Code == Cut {
-			time.Sleep(Deadline) // until then it may take effect, and would hide the next
+			time.Sleep(Deadline) // until then the write may still take effect and overwrite the next one
 		}
 	}
 	if s != nil {
@@ -186,31 +190,32 @@
 	}
 }
 
-// write writes a thing once and returns the answer by which it is kept or not.
-func (l *Load) write(r *rand.Rand, p Pooler, s *Session, thing string, n int) *lineprotocol.Answer {
-	inside := r.IntN(3) == 0
-	if inside {
+// write writes a key once and returns the answer that decides whether the write is committed.
+func (l *Load) write(r *rand.Rand, p Pooler, s *Session, key string, n int) *lineprotocol.Answer {
+	inTransaction := r.IntN(3) == 0
+	if inTransaction {
 		s.Query("BEGIN")
 	}
 	sent := time.Now()
-	a, id := s.Query(fmt.Sprintf("PUT %s %d", thing, n))
+	a, id := s.Query(fmt.Sprintf("PUT %s %d", key, n))
 	last := sent
-	if inside && a.Code == "" {
+	if inTransaction && a.Code == "" {
 		last = time.Now()
 		a, _ = s.Query("COMMIT")
 	}
-	l.note(s, a, thing, n, id)
-	l.told(s, PrimaryRoute, Statement{ID: id, Write: true, Thing: thing, Value: n, Sent: sent, Last: last}, a)
+	l.recordWrite(s, a, key, n, id)
+	l.notifyObserver(s, PrimaryRoute, Statement{ID: id, Write: true, Thing: key, Value: n, Sent: sent, Last: last}, a)
 	return a
 }
 
-func (l *Load) note(s *Session, a *lineprotocol.Answer, thing string, n int, id string) {
+// recordWrite records a write as acknowledged, refused or of unknown outcome.
+func (l *Load) recordWrite(s *Session, a *lineprotocol.Answer, key string, n int, id string) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case a.Code == "":
-		l.acks[thing] = append(l.acks[thing], ack{n, now})
+		l.acks[key] = append(l.acks[key], ack{n, now})
 		l.Slowest = max(l.Slowest, now.Sub(l.lastServed))
 		l.lastServed = now
 		l.Served++
@@ -223,13 +228,13 @@
 	}
 }
 
-// LongestGap is the longest time between two writes served at a pooler.
+// LongestGap returns the longest time between two writes served at a pooler.
 func (l *Load) LongestGap(pooler int) (longest time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var at []time.Time
-	for i := range writersAPooler {
-		for _, a := range l.acks[thingOf(pooler, i)] {
+	for i := range writersPerPooler {
+		for _, a := range l.acks[keyFor(pooler, i)] {
 			at = append(at, a.at)
 		}
 	}
@@ -240,8 +245,8 @@
 	return longest
 }
 
-// expect is the lowest counter that a read begun now may show.
-func (l *Load) expect(thing string, kind string) int {
+// minimumExpected returns the lowest counter that a read begun now may return.
+func (l *Load) minimumExpected(key string, kind string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bound := time.Now()
@@ -249,7 +254,7 @@
 		bound = bound.Add(-Stale)
 	}
 	n := 0
-	for _, a := range l.acks[thing] {
+	for _, a := range l.acks[key] {
 		if a.at.Before(bound) {
 			n = a.n
 		}
@@ -257,12 +262,12 @@
 	return n
 }
 
-// reader reads things and checks how fresh they are, and that its own values
-// are in force.
+// reader reads keys until the load is stopped. It checks how fresh the values are, that on nearest
+// routes the session reads its own writes, and that the session's options are in force.
 func (l *Load) reader(r *rand.Rand, p Pooler, kind string) {
 	var s *Session
-	own, ownN := fmt.Sprintf("own%s%d", kind, p.Number), 0
-	for !l.over() {
+	own, ownValue := fmt.Sprintf("own%s%d", kind, p.Number), 0
+	for !l.stopped() {
 		pause(r)
 		if s == nil {
 			var a *lineprotocol.Answer
@@ -274,20 +279,20 @@
 				s = nil
 				continue
 			}
-			ownN = 0
+			ownValue = 0
 		}
-		thing := thingOf(l.poolers[r.IntN(len(l.poolers))].Number, r.IntN(writersAPooler))
+		key := keyFor(l.poolers[r.IntN(len(l.poolers))].Number, r.IntN(writersPerPooler))
 		if kind == NearestRoute && r.IntN(3) == 0 {
-			if a, _ := s.Query(fmt.Sprintf("PUT %s %d", own, ownN+1)); a.Code == "" {
-				ownN++
+			if a, _ := s.Query(fmt.Sprintf("PUT %s %d", own, ownValue+1)); a.Code == "" {
+				ownValue++
 			}
-			thing = own
+			key = own
 		}
-		want := l.expect(thing, kind)
-		if thing == own {
-			want = ownN
+		want := l.minimumExpected(key, kind)
+		if key == own {
+			want = ownValue
 		}
-		if a := l.read(p, s, kind, thing, want, thing == own); a.Code == Cut || s.State != "I" {
+		if a := l.read(p, s, kind, key, want, key == own); a.Code == Cut || s.State != "I" {
 			s.Close()
 			s = nil
 		}
@@ -297,21 +302,23 @@
 	}
 }
 
-// read reads a thing once and checks what comes.
-func (l *Load) read(p Pooler, s *Session, kind, thing string, want int, own bool) *lineprotocol.Answer {
+// read reads a key once and checks the answer.
+func (l *Load) read(p Pooler, s *Session, kind, key string, want int, own bool) *lineprotocol.Answer {
 	sent := time.Now()
-	a, id := s.Query("FETCH " + thing)
+	a, id := s.Query("FETCH " + key)
 	got, _ := strconv.Atoi(Row(a))
 	if a.Code == "" {
-		l.check(a, s, kind, thing, got, want, id)
+		l.check(a, s, kind, key, got, want, id)
 	}
-	l.told(s, kind, Statement{ID: id, Thing: thing, Value: got, Own: own, Sent: sent, Last: sent}, a)
+	l.notifyObserver(s, kind, Statement{ID: id, Thing: key, Value: got, Own: own, Sent: sent, Last: sent}, a)
 	return a
 }
 
-func (l *Load) check(a *lineprotocol.Answer, s *Session, kind, thing string, got, want int, id string) {
+// check records a STALE violation for a value older than want, and a PINNED violation if the
+// session's options were not in force.
+func (l *Load) check(a *lineprotocol.Answer, s *Session, kind, key string, got, want int, id string) {
 	if got < want {
-		l.g.Broke("STALE: %s read %d of %s by %q, %d was acknowledged", id, got, thing, kind, want)
+		l.g.Broke("STALE: %s read %d of %s by %q, %d was acknowledged", id, got, key, kind, want)
 	}
 	if f := strings.Fields(string(a.Rows)); len(f) < 3 || f[2] != "1:"+s.Name {
 		l.g.Broke("PINNED: %s ran with values %v", id, f)
--- a/internal/standin/manners.go
+++ b/internal/standin/manners.go
@@ -7,64 +7,66 @@
 	"time"
 )
 
-// Manner is how a database misbehaves on the wire, towards a share of the statements.
+// Manner is a way in which a database misbehaves on the wire, for a share of the statements.
 type Manner int
 
-// Manners of databases.
+// Ways in which databases misbehave.
 const (
 	WellBehaved  Manner = iota
-	Silent              // it runs the statement and answers nothing, the connection stays
-	Pieces              // its answer comes in pieces
-	CutsShort           // its answer breaks off, and the connection ends
-	AnswersTwice        // a second answer follows
-	EndsFirst           // it runs the statement and closes the connection
-	EndsUnread          // it closes the connection before it has read the statement
-	ShedsLoad           // it runs nothing and says so
-	MuteLogin           // it takes connections and answers no log-in
-	WrongLogin          // it answers log-ins as another would
+	Silent              // runs the statement, sends no answer and keeps the connection open
+	Pieces              // sends its answer in small pieces
+	CutsShort           // sends half of its answer and closes the connection
+	AnswersTwice        // sends a surplus answer after the first
+	EndsFirst           // runs the statement and closes the connection without an answer
+	EndsUnread          // closes the connection before it reads the statement
+	ShedsLoad           // runs nothing and answers that it is full
+	MuteLogin           // accepts connections and answers no login
+	WrongLogin          // answers logins as another database would
 )
 
-// AllManners are the ways to misbehave.
+// AllManners lists every way to misbehave.
 var AllManners = []Manner{Silent, Pieces, CutsShort, AnswersTwice, EndsFirst, EndsUnread, ShedsLoad, MuteLogin, WrongLogin}
 
-// piece is how much of an answer comes at once in pieces, and piecePause what lies between.
+// pieceBytes is the size of a piece of an answer that is sent in pieces, and piecePause the time
+// between two pieces.
 const (
-	piece      = 7
+	pieceBytes = 7
 	piecePause = time.Millisecond
 )
 
-// Behave has the database misbehave towards a share of the statements from now on.
+// Behave makes the database misbehave for a share (0 to 1) of the statements from now on.
 func (d *Database) Behave(m Manner, share float64) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	d.manner, d.mannerShare = m, share
+	d.misbehaviour, d.misbehaviourShare = m, share
 }
 
-// mannered tells whether the database misbehaves so now, towards one statement.
-func (d *Database) mannered(m Manner) bool {
+// misbehaves reports whether the database misbehaves in this way now, drawn per statement.
+func (d *Database) misbehaves(m Manner) bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	return d.manner == m && rand.Float64() < d.mannerShare
+	return d.misbehaviour == m && rand.Float64() < d.misbehaviourShare
 }
 
-// deliver writes an answer as the database's manners are; false ends the connection.
-func (d *Database) deliver(c net.Conn, answer []byte) bool {
+// writeAnswer writes an answer, subject to the injected misbehaviour. The caller closes the
+// connection if it returns false.
+func (d *Database) writeAnswer(c net.Conn, answer []byte) bool {
 	switch {
-	case d.mannered(Silent):
+	case d.misbehaves(Silent):
 		return true
-	case d.mannered(EndsFirst):
+	case d.misbehaves(EndsFirst):
 		return false
-	case d.mannered(CutsShort):
-		_, _ = c.Write(answer[:len(answer)/2]) // it ends either way
+	case d.misbehaves(CutsShort):
+		_, _ = c.Write(answer[:len(answer)/2]) // the connection is closed either way
 		return false
-	case d.mannered(AnswersTwice):
+	case d.misbehaves(AnswersTwice):
 		answer = append(bytes.Clone(answer), "COMPLETE surplus\r\nIDLE I 9.999999\r\n"...)
-	case d.mannered(Pieces):
-		for len(answer) > piece {
-			if _, err := c.Write(answer[:piece]); err != nil {
+	case d.misbehaves(Pieces):
+		for len(answer) > pieceBytes {
+			if _, err := c.Write(answer[:pieceBytes]); err != nil {
 				return false
 			}
-			answer = answer[piece:]
+			answer = answer[pieceBytes:]
 			time.Sleep(piecePause)
 		}
 	}
@@ -72,17 +74,17 @@
 	return err == nil
 }
 
-// LeaveAtOnce has the database deregister without a word before, serve on for that long,
-// and end. Its log is gone then.
+// LeaveAtOnce deregisters the database without reporting it as draining first, keeps it serving for
+// the given time, and stops it. Its log is lost then.
 func (d *Database) LeaveAtOnce(after time.Duration) {
 	d.g.mu.Lock()
-	d.draining = true // for whoever asks it here; its beats still say that it is up
-	d.quiet = true
+	d.draining = true // for callers of Leaves; its heartbeats still report "up"
+	d.hidesDraining = true
 	d.g.mu.Unlock()
 	go func() {
 		for end := time.Now().Add(after); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 			if d.call("/Servers.Deregister/"+d.ID, nil) {
-				d.left()
+				d.recordDrainAcked()
 				break
 			}
 		}
@@ -90,14 +92,14 @@
 	time.AfterFunc(after, func() { d.Crash(false) })
 }
 
-// left notes that the leaving was acknowledged.
-func (d *Database) left() {
+// recordDrainAcked records when the draining or deregistration was first acknowledged.
+func (d *Database) recordDrainAcked() {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	if !d.leftAt.IsZero() {
+	if !d.drainAckedAt.IsZero() {
 		return
 	}
-	d.leftAt = time.Now()
+	d.drainAckedAt = time.Now()
 	if d.g.Observe.Drains != nil {
 		d.g.Observe.Drains(d.g.Service, d.ID)
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -9,43 +9,43 @@
 	"sync"
 )
 
-// Platform stands in for the platform: it promotes databases, and checks that one
-// node at a time has the duty.
+// Platform is a stand-in for the platform. It promotes databases, and checks by the fences of the
+// calls that one control node at a time holds the duty.
 type Platform struct {
-	// Promote has a database of a service promoted and returns the answer.
+	// Promote promotes a database of a service and returns the HTTP status to respond with.
 	Promote func(service, id string) int
 
-	mu     sync.Mutex
-	last   int64
-	holder string
-	broken []string
-	calls  int
-	forced []int // answers given before any call is carried out
+	mu         sync.Mutex
+	lastFence  int64
+	holder     string
+	violations []string
+	calls      int
+	forced     []int // statuses to respond with to the next calls instead of carrying them out
 }
 
-// Refuse has the platform answer the next calls with these codes; 0 leaves a
-// call unanswered.
+// Refuse makes the platform respond to the next calls with these statuses instead of carrying them
+// out; 0 leaves a call without a response.
 func (p *Platform) Refuse(codes ...int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forced = codes
 }
 
-// Calls is how often the platform was called.
+// Calls returns the number of calls to the platform.
 func (p *Platform) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// Broken lists the rules that calls broke.
+// Broken returns the violations by calls so far.
 func (p *Platform) Broken() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.broken)
+	return slices.Clone(p.violations)
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler; it serves the platform's failover call.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	var body struct{ Svc, ID string }
 	if json.NewDecoder(q.Body).Decode(&body) != nil || q.URL.Path != "/failover" {
@@ -53,7 +53,7 @@
 		return
 	}
 	p.check(q.Header.Get("X-Indigowalk-Duty-Holder"), q.Header.Get("X-Indigowalk-Fence"))
-	code, forced := p.refusal()
+	code, forced := p.nextForced()
 	switch {
 	case forced && code == 0:
 		<-q.Context().Done()
@@ -64,7 +64,8 @@
 	}
 }
 
-func (p *Platform) refusal() (code int, forced bool) {
+// nextForced takes the next status set by Refuse, if there is one.
+func (p *Platform) nextForced() (code int, forced bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.forced) == 0 {
@@ -74,7 +75,8 @@
 	return code, true
 }
 
-// check notes a call with a fence that is not the newest.
+// check records a ONE violation for a call whose fence is missing, older than the newest one, or
+// equal to that of another holder.
 func (p *Platform) check(holder, fence string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,9 +84,9 @@
 	n, err := strconv.ParseInt(fence, 10, 64)
 	switch {
 	case err != nil || holder == "":
-		p.broken = append(p.broken, "ONE: a duty call without holder or fence")
-	case n < p.last, holder != p.holder && p.holder != "" && n == p.last:
-		p.broken = append(p.broken, fmt.Sprintf("ONE: fence %d of %s after %d of %s", n, holder, p.last, p.holder))
+		p.violations = append(p.violations, "ONE: a duty call without holder or fence")
+	case n < p.lastFence, holder != p.holder && p.holder != "" && n == p.lastFence:
+		p.violations = append(p.violations, fmt.Sprintf("ONE: fence %d of %s after %d of %s", n, holder, p.lastFence, p.holder))
 	}
-	p.last, p.holder = n, holder
+	p.lastFence, p.holder = n, holder
 }
--- a/internal/standin/requests.go
+++ b/internal/standin/requests.go
@@ -16,18 +16,18 @@
 	"indigowalk/internal/kernel"
 )
 
-// Answer is what a client of a gateway was told.
+// Answer is the response that a client of a gateway received.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   string
-	Closes bool // the connection ends with it
-	Unsent bool // there was no connection to the gateway
+	Closes bool // the connection is closed after it
+	Unsent bool // no connection to the gateway was made
 	Took   time.Duration
 }
 
-// Ask sends one request to a gateway; safe ones may run more than once. Status is 0 if
-// there was no whole answer.
+// Ask sends one request to a gateway and checks a successful response. Safe requests may run more
+// than once. Status is 0 if there was no whole response.
 func (s *Service) Ask(network kernel.Network, addr, id string, safe bool, body string) Answer {
 	path, method := "/safe/"+id+"?x=%2F%41", "GET"
 	if !safe {
@@ -35,7 +35,7 @@
 	}
 	s.Expect(id, method+" "+path+" "+body, safe)
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), requestDialWait)
+	ctx, cancel := context.WithTimeout(context.Background(), requestDialTimeout)
 	defer cancel()
 	c, err := network.Dial(ctx, addr, 0)
 	if err != nil {
@@ -53,32 +53,33 @@
 	a.Took = time.Since(start)
 	a.Unsent = a.Status == 0 && !s.env.Made(c)
 	if a.Status == http.StatusOK {
-		s.succeeded(id, a)
+		s.checkSuccess(id, a)
 	}
 	return a
 }
 
-// requestDialWait is how long a client waits for a connection, requestWait for an answer.
+// requestDialTimeout is how long a client waits for a connection, requestTimeout for a response.
 const (
-	requestDialWait = time.Second
-	requestWait     = 10 * time.Second
+	requestDialTimeout = time.Second
+	requestTimeout     = 10 * time.Second
 )
 
-// succeeded checks a success.
-func (s *Service) succeeded(id string, a Answer) {
+// checkSuccess checks that a successful response belongs to the request, and that the request ran;
+// otherwise it violates MIXED.
+func (s *Service) checkSuccess(id string, a Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a.Body != "run "+id || a.Header.Get("X-Indigowalk-Seal") != "seal-of-"+id {
-		s.broken = append(s.broken, fmt.Sprintf("MIXED: %s is answered %q with %q", id, a.Body, a.Header.Get("X-Indigowalk-Seal")))
+		s.violations = append(s.violations, fmt.Sprintf("MIXED: %s is answered %q with %q", id, a.Body, a.Header.Get("X-Indigowalk-Seal")))
 	}
 	if s.runs[id] == 0 {
-		s.broken = append(s.broken, "MIXED: "+id+" succeeded and never ran")
+		s.violations = append(s.violations, "MIXED: "+id+" succeeded and never ran")
 	}
 }
 
-// Raw sends bytes and reads one answer.
+// Raw sends bytes as they are and reads one HTTP response.
 func Raw(c net.Conn, b []byte) (a Answer) {
-	if c.SetReadDeadline(time.Now().Add(requestWait)) != nil {
+	if c.SetReadDeadline(time.Now().Add(requestTimeout)) != nil {
 		return a
 	}
 	if _, err := c.Write(b); err != nil {
@@ -95,32 +96,32 @@
 	return Answer{Status: r.StatusCode, Header: r.Header, Body: string(raw), Closes: r.Close}
 }
 
-// Refused checks that what was promised not to have run has not.
+// Refused checks that a request that was promised not to have run has not run.
 func (s *Service) Refused(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runs[id] > 0 {
-		s.broken = append(s.broken, "REFUSED: "+id+" was promised not to have run")
+		s.violations = append(s.violations, "REFUSED: "+id+" was promised not to have run")
 	}
 }
 
 // Entry is a gateway as its clients reach it.
 type Entry struct {
-	Number  int           // names what is asked there
-	Address func() string // as it is now
+	Number  int           // part of the ids of the requests sent there
+	Address func() string // the current address
 	Network kernel.Network
 }
 
-// Request is what became of one.
+// Request is a request to a gateway and its result.
 type Request struct {
 	Gateway    string
 	ID         string
 	Safe       bool
 	Sent, Done time.Time
-	Status     int // 0 if there was no whole answer
+	Status     int // 0 if there was no whole response
 }
 
-// Requests is a load of requests on gateways.
+// Requests is a workload of requests to gateways.
 type Requests struct {
 	s       *Service
 	observe func(Request)
@@ -132,14 +133,15 @@
 	Slowest  time.Duration
 }
 
-// longEvery is one in how many unsafe requests of a load is long, and longBytes how long.
+// With an observer, each client sends every longEvery-th request as an unsafe one with a body of
+// about longBytes.
 const (
 	longEvery = 25
 	longBytes = 200 << 10
 )
 
-// Load starts so many clients at each gateway, which send safe and unsafe requests;
-// observe, if there is one, is told what became of each.
+// Load starts the given number of clients at each gateway, which send safe and unsafe requests. If
+// observe is not nil, it is called with each request that was sent.
 func (s *Service) Load(entries []Entry, clients int, pause time.Duration, observe func(Request)) *Requests {
 	l := &Requests{s: s, observe: observe, stop: make(chan struct{}), Statuses: map[int]int{}}
 	for _, e := range entries {
@@ -150,6 +152,8 @@
 	return l
 }
 
+// client sends requests to one gateway until the load is stopped. Those refused with status 503
+// must not have run.
 func (l *Requests) client(e Entry, i int, pause time.Duration) {
 	for n := 0; ; n++ {
 		select {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -15,48 +15,49 @@
 	"time"
 )
 
-// Service is a group of databases that answer requests, each alike.
+// Service is a group of equivalent databases that serve HTTP requests. It checks that each request
+// runs as it was sent, and unsafe ones at most once.
 type Service struct {
 	Name    string
-	Observe Observer // of runs and leavings
+	Observe Observer // of runs and drains
 
 	env Environment
 
-	mu      sync.Mutex
-	asked   map[string]string // what clients asked for, by request id
-	unsafe  map[string]bool   // ids that may run once
-	runs    map[string]int
-	broken  []string
-	workers []*Worker
+	mu         sync.Mutex
+	expected   map[string]string // method, path and body that clients sent, by request id
+	unsafe     map[string]bool   // ids of requests that may run only once
+	runs       map[string]int
+	violations []string
+	workers    []*Worker
 }
 
-// Fault is how a worker misbehaves.
+// Fault is a way in which a worker misbehaves.
 type Fault int
 
 // Faults of workers.
 const (
 	Well      Fault = iota
-	Mute            // runs and does not answer
-	Loses           // runs and resets
-	Breaks          // answers in part
-	Garbles         // answers what is no answer
-	Surplus         // answers, and again later
-	Sheds           // is full and says so
-	Resets          // is full and resets
-	Errors          // answers 500
-	Forgetful       // drops connections that rest, and resets what then comes
-	Early           // turns long requests away before they are in, and reads on
-	Dribbles        // answers in pieces
-	Mislabels       // answers under another request's id
-	Trails          // sends bytes behind its answer that are none
-	Long            // answers at length, which is no fault
-	Stalls          // answers at length, and stops in the middle
+	Mute            // runs the request and sends no response
+	Loses           // runs the request and closes the connection
+	Breaks          // runs the request and sends part of the response
+	Garbles         // runs the request and sends something that is no HTTP response
+	Surplus         // responds, and shortly afterwards once more
+	Sheds           // doesn't run the request and responds that it is full
+	Resets          // doesn't run the request and closes the connection
+	Errors          // runs the request and responds with status 500
+	Forgetful       // closes a connection when a request comes after it was idle
+	Early           // rejects long requests before it has read them, and reads on
+	Dribbles        // sends its response in small pieces
+	Mislabels       // responds under another request's id
+	Trails          // sends stray bytes after its response
+	Long            // sends a long response, which is no fault
+	Stalls          // sends half of a long response and stalls
 )
 
-// longAnswer is how long such an answer is.
-const longAnswer = 1 << 20
+// longAnswerBytes is the body size of the responses of Long and Stalls.
+const longAnswerBytes = 1 << 20
 
-// AllFaults are those that there are.
+// AllFaults lists the faults that any request may meet; Long and Stalls are not among them.
 var AllFaults = []Fault{Mute, Loses, Breaks, Garbles, Surplus, Sheds, Resets, Errors, Forgetful, Early, Dribbles, Mislabels, Trails}
 
 // Worker is one database of a Service.
@@ -67,27 +68,27 @@
 	Slots    int
 	Work     time.Duration
 
-	mu      sync.Mutex
-	taken   bool // somebody strikes it, or it is gone
-	fault   Fault
-	healthy bool
-	drain   bool
-	busy    int
-	Arrived int
-	Last    http.Header // of the newest request
-	ctx     context.Context
-	cancel  context.CancelFunc
+	mu       sync.Mutex
+	reserved bool // a fault is being injected; see Take
+	fault    Fault
+	healthy  bool
+	draining bool
+	busy     int
+	Arrived  int
+	Last     http.Header // header of the latest request
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
 // NewService returns a service without databases.
 func NewService(env Environment, name string) *Service {
-	return &Service{Name: name, env: env, asked: map[string]string{}, unsafe: map[string]bool{}, runs: map[string]int{}}
+	return &Service{Name: name, env: env, expected: map[string]string{}, unsafe: map[string]bool{}, runs: map[string]int{}}
 }
 
-// workerPort is that of every worker.
+// workerPort is the port that every worker listens on.
 const workerPort = "8000"
 
-// Add starts a database.
+// Add starts a worker and adds it to the service.
 func (s *Service) Add(id, ip, zone string) *Worker {
 	d := &Worker{s: s, ID: id, IP: ip, Zone: zone, Slots: 2, Work: 20 * time.Millisecond, healthy: true}
 	s.mu.Lock()
@@ -95,71 +96,71 @@
 	s.mu.Unlock()
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	serveAt(s.env.Network(ip), net.JoinHostPort(ip, workerPort), d.serve)
-	go d.beats()
+	go d.heartbeatLoop()
 	return d
 }
 
-// Workers returns the databases in the order in which they were added.
+// Workers returns the workers in the order in which they were added.
 func (s *Service) Workers() []*Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.workers)
 }
 
-// DB returns a database in the order in which they were added.
+// DB returns the worker that was added as number i, counted from 0.
 func (s *Service) DB(i int) *Worker { return s.Workers()[i] }
 
-// Broken lists the rules that were broken.
+// Broken returns the violations recorded so far.
 func (s *Service) Broken() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.broken)
+	return slices.Clone(s.violations)
 }
 
-// Runs is how often the request of an id has run.
+// Runs returns how often the request with an id has run.
 func (s *Service) Runs(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[id]
 }
 
-// Expect notes what a client is about to ask for under an id; what is not safe may run
-// once.
-func (s *Service) Expect(id, what string, safe bool) {
+// Expect records the method, path and body of the request that a client is about to send under an
+// id. A request that is not safe may run only once.
+func (s *Service) Expect(id, content string, safe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked[id], s.unsafe[id] = what, !safe
+	s.expected[id], s.unsafe[id] = content, !safe
 }
 
-// Be has the database misbehave from now on, or no more.
+// Be injects a fault from now on; Well ends it.
 func (d *Worker) Be(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = f
 }
 
-// Health has it tell that it is well, or ill, whatever it is.
+// Health sets whether the worker's health check reports it as healthy, whatever its true state.
 func (d *Worker) Health(well bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.healthy = well
 }
 
-// Header is that of the newest request.
+// Header returns the header of the latest request.
 func (d *Worker) Header() http.Header {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.Last
 }
 
-// Count is how many requests have arrived.
+// Count returns how many requests have arrived.
 func (d *Worker) Count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.Arrived
 }
 
-// Crash ends it without notice; dark has its host fall silent.
+// Crash stops the worker without notice. If dark is set, its host becomes unresponsive as well.
 func (d *Worker) Crash(dark bool) {
 	d.cancel()
 	if dark {
@@ -168,17 +169,17 @@
 	d.s.env.Reset(d.IP)
 }
 
-// leaveWait is how long a database waits for its leaving to be acknowledged.
-const leaveWait = 5 * time.Second
+// drainAckTimeout is how long a worker waits for its draining to be acknowledged.
+const drainAckTimeout = 5 * time.Second
 
-// Leave drains it: it tells so, and returns once that is acknowledged, or false if it is
-// not in time.
+// Leave reports the worker as draining and returns true once a control node has acknowledged it, or
+// false if none has within drainAckTimeout.
 func (d *Worker) Leave() bool {
 	d.mu.Lock()
-	d.drain = true
+	d.draining = true
 	d.mu.Unlock()
-	for end := time.Now().Add(leaveWait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if d.beat() {
+	for end := time.Now().Add(drainAckTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if d.sendHeartbeat() {
 			if d.s.Observe.Drains != nil {
 				d.s.Observe.Drains(d.s.Name, d.ID)
 			}
@@ -188,38 +189,40 @@
 	return false
 }
 
-// Take has a database be struck by one at a time; false if it is struck already, or gone.
+// Take reserves a worker for one fault at a time. It returns false if the worker is already reserved
+// or has stopped.
 func (d *Worker) Take() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	taken := d.taken || d.ctx.Err() != nil
-	d.taken = d.taken || !taken
-	return !taken
+	reserved := d.reserved || d.ctx.Err() != nil
+	d.reserved = d.reserved || !reserved
+	return !reserved
 }
 
-// Give ends what Take began.
+// Give releases the reservation that Take made.
 func (d *Worker) Give() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.taken = false
+	d.reserved = false
 }
 
-// Deregister says that it has gone, though it serves on.
+// Deregister deregisters the worker, which keeps serving.
 func (d *Worker) Deregister() {
 	if d.call("/Servers.Deregister/"+d.ID, nil) && d.s.Observe.Drains != nil {
 		d.s.Observe.Drains(d.s.Name, d.ID)
 	}
 }
 
-// End deregisters it and ends.
+// End deregisters the worker and stops it.
 func (d *Worker) End() {
 	d.call("/Servers.Deregister/"+d.ID, nil)
 	d.Crash(false)
 }
 
-func (d *Worker) beats() {
+// heartbeatLoop sends a heartbeat every 700 ms until the worker stops.
+func (d *Worker) heartbeatLoop() {
 	for {
-		d.beat()
+		d.sendHeartbeat()
 		select {
 		case <-d.ctx.Done():
 			return
@@ -228,10 +231,11 @@
 	}
 }
 
-func (d *Worker) beat() bool {
+// sendHeartbeat sends one heartbeat and reports whether a control node acknowledged it.
+func (d *Worker) sendHeartbeat() bool {
 	d.mu.Lock()
 	status := "up"
-	if d.drain {
+	if d.draining {
 		status = "draining"
 	}
 	d.mu.Unlock()
@@ -242,7 +246,8 @@
 	return d.call("/Servers.Heartbeat/"+d.ID, body)
 }
 
-// call makes a call to the first control node that acknowledges it, if any does.
+// call posts to the control nodes in turn until one acknowledges; false if none does or the worker
+// has stopped.
 func (d *Worker) call(path string, body []byte) bool {
 	for _, a := range d.s.env.Controls() {
 		if d.ctx.Err() != nil {
@@ -255,12 +260,12 @@
 	return false
 }
 
-// serve answers one connection's requests.
+// serve handles the requests of one connection.
 func (d *Worker) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
-		rested := time.Now()
+		idleSince := time.Now()
 		q, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -269,8 +274,8 @@
 		d.Last = q.Header
 		fault := d.fault
 		d.mu.Unlock()
-		if fault == Early && q.ContentLength > longBody {
-			if !d.turnAway(c, q) {
+		if fault == Early && q.ContentLength > earlyRejectBytes {
+			if !d.rejectEarly(c, q) {
 				return
 			}
 			continue
@@ -279,38 +284,38 @@
 		if err != nil {
 			return
 		}
-		if fault == Forgetful && time.Since(rested) > 200*time.Millisecond {
+		if fault == Forgetful && time.Since(idleSince) > 200*time.Millisecond {
 			return
 		}
-		if !d.answer(c, q, body, fault) {
+		if !d.handle(c, q, body, fault) {
 			return
 		}
 	}
 }
 
-// longBody is from when on a request is turned away before it is in.
-const longBody = 64 << 10
+// earlyRejectBytes is the body size above which Early rejects a request before reading it.
+const earlyRejectBytes = 64 << 10
 
-// turnAway answers a long request before it has read it, and reads on: what comes must
-// be the rest of that request.
-func (d *Worker) turnAway(c net.Conn, q *http.Request) bool {
+// rejectEarly responds to a long request before it has read the body, and reads on: what follows
+// must be the rest of that request.
+func (d *Worker) rejectEarly(c net.Conn, q *http.Request) bool {
 	id := q.Header.Get("X-Indigowalk-Request-Id")
 	header := map[string]string{"X-Indigowalk-Not-Run": "1", "X-Indigowalk-Request-Id": id}
-	if !answerTo(c, http.StatusServiceUnavailable, header, "") {
+	if !writeHTTPResponse(c, http.StatusServiceUnavailable, header, "") {
 		return false
 	}
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
-		return false // it is cut short, which is no fault
+		return false // the body is cut short, which is no violation
 	}
 	d.check(id, q.Method+" "+q.RequestURI+" "+string(body))
 	return true
 }
 
-// answer answers one request; false ends the connection.
-func (d *Worker) answer(c net.Conn, q *http.Request, body []byte, fault Fault) bool {
+// handle runs one request and responds to it. The caller closes the connection if it returns false.
+func (d *Worker) handle(c net.Conn, q *http.Request, body []byte, fault Fault) bool {
 	d.mu.Lock()
-	healthy, full := d.healthy && !d.drain, d.busy >= d.Slots+8
+	healthy, full := d.healthy && !d.draining, d.busy >= d.Slots+8
 	d.mu.Unlock()
 	id := q.Header.Get("X-Indigowalk-Request-Id")
 	switch {
@@ -319,20 +324,20 @@
 		if !healthy {
 			status = 503
 		}
-		return answerTo(c, status, map[string]string{"X-Indigowalk-Instance-Id": d.ID}, "")
+		return writeHTTPResponse(c, status, map[string]string{"X-Indigowalk-Instance-Id": d.ID}, "")
 	case q.Header.Get("X-Indigowalk-Target-Instance") != d.ID:
-		return answerTo(c, 421, map[string]string{"X-Indigowalk-Not-Run": "1"}, "")
+		return writeHTTPResponse(c, 421, map[string]string{"X-Indigowalk-Not-Run": "1"}, "")
 	case fault == Sheds || full:
-		return answerTo(c, 503, map[string]string{"X-Indigowalk-Not-Run": "1", "X-Indigowalk-Request-Id": id}, "")
+		return writeHTTPResponse(c, 503, map[string]string{"X-Indigowalk-Not-Run": "1", "X-Indigowalk-Request-Id": id}, "")
 	case fault == Resets:
 		return false
 	}
 	d.run(id, q.Method+" "+q.RequestURI+" "+string(body))
-	return d.finish(c, id, fault)
+	return d.respond(c, id, fault)
 }
 
-// finish writes the answer to a request that has run, as far as the fault lets it.
-func (d *Worker) finish(c net.Conn, id string, fault Fault) bool {
+// respond writes the response to a request that has run, as far as the fault lets it.
+func (d *Worker) respond(c net.Conn, id string, fault Fault) bool {
 	header := map[string]string{"X-Indigowalk-Request-Id": id, "X-Indigowalk-Seal": "seal-of-" + id}
 	switch fault {
 	case Mute:
@@ -348,47 +353,47 @@
 		return false
 	case Errors:
 		delete(header, "X-Indigowalk-Seal")
-		return answerTo(c, 500, header, "failed")
+		return writeHTTPResponse(c, 500, header, "failed")
 	}
-	return d.answerOddly(c, header, id, fault)
+	return d.writeWithFault(c, header, id, fault)
 }
 
-// answerOddly writes an answer that is late, long, in pieces or followed by more, as the
-// fault says, and a plain one without a fault.
-func (d *Worker) answerOddly(c net.Conn, header map[string]string, id string, fault Fault) bool {
+// writeWithFault writes a response that is mislabelled, long, stalled, in pieces or followed by more
+// bytes, as the fault says, and a plain one without a fault.
+func (d *Worker) writeWithFault(c net.Conn, header map[string]string, id string, fault Fault) bool {
 	switch fault {
 	case Mislabels:
 		header["X-Indigowalk-Request-Id"] = "of-another"
 	case Dribbles:
-		return dribble(c, header, "run "+id)
+		return writeInPieces(c, header, "run "+id)
 	case Trails:
-		_, err := c.Write(append(encodeAnswer(http.StatusOK, header, "run "+id), "run and run"...))
+		_, err := c.Write(append(encodeHTTPResponse(http.StatusOK, header, "run "+id), "run and run"...))
 		return err == nil
 	case Long:
-		return answerTo(c, 200, header, strings.Repeat("x", longAnswer))
+		return writeHTTPResponse(c, 200, header, strings.Repeat("x", longAnswerBytes))
 	case Stalls:
-		b := encodeAnswer(http.StatusOK, header, strings.Repeat("x", longAnswer))
+		b := encodeHTTPResponse(http.StatusOK, header, strings.Repeat("x", longAnswerBytes))
 		if _, err := c.Write(b[:len(b)/2]); err == nil {
 			<-d.ctx.Done()
 		}
 		return false
 	}
-	if !answerTo(c, 200, header, "run "+id) {
+	if !writeHTTPResponse(c, 200, header, "run "+id) {
 		return false
 	}
 	if fault == Surplus {
 		time.Sleep(5 * time.Millisecond)
 		header["X-Indigowalk-Request-Id"] = "of-another"
-		answerTo(c, 200, header, "of another")
+		writeHTTPResponse(c, 200, header, "of another")
 	}
 	return true
 }
 
-// dribble answers in pieces.
-func dribble(c net.Conn, header map[string]string, body string) bool {
-	b := encodeAnswer(http.StatusOK, header, body)
+// writeInPieces writes a response in pieces of pieceBytes.
+func writeInPieces(c net.Conn, header map[string]string, body string) bool {
+	b := encodeHTTPResponse(http.StatusOK, header, body)
 	for len(b) > 0 {
-		n := min(piece, len(b))
+		n := min(pieceBytes, len(b))
 		if _, err := c.Write(b[:n]); err != nil {
 			return false
 		}
@@ -398,12 +403,12 @@
 	return true
 }
 
-func answerTo(c net.Conn, status int, header map[string]string, body string) bool {
-	_, err := c.Write(encodeAnswer(status, header, body))
+func writeHTTPResponse(c net.Conn, status int, header map[string]string, body string) bool {
+	_, err := c.Write(encodeHTTPResponse(status, header, body))
 	return err == nil
 }
 
-func encodeAnswer(status int, header map[string]string, body string) []byte {
+func encodeHTTPResponse(status int, header map[string]string, body string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n", status, len(body))
 	for k, v := range header {
@@ -413,9 +418,9 @@
 	return b.Bytes()
 }
 
-// run does a request's work, once a slot is free, and checks that it was asked
-// for.
-func (d *Worker) run(id, what string) {
+// run simulates a request's work, queueing for a free slot, checks that a client sent the request,
+// and counts the run. A second run of an unsafe request violates TWICE.
+func (d *Worker) run(id, content string) {
 	d.mu.Lock()
 	d.Arrived++
 	ahead := d.busy / d.Slots
@@ -425,7 +430,7 @@
 	d.mu.Lock()
 	d.busy--
 	d.mu.Unlock()
-	d.check(id, what)
+	d.check(id, content)
 	s := d.s
 	if s.Observe.Ran != nil {
 		s.Observe.Ran(Run{Service: s.Name, Database: d.ID, ID: id, Begins: true})
@@ -434,16 +439,17 @@
 	defer s.mu.Unlock()
 	s.runs[id]++
 	if s.unsafe[id] && s.runs[id] > 1 {
-		s.broken = append(s.broken, fmt.Sprintf("TWICE: %s runs %s a second time", d.ID, id))
+		s.violations = append(s.violations, fmt.Sprintf("TWICE: %s runs %s a second time", d.ID, id))
 	}
 }
 
-// check checks that what came is what was asked for under the id.
-func (d *Worker) check(id, what string) {
+// check checks that a received request is the one that a client sent under the id; otherwise it
+// violates UNASKED.
+func (d *Worker) check(id, content string) {
 	s := d.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if want, ok := s.asked[id]; !ok || want != what {
-		s.broken = append(s.broken, fmt.Sprintf("UNASKED: %s gets %.80q (%d bytes) as %s, asked was %.80q", d.ID, what, len(what), id, want))
+	if want, ok := s.expected[id]; !ok || want != content {
+		s.violations = append(s.violations, fmt.Sprintf("UNASKED: %s gets %.80q (%d bytes) as %s, asked was %.80q", d.ID, content, len(content), id, want))
 	}
 }
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -12,45 +12,46 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Cut is the code of an answer that did not come: the connection ended.
+// Cut is the code that stands for a missing answer: the connection ended or timed out.
 const Cut = "cut"
 
 const (
-	loginWait = 2 * time.Second
+	loginTimeout = 2 * time.Second
 	// queryWait is longer than any statement may take.
-	queryWait = 6 * time.Second
+	queryTimeout = 6 * time.Second
 )
 
 // Session is a client's session at a pooler.
 type Session struct {
 	Name string
-	// Address is that of the pooler.
+	// Address is the address of the pooler.
 	Address string
 	State   string
 
-	c   net.Conn
-	r   *lineprotocol.Reader
-	ids int
+	c          net.Conn
+	r          *lineprotocol.Reader
+	queryCount int
 }
 
-var sessions atomic.Int64
+// sessionCount numbers sessions within the process.
+var sessionCount atomic.Int64
 
-// Login opens a session at the address; if that fails the code of the error says
-// how.
+// Login opens a session at the address. If that fails, it returns no session and the code of the
+// error.
 func Login(network kernel.Network, addr, database string) (s *Session, code string) {
 	return LoginAs(network, addr, database, "who")
 }
 
-// LoginAs is Login under a name, or a key.
-func LoginAs(network kernel.Network, addr, database, who string) (s *Session, code string) {
-	ctx, cancel := context.WithTimeout(context.Background(), loginWait)
+// LoginAs is like Login, with a user name or an API key.
+func LoginAs(network kernel.Network, addr, database, user string) (s *Session, code string) {
+	ctx, cancel := context.WithTimeout(context.Background(), loginTimeout)
 	defer cancel()
 	c, err := network.Dial(ctx, addr, 0)
 	if err != nil {
 		return nil, Cut
 	}
-	s = &Session{Name: "s" + strconv.FormatInt(sessions.Add(1), 10), Address: addr, c: c, r: lineprotocol.NewReader(c)}
-	if code := s.login(database, who); code != "" {
+	s = &Session{Name: "s" + strconv.FormatInt(sessionCount.Add(1), 10), Address: addr, c: c, r: lineprotocol.NewReader(c)}
+	if code := s.login(database, user); code != "" {
 		c.Close()
 		return nil, code
 	}
@@ -58,12 +59,12 @@
 	return s, ""
 }
 
-// login returns the code of the error, if there is one.
-func (s *Session) login(database, who string) (code string) {
-	if err := s.c.SetReadDeadline(time.Now().Add(loginWait)); err != nil {
+// login sends the LOGIN message and returns the code of the error, "" for success.
+func (s *Session) login(database, user string) (code string) {
+	if err := s.c.SetReadDeadline(time.Now().Add(loginTimeout)); err != nil {
 		return Cut
 	}
-	if _, err := s.c.Write(lineprotocol.AppendMessage(nil, "LOGIN", database, who)); err != nil {
+	if _, err := s.c.Write(lineprotocol.AppendMessage(nil, "LOGIN", database, user)); err != nil {
 		return Cut
 	}
 	line, err := s.r.Line()
@@ -80,7 +81,7 @@
 	return Cut
 }
 
-// Close ends the session without a word.
+// Close closes the connection without ending the session in the protocol.
 func (s *Session) Close() { s.c.Close() }
 
 // Raw sends bytes as they are and reads one answer.
@@ -94,7 +95,7 @@
 	return s.Answer()
 }
 
-// Answer reads one answer; a connection that ends gives the code Cut.
+// Answer reads one answer; its code is Cut if the connection ends first.
 func (s *Session) Answer() *lineprotocol.Answer {
 	a, err := lineprotocol.ReadAnswer(s.r)
 	if err != nil {
@@ -104,11 +105,11 @@
 	return a
 }
 
-// Query sends a text under an id of its own, which is returned too.
+// Query sends a statement under a new id and returns the answer and the id.
 func (s *Session) Query(text string) (a *lineprotocol.Answer, id string) {
-	s.ids++
-	id = s.Name + "." + strconv.Itoa(s.ids)
-	return s.Raw(lineprotocol.AppendMessage(nil, "QUERY", id, text), queryWait), id
+	s.queryCount++
+	id = s.Name + "." + strconv.Itoa(s.queryCount)
+	return s.Raw(lineprotocol.AppendMessage(nil, "QUERY", id, text), queryTimeout), id
 }
 
 // Row returns the first field of the first row.
@@ -126,7 +127,7 @@
 	return err
 }
 
-// LineWithin reads one message that comes within a span.
+// LineWithin reads one message, which must arrive within the given time.
 func (s *Session) LineWithin(wait time.Duration) (string, error) {
 	if err := s.c.SetReadDeadline(time.Now().Add(wait)); err != nil {
 		return "", err
--- a/internal/standin/statements.go
+++ b/internal/standin/statements.go
@@ -11,7 +11,7 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// serve speaks the wire with one caller.
+// serve speaks the line protocol on one connection: a login, then statements.
 func (d *Database) serve(c net.Conn) {
 	defer c.Close()
 	r := lineprotocol.NewReader(c)
@@ -30,22 +30,22 @@
 	if !alive {
 		return
 	}
-	if d.mannered(MuteLogin) {
-		_, _ = r.Line() // until the caller goes
+	if d.misbehaves(MuteLogin) {
+		_, _ = r.Line() // until the caller closes the connection
 		return
 	}
-	if d.mannered(WrongLogin) {
+	if d.misbehaves(WrongLogin) {
 		c.Write(lineprotocol.AppendMessage(nil, "ERROR", lineprotocol.WrongNode, "i-another"))
 		return
 	}
-	d.work(2 * time.Millisecond)
-	s := &dbSession{d: d, who: f[2], state: 'I', values: map[string]string{}, names: map[string]string{}}
-	out := lineprotocol.AppendMessage(nil, "IDLE", "I", d.position())
+	d.simulateWork(2 * time.Millisecond)
+	s := &dbSession{d: d, user: f[2], state: 'I', options: map[string]string{}, preparedTexts: map[string]string{}}
+	out := lineprotocol.AppendMessage(nil, "IDLE", "I", d.positionText())
 	for {
-		if len(out) > 0 && !d.deliver(c, out) {
+		if len(out) > 0 && !d.writeAnswer(c, out) {
 			return
 		}
-		if d.mannered(EndsUnread) {
+		if d.misbehaves(EndsUnread) {
 			return
 		}
 		if line, err = r.Line(); err != nil {
@@ -60,84 +60,87 @@
 		if a == nil {
 			return
 		}
-		a.State, a.Pos = s.state, d.position()
-		if out = a.Append(nil); d.loses(text) {
+		a.State, a.Pos = s.state, d.positionText()
+		if out = a.Append(nil); d.dropsAnswer(text) {
 			out = nil
 		}
 	}
 }
 
-func (d *Database) position() string {
+// positionText returns the position of the last log entry in its wire form.
+func (d *Database) positionText() string {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.pos().String()
 }
 
+// dbSession is the database's side of one connection.
 type dbSession struct {
-	d      *Database
-	who    string // on whose behalf, as the log-in said
-	state  byte
-	values map[string]string
-	names  map[string]string
-	writes []entry
-	begun  bool // a transaction, in which nothing has run yet
+	d             *Database
+	user          string // as named in the login
+	state         byte
+	options       map[string]string
+	preparedTexts map[string]string
+	writes        []entry
+	justBegun     bool // a transaction is open in which nothing has run yet
 }
 
-// notePrepared notes how many prepared names a connection has.
-func (d *Database) notePrepared(names int) {
+// recordPrepared updates the maximum of prepared statements that one connection has had.
+func (d *Database) recordPrepared(count int) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	d.prepared = max(d.prepared, names)
+	d.maxPrepared = max(d.maxPrepared, count)
 }
 
-// MostPrepared is the most prepared names that one connection to the database had.
+// MostPrepared returns the maximum of prepared statements that one connection to the database had.
 func (d *Database) MostPrepared() int {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	return d.prepared
+	return d.maxPrepared
 }
 
+// fail returns an error answer.
 func fail(code, text string) *lineprotocol.Answer {
 	return &lineprotocol.Answer{Code: code, Text: text}
 }
 
-// query runs one text; nil cuts the connection.
+// query runs one statement; the caller closes the connection if the answer is nil.
 func (s *dbSession) query(id, text string) *lineprotocol.Answer {
 	d := s.d
 	verb, rest, _ := strings.Cut(text, " ")
-	if a := s.unworked(id, verb, rest); a != nil {
+	if a := s.queryWithoutWork(id, verb, rest); a != nil {
 		return a
 	}
 	if verb == "RUN" {
 		name, arg, _ := strings.Cut(rest, " ")
-		shape, ok := s.names[name]
+		preparedText, ok := s.preparedTexts[name]
 		if !ok {
 			return fail(lineprotocol.NoSuch, name)
 		}
-		verb, _, _ = strings.Cut(shape, " ")
+		verb, _, _ = strings.Cut(preparedText, " ")
 		rest = arg
 	}
 	if id == "-" {
 		d.g.mu.Lock()
-		d.g.broke("UNASKED: %q without a client's id", text)
+		d.g.recordViolation("UNASKED: %q without a client's id", text)
 		d.g.mu.Unlock()
 	}
-	if d.mannered(ShedsLoad) {
+	if d.misbehaves(ShedsLoad) {
 		return fail(lineprotocol.Retry, "full")
 	}
-	begins := s.state == 'I' || s.begun
-	s.begun = false
-	d.note(id, s.who, begins)
-	d.work(3 * time.Millisecond)
+	begins := s.state == 'I' || s.justBegun
+	s.justBegun = false
+	d.checkStatement(id, s.user, begins)
+	d.simulateWork(3 * time.Millisecond)
 	switch verb {
 	case "FETCH":
 		return s.fetch(rest)
 	case "PUT":
-		thing, data, _ := strings.Cut(rest, " ")
+		key, value, _ := strings.Cut(rest, " ")
 		if d.Role() != primary {
-			return s.failed(lineprotocol.ReadOnly)
+			return s.failStatement(lineprotocol.ReadOnly)
 		}
-		s.writes = append(s.writes, entry{id: id, thing: thing, data: data})
+		s.writes = append(s.writes, entry{id: id, key: key, value: value})
 		if s.state == 'T' {
 			return d.g.seal()
 		}
@@ -149,20 +152,21 @@
 	return fail(lineprotocol.Malformed, text)
 }
 
-// unworked answers what takes no work: of the session, of control, and WAITPOS with
-// what follows it. It returns nil for all else.
-func (s *dbSession) unworked(id, verb, rest string) *lineprotocol.Answer {
+// queryWithoutWork runs statements that take no simulated work: those on the session's state, those
+// of the control nodes, and WAITPOS, which passes the statement that follows it to query. It returns
+// nil for all others.
+func (s *dbSession) queryWithoutWork(id, verb, rest string) *lineprotocol.Answer {
 	done := &lineprotocol.Answer{Seal: "-"}
 	first, then, _ := strings.Cut(rest, " ")
 	switch verb {
 	case "OPTION":
-		s.values[first] = then
+		s.options[first] = then
 	case "DISCARD":
-		clear(s.values)
-		clear(s.names)
+		clear(s.options)
+		clear(s.preparedTexts)
 	case "PARSE":
-		s.names[first] = then
-		s.d.notePrepared(len(s.names))
+		s.preparedTexts[first] = then
+		s.d.recordPrepared(len(s.preparedTexts))
 	case "STAT", "PAUSE", "CONTINUE", "STEPDOWN":
 		return s.d.Control(verb, rest)
 	case "WAITPOS":
@@ -174,7 +178,7 @@
 		if rest == "" && s.d.Role() != primary {
 			return fail(lineprotocol.ReadOnly, s.d.ID)
 		}
-		s.state, s.writes, s.begun = 'T', nil, true
+		s.state, s.writes, s.justBegun = 'T', nil, true
 	case "ABORT":
 		s.state, s.writes = 'I', nil
 	default:
@@ -183,27 +187,30 @@
 	return done
 }
 
-// behind tells whether the log does not reach a position.
+// behind reports whether the log ends before a position.
 func (d *Database) behind(want lineprotocol.Position) bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.pos().Less(want)
 }
 
-func (s *dbSession) failed(code string) *lineprotocol.Answer {
+// failStatement returns an error answer and fails the open transaction, if there is one.
+func (s *dbSession) failStatement(code string) *lineprotocol.Answer {
 	if s.state == 'T' {
 		s.state = 'E'
 	}
 	return fail(code, s.d.ID)
 }
 
+// seal returns a success answer with a new seal.
 func (g *Group) seal() *lineprotocol.Answer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.seals++
-	return &lineprotocol.Answer{Seal: "seal." + strconv.Itoa(g.seals)}
+	g.sealCount++
+	return &lineprotocol.Answer{Seal: "seal." + strconv.Itoa(g.sealCount)}
 }
 
+// commit commits the session's writes. It returns nil if the outcome is unknown.
 func (s *dbSession) commit() *lineprotocol.Answer {
 	writes := s.writes
 	s.writes = nil
@@ -213,59 +220,61 @@
 	switch s.d.commit(writes) {
 	case notRun:
 		return fail(lineprotocol.ReadOnly, s.d.ID)
-	case unclear:
+	case unknownOutcome:
 		return nil
 	}
 	return s.d.g.seal()
 }
 
-func (s *dbSession) fetch(thing string) *lineprotocol.Answer {
+// fetch reads a key: the session's own uncommitted write, else the latest one in the log.
+func (s *dbSession) fetch(key string) *lineprotocol.Answer {
 	g := s.d.g
 	a := g.seal()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	value := "-"
 	for _, e := range s.d.log {
-		if e.thing == thing {
-			value = e.data
+		if e.key == key {
+			value = e.value
 		}
 	}
 	for _, e := range s.writes {
-		if e.thing == thing {
-			value = e.data
+		if e.key == key {
+			value = e.value
 		}
 	}
-	a.Rows = lineprotocol.AppendMessage(nil, "ROW", value, s.shown())
+	a.Rows = lineprotocol.AppendMessage(nil, "ROW", value, s.optionsInForce())
 	return a
 }
 
-// shown tells the values in force, so that clients can check them.
-func (s *dbSession) shown() string {
-	return fmt.Sprint(len(s.values), ":", s.values["colour"])
+// optionsInForce returns the number of options and the value of one, so that clients can check them.
+func (s *dbSession) optionsInForce() string {
+	return fmt.Sprint(len(s.options), ":", s.options["colour"])
 }
 
-// Control runs STAT, PAUSE, CONTINUE or STEPDOWN.
+// Control runs a control statement (STAT, PAUSE, CONTINUE or STEPDOWN) and answers with the
+// database's role, term, position and the term for which it is paused.
 func (d *Database) Control(verb, arg string) *lineprotocol.Answer {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	term, _ := strconv.ParseInt(arg, 10, 64)
 	switch verb {
 	case "PAUSE":
-		if d.role == replica { // a primary answers, and is not paused
-			if term <= d.term || term < d.held {
+		if d.role == replica { // a primary answers but is not paused
+			if term <= d.term || term < d.pausedTerm {
 				return fail(lineprotocol.Malformed, "term")
 			}
-			d.held = term
+			d.pausedTerm = term
 		}
 	case "CONTINUE":
-		d.held = 0
+		d.pausedTerm = 0
 	case "STEPDOWN":
 		if d.role == primary && d.term < term {
 			d.role = replica
-			d.catchUp()
+			d.copyPrimaryLog()
 		}
 	}
 	var row bytes.Buffer
-	fmt.Fprintf(&row, "%s %d %s %d 0 0 0", d.role, d.term, d.pos(), d.held)
+	fmt.Fprintf(&row, "%s %d %s %d 0 0 0", d.role, d.term, d.pos(), d.pausedTerm)
 	return &lineprotocol.Answer{Rows: lineprotocol.AppendMessage(nil, "ROW", row.String()), Seal: "-"}
 }
