--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -30,7 +30,7 @@
 	alive              bool
 	reserved           bool // by a fault that crashes or drains it; see Take
 	draining           bool
-	drainAckedAt       time.Time // when a control node first acknowledged that it drains or has deregistered
+	drainAckedAt       time.Time // when draining or deregistration was first acknowledged
 	seq                int64
 	heartbeatAddr      string
 	stop               chan struct{}
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -39,7 +39,7 @@
 type Run struct {
 	Service, Database string
 	ID                string // of the statement or request
-	Who               string // the user that the connection's login named
+	Who               string // the tenant named in the login of its connection
 	Begins            bool   // it is outside a transaction, or the first statement in one
 }
 
