--- a/internal/testbed/gateways.go
+++ b/internal/testbed/gateways.go
@@ -13,18 +13,18 @@
 	"indigowalk/internal/standin"
 )
 
-// What a service in front of which gateways stand is like.
+// Parameters of an HTTP service behind gateways, its clients and its probes.
 const (
-	workersAService  = 8
-	clientsAGateway  = 4
-	requestPause     = 20 * time.Millisecond
-	requestDeadline  = 2 * time.Second
-	workerDrainsFor  = drainBound/2 + time.Second
-	probeDialWait    = 500 * time.Millisecond
-	probeRequestPath = "/probe"
+	workersPerService = 8
+	clientsPerGateway = 4
+	requestPause      = 20 * time.Millisecond
+	requestDeadline   = 2 * time.Second
+	workerDrainTime   = drainBound/2 + time.Second
+	probeDialTimeout  = 500 * time.Millisecond
+	probeRequestPath  = "/probe"
 )
 
-// service makes a service of requests whose databases tell what they see.
+// service creates an HTTP service whose workers record their events in the history.
 func (b *bed) service(name string) *standin.Service {
 	s := standin.NewService(b.cluster.net, name)
 	s.Observe = standin.Observer{
@@ -38,7 +38,7 @@
 	return s
 }
 
-// requestRoutes are the routes to a service of requests.
+// requestRoutes returns the routes to an HTTP service.
 func requestRoutes(service string) []history.FrameRoute {
 	host := service + ".example"
 	return []history.FrameRoute{
@@ -59,12 +59,12 @@
 				})
 			}
 		}
-		b.requests = append(b.requests, s.Load(entries, clientsAGateway, requestPause, func(r standin.Request) { b.noteRequest(s.Name, r) }))
+		b.requests = append(b.requests, s.Load(entries, clientsPerGateway, requestPause, func(r standin.Request) { b.recordRequest(s.Name, r) }))
 	}
 }
 
-// noteRequest puts a request into the history.
-func (b *bed) noteRequest(service string, r standin.Request) {
+// recordRequest adds a request to the history.
+func (b *bed) recordRequest(service string, r standin.Request) {
 	code := ""
 	switch r.Status {
 	case http.StatusOK:
@@ -79,10 +79,10 @@
 	})
 }
 
-// askRoute asks for a route of the operators at a gateway; known is false if the answer
-// tells nothing of it.
-func (b *bed) askRoute(addr, route string, number int) (served, known bool) {
-	dialer := net.Dialer{Timeout: probeDialWait, LocalAddr: &net.TCPAddr{IP: net.ParseIP(operatorHost())}}
+// probeRoute requests one of the operators' routes from a gateway; known is false if the
+// response doesn't show whether the route is served.
+func (b *bed) probeRoute(addr, route string, number int) (served, known bool) {
+	dialer := net.Dialer{Timeout: probeDialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(operatorHost())}}
 	c, err := dialer.Dial("tcp4", addr)
 	if err != nil {
 		return false, false
@@ -94,18 +94,18 @@
 	return a.Status == http.StatusOK, a.Status == http.StatusOK || a.Status == http.StatusNotFound
 }
 
-// strikeWorker carries one trouble of a database of requests out.
-func (t *troubles) strikeWorker(ctx context.Context, kind string, r *rand.Rand) error {
+// injectWorkerFault injects one fault into a worker of an HTTP service.
+func (t *troubles) injectWorkerFault(ctx context.Context, kind string, r *rand.Rand) error {
 	number := r.IntN(len(t.services))
 	s := t.services[number]
 	workers := s.Workers()
 	d := workers[r.IntN(len(workers))]
 	if !d.Take() {
-		return nil // it is away, or leaves
+		return nil // it is down or draining
 	}
 	defer d.Give()
-	noted := t.traffic.Begin(history.Trouble{Kind: kind, Node: d.ID, Planned: kind == Release, At: t.traffic.Now()})
-	defer func() { t.traffic.End(noted) }()
+	fault := t.traffic.Begin(history.Trouble{Kind: kind, Node: d.ID, Planned: kind == Release, At: t.traffic.Now()})
+	defer func() { t.traffic.End(fault) }()
 	id := fmt.Sprintf("%s-r%d", s.Name, t.rounds.next())
 	switch kind {
 	case Crash:
@@ -122,7 +122,7 @@
 		} else {
 			d.Leave()
 		}
-		sleep(ctx, workerDrainsFor)
+		sleep(ctx, workerDrainTime)
 		d.End()
 	case Reset:
 		t.cluster.net.Break(d.IP)
--- a/internal/testbed/logs.go
+++ b/internal/testbed/logs.go
@@ -6,16 +6,16 @@
 	"sync"
 )
 
-// logPipe carries what a process logs to a file, unless its reading is held up.
+// logPipe copies the log output of a process to a file, unless reading is paused.
 type logPipe struct {
-	in *os.File // for the process
+	in *os.File // the write end, for the process
 
 	mu   sync.Mutex
-	held chan struct{} // closes when reading goes on; nil if it is not held up
+	held chan struct{} // closed when reading resumes; nil if it is not paused
 }
 
-// newLogPipe appends to the file at path what is written to the pipe, until all its
-// writers have closed it.
+// newLogPipe returns a pipe whose content is appended to the file at path until all its writers
+// have closed it.
 func newLogPipe(path string) (*logPipe, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -42,6 +42,7 @@
 	return l, nil
 }
 
+// await blocks while reading is paused.
 func (l *logPipe) await() {
 	l.mu.Lock()
 	held := l.held
@@ -51,12 +52,12 @@
 	}
 }
 
-// hold has nobody read the log until the returned function is called.
+// hold pauses reading of the log until the returned function is called.
 func (l *logPipe) hold() (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.held != nil {
-		return func() {} // it is held already
+		return func() {} // it is paused already
 	}
 	held := make(chan struct{})
 	l.held = held
--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -5,61 +5,61 @@
 	"time"
 )
 
-// losses keeps count of the control machines that are lost, so that no more are at once
-// than may be. One counts as lost while it is down, frozen or cut off, and for catchup
-// after. Whoever draws a trouble asks here first, and draws another if it may not come.
+// losses tracks the control machines that are lost, so that no more than the tolerated number
+// are lost at once. A machine counts as lost while it is down, frozen or partitioned, and for
+// catchup afterwards. A fault is injected only if losses allows it; otherwise another is drawn.
 type losses struct {
-	most int // 0 for no bound
+	limit int // 0 for no limit
 
 	mu    sync.Mutex
 	lost  map[*machine]*loss
-	disks time.Time // until then no further disk may be lost
+	disks time.Time // no further disk may be lost before this time
 }
 
-// loss is a machine that is lost, by so many troubles.
+// loss is the state of one lost machine, with the number of its active faults.
 type loss struct {
-	troubles int
-	until    time.Time // once there are none
+	faults int
+	until  time.Time // when it has caught up, once no fault is active
 }
 
-func newLosses(most int) *losses { return &losses{most: most, lost: map[*machine]*loss{}} }
+func newLosses(limit int) *losses { return &losses{limit: limit, lost: map[*machine]*loss{}} }
 
-// take notes the loss of a machine, if it may be lost now.
+// take records the loss of a machine, if the limit allows it; otherwise it returns false.
 func (l *losses) take(m *machine) bool {
 	if !m.control {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.most > 0 && l.others(m) >= l.most {
+	if l.limit > 0 && l.others(m) >= l.limit {
 		return false
 	}
 	if l.lost[m] == nil {
 		l.lost[m] = &loss{}
 	}
-	l.lost[m].troubles++
+	l.lost[m].faults++
 	return true
 }
 
-// others is how many machines besides one are lost. The caller holds the lock.
+// others returns how many machines other than m are lost. The caller holds the lock.
 func (l *losses) others(m *machine) (n int) {
 	now := time.Now()
 	for other, loss := range l.lost {
-		if other != m && (loss.troubles > 0 || now.Before(loss.until)) {
+		if other != m && (loss.faults > 0 || now.Before(loss.until)) {
 			n++
 		}
 	}
 	return n
 }
 
-// none tells whether no machine is lost, or has been of late.
+// none reports whether no machine is lost or still catching up.
 func (l *losses) none() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.others(nil) == 0
 }
 
-// give notes that a trouble of a machine is over.
+// give records that a fault of a machine has ended.
 func (l *losses) give(m *machine) {
 	if !m.control {
 		return
@@ -67,16 +67,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	loss := l.lost[m]
-	loss.troubles--
+	loss.faults--
 	loss.until = time.Now().Add(catchup)
 }
 
-// diskCatchup is how long after a machine lost its disk, and was back, the next may lose
-// its: the others may have been lost meanwhile, where there is no bound on that.
+// diskCatchup is the minimum time between the losses of two disks, for the first machine to
+// return and catch up: without a limit on lost machines, others may have been lost meanwhile.
 const diskCatchup = 20 * time.Second
 
-// takeDisk notes that a machine loses its disk, if one may be lost now: where there is a bound
-// on machines it holds for disks too.
+// takeDisk records that a machine loses its disk, if one may be lost now. A limit on lost
+// machines covers disks too.
 func (l *losses) takeDisk(m *machine) bool {
 	if !l.take(m) {
 		return false
@@ -84,8 +84,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.most == 0 && (now.Before(l.disks) || l.others(m) > 0) {
-		l.lost[m].troubles--
+	if l.limit == 0 && (now.Before(l.disks) || l.others(m) > 0) {
+		l.lost[m].faults--
 		return false
 	}
 	l.disks = now.Add(diskCatchup)
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -14,8 +14,8 @@
 	"indigowalk/internal/standin"
 )
 
-// operators change the configuration, race each other, send again what had no clear
-// answer and read back what is in force.
+// operators are concurrent clients that change the configuration, resend orders without a
+// definite response and read back the configuration in force.
 type operators struct {
 	network kernel.Network
 	net     *loopback
@@ -24,23 +24,23 @@
 }
 
 const (
-	// orderNames are the routes that operators add, change and drop.
-	orderNames = 6
-	// tries is how often an order is sent until it has a clear answer.
-	tries = 12
-	// lostAnswers is one in how many answers an operator does not get.
-	lostAnswers = 5
-	// invalidOrders is one in how many orders is invalid.
-	invalidOrders = 10
-	// between two orders of an operator, at most.
-	orderPause = 600 * time.Millisecond
-	resendStep = 50 * time.Millisecond
+	// routeNames is the number of routes that operators add, change and remove.
+	routeNames = 6
+	// maxAttempts is how often an order is sent at most until it receives a definite response.
+	maxAttempts = 12
+	// lostResponseRatio means that one in this many responses to an operator is dropped.
+	lostResponseRatio = 5
+	// invalidOrderRatio means that one in this many orders is invalid.
+	invalidOrderRatio = 10
+	// orderPause is the longest pause between two orders of an operator.
+	orderPause    = 600 * time.Millisecond
+	resendBackoff = 50 * time.Millisecond
 )
 
-// frameMark begins the names of the routes that are in every configuration.
-const frameMark = "frame-"
+// framePrefix is the name prefix of the routes that are in every configuration.
+const framePrefix = "frame-"
 
-// run is one operator, until ctx ends.
+// run runs one operator until ctx ends.
 func (o *operators) run(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(r.Int64N(int64(orderPause))))
@@ -49,28 +49,28 @@
 			continue
 		}
 		n := o.orders.Add(randomOrder(r, known))
-		o.settle(ctx, r, n)
+		o.submit(ctx, r, n)
 	}
 }
 
-// settle sends an order until it has a clear answer.
-func (o *operators) settle(ctx context.Context, r *rand.Rand, n int) {
-	for try := range tries {
-		asked := o.orders.Tick()
+// submit sends an order until it receives a definite response, maxAttempts times at most.
+func (o *operators) submit(ctx context.Context, r *rand.Rand, n int) {
+	for attempt := range maxAttempts {
+		sentAt := o.orders.Tick()
 		code := o.send(r, n)
-		if r.IntN(lostAnswers) == 0 {
+		if r.IntN(lostResponseRatio) == 0 {
 			code = 0
 		}
-		o.orders.Answered(n, asked, code)
+		o.orders.Answered(n, sentAt, code)
 		if code != 0 || ctx.Err() != nil {
 			return
 		}
-		sleep(ctx, time.Duration(try+1)*resendStep)
+		sleep(ctx, time.Duration(attempt+1)*resendBackoff)
 	}
 }
 
-// send makes one call with an order, at any control node; 0 stands for no clear
-// answer.
+// send sends an order once, to a random control node, and returns the status code, or 0 if
+// there is no definite response.
 func (o *operators) send(r *rand.Rand, n int) int {
 	order := o.orders.Get(n)
 	path := "/Conf.Replace"
@@ -89,7 +89,7 @@
 	return standin.Call(o.network, method, addrs[r.IntN(len(addrs))], path, header, body)
 }
 
-// configuration is as much of one as is read back.
+// configuration holds the fields of a configuration that are checked after reading it back.
 type configuration struct {
 	Rev    int64 `json:"rev"`
 	Routes []struct {
@@ -98,9 +98,9 @@
 	} `json:"routes"`
 }
 
-// read reads back what is in force.
+// read reads back the configuration in force and records it; a missing one has revision 0.
 func (o *operators) read(r *rand.Rand) (rev int64, ok bool) {
-	asked := o.orders.Tick()
+	sentAt := o.orders.Tick()
 	code, raw := o.call(r, http.MethodGet, "/Conf.Fetch", nil, nil)
 	if code == http.StatusNotFound {
 		return 0, true
@@ -111,31 +111,31 @@
 	}
 	routes := map[string]int64{}
 	for _, route := range c.Routes {
-		if !strings.HasPrefix(route.Name, frameMark) {
+		if !strings.HasPrefix(route.Name, framePrefix) {
 			routes[route.Name] = route.DeadlineMs
 		}
 	}
-	o.orders.Read(asked, c.Rev, routes)
+	o.orders.Read(sentAt, c.Rev, routes)
 	return c.Rev, true
 }
 
-// randomOrder is an order of an operator that knows a version. Few numbers are
-// picked, so that operators often pick the same.
+// randomOrder returns a random order of an operator that knows a revision. The revision is
+// drawn from a small range, so that operators often conflict.
 func randomOrder(r *rand.Rand, known int64) history.Order {
 	order := history.Order{Update: known > 0 && r.IntN(2) == 0, Base: known, Rev: known + 1 + r.Int64N(3), Routes: map[string]int64{}}
 	for range 1 + r.IntN(3) {
 		order.Routes[routeName(r)] = 1000 + r.Int64N(1000)
 	}
-	if r.IntN(invalidOrders) == 0 {
+	if r.IntN(invalidOrderRatio) == 0 {
 		order.Invalid = history.Faults[r.IntN(len(history.Faults))]
 	}
 	return order
 }
 
-// routeName is one of the routes that operators change.
-func routeName(r *rand.Rand) string { return "route-" + strconv.Itoa(r.IntN(orderNames)) }
+// routeName returns a random one of the routes that operators change.
+func routeName(r *rand.Rand) string { return "route-" + strconv.Itoa(r.IntN(routeNames)) }
 
-// sleep waits, or until ctx ends.
+// sleep waits for the given time, or until ctx ends.
 func sleep(ctx context.Context, span time.Duration) {
 	t := time.NewTimer(span)
 	defer t.Stop()
--- a/internal/testbed/plan.go
+++ b/internal/testbed/plan.go
@@ -1,8 +1,7 @@
-// Package testbed plays the real program on this machine: control nodes, poolers and
-// gateways as processes on loopback addresses, beside stand-ins of databases, platform,
-// operators and clients, under troubles drawn from a seed. What everybody saw is
-// checked against the rules at the end. It never touches a process that it has not
-// started.
+// Package testbed runs the real program on this machine and injects faults drawn from a seed:
+// control nodes, poolers and gateways run as processes on loopback addresses, together with
+// stand-ins for databases, platform, operators and clients. At the end the recorded history is
+// checked against the rules. The package never touches a process that it has not started.
 package testbed
 
 import (
@@ -14,58 +13,58 @@
 	"indigowalk/internal/settings"
 )
 
-// Kinds of trouble of machines and their processes.
+// Kinds of faults of machines and their processes.
 const (
-	Kill    = "kill"    // a machine's processes are killed and started again
-	Freeze  = "freeze"  // they stand still for a while
-	Term    = "term"    // they are told to end, and started again
-	Hup     = "hup"     // their settings change
+	Kill    = "kill"    // a machine's processes are killed and restarted
+	Freeze  = "freeze"  // they are suspended for a while
+	Term    = "term"    // they are terminated in order and restarted
+	Hup     = "hup"     // their settings change and are reloaded
 	Wipe    = "wipe"    // a control node is killed and loses its disk
-	Replace = "replace" // one is gone for good, and an empty one comes at another address
+	Replace = "replace" // a machine is removed permanently, and an empty one joins at another address
 	All     = "all"     // every process is killed at once
 )
 
-// Kinds of trouble of links.
+// Kinds of faults of links.
 const (
-	CutCore      = "cut_core"      // a control machine is cut off from the others, at times one way
-	CutCarrier   = "cut_carrier"   // a machine is cut off from all control machines
-	CutDatabases = "cut_databases" // a machine is cut off from a service's databases
-	CutPrimary   = "cut_primary"   // a primary is cut off from some machines, or its replicas
-	LoseReplies  = "lose_replies"  // answers between own processes, and to operators, are lost
-	Datagrams    = "datagrams"     // datagrams are lost, come twice, and late
-	Delay        = "delay"         // the links of a machine are slow
-	ResetLinks   = "reset_links"   // connections between own processes are reset
-	Split        = "split"         // the control machines are cut into halves; only beyond tolerate
+	CutCore      = "cut_core"      // a control machine is partitioned from the others, sometimes in one direction
+	CutCarrier   = "cut_carrier"   // a machine is partitioned from all control machines
+	CutDatabases = "cut_databases" // a machine is partitioned from a service's databases
+	CutPrimary   = "cut_primary"   // a primary is partitioned from some machines, or from its replicas
+	LoseReplies  = "lose_replies"  // responses between the program's processes, and to operators, are lost
+	Datagrams    = "datagrams"     // datagrams are lost, duplicated and delayed
+	Delay        = "delay"         // the links of a machine have added latency
+	ResetLinks   = "reset_links"   // connections between the program's processes are reset
+	Split        = "split"         // the control machines are partitioned into halves; only if Beyond is set
 )
 
-// Kinds of trouble of what a process may use.
+// Kinds of faults of a process's resources.
 const (
-	Descriptors = "descriptors" // it has hardly any left
-	FullDisk    = "full_disk"   // its files may not grow
+	Descriptors = "descriptors" // it has hardly any file descriptors left
+	FullDisk    = "full_disk"   // its files can't grow
 	LogReader   = "log_reader"  // nobody reads its log
-	Throttle    = "throttle"    // it runs for a part of each tenth of a second only
+	Throttle    = "throttle"    // it gets the processor for only a part of each tenth of a second
 )
 
-// Kinds of trouble of databases.
+// Kinds of faults of databases.
 const (
-	Crash   = "crash"   // a database ends without a word and returns, or is gone for good
-	Release = "release" // a database is replaced in order
+	Crash   = "crash"   // a database ends without notice and returns, or is removed permanently
+	Release = "release" // a database is replaced by a planned change
 	Reset   = "reset"   // a database's connections are reset
-	Hang    = "hang"    // a database stands still for a while
-	Deaf    = "deaf"    // a replica receives nothing for a while
-	Manners = "manners" // a database misbehaves on the wire
+	Hang    = "hang"    // a database hangs for a while
+	Deaf    = "deaf"    // a replica receives nothing from its primary for a while
+	Manners = "manners" // a database violates the wire protocol
 )
 
-// Rude has clients misbehave.
+// Rude is the kind of fault where clients misbehave.
 const Rude = "rude"
 
-// Tiers.
+// Tiers of proxies that a run can have.
 const (
 	Pooler  = "pooler"
 	Gateway = "gateway"
 )
 
-// Plan is what a run is to be like.
+// Plan describes a run.
 type Plan struct {
 	Seed         int64  `key:"seed" default:"1" validate:"gte=0"`
 	Tier         string `key:"tier" default:"pooler" validate:"oneof=pooler gateway"`
@@ -75,23 +74,24 @@
 	Operators    int64  `key:"operators" default:"3" validate:"gte=1,lte=8"`
 	LengthS      int64  `key:"length_s" default:"60" validate:"gte=5,lte=7200"`
 	Cores        int64  `key:"cores" default:"2" validate:"gte=1,lte=64"`
-	// PauseMs is the mean pause between two troubles of one timeline, and Timelines how
-	// many there are of machines; databases have two, links, limits and clients one each.
+	// PauseMs is the mean pause between two faults of one timeline, and Timelines the number of
+	// timelines for machines; databases have two, links, processors, limits and clients one each.
 	PauseMs   int64 `key:"pause_ms" default:"1500" validate:"gte=0,lte=600000"`
 	Timelines int64 `key:"timelines" default:"2" validate:"gte=1,lte=8"`
 	// Tolerate is how many machines with a control node may be lost at once.
 	Tolerate int64 `key:"tolerate" default:"1" validate:"gte=1,lte=3"`
-	// Beyond lets more machines be lost at once than may be; service may rest then.
+	// Beyond allows more machines to be lost at once than tolerated; service may be
+	// unavailable then.
 	Beyond bool `key:"beyond"`
-	// SpareControl has machines with a control node be struck by nothing, so that carriers are
-	// held to all that they owe while control nodes are calm.
+	// SpareControl excludes machines with a control node from faults, so that proxies are checked
+	// against all their guarantees while control nodes are undisturbed.
 	SpareControl bool `key:"spare_control"`
-	// Closing has one disk be lost, and all processes killed, after the last order.
+	// Closing kills all processes after the last order, and erases one disk.
 	Closing  bool     `key:"closing"`
 	Troubles []string `key:"troubles" default:"kill,freeze,term,hup,wipe,replace,all,cut_core,cut_carrier,cut_databases,cut_primary,lose_replies,datagrams,delay,reset_links,descriptors,full_disk,log_reader,throttle,crash,release,reset,hang,deaf,manners,rude" validate:"dive,oneof=none kill freeze term hup wipe replace all cut_core cut_carrier cut_databases cut_primary lose_replies datagrams delay reset_links split descriptors full_disk log_reader throttle crash release reset hang deaf manners rude"`
 }
 
-// DefaultPlan is a plan that says nothing.
+// DefaultPlan returns a plan with all keys at their defaults.
 func DefaultPlan() Plan {
 	var p Plan
 	if err := settings.Decode(nil, &p); err != nil {
@@ -100,7 +100,7 @@
 	return p
 }
 
-// LoadPlan reads and checks a plan; a key that is not known is a fault too.
+// LoadPlan reads and validates a plan file; an unknown key is an error.
 func LoadPlan(path string) (Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -120,11 +120,11 @@
 	return p, nil
 }
 
-// Set changes one key of the plan, as in its file.
+// Set changes one key of the plan; key and value are written as in a plan file.
 func (p *Plan) Set(key, value string) error {
-	var read Plan
+	var scratch Plan
 	line := []byte(key + "=" + value + "\n")
-	unknown, err := settings.UnknownKeys(line, &read)
+	unknown, err := settings.UnknownKeys(line, &scratch)
 	if err != nil {
 		return err
 	}
@@ -134,8 +134,8 @@
 	return settings.Overlay(line, p)
 }
 
-// has tells whether a kind of trouble may come.
+// has reports whether the plan includes a kind of fault.
 func (p *Plan) has(kind string) bool { return slices.Contains(p.Troubles, kind) }
 
-// machines is how many machines the run begins with.
+// machines returns how many machines the run begins with.
 func (p *Plan) machines() int { return int(max(p.ControlNodes, p.Carriers)) }
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -15,14 +15,14 @@
 	"indigowalk/internal/standin"
 )
 
-// historyBounds are those that a run is held to.
+// historyBounds are the time bounds that the history of a run is checked against.
 var historyBounds = history.Bounds{Drain: drainBound, Apply: applyBound, Contact: contactBound, Slack: slackBound, Answer: answerBound}
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed        int64     `json:"seed"`
 	Statements  Latencies `json:"statements"`
-	Orders      Latencies `json:"orders"` // from the first sending to the first acknowledgement
+	Orders      Latencies `json:"orders"` // from the first attempt to the first acknowledgement
 	Refused     int       `json:"statements_refused"`
 	Unclear     int       `json:"statements_unclear"`
 	Cut         int       `json:"statements_cut"`
@@ -30,7 +30,8 @@
 	OrdersAcked int       `json:"orders_acknowledged"`
 	Readings    int       `json:"readings"`
 	Probes      int       `json:"probes"`
-	// ProbesJudged are those in calm times, which are held to the newest configuration.
+	// ProbesJudged counts the probes in fault-free periods, which are checked against the newest
+	// configuration.
 	ProbesJudged int              `json:"probes_judged"`
 	Promotions   int              `json:"platform_calls"`
 	Troubles     map[string]int   `json:"troubles"`
@@ -39,7 +40,7 @@
 	Around       []string         `json:"around_the_first_breach,omitempty"`
 }
 
-// Latencies are times in microseconds.
+// Latencies summarizes a latency distribution, in microseconds.
 type Latencies struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_us"`
@@ -47,10 +48,10 @@
 	Max   int64 `json:"max_us"`
 }
 
-// longestLatency bounds what is told apart.
+// longestLatency is the highest latency that is recorded; longer ones count as this.
 const longestLatency = int64(10 * time.Minute / time.Microsecond)
 
-// measure gathers times.
+// measure collects latencies in a histogram.
 type measure struct{ h *hdrhistogram.Histogram }
 
 func newMeasure() measure { return measure{hdrhistogram.New(1, longestLatency, 3)} }
@@ -63,7 +64,7 @@
 	return Latencies{m.h.TotalCount(), m.h.ValueAtQuantile(50), m.h.ValueAtQuantile(99), m.h.Max()}
 }
 
-// Clean tells whether nothing broke.
+// Clean reports whether no rule was broken and no process ended by itself.
 func (r *Report) Clean() bool { return len(r.Breaches) == 0 && len(r.Processes) == 0 }
 
 func (b *bed) report(leaks []history.Breach) *Report {
@@ -132,13 +133,13 @@
 	r.ProbesJudged, r.Probes = b.traffic.Judged(historyBounds)
 }
 
-// aroundSpan is how much before and after a breach is shown.
+// aroundSpan is how long before and after a moment events are listed.
 const aroundSpan = 2 * time.Second
 
-// mostAround bounds how many lines that are.
-const mostAround = 200
+// maxAround bounds the number of listed events.
+const maxAround = 200
 
-// around lists what was done near a moment.
+// around lists the faults and order responses near a moment.
 func (b *bed) around(at time.Duration) []string {
 	type event struct {
 		at   time.Duration
@@ -155,14 +156,14 @@
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	var out []string
 	for _, e := range events {
-		if e.at >= at-aroundSpan && e.at <= at+aroundSpan && len(out) < mostAround {
+		if e.at >= at-aroundSpan && e.at <= at+aroundSpan && len(out) < maxAround {
 			out = append(out, fmt.Sprintf("%.3f s: %s", e.at.Seconds(), e.text))
 		}
 	}
 	return out
 }
 
-// lastAcknowledgement tells what happened around the last acknowledgement of an order.
+// lastAcknowledgement describes the events around the last acknowledgement of an order.
 func (b *bed) lastAcknowledgement() string {
 	var last time.Duration
 	for _, a := range b.orders.Answers() {
@@ -192,8 +193,8 @@
 	r.printFaults(w)
 }
 
-// mostPrinted bounds how many breaches are printed.
-const mostPrinted = 20
+// maxPrinted bounds how many breaches are printed.
+const maxPrinted = 20
 
 func (r *Report) printFaults(w io.Writer) {
 	if r.Clean() {
@@ -203,10 +204,10 @@
 	for _, text := range r.Processes {
 		fmt.Fprintln(w, text)
 	}
-	for _, breach := range r.Breaches[:min(mostPrinted, len(r.Breaches))] {
+	for _, breach := range r.Breaches[:min(maxPrinted, len(r.Breaches))] {
 		fmt.Fprintln(w, breach)
 	}
-	if more := len(r.Breaches) - mostPrinted; more > 0 {
+	if more := len(r.Breaches) - maxPrinted; more > 0 {
 		fmt.Fprintf(w, "and %d more\n", more)
 	}
 	if len(r.Around) > 0 {
--- a/internal/testbed/rude.go
+++ b/internal/testbed/rude.go
@@ -12,72 +12,72 @@
 	"indigowalk/internal/standin"
 )
 
-// Bounds of clients that misbehave.
+// Limits of misbehaving clients.
 const (
-	rudeClients   = 8 // at a time
-	longestRude   = 4 * time.Second
-	rudeDialWait  = 500 * time.Millisecond
-	rudeWriteWait = time.Second
-	endlessBytes  = 1200 << 10
+	misbehavingClients      = 8 // at the same time
+	longestMisbehavior      = 4 * time.Second
+	misbehavingDialTimeout  = 500 * time.Millisecond
+	misbehavingWriteTimeout = time.Second
+	endlessBytes            = 1200 << 10
 )
 
-// rudeManner is one way in which a client misbehaves on its connection.
-type rudeManner func(ctx context.Context, c net.Conn, r *rand.Rand)
+// misbehavior is one way in which a client misbehaves on its connection.
+type misbehavior func(ctx context.Context, c net.Conn, r *rand.Rand)
 
-// rudeManners are those of clients of poolers, or of gateways.
-func rudeManners(tier string) []rudeManner {
-	both := []rudeManner{silent, garbage, endless}
+// misbehaviors returns the misbehaviors of clients of poolers, or of gateways.
+func misbehaviors(tier string) []misbehavior {
+	both := []misbehavior{silent, garbage, endless}
 	if tier == Gateway {
-		return append(both, halfHead, halfBody, pipelinedRequests, readsNothing("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
+		return append(both, partialHeader, partialBody, pipelinedRequests, neverRead("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	}
-	return append(both, halfStatement, pipelined, restsInTransaction, readsNothing("QUERY r.1 FETCH x\r\n"), leavesAtOnce)
+	return append(both, partialStatement, pipelined, idleInTransaction, neverRead("QUERY r.1 FETCH x\r\n"), disconnectEarly)
 }
 
-// strikeClients has some clients misbehave at one carrier.
-func (t *troubles) strikeClients(ctx context.Context, _ string, r *rand.Rand) error {
-	var carriers []*machine
+// injectClientFault makes several clients misbehave in the same way at one proxy.
+func (t *troubles) injectClientFault(ctx context.Context, _ string, r *rand.Rand) error {
+	var proxies []*machine
 	for _, m := range t.cluster.all() {
 		if m.carrier {
-			carriers = append(carriers, m)
+			proxies = append(proxies, m)
 		}
 	}
-	m := carriers[r.IntN(len(carriers))]
-	manners := rudeManners(t.cluster.plan.Tier)
-	manner := manners[r.IntN(len(manners))]
-	ctx, cancel := context.WithTimeout(ctx, span(r, longestRude))
+	m := proxies[r.IntN(len(proxies))]
+	choices := misbehaviors(t.cluster.plan.Tier)
+	misbehave := choices[r.IntN(len(choices))]
+	ctx, cancel := context.WithTimeout(ctx, span(r, longestMisbehavior))
 	defer cancel()
-	done := make(chan struct{}, rudeClients)
-	for range rudeClients {
-		own := rand.New(rand.NewPCG(r.Uint64(), rudeStream))
+	done := make(chan struct{}, misbehavingClients)
+	for range misbehavingClients {
+		own := rand.New(rand.NewPCG(r.Uint64(), misbehaviorStream))
 		go func() {
 			defer func() { done <- struct{}{} }()
-			dialer := net.Dialer{Timeout: rudeDialWait, LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(clientGroup, rudeHost))}}
+			dialer := net.Dialer{Timeout: misbehavingDialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(address(clientGroup, misbehavingHost))}}
 			c, err := dialer.DialContext(ctx, "tcp4", m.clientAddr())
 			if err != nil {
 				return
 			}
 			defer c.Close()
-			_ = c.SetWriteDeadline(time.Now().Add(rudeWriteWait)) // one that is not kept changes nothing
-			manner(ctx, c, own)
+			_ = c.SetWriteDeadline(time.Now().Add(misbehavingWriteTimeout)) // best effort; a failure changes nothing
+			misbehave(ctx, c, own)
 		}()
 	}
-	for range rudeClients {
+	for range misbehavingClients {
 		<-done
 	}
 	return nil
 }
 
 const (
-	// rudeHost is the number of the address that these clients call from, and rudeStream
-	// the stream of random numbers that they draw from.
-	rudeHost   = 200
-	rudeStream = 7000
+	// misbehavingHost is the host number of the address that these clients connect from, and
+	// misbehaviorStream their stream of random numbers.
+	misbehavingHost   = 200
+	misbehaviorStream = 7000
 )
 
-// write writes what the far end takes: nothing rests on it.
+// write writes a text and ignores errors: nothing depends on its success.
 func write(c net.Conn, text string) { _, _ = c.Write([]byte(text)) }
 
-// stay keeps the connection until ctx ends.
+// stay keeps the connection open until ctx ends.
 func stay(ctx context.Context) { <-ctx.Done() }
 
 func silent(ctx context.Context, _ net.Conn, _ *rand.Rand) { stay(ctx) }
@@ -96,12 +96,12 @@
 	stay(ctx)
 }
 
-// login opens a session by hand.
+// login sends a raw login without reading the response.
 func login(c net.Conn) {
 	write(c, "LOGIN "+standin.PrimaryRoute+".service1 rude\r\n")
 }
 
-func halfStatement(ctx context.Context, c net.Conn, r *rand.Rand) {
+func partialStatement(ctx context.Context, c net.Conn, r *rand.Rand) {
 	login(c)
 	text := "QUERY rude.1 FETCH " + strings.Repeat("x", 100<<10)
 	write(c, text[:1+r.IntN(len(text)-1)])
@@ -118,20 +118,20 @@
 	stay(ctx)
 }
 
-func restsInTransaction(ctx context.Context, c net.Conn, _ *rand.Rand) {
+func idleInTransaction(ctx context.Context, c net.Conn, _ *rand.Rand) {
 	login(c)
 	write(c, "QUERY rude.1 BEGIN FETCH\r\nQUERY rude.2 FETCH x\r\n")
 	stay(ctx)
 }
 
-// leavesAtOnce sends a statement and leaves before its answer.
-func leavesAtOnce(_ context.Context, c net.Conn, _ *rand.Rand) {
+// disconnectEarly sends a statement and disconnects before the response.
+func disconnectEarly(_ context.Context, c net.Conn, _ *rand.Rand) {
 	login(c)
 	write(c, "QUERY rude.1 FETCH x\r\n")
 }
 
-// readsNothing asks again and again, and takes no answer.
-func readsNothing(text string) rudeManner {
+// neverRead returns a misbehavior that keeps sending requests and never reads a response.
+func neverRead(text string) misbehavior {
 	return func(ctx context.Context, c net.Conn, _ *rand.Rand) {
 		login(c)
 		for ctx.Err() == nil {
@@ -143,12 +143,12 @@
 	}
 }
 
-func halfHead(ctx context.Context, c net.Conn, _ *rand.Rand) {
+func partialHeader(ctx context.Context, c net.Conn, _ *rand.Rand) {
 	write(c, "GET /safe/x HTTP/1.1\r\nHost: service1.example\r\nX-Slow: ")
 	stay(ctx)
 }
 
-func halfBody(ctx context.Context, c net.Conn, r *rand.Rand) {
+func partialBody(ctx context.Context, c net.Conn, r *rand.Rand) {
 	size := 1 << r.IntN(20)
 	write(c, fmt.Sprintf("POST /unsafe/x HTTP/1.1\r\nHost: service1.example\r\nX-Indigowalk-Request-Id: rude-%d\r\nContent-Length: %d\r\n\r\n%s",
 		r.Int64(), size, strings.Repeat("x", size/2)))
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -15,35 +15,35 @@
 	"indigowalk/internal/standin"
 )
 
-// Config is what a run is built from.
+// Config is the configuration of a run.
 type Config struct {
 	Plan    Plan
-	Program string // path of the program
-	Dir     string // an empty folder for settings, disks and logs
-	// Promote, if there is one, is what the platform does in place of what it is
-	// asked, to see that the checks notice.
+	Program string // path of the executable
+	Dir     string // an empty directory for settings, disks and logs
+	// Promote, if set, replaces the platform's handling of promotion requests, to test
+	// that the checks detect a wrong promotion.
 	Promote func(groups []*standin.Group, service, id string) int
 }
 
 const (
-	// bootWait is how long processes may take until they serve.
-	bootWait = 30 * time.Second
-	// calmEnd is for how long nothing strikes before the end is checked.
-	calmEnd = contactBound + 2*time.Second
-	// closingEnd is that where everything is killed at the end.
-	closingEnd = calmEnd + 10*time.Second
-	// closingWait is how long the closing calls of operators may take.
-	closingWait = 20 * time.Second
-	// closingOrders is how many orders are sent again at the end: fewer than the
-	// control state knows again, of which some were never acknowledged.
-	closingOrders = 256
-	// answerBound is how much later than its deadline a statement may be answered.
+	// startTimeout is how long processes may take to start serving.
+	startTimeout = 30 * time.Second
+	// faultFreeEnd is how long no fault is injected before the final state is checked.
+	faultFreeEnd = contactBound + 2*time.Second
+	// faultFreeEndAfterKill is the same period for plans that kill every process at the end.
+	faultFreeEndAfterKill = faultFreeEnd + 10*time.Second
+	// finalCheckTimeout bounds the operators' final requests.
+	finalCheckTimeout = 20 * time.Second
+	// maxOrdersResent is how many orders are sent again at the end. It is less than the number
+	// of orders that the control state deduplicates, since some of those were never acknowledged.
+	maxOrdersResent = 256
+	// answerBound is how long after its deadline a statement may still receive its response.
 	answerBound = 500 * time.Millisecond
-	// probePause is between two probes of a pooler.
-	probePause = 250 * time.Millisecond
+	// probeInterval is the pause between two probes of a proxy.
+	probeInterval = 250 * time.Millisecond
 )
 
-// bed is one run.
+// bed is the state of one run.
 type bed struct {
 	cfg       Config
 	cluster   *cluster
@@ -56,11 +56,11 @@
 	requests  []*standin.Requests
 
 	mu    sync.Mutex
-	fault error // for which the run could not go on
+	fault error // the first error that prevented the run from continuing
 }
 
-// Run plays a plan and returns what came of it. It ends what it has started, also
-// when ctx is over before.
+// Run executes a plan and returns its report. It stops everything that it has started, even
+// if ctx ends early.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	b, err := newBed(cfg)
 	if err != nil {
@@ -70,11 +70,11 @@
 	if err := b.boot(ctx); err != nil {
 		return nil, err
 	}
-	b.play(ctx)
+	b.runWorkload(ctx)
 	if err := b.failure(); err != nil {
 		return nil, err
 	}
-	if err := b.close(ctx); err != nil {
+	if err := b.recordFinalState(ctx); err != nil {
 		return nil, err
 	}
 	leaks := b.cluster.leaks(ctx, b.traffic.Now())
@@ -122,7 +122,7 @@
 	return b, nil
 }
 
-// group makes a service whose databases tell what they see.
+// group creates a database service whose databases record their events in the history.
 func (b *bed) group(service string) *standin.Group {
 	g := standin.NewGroup(b.cluster.net, service)
 	g.Observe = standin.Observer{
@@ -142,7 +142,7 @@
 // databases starts the databases of every service.
 func (b *bed) databases() {
 	for n, s := range b.services {
-		for i := range workersAService {
+		for i := range workersPerService {
 			s.Add(fmt.Sprintf("%s-%d", s.Name, i+1), address(databaseGroup+n, i), fmt.Sprintf("zone-%d", i%zones+1))
 		}
 	}
@@ -153,7 +153,7 @@
 	}
 }
 
-// promote is what the platform does.
+// promote handles the platform's promotion requests and returns an HTTP status code.
 func (b *bed) promote(service, id string) int {
 	if b.cfg.Promote != nil {
 		return b.cfg.Promote(b.groups, service, id)
@@ -166,32 +166,33 @@
 	return http.StatusBadRequest
 }
 
-// boot starts everything and has the first configuration taken.
+// boot starts all processes and waits until the first configuration is accepted and the
+// cluster is ready.
 func (b *bed) boot(ctx context.Context) error {
-	ctx, cancel := context.WithTimeoutCause(ctx, bootWait, errors.New("it takes too long"))
+	ctx, cancel := context.WithTimeoutCause(ctx, startTimeout, errors.New("start timed out"))
 	defer cancel()
 	if err := b.cluster.start(); err != nil {
 		return err
 	}
 	b.databases()
-	first := b.orders.Add(history.Order{Rev: 1, Routes: map[string]int64{"route-0": 1000}})
+	firstOrder := b.orders.Add(history.Order{Rev: 1, Routes: map[string]int64{"route-0": 1000}})
 	r := b.random(0)
 	for code := 0; code != http.StatusOK; {
-		asked := b.orders.Tick()
-		code = b.operators.send(r, first)
-		b.orders.Answered(first, asked, code)
+		sentAt := b.orders.Tick()
+		code = b.operators.send(r, firstOrder)
+		b.orders.Answered(firstOrder, sentAt, code)
 		if faults := b.cluster.faults(); len(faults) > 0 {
 			return fmt.Errorf("testbed: %s", faults[0])
 		}
 		if ctx.Err() != nil {
 			return fmt.Errorf("testbed: no configuration is taken: %w%s", context.Cause(ctx), b.logs())
 		}
-		sleep(ctx, probePause/5)
+		sleep(ctx, probeInterval/5)
 	}
 	return b.cluster.ready(ctx)
 }
 
-// logs are the ends of the control nodes' logs.
+// logs returns the last lines of the control nodes' logs.
 func (b *bed) logs() string {
 	var out strings.Builder
 	for _, m := range b.cluster.all() {
@@ -202,43 +203,43 @@
 	return out.String()
 }
 
-// random is a generator of numbers of the plan's seed.
+// random returns a random number generator for one stream of the plan's seed.
 func (b *bed) random(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(uint64(b.cfg.Plan.Seed), stream))
 }
 
-// play has clients, operators and troubles at work for as long as the plan says.
-func (b *bed) play(ctx context.Context) {
+// runWorkload runs clients, operators, probes and fault injection for the plan's duration.
+func (b *bed) runWorkload(ctx context.Context) {
 	length := time.Duration(b.cfg.Plan.LengthS) * time.Second
-	calm, cancelCalm := context.WithTimeout(ctx, length)
-	defer cancelCalm()
-	rest := calmEnd
+	workloadCtx, cancelWorkload := context.WithTimeout(ctx, length)
+	defer cancelWorkload()
+	tail := faultFreeEnd
 	if b.cfg.Plan.Closing {
-		rest = closingEnd
+		tail = faultFreeEndAfterKill
 	}
-	rough, cancelRough := context.WithTimeout(ctx, max(length-rest, 0))
-	defer cancelRough()
+	faultCtx, cancelFaults := context.WithTimeout(ctx, max(length-tail, 0))
+	defer cancelFaults()
 	b.startLoads()
 	b.startRequests()
-	var clients, striking sync.WaitGroup
+	var clients, injecting sync.WaitGroup
 	for i := range b.cfg.Plan.Operators {
-		clients.Go(func() { b.operators.run(calm, b.random(operatorStreams+uint64(i))) })
+		clients.Go(func() { b.operators.run(workloadCtx, b.random(operatorStreams+uint64(i))) })
 	}
 	for i, m := range b.cluster.all() {
 		if m.carrier {
-			clients.Go(func() { b.probe(calm, i, b.random(probeStreams+uint64(i))) })
+			clients.Go(func() { b.probe(workloadCtx, i, b.random(probeStreams+uint64(i))) })
 		}
 	}
-	t := &troubles{
+	injector := &troubles{
 		cluster: b.cluster, traffic: b.traffic, groups: b.groups, services: b.services,
-		failed: func(err error) { b.fail(err); cancelCalm(); cancelRough() },
+		failed: func(err error) { b.fail(err); cancelWorkload(); cancelFaults() },
 	}
-	for i, line := range t.timelines() {
-		striking.Go(func() { t.run(rough, line, b.random(troubleStreams+uint64(i))) })
+	for i, line := range injector.timelines() {
+		injecting.Go(func() { injector.run(faultCtx, line, b.random(faultStreams+uint64(i))) })
 	}
-	striking.Wait()
+	injecting.Wait()
 	if b.cfg.Plan.Closing && b.failure() == nil {
-		if err := b.closing(calm); err != nil {
+		if err := b.killAllAfterOrder(workloadCtx); err != nil {
 			b.fail(err)
 		}
 	}
@@ -251,22 +252,22 @@
 	}
 }
 
-// Streams of random numbers.
+// Streams of random numbers, each with an offset so that no two users share a stream.
 const (
 	operatorStreams = 100
 	probeStreams    = 200
-	troubleStreams  = 1000
-	closingStream   = 4
+	faultStreams    = 1000
+	killStream      = 4
 )
 
-// closing has all processes be killed right after an order was acknowledged, and one
-// control machine lose its disk with that.
-func (b *bed) closing(ctx context.Context) error {
-	before := len(b.orders.Acknowledged())
-	for ctx.Err() == nil && len(b.orders.Acknowledged()) == before {
-		sleep(ctx, probePause/50)
-	}
-	r := b.random(closingStream)
+// killAllAfterOrder kills and restarts all processes right after an order was acknowledged,
+// and erases the disk of one control machine at the same time.
+func (b *bed) killAllAfterOrder(ctx context.Context) error {
+	acknowledged := len(b.orders.Acknowledged())
+	for ctx.Err() == nil && len(b.orders.Acknowledged()) == acknowledged {
+		sleep(ctx, probeInterval/50)
+	}
+	r := b.random(killStream)
 	machines := b.cluster.all()
 	var controls []*machine
 	for _, m := range machines {
@@ -307,12 +308,12 @@
 				})
 			}
 		}
-		b.loads = append(b.loads, standin.NewLoad(g, uint64(b.cfg.Plan.Seed), poolers, func(s standin.Statement) { b.note(g.Service, s) }))
+		b.loads = append(b.loads, standin.NewLoad(g, uint64(b.cfg.Plan.Seed), poolers, func(s standin.Statement) { b.recordStatement(g.Service, s) }))
 	}
 }
 
-// note puts a statement into the history.
-func (b *bed) note(service string, s standin.Statement) {
+// recordStatement adds a statement to the history.
+func (b *bed) recordStatement(service string, s standin.Statement) {
 	lag := time.Duration(0)
 	if !strings.HasPrefix(s.Route, standin.PrimaryRoute+".") {
 		lag = standin.Stale
@@ -323,16 +324,16 @@
 	})
 }
 
-// probe opens sessions on the routes that operators change, at the pooler of the machine
-// that has a place.
-func (b *bed) probe(ctx context.Context, place int, r *rand.Rand) {
+// probe checks repeatedly whether the routes that operators change are served by the proxy of
+// the machine at the given position.
+func (b *bed) probe(ctx context.Context, position int, r *rand.Rand) {
 	network := b.cluster.net.Network(operatorHost())
 	for n := 0; ctx.Err() == nil; n++ {
-		sleep(ctx, probePause)
-		route, m := routeName(r), b.cluster.all()[place]
+		sleep(ctx, probeInterval)
+		route, m := routeName(r), b.cluster.all()[position]
 		sent := b.traffic.Now()
 		if b.cfg.Plan.Tier == Gateway {
-			if served, known := b.askRoute(m.clientAddr(), route, n); known {
+			if served, known := b.probeRoute(m.clientAddr(), route, n); known {
 				b.traffic.Probed(history.Probe{Pooler: m.clientAddr(), Route: route, Served: served, Sent: sent, Done: b.traffic.Now()})
 			}
 			continue
@@ -347,51 +348,51 @@
 	}
 }
 
-// noSuchRoute is the error to a session on a route that is not there.
+// noSuchRoute is the error code for a session on a route that does not exist.
 const noSuchRoute = "NODB"
 
-// close has the newest orders that were acknowledged acknowledged again, and the end
-// read back. Nothing strikes any more: what has no clear answer now is a failure, as a
-// history without its end can't be checked.
-func (b *bed) close(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, closingWait)
+// recordFinalState sends the newest acknowledged orders again, and reads back the final
+// configuration. No faults are injected any more, so an indefinite response is a failure: a
+// history without its final state can't be checked.
+func (b *bed) recordFinalState(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, finalCheckTimeout)
 	defer cancel()
 	r := b.random(3)
-	for _, n := range newest(b.orders.Acknowledged(), closingOrders) {
+	for _, n := range newest(b.orders.Acknowledged(), maxOrdersResent) {
 		if err := b.resend(ctx, r, n); err != nil {
 			return err
 		}
 	}
 	for rev := int64(0); rev == 0; {
 		if ctx.Err() != nil {
-			return errors.New("testbed: the configuration can't be read back at the end")
+			return errors.New("testbed: the final configuration could not be read back")
 		}
 		rev, _ = b.operators.read(r)
 	}
 	for _, g := range b.groups {
-		if lead := g.Lead(); lead != nil {
-			b.traffic.Promoted(history.Promotion{Service: g.Service, Database: lead.ID, Holds: lead.Holds(), At: b.traffic.Now()})
+		if leader := g.Lead(); leader != nil {
+			b.traffic.Promoted(history.Promotion{Service: g.Service, Database: leader.ID, Holds: leader.Holds(), At: b.traffic.Now()})
 		}
 	}
 	return nil
 }
 
-// newest returns the last of numbers that grow, so many at most.
-func newest(numbers []int, most int) []int {
+// newest returns at most limit of the highest numbers, in increasing order.
+func newest(numbers []int, limit int) []int {
 	slices.Sort(numbers)
-	return numbers[max(0, len(numbers)-most):]
+	return numbers[max(0, len(numbers)-limit):]
 }
 
-// resend sends an order until it has a clear answer.
+// resend sends an order until it receives a definite response.
 func (b *bed) resend(ctx context.Context, r *rand.Rand, n int) error {
 	for ctx.Err() == nil {
-		asked := b.orders.Tick()
+		sentAt := b.orders.Tick()
 		code := b.operators.send(r, n)
-		b.orders.Answered(n, asked, code)
+		b.orders.Answered(n, sentAt, code)
 		if code != 0 {
 			return nil
 		}
-		sleep(ctx, resendStep)
+		sleep(ctx, resendBackoff)
 	}
-	return fmt.Errorf("testbed: order %d was acknowledged, and has no clear answer at the end; %s", n, b.lastAcknowledgement())
+	return fmt.Errorf("testbed: order %d was acknowledged earlier but received no definite response when sent again at the end; %s", n, b.lastAcknowledgement())
 }
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -18,7 +18,7 @@
 	"indigowalk/internal/testbed"
 )
 
-// program builds the program once.
+// program builds the executable once and returns its path.
 var program = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "testbed-program")
 	if err != nil {
@@ -40,7 +40,7 @@
 	os.Exit(code)
 }
 
-// small is a plan that ends within some fifteen seconds.
+// small returns a plan that ends within about fifteen seconds.
 func small(troubles ...string) testbed.Plan {
 	p := testbed.DefaultPlan()
 	p.Carriers, p.Services, p.Operators, p.LengthS, p.PauseMs = 3, 1, 2, 10, 100
@@ -63,8 +63,7 @@
 	return testbed.Run(ctx, cfg)
 }
 
-// The program itself, with several troubles at once, breaks no rule, and nothing is left
-// behind.
+// The real program breaks no rule under several concurrent faults, and leaks nothing.
 func TestShortRun(t *testing.T) {
 	for tier, troubles := range map[string][]string{
 		testbed.Pooler: {
@@ -86,16 +85,16 @@
 		report.Print(&text)
 		t.Logf("%s\n%s", tier, text.String())
 		if !report.Clean() {
-			t.Errorf("%s: a rule is broken, or a process ended by itself", tier)
+			t.Errorf("%s: a rule was broken, or a process ended by itself", tier)
 		}
 		if report.Statements.Count < 100 || report.OrdersAcked < 5 || len(report.Troubles) < 5 {
-			t.Errorf("%s: too little happened", tier)
+			t.Errorf("%s: too few statements, acknowledged orders or kinds of faults", tier)
 		}
 	}
 }
 
-// A platform that promotes a database which has lost its newest commits is noticed.
-func TestPlantedLoss(t *testing.T) {
+// The checks detect a platform that promotes a database which has lost its newest commits.
+func TestLostCommitsAreDetected(t *testing.T) {
 	plan := small(testbed.Crash, testbed.Release)
 	plan.PauseMs = 0
 	lossy := func(groups []*standin.Group, _, id string) int {
@@ -113,18 +112,18 @@
 			t.Fatal(err)
 		}
 		if report.Promotions == 0 {
-			continue // no primary was struck
+			continue // no fault hit a primary
 		}
 		if report.Clean() || report.Breaches[0].Rule != history.Lost && !strings.Contains(report.Breaches[0].Text, history.Lost) {
-			t.Errorf("the loss is not found: %v", report.Breaches)
+			t.Errorf("the lost commits are not reported: %v", report.Breaches)
 		}
 		return
 	}
 	t.Error("no database was promoted")
 }
 
-// What can't be played is told as such.
-func TestWhatCannotBePlayed(t *testing.T) {
+// A missing or failing executable and an address in use are reported as errors.
+func TestStartFailuresAreReported(t *testing.T) {
 	if _, err := run(t, testbed.Config{Plan: small("none"), Program: "/nowhere/indigowalk"}); err == nil || !strings.Contains(err.Error(), "/nowhere/indigowalk") {
 		t.Errorf("a missing program: %v", err)
 	}
@@ -141,7 +140,7 @@
 	}
 }
 
-// A plan that says what it can't is refused, with the key named.
+// An invalid plan is rejected, and the error names the key.
 func TestPlan(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan")
 	for text, want := range map[string]string{
@@ -167,9 +166,9 @@
 	if err := plan.Set("cores", "4"); err != nil || plan.Cores != 4 || plan.Carriers != 10 {
 		t.Errorf("%+v %v", plan, err)
 	}
-	for _, word := range [][2]string{{"cores", "0"}, {"cors", "4"}} {
-		if err := plan.Set(word[0], word[1]); err == nil {
-			t.Errorf("%v was taken", word)
+	for _, setting := range [][2]string{{"cores", "0"}, {"cors", "4"}} {
+		if err := plan.Set(setting[0], setting[1]); err == nil {
+			t.Errorf("invalid setting %v was accepted", setting)
 		}
 	}
 }
--- a/internal/testbed/timelines.go
+++ b/internal/testbed/timelines.go
@@ -11,28 +11,28 @@
 	"indigowalk/internal/standin"
 )
 
-// troubles strike as the plan says. Each timeline is a row of troubles with pauses
-// between, drawn from a stream of its own; timelines know nothing of each other, so that
-// their troubles overlap in any way.
+// troubles injects the faults of the plan. Each timeline is a sequence of faults with pauses
+// between them, drawn from its own random stream; timelines are independent of each other, so
+// that their faults overlap in any combination.
 type troubles struct {
 	cluster  *cluster
 	traffic  *history.Traffic
-	groups   []*standin.Group   // where poolers stand in front
-	services []*standin.Service // where gateways do
+	groups   []*standin.Group   // in a run with poolers
+	services []*standin.Service // in a run with gateways
 	failed   func(error)
 
 	rounds rounds
-	adding sync.Mutex // held while a database gets an address and is added with it
+	adding sync.Mutex // held while a database is assigned an address and added
 }
 
-// timeline is one row of troubles.
+// timeline is one sequence of faults.
 type timeline struct {
 	name   string
 	kinds  []string
-	strike func(ctx context.Context, kind string, r *rand.Rand) error
+	inject func(ctx context.Context, kind string, r *rand.Rand) error
 }
 
-// rounds numbers troubles, so that what comes new has a name of its own.
+// rounds numbers faults, so that each replacement database gets a unique name.
 type rounds struct {
 	mu sync.Mutex
 	n  int
@@ -45,11 +45,11 @@
 	return r.n
 }
 
-// timelines are those of the plan that have any kind of trouble.
+// timelines returns the timelines that have at least one kind of fault in the plan.
 func (t *troubles) timelines() []timeline {
 	databases := t.strikeDatabase
 	if t.cluster.plan.Tier == Gateway {
-		databases = t.strikeWorker
+		databases = t.injectWorkerFault
 	}
 	var all []timeline
 	for range t.cluster.plan.Timelines {
@@ -61,32 +61,32 @@
 		timeline{"limits", []string{Descriptors, FullDisk, LogReader}, t.strikeLimits},
 		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, Manners}, databases},
 		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, Manners}, databases},
-		timeline{"clients", []string{Rude}, t.strikeClients},
+		timeline{"clients", []string{Rude}, t.injectClientFault},
 	)
-	var some []timeline
+	var enabled []timeline
 	for _, line := range all {
 		if line.kinds = t.planned(line.kinds); len(line.kinds) > 0 {
-			some = append(some, line)
+			enabled = append(enabled, line)
 		}
 	}
-	return some
+	return enabled
 }
 
-// strikesControl are the kinds of trouble that strike control nodes, or everybody.
-var strikesControl = []string{Wipe, Replace, All, CutCore, Split, LoseReplies, Datagrams, FullDisk}
+// controlFaults are the kinds of faults that affect control nodes, or all machines.
+var controlFaults = []string{Wipe, Replace, All, CutCore, Split, LoseReplies, Datagrams, FullDisk}
 
-// planned are those kinds of trouble that the plan lets come.
-func (t *troubles) planned(kinds []string) (some []string) {
+// planned returns those of the given kinds of faults that the plan allows.
+func (t *troubles) planned(kinds []string) (enabled []string) {
 	plan := t.cluster.plan
 	for _, kind := range kinds {
-		if plan.has(kind) && !(plan.SpareControl && slices.Contains(strikesControl, kind)) {
-			some = append(some, kind)
+		if plan.has(kind) && !(plan.SpareControl && slices.Contains(controlFaults, kind)) {
+			enabled = append(enabled, kind)
 		}
 	}
-	return some
+	return enabled
 }
 
-// run plays one timeline until ctx ends.
+// run runs one timeline until ctx ends.
 func (t *troubles) run(ctx context.Context, line timeline, r *rand.Rand) {
 	mean := float64(t.cluster.plan.PauseMs) * float64(time.Millisecond)
 	for {
@@ -94,14 +94,15 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err := line.strike(ctx, line.kinds[r.IntN(len(line.kinds))], r); err != nil {
+		if err := line.inject(ctx, line.kinds[r.IntN(len(line.kinds))], r); err != nil {
 			t.failed(err)
 			return
 		}
 	}
 }
 
-// hosts are the databases of a service, by its number, or of all below 0.
+// hosts returns the addresses of all databases; true marks those of the service with the given
+// number, or all if it is negative.
 func (t *troubles) hosts(service int) map[string]bool {
 	set := map[string]bool{}
 	for i, g := range t.groups {
@@ -117,8 +118,8 @@
 	return set
 }
 
-// note notes a trouble of a machine that goes on; own says that it strikes its processes
-// or its links to clients. The returned function ends it.
+// note records the start of a fault of a machine; own says that it affects the machine's own
+// processes or its links to clients. The returned function records the end.
 func (t *troubles) note(kind string, m *machine, own bool) (over func()) {
 	number := t.traffic.Begin(history.Trouble{
 		Kind: kind, Node: m.clientAddr(), Elsewhere: !own, Control: m.control, Planned: kind == Term || kind == Hup, At: t.traffic.Now(),
@@ -126,7 +127,7 @@
 	return func() { t.traffic.End(number) }
 }
 
-// span draws a time of up to most.
-func span(r *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(r.Int64N(int64(most)))
+// span returns a random duration below limit.
+func span(r *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(r.Int64N(int64(limit)))
 }
--- a/internal/testbed/verdict.go
+++ b/internal/testbed/verdict.go
@@ -14,23 +14,23 @@
 	"indigowalk/internal/tools"
 )
 
-// Rules of the testbed's own, beside those of histories.
+// Rules that the testbed checks itself, in addition to those of package history.
 const (
-	// Invariant: a process has found one of its invariants violated.
+	// Invariant is broken if a process has found one of its invariants violated.
 	Invariant = "INVARIANT"
-	// Log: a process has logged what it must not.
+	// Log is broken if a process has logged a forbidden text.
 	Log = "LOG"
-	// Leak: a process holds at the end, without clients, what it should have let go.
+	// Leak is broken if a process without clients still holds resources at the end.
 	Leak = "LEAK"
 )
 
-// longestLogLine is the longest that is read.
+// longestLogLine is the longest log line that is read, in bytes.
 const longestLogLine = 1 << 20
 
-// alarms are what no log may hold.
-var alarms = []string{"panic:", "fatal error:", "WARNING: DATA RACE", "goroutine stack exceeds", "all goroutines are asleep"}
+// forbiddenTexts are texts that no log may contain.
+var forbiddenTexts = []string{"panic:", "fatal error:", "WARNING: DATA RACE", "goroutine stack exceeds", "all goroutines are asleep"}
 
-// logBreaches reads all logs for what they must not hold.
+// logBreaches searches the logs of all processes for violated invariants and forbidden texts.
 func (c *cluster) logBreaches(now time.Duration) (out []history.Breach) {
 	c.mu.Lock()
 	machines := append(append([]*machine(nil), c.machines...), c.gone...)
@@ -56,7 +56,7 @@
 		switch {
 		case strings.Contains(line, invariant.LogMessage):
 			out = append(out, history.Breach{Rule: Invariant, At: now, Text: name + ": " + line})
-		case containsAny(line, alarms):
+		case containsAny(line, forbiddenTexts):
 			out = append(out, history.Breach{Rule: Log, At: now, Text: name + ": " + line})
 		}
 	}
@@ -72,36 +72,36 @@
 	return false
 }
 
-// What a process may hold at the end, when its clients have gone.
+// Limits for a process at the end, when its clients have disconnected.
 const (
-	mostGoroutines  = 400
-	mostDescriptors = 300
-	// lettingGo is how long processes have for it.
-	lettingGo = 4 * time.Second
+	maxGoroutines  = 400
+	maxOpenDescriptors = 300
+	// releaseTimeout is how long processes may take to get below these limits.
+	releaseTimeout = 4 * time.Second
 )
 
-// clientCounters are 0 at a process without clients.
+// clientCounters are the counters that are 0 at a process without clients.
 var clientCounters = []string{"pooler.sessions_open", "gateway.connections_open", "gateway.requests_open"}
 
-// leaks asks all processes what they hold, until none holds too much or time is up.
+// leaks polls the resource usage of all processes until none exceeds a limit or the time is up.
 func (c *cluster) leaks(ctx context.Context, now time.Duration) (out []history.Breach) {
-	for end := time.Now().Add(lettingGo); ; sleep(ctx, lettingGo/10) {
-		if out = c.held(ctx, now); len(out) == 0 || time.Now().After(end) || ctx.Err() != nil {
+	for end := time.Now().Add(releaseTimeout); ; sleep(ctx, releaseTimeout/10) {
+		if out = c.excessUsage(ctx, now); len(out) == 0 || time.Now().After(end) || ctx.Err() != nil {
 			return out
 		}
 	}
 }
 
-// held lists what processes hold too much of.
-func (c *cluster) held(ctx context.Context, now time.Duration) (out []history.Breach) {
-	var asked []string
+// excessUsage returns a breach for each limit that a process exceeds.
+func (c *cluster) excessUsage(ctx context.Context, now time.Duration) (out []history.Breach) {
+	var addrs []string
 	open := map[string]int{}
 	for _, m := range c.all() {
 		if m.control {
-			asked = append(asked, m.ip+":"+controlCallPort)
+			addrs = append(addrs, m.ip+":"+controlCallPort)
 		}
 		if m.carrier {
-			asked = append(asked, m.ip+":"+carrierCallPort)
+			addrs = append(addrs, m.ip+":"+carrierCallPort)
 		}
 		for _, p := range m.procs {
 			if n, err := descriptors(p.pid()); err == nil {
@@ -110,23 +110,23 @@
 		}
 	}
 	network := kernel.HostNetwork{BindIP: operatorHost()}
-	for _, text := range leaksOf(open, tools.Ask(ctx, network, asked, false)) {
+	for _, text := range findLeaks(open, tools.Ask(ctx, network, addrs, false)) {
 		out = append(out, history.Breach{Rule: Leak, At: now, Text: text})
 	}
 	return out
 }
 
-// leaksOf says which processes have too much, by the descriptors that each has open and
-// by what they report.
-func leaksOf(open map[string]int, system *tools.System) (out []string) {
+// findLeaks describes each exceeded limit, given the number of open descriptors per process and
+// the counters that the processes report.
+func findLeaks(open map[string]int, system *tools.System) (out []string) {
 	leak := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	for name, n := range open {
-		if n > mostDescriptors {
+		if n > maxOpenDescriptors {
 			leak("%s has %d descriptors open", name, n)
 		}
 	}
 	for _, r := range system.Reports {
-		if n := r.Counters["kernel.goroutines"]; n > mostGoroutines {
+		if n := r.Counters["kernel.goroutines"]; n > maxGoroutines {
 			leak("%s %s has %d goroutines", r.Role, r.Node, n)
 		}
 		for _, counter := range clientCounters {
--- a/internal/testbed/verdict_test.go
+++ b/internal/testbed/verdict_test.go
@@ -13,7 +13,7 @@
 	"indigowalk/internal/tools"
 )
 
-func TestLogsThatTellOfFaultsAreFound(t *testing.T) {
+func TestFaultsInLogsAreDetected(t *testing.T) {
 	for line, rule := range map[string]string{
 		`{"level":"ERROR","msg":"` + invariant.LogMessage + `","name":"one_primary"}`: Invariant,
 		"panic: runtime error: index out of range":                                    Log,
@@ -27,12 +27,12 @@
 		}
 		breaches := logBreaches("edge-1-pooler", path, time.Second)
 		if rule == "" && len(breaches) > 0 || rule != "" && (len(breaches) != 1 || breaches[0].Rule != rule || !strings.Contains(breaches[0].Text, line)) {
-			t.Errorf("%s: found %v, want %q", line, breaches, rule)
+			t.Errorf("%s: got breaches %v, want rule %q", line, breaches, rule)
 		}
 	}
 }
 
-func TestWhatIsNotLetGoIsFound(t *testing.T) {
+func TestResourceLeaksAreDetected(t *testing.T) {
 	report := func(name string, n int64) *tools.System {
 		return &tools.System{Reports: []*tools.Report{{Node: "edge-1", Role: "pooler", Counters: map[string]int64{name: n}}}}
 	}
@@ -47,51 +47,51 @@
 		"gateway.requests_open is 1":              {nil, report("gateway.requests_open", 1)},
 		"10.0.0.1:7440 does not answer: no route": {nil, &tools.System{Missing: map[string]string{"10.0.0.1:7440": "no route"}}},
 	} {
-		if leaks := leaksOf(c.open, c.system); len(leaks) != 1 || !strings.Contains(leaks[0], want) {
-			t.Errorf("%q is not found: %v", want, leaks)
+		if leaks := findLeaks(c.open, c.system); len(leaks) != 1 || !strings.Contains(leaks[0], want) {
+			t.Errorf("leak %q is not reported: %v", want, leaks)
 		}
 	}
-	if leaks := leaksOf(map[string]int{"edge-1-pooler": 40}, report("kernel.goroutines", 40)); len(leaks) > 0 {
-		t.Errorf("nothing is held: %v", leaks)
+	if leaks := findLeaks(map[string]int{"edge-1-pooler": 40}, report("kernel.goroutines", 40)); len(leaks) > 0 {
+		t.Errorf("leaks reported below all limits: %v", leaks)
 	}
 }
 
-func TestNoMoreMachinesAreLostThanMayBe(t *testing.T) {
+func TestLostMachinesStayWithinLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second, carrier := &machine{control: true}, &machine{control: true}, &machine{}
+		first, second, proxy := &machine{control: true}, &machine{control: true}, &machine{}
 		l := newLosses(1)
-		for _, m := range []*machine{first, first, carrier} {
+		for _, m := range []*machine{first, first, proxy} {
 			if !l.take(m) {
-				t.Fatal("one machine may be lost, by several troubles, and any that keeps no control state")
+				t.Fatal("take refused a machine within the limit, or one without a control node")
 			}
 		}
 		l.give(first)
 		if l.take(second) || l.none() {
-			t.Error("a second machine is lost beside one that still is")
+			t.Error("a second machine may be lost while the first still is")
 		}
 		l.give(first)
 		if l.take(second) {
-			t.Error("a second machine is lost before the first has caught up")
+			t.Error("a second machine may be lost before the first has caught up")
 		}
 		time.Sleep(catchup + time.Millisecond)
 		if !l.none() || !l.takeDisk(second) {
-			t.Error("a machine may not be lost though all have caught up")
+			t.Error("no machine may be lost though all have caught up")
 		}
 		if l.takeDisk(first) {
-			t.Error("two disks are lost at once")
+			t.Error("two disks may be lost at once")
 		}
 		unbounded := newLosses(0)
 		if !unbounded.take(first) || !unbounded.take(second) {
-			t.Error("a machine may not be lost though there is no bound")
+			t.Error("a machine may not be lost though there is no limit")
 		}
 		if unbounded.takeDisk(first) {
-			t.Error("a disk is lost while another machine is")
+			t.Error("a disk may be lost while another machine is lost")
 		}
 	})
 }
 
-// A breach names the rule that was broken and when.
-func TestFirstBreachComesWithWhatWasAround(t *testing.T) {
+// The printed report names the broken rule, its time and the events around it.
+func TestReportPrintsEventsAroundFirstBreach(t *testing.T) {
 	r := &Report{Breaches: []history.Breach{{Rule: Leak, At: 3 * time.Second, Text: "text"}}, Around: []string{"2.900 s: kill"}}
 	var out strings.Builder
 	r.Print(&out)
