--- a/internal/testbed/plan.go
+++ b/internal/testbed/plan.go
@@ -55,8 +55,8 @@
 	Manners = "manners" // a database violates the wire protocol
 )
 
-// Rude is the kind of fault where clients misbehave.
-const Rude = "rude"
+// MisbehavingClients is the kind of fault where clients violate the protocol or stall.
+const MisbehavingClients = "rude"
 
 // Tiers of proxies that a run can have.
 const (
@@ -86,9 +86,9 @@
 	// SpareControl excludes machines with a control node from faults, so that proxies are checked
 	// against all their guarantees while control nodes are undisturbed.
 	SpareControl bool `key:"spare_control"`
-	// Closing kills all processes after the last order, and erases one disk.
-	Closing  bool     `key:"closing"`
-	Troubles []string `key:"troubles" default:"kill,freeze,term,hup,wipe,replace,all,cut_core,cut_carrier,cut_databases,cut_primary,lose_replies,datagrams,delay,reset_links,descriptors,full_disk,log_reader,throttle,crash,release,reset,hang,deaf,manners,rude" validate:"dive,oneof=none kill freeze term hup wipe replace all cut_core cut_carrier cut_databases cut_primary lose_replies datagrams delay reset_links split descriptors full_disk log_reader throttle crash release reset hang deaf manners rude"`
+	// KillAllAtEnd kills all processes after the last order, and erases one disk.
+	KillAllAtEnd bool     `key:"closing"`
+	Faults       []string `key:"troubles" default:"kill,freeze,term,hup,wipe,replace,all,cut_core,cut_carrier,cut_databases,cut_primary,lose_replies,datagrams,delay,reset_links,descriptors,full_disk,log_reader,throttle,crash,release,reset,hang,deaf,manners,rude" validate:"dive,oneof=none kill freeze term hup wipe replace all cut_core cut_carrier cut_databases cut_primary lose_replies datagrams delay reset_links split descriptors full_disk log_reader throttle crash release reset hang deaf manners rude"`
 }
 
 // DefaultPlan returns a plan with all keys at their defaults.
@@ -135,7 +135,7 @@
 }
 
 // has reports whether the plan includes a kind of fault.
-func (p *Plan) has(kind string) bool { return slices.Contains(p.Troubles, kind) }
+func (p *Plan) has(kind string) bool { return slices.Contains(p.Faults, kind) }
 
 // machines returns how many machines the run begins with.
 func (p *Plan) machines() int { return int(max(p.ControlNodes, p.Carriers)) }
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -34,10 +34,10 @@
 	// configuration.
 	ProbesJudged int              `json:"probes_judged"`
 	Promotions   int              `json:"platform_calls"`
-	Troubles     map[string]int   `json:"troubles"`
+	Faults       map[string]int   `json:"troubles"`
 	Breaches     []history.Breach `json:"breaches"`
 	Processes    []string         `json:"processes_that_ended"`
-	Around       []string         `json:"around_the_first_breach,omitempty"`
+	EventsAround []string         `json:"around_the_first_breach,omitempty"`
 }
 
 // Latencies summarizes a latency distribution, in microseconds.
@@ -51,16 +51,18 @@
 // longestLatency is the highest latency that is recorded; longer ones count as this.
 const longestLatency = int64(10 * time.Minute / time.Microsecond)
 
-// measure collects latencies in a histogram.
-type measure struct{ h *hdrhistogram.Histogram }
+// latencyRecorder collects latencies in a histogram.
+type latencyRecorder struct{ h *hdrhistogram.Histogram }
 
-func newMeasure() measure { return measure{hdrhistogram.New(1, longestLatency, 3)} }
+func newLatencyRecorder() latencyRecorder {
+	return latencyRecorder{hdrhistogram.New(1, longestLatency, 3)}
+}
 
-func (m measure) add(span time.Duration) {
+func (m latencyRecorder) add(span time.Duration) {
 	_ = m.h.RecordValue(min(max(1, span.Microseconds()), longestLatency)) // it lies within the bounds
 }
 
-func (m measure) latencies() Latencies {
+func (m latencyRecorder) latencies() Latencies {
 	return Latencies{m.h.TotalCount(), m.h.ValueAtQuantile(50), m.h.ValueAtQuantile(99), m.h.Max()}
 }
 
@@ -68,11 +70,11 @@
 func (r *Report) Clean() bool { return len(r.Breaches) == 0 && len(r.Processes) == 0 }
 
 func (b *bed) report(leaks []history.Breach) *Report {
-	r := &Report{Seed: b.cfg.Plan.Seed, Troubles: map[string]int{}, Processes: b.cluster.faults()}
+	r := &Report{Seed: b.cfg.Plan.Seed, Faults: map[string]int{}, Processes: b.cluster.faults()}
 	b.countStatements(r)
 	b.countOrders(r)
 	for _, d := range b.traffic.Troubles() {
-		r.Troubles[d.Kind]++
+		r.Faults[d.Kind]++
 	}
 	r.Promotions = b.cluster.platform.Calls()
 	r.Breaches = append(b.orders.Breaches(), b.traffic.Breaches(b.orders, historyBounds)...)
@@ -93,13 +95,13 @@
 	}
 	slices.SortStableFunc(r.Breaches, func(a, b history.Breach) int { return int(a.At - b.At) })
 	if len(r.Breaches) > 0 {
-		r.Around = b.around(r.Breaches[0].At)
+		r.EventsAround = b.around(r.Breaches[0].At)
 	}
 	return r
 }
 
 func (b *bed) countStatements(r *Report) {
-	served := newMeasure()
+	served := newLatencyRecorder()
 	for _, s := range b.traffic.Statements() {
 		switch {
 		case s.Code == "":
@@ -119,7 +121,7 @@
 	r.OrdersSent, r.Readings = len(b.orders.All()), len(b.orders.Readings())
 	first := map[int]time.Duration{}
 	acked := map[int]bool{}
-	took := newMeasure()
+	took := newLatencyRecorder()
 	for _, a := range b.orders.Answers() {
 		if sent, known := first[a.Order]; !known || a.Sent < sent {
 			first[a.Order] = a.Sent
@@ -186,17 +188,17 @@
 	fmt.Fprintf(w, "orders sent %d, acknowledged %d; read back %d times\n", r.OrdersSent, r.OrdersAcked, r.Readings)
 	fmt.Fprintf(w, "probes of routes %d, of which %d in calm times\n", r.Probes, r.ProbesJudged)
 	fmt.Fprintf(w, "calls of the platform %d; troubles:", r.Promotions)
-	for _, kind := range slices.Sorted(maps.Keys(r.Troubles)) {
-		fmt.Fprintf(w, " %s %d", kind, r.Troubles[kind])
+	for _, kind := range slices.Sorted(maps.Keys(r.Faults)) {
+		fmt.Fprintf(w, " %s %d", kind, r.Faults[kind])
 	}
 	fmt.Fprintln(w)
-	r.printFaults(w)
+	r.printFailures(w)
 }
 
 // maxPrinted bounds how many breaches are printed.
 const maxPrinted = 20
 
-func (r *Report) printFaults(w io.Writer) {
+func (r *Report) printFailures(w io.Writer) {
 	if r.Clean() {
 		fmt.Fprintln(w, "no rule was broken")
 		return
@@ -210,9 +212,9 @@
 	if more := len(r.Breaches) - maxPrinted; more > 0 {
 		fmt.Fprintf(w, "and %d more\n", more)
 	}
-	if len(r.Around) > 0 {
+	if len(r.EventsAround) > 0 {
 		fmt.Fprintln(w, "around the first:")
-		for _, text := range r.Around {
+		for _, text := range r.EventsAround {
 			fmt.Fprintln(w, " ", text)
 		}
 	}
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -214,7 +214,7 @@
 	workloadCtx, cancelWorkload := context.WithTimeout(ctx, length)
 	defer cancelWorkload()
 	tail := faultFreeEnd
-	if b.cfg.Plan.Closing {
+	if b.cfg.Plan.KillAllAtEnd {
 		tail = faultFreeEndAfterKill
 	}
 	faultCtx, cancelFaults := context.WithTimeout(ctx, max(length-tail, 0))
@@ -238,7 +238,7 @@
 		injecting.Go(func() { injector.run(faultCtx, line, b.random(faultStreams+uint64(i))) })
 	}
 	injecting.Wait()
-	if b.cfg.Plan.Closing && b.failure() == nil {
+	if b.cfg.Plan.KillAllAtEnd && b.failure() == nil {
 		if err := b.killAllAfterOrder(workloadCtx); err != nil {
 			b.fail(err)
 		}
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -41,10 +41,10 @@
 }
 
 // small returns a plan that ends within about fifteen seconds.
-func small(troubles ...string) testbed.Plan {
+func small(faults ...string) testbed.Plan {
 	p := testbed.DefaultPlan()
 	p.Carriers, p.Services, p.Operators, p.LengthS, p.PauseMs = 3, 1, 2, 10, 100
-	p.Troubles = troubles
+	p.Faults = faults
 	return p
 }
 
@@ -65,17 +65,17 @@
 
 // The real program breaks no rule under several concurrent faults, and leaks nothing.
 func TestShortRun(t *testing.T) {
-	for tier, troubles := range map[string][]string{
+	for tier, faults := range map[string][]string{
 		testbed.Pooler: {
 			testbed.Kill, testbed.Term, testbed.Hup, testbed.Freeze, testbed.CutCore, testbed.CutCarrier, testbed.LoseReplies,
-			testbed.Datagrams, testbed.LogReader, testbed.Crash, testbed.Reset, testbed.Manners, testbed.Rude,
+			testbed.Datagrams, testbed.LogReader, testbed.Crash, testbed.Reset, testbed.Manners, testbed.MisbehavingClients,
 		},
 		testbed.Gateway: {
 			testbed.Kill, testbed.Term, testbed.Hup, testbed.CutDatabases, testbed.ResetLinks, testbed.Delay,
-			testbed.Crash, testbed.Release, testbed.Hang, testbed.Manners, testbed.Rude,
+			testbed.Crash, testbed.Release, testbed.Hang, testbed.Manners, testbed.MisbehavingClients,
 		},
 	} {
-		plan := small(troubles...)
+		plan := small(faults...)
 		plan.Tier = tier
 		report, err := run(t, testbed.Config{Plan: plan})
 		if err != nil {
@@ -87,7 +87,7 @@
 		if !report.Clean() {
 			t.Errorf("%s: a rule was broken, or a process ended by itself", tier)
 		}
-		if report.Statements.Count < 100 || report.OrdersAcked < 5 || len(report.Troubles) < 5 {
+		if report.Statements.Count < 100 || report.OrdersAcked < 5 || len(report.Faults) < 5 {
 			t.Errorf("%s: too few statements, acknowledged orders or kinds of faults", tier)
 		}
 	}
--- a/internal/testbed/timelines.go
+++ b/internal/testbed/timelines.go
@@ -61,7 +61,7 @@
 		timeline{"limits", []string{Descriptors, FullDisk, LogReader}, t.strikeLimits},
 		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, Manners}, databases},
 		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, Manners}, databases},
-		timeline{"clients", []string{Rude}, t.injectClientFault},
+		timeline{"clients", []string{MisbehavingClients}, t.injectClientFault},
 	)
 	var enabled []timeline
 	for _, line := range all {
--- a/internal/testbed/verdict.go
+++ b/internal/testbed/verdict.go
@@ -74,7 +74,7 @@
 
 // Limits for a process at the end, when its clients have disconnected.
 const (
-	maxGoroutines  = 400
+	maxGoroutines      = 400
 	maxOpenDescriptors = 300
 	// releaseTimeout is how long processes may take to get below these limits.
 	releaseTimeout = 4 * time.Second
--- a/internal/testbed/verdict_test.go
+++ b/internal/testbed/verdict_test.go
@@ -92,7 +92,7 @@
 
 // The printed report names the broken rule, its time and the events around it.
 func TestReportPrintsEventsAroundFirstBreach(t *testing.T) {
-	r := &Report{Breaches: []history.Breach{{Rule: Leak, At: 3 * time.Second, Text: "text"}}, Around: []string{"2.900 s: kill"}}
+	r := &Report{Breaches: []history.Breach{{Rule: Leak, At: 3 * time.Second, Text: "text"}}, EventsAround: []string{"2.900 s: kill"}}
 	var out strings.Builder
 	r.Print(&out)
 	if text := out.String(); r.Clean() || !strings.Contains(text, "LEAK at 3.000 s: text") || !strings.Contains(text, "2.900 s: kill") {
