--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -51,18 +51,16 @@
 // longestLatency is the highest latency that is recorded; longer ones count as this.
 const longestLatency = int64(10 * time.Minute / time.Microsecond)
 
-// latencyRecorder collects latencies in a histogram.
-type latencyRecorder struct{ h *hdrhistogram.Histogram }
+// recorder collects latencies in a histogram.
+type recorder struct{ h *hdrhistogram.Histogram }
 
-func newLatencyRecorder() latencyRecorder {
-	return latencyRecorder{hdrhistogram.New(1, longestLatency, 3)}
-}
+func newRecorder() recorder { return recorder{hdrhistogram.New(1, longestLatency, 3)} }
 
-func (m latencyRecorder) add(span time.Duration) {
+func (m recorder) add(span time.Duration) {
 	_ = m.h.RecordValue(min(max(1, span.Microseconds()), longestLatency)) // it lies within the bounds
 }
 
-func (m latencyRecorder) latencies() Latencies {
+func (m recorder) latencies() Latencies {
 	return Latencies{m.h.TotalCount(), m.h.ValueAtQuantile(50), m.h.ValueAtQuantile(99), m.h.Max()}
 }
 
@@ -101,7 +99,7 @@
 }
 
 func (b *bed) countStatements(r *Report) {
-	served := newLatencyRecorder()
+	served := newRecorder()
 	for _, s := range b.traffic.Statements() {
 		switch {
 		case s.Code == "":
@@ -121,7 +119,7 @@
 	r.OrdersSent, r.Readings = len(b.orders.All()), len(b.orders.Readings())
 	first := map[int]time.Duration{}
 	acked := map[int]bool{}
-	took := newLatencyRecorder()
+	took := newRecorder()
 	for _, a := range b.orders.Answers() {
 		if sent, known := first[a.Order]; !known || a.Sent < sent {
 			first[a.Order] = a.Sent
