--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -15,14 +15,14 @@
 	"indigowalk/internal/standin"
 )
 
-// historyBounds are those that a run is held to.
+// historyBounds are the time bounds that the history of a run is checked against.
 var historyBounds = history.Bounds{Drain: drainBound, Apply: applyBound, Contact: contactBound, Slack: slackBound, Answer: answerBound}
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed        int64     `json:"seed"`
 	Statements  Latencies `json:"statements"`
-	Orders      Latencies `json:"orders"` // from the first sending to the first acknowledgement
+	Orders      Latencies `json:"orders"` // from the first attempt to the first acknowledgement
 	Refused     int       `json:"statements_refused"`
 	Unclear     int       `json:"statements_unclear"`
 	Cut         int       `json:"statements_cut"`
@@ -30,16 +30,17 @@
 	OrdersAcked int       `json:"orders_acknowledged"`
 	Readings    int       `json:"readings"`
 	Probes      int       `json:"probes"`
-	// ProbesJudged are those in calm times, which are held to the newest configuration.
+	// ProbesJudged counts the probes in fault-free periods, which are checked against the newest
+	// configuration.
 	ProbesJudged int              `json:"probes_judged"`
 	Promotions   int              `json:"platform_calls"`
-	Troubles     map[string]int   `json:"troubles"`
+	Faults       map[string]int   `json:"troubles"`
 	Breaches     []history.Breach `json:"breaches"`
 	Processes    []string         `json:"processes_that_ended"`
-	Around       []string         `json:"around_the_first_breach,omitempty"`
+	EventsAround []string         `json:"around_the_first_breach,omitempty"`
 }
 
-// Latencies are times in microseconds.
+// Latencies summarizes a latency distribution, in microseconds.
 type Latencies struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_us"`
@@ -47,31 +48,31 @@
 	Max   int64 `json:"max_us"`
 }
 
-// longestLatency bounds what is told apart.
+// longestLatency is the highest latency that is recorded; longer ones count as this.
 const longestLatency = int64(10 * time.Minute / time.Microsecond)
 
-// measure gathers times.
-type measure struct{ h *hdrhistogram.Histogram }
+// recorder collects latencies in a histogram.
+type recorder struct{ h *hdrhistogram.Histogram }
 
-func newMeasure() measure { return measure{hdrhistogram.New(1, longestLatency, 3)} }
+func newRecorder() recorder { return recorder{hdrhistogram.New(1, longestLatency, 3)} }
 
-func (m measure) add(span time.Duration) {
+func (m recorder) add(span time.Duration) {
 	_ = m.h.RecordValue(min(max(1, span.Microseconds()), longestLatency)) // it lies within the bounds
 }
 
-func (m measure) latencies() Latencies {
+func (m recorder) latencies() Latencies {
 	return Latencies{m.h.TotalCount(), m.h.ValueAtQuantile(50), m.h.ValueAtQuantile(99), m.h.Max()}
 }
 
-// Clean tells whether nothing broke.
+// Clean reports whether no rule was broken and no process ended by itself.
 func (r *Report) Clean() bool { return len(r.Breaches) == 0 && len(r.Processes) == 0 }
 
 func (b *bed) report(leaks []history.Breach) *Report {
-	r := &Report{Seed: b.cfg.Plan.Seed, Troubles: map[string]int{}, Processes: b.cluster.faults()}
+	r := &Report{Seed: b.cfg.Plan.Seed, Faults: map[string]int{}, Processes: b.cluster.faults()}
 	b.countStatements(r)
 	b.countOrders(r)
 	for _, d := range b.traffic.Troubles() {
-		r.Troubles[d.Kind]++
+		r.Faults[d.Kind]++
 	}
 	r.Promotions = b.cluster.platform.Calls()
 	r.Breaches = append(b.orders.Breaches(), b.traffic.Breaches(b.orders, historyBounds)...)
@@ -92,13 +93,13 @@
 	}
 	slices.SortStableFunc(r.Breaches, func(a, b history.Breach) int { return int(a.At - b.At) })
 	if len(r.Breaches) > 0 {
-		r.Around = b.around(r.Breaches[0].At)
+		r.EventsAround = b.around(r.Breaches[0].At)
 	}
 	return r
 }
 
 func (b *bed) countStatements(r *Report) {
-	served := newMeasure()
+	served := newRecorder()
 	for _, s := range b.traffic.Statements() {
 		switch {
 		case s.Code == "":
@@ -118,7 +119,7 @@
 	r.OrdersSent, r.Readings = len(b.orders.All()), len(b.orders.Readings())
 	first := map[int]time.Duration{}
 	acked := map[int]bool{}
-	took := newMeasure()
+	took := newRecorder()
 	for _, a := range b.orders.Answers() {
 		if sent, known := first[a.Order]; !known || a.Sent < sent {
 			first[a.Order] = a.Sent
@@ -132,13 +133,13 @@
 	r.ProbesJudged, r.Probes = b.traffic.Judged(historyBounds)
 }
 
-// aroundSpan is how much before and after a breach is shown.
+// aroundSpan is how long before and after a moment events are listed.
 const aroundSpan = 2 * time.Second
 
-// mostAround bounds how many lines that are.
-const mostAround = 200
+// maxAround bounds the number of listed events.
+const maxAround = 200
 
-// around lists what was done near a moment.
+// around lists the faults and order responses near a moment.
 func (b *bed) around(at time.Duration) []string {
 	type event struct {
 		at   time.Duration
@@ -155,14 +156,14 @@
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	var out []string
 	for _, e := range events {
-		if e.at >= at-aroundSpan && e.at <= at+aroundSpan && len(out) < mostAround {
+		if e.at >= at-aroundSpan && e.at <= at+aroundSpan && len(out) < maxAround {
 			out = append(out, fmt.Sprintf("%.3f s: %s", e.at.Seconds(), e.text))
 		}
 	}
 	return out
 }
 
-// lastAcknowledgement tells what happened around the last acknowledgement of an order.
+// lastAcknowledgement describes the events around the last acknowledgement of an order.
 func (b *bed) lastAcknowledgement() string {
 	var last time.Duration
 	for _, a := range b.orders.Answers() {
@@ -185,17 +186,17 @@
 	fmt.Fprintf(w, "orders sent %d, acknowledged %d; read back %d times\n", r.OrdersSent, r.OrdersAcked, r.Readings)
 	fmt.Fprintf(w, "probes of routes %d, of which %d in calm times\n", r.Probes, r.ProbesJudged)
 	fmt.Fprintf(w, "calls of the platform %d; troubles:", r.Promotions)
-	for _, kind := range slices.Sorted(maps.Keys(r.Troubles)) {
-		fmt.Fprintf(w, " %s %d", kind, r.Troubles[kind])
+	for _, kind := range slices.Sorted(maps.Keys(r.Faults)) {
+		fmt.Fprintf(w, " %s %d", kind, r.Faults[kind])
 	}
 	fmt.Fprintln(w)
-	r.printFaults(w)
+	r.printFailures(w)
 }
 
-// mostPrinted bounds how many breaches are printed.
-const mostPrinted = 20
+// maxPrinted bounds how many breaches are printed.
+const maxPrinted = 20
 
-func (r *Report) printFaults(w io.Writer) {
+func (r *Report) printFailures(w io.Writer) {
 	if r.Clean() {
 		fmt.Fprintln(w, "no rule was broken")
 		return
@@ -203,15 +204,15 @@
 	for _, text := range r.Processes {
 		fmt.Fprintln(w, text)
 	}
-	for _, breach := range r.Breaches[:min(mostPrinted, len(r.Breaches))] {
+	for _, breach := range r.Breaches[:min(maxPrinted, len(r.Breaches))] {
 		fmt.Fprintln(w, breach)
 	}
-	if more := len(r.Breaches) - mostPrinted; more > 0 {
+	if more := len(r.Breaches) - maxPrinted; more > 0 {
 		fmt.Fprintf(w, "and %d more\n", more)
 	}
-	if len(r.Around) > 0 {
+	if len(r.EventsAround) > 0 {
 		fmt.Fprintln(w, "around the first:")
-		for _, text := range r.Around {
+		for _, text := range r.EventsAround {
 			fmt.Fprintln(w, " ", text)
 		}
 	}
