--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -15,7 +15,7 @@
 	"indigowalk/internal/standin"
 )
 
-// Bounds that the processes are told, and that the checks use.
+// Bounds that are passed to the processes in their settings and that the checks use.
 const (
 	drainBound   = 7 * time.Second
 	contactBound = 4 * time.Second
@@ -25,10 +25,10 @@
 	grace        = 6 * time.Second
 )
 
-// zones is over how many zones the machines are spread.
+// zones is the number of zones that the machines are spread over.
 const zones = 4
 
-// cluster is the processes and the addresses at which they stand.
+// cluster consists of the machines, their processes and the addresses that they use.
 type cluster struct {
 	plan     Plan
 	program  string
@@ -40,10 +40,10 @@
 
 	losses *losses
 
-	mu       sync.Mutex
-	machines []*machine
-	gone     []*machine // whose place others took
-	added    int        // machines that came in another's place
+	mu           sync.Mutex
+	machines     []*machine
+	gone         []*machine // that have been replaced
+	replacements int        // number of machines that replaced another
 }
 
 const (
@@ -51,45 +51,45 @@
 	subnets     = 128
 )
 
-// shift is how many subnets were passed over since others use them.
-var shift atomic.Int64
+// skippedSubnets counts the subnets that were skipped because other runs use them.
+var skippedSubnets atomic.Int64
 
-// subnet keeps the addresses of two runs on one machine apart.
-func subnet() int { return firstSubnet + (os.Getpid()+int(shift.Load()))%subnets }
+// subnet returns the second octet of this run's addresses. It is derived from the process ID, so
+// that concurrent runs on one machine use different addresses.
+func subnet() int { return firstSubnet + (os.Getpid()+int(skippedSubnets.Load()))%subnets }
 
-// reserve finds a subnet that no other run uses, and listens at the platform's address
-// there.
-func reserve() (ln net.Listener, err error) {
+// reserveSubnet finds a subnet that no other run uses and listens at the platform's address in it.
+func reserveSubnet() (ln net.Listener, err error) {
 	for range subnets {
 		if ln, err = net.Listen("tcp4", platformAddr()); err == nil {
 			return ln, nil
 		}
-		shift.Add(1)
+		skippedSubnets.Add(1)
 	}
 	return nil, fmt.Errorf("testbed: %w", err)
 }
 
-// address is that of a machine, by its number.
+// address returns the IP address of the member of a group with the given zero-based number.
 func address(group, n int) string { return fmt.Sprintf("127.%d.%d.%d", subnet(), group, n+1) }
 
-// FirstAddress is the address at which clients reach the first machine of a run of
-// this process.
+// FirstAddress returns the address at which clients reach the first machine of a run in this
+// process.
 func FirstAddress() string { return address(machineGroup, 0) + ":" + clientPort }
 
-// Groups of addresses.
+// Groups of addresses: the third octet.
 const (
 	machineGroup  = 1
-	bindGroup     = 2   // at which the processes of machines listen
+	bindGroup     = 2   // where the processes of machines listen
 	databaseGroup = 100 // and up, one for each service
 	platformGroup = 250
 	clientGroup   = 251
 )
 
-// operatorHost is the address from which operators call.
+// operatorHost returns the address from which operators connect.
 func operatorHost() string { return address(clientGroup, 0) }
 
 func newCluster(plan Plan, program, dir string) (*cluster, error) {
-	listener, err := reserve()
+	listener, err := reserveSubnet()
 	if err != nil {
 		return nil, err
 	}
@@ -99,24 +99,23 @@
 		c.losses = newLosses(0)
 	}
 	for i := range plan.machines() {
-		c.machines = append(c.machines, c.machine(i, i < int(plan.ControlNodes), i < int(plan.Carriers)))
+		c.machines = append(c.machines, c.newMachine(i, i < int(plan.ControlNodes), i < int(plan.Carriers)))
 	}
-	c.tellControls()
+	c.publishControlAddrs()
 	return c, nil
 }
 
-func (c *cluster) machine(n int, control, carrier bool) *machine {
+func (c *cluster) newMachine(n int, control, carrier bool) *machine {
 	m := &machine{
 		name: fmt.Sprintf("edge-%d", n+1), ip: address(machineGroup, n), bind: address(bindGroup, n), zone: fmt.Sprintf("zone-%d", n%zones+1),
 		control: control, carrier: carrier,
 	}
-	m.processes(c.dir, c.program, c.plan.Tier, c.plan.Cores)
-	c.net.callsFrom(m.ip, m.bind)
+	m.addProcesses(c.dir, c.program, c.plan.Tier, c.plan.Cores)
+	c.net.registerSource(m.ip, m.bind)
 	return m
 }
 
-// ports are those at which a machine's processes are reached, and which of them for
-// datagrams too.
+// ports returns the TCP ports of a machine's processes, and those that also receive datagrams.
 func (m *machine) ports() (ports []string, datagrams []string) {
 	if m.control {
 		ports, datagrams = append(ports, controlPort, controlCallPort), append(datagrams, controlCallPort)
@@ -127,18 +126,18 @@
 	return ports, datagrams
 }
 
-// relay puts relays in front of a machine's processes.
-func (c *cluster) relay(m *machine) error {
+// startRelays starts the relays in front of a machine's processes.
+func (c *cluster) startRelays(m *machine) error {
 	ports, datagrams := m.ports()
 	for _, port := range ports {
-		r, err := newRelay(c.net.links, c.net.hostOf, m.ip, m.ip+":"+port, m.bind+":"+port)
+		r, err := newRelay(c.net.links, c.net.hostBySource, m.ip, m.ip+":"+port, m.bind+":"+port)
 		if err != nil {
 			return fmt.Errorf("testbed: the address %s:%s of %s: %w", m.ip, port, m.name, err)
 		}
 		m.relays = append(m.relays, r)
 	}
 	for _, port := range datagrams {
-		r, err := newDatagramRelay(c.net.links, c.net.hostOf, m.ip, m.ip+":"+port, m.bind+":"+port)
+		r, err := newDatagramRelay(c.net.links, c.net.hostBySource, m.ip, m.ip+":"+port, m.bind+":"+port)
 		if err != nil {
 			return fmt.Errorf("testbed: the address %s:%s of %s: %w", m.ip, port, m.name, err)
 		}
@@ -147,8 +146,8 @@
 	return nil
 }
 
-// unrelay takes the relays of a machine away.
-func (m *machine) unrelay() {
+// closeRelays closes the relays of a machine.
+func (m *machine) closeRelays() {
 	for _, r := range m.relays {
 		r.close()
 	}
@@ -157,8 +156,8 @@
 	}
 }
 
-// tellControls has the platform know the control nodes that there are.
-func (c *cluster) tellControls() {
+// publishControlAddrs publishes the addresses of the current control nodes to the platform.
+func (c *cluster) publishControlAddrs() {
 	var addrs []string
 	for _, m := range c.machines {
 		if m.control {
@@ -168,7 +167,7 @@
 	c.net.setControls(addrs)
 }
 
-// all returns the machines that there are.
+// all returns a copy of the list of current machines.
 func (c *cluster) all() []*machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,12 +176,12 @@
 
 func platformAddr() string { return address(platformGroup, 0) + ":" + platformPort }
 
-// start starts the platform and every process, for the first time.
+// start starts the platform and bootstraps every process.
 func (c *cluster) start() error {
 	c.server = &http.Server{Handler: c.platform, ReadHeaderTimeout: time.Second}
 	go c.server.Serve(c.listener)
 	for _, m := range c.all() {
-		if err := c.relay(m); err != nil {
+		if err := c.startRelays(m); err != nil {
 			return err
 		}
 		if err := c.startMachine(m, true); err != nil {
@@ -192,18 +191,18 @@
 	return nil
 }
 
-// mostSeeds is how many control nodes a process is told of.
-const mostSeeds = 3
+// maxSeeds is the maximum number of control nodes listed as seeds in the settings of a process.
+const maxSeeds = 3
 
-// seeds are the first control nodes that there are now.
+// seeds returns the addresses of the first current control nodes.
 func (c *cluster) seeds() []string {
 	controls := c.net.Controls()
-	return controls[:min(mostSeeds, len(controls))]
+	return controls[:min(maxSeeds, len(controls))]
 }
 
-// startMachine starts a machine's processes.
+// startMachine writes the settings of a machine's processes and starts them.
 func (c *cluster) startMachine(m *machine, bootstrap bool) error {
-	if err := free(m); err != nil {
+	if err := checkAddressesFree(m); err != nil {
 		return err
 	}
 	for _, p := range m.procs {
@@ -217,8 +216,8 @@
 	return nil
 }
 
-// free tells whether the machine's addresses can be used.
-func free(m *machine) error {
+// checkAddressesFree returns an error if an address of the machine's processes is in use.
+func checkAddressesFree(m *machine) error {
 	var faults []error
 	for _, addr := range []string{m.bind + ":" + clientPort, m.bind + ":" + controlPort} {
 		ln, err := net.Listen("tcp4", addr)
@@ -231,46 +230,46 @@
 	return errors.Join(faults...)
 }
 
-// kill ends a machine's processes without notice.
+// kill sends SIGKILL to a machine's processes and waits until they have exited.
 func (m *machine) kill() {
 	for _, p := range m.procs {
 		p.signal(syscall.SIGKILL, true)
 	}
 	for _, p := range m.procs {
-		p.end()
+		p.killAndWait()
 	}
 }
 
-// term ends a machine's processes in order; those that take too long are killed, as
-// the platform does.
-func (m *machine) term() {
+// terminate shuts down a machine's processes with SIGTERM. Like the platform, it kills those that
+// have not exited within the grace period.
+func (m *machine) terminate() {
 	for _, p := range m.procs {
 		p.signal(syscall.SIGTERM, true)
 	}
 	end := time.Now().Add(grace)
 	for _, p := range m.procs {
-		if !p.await(time.Until(end)) {
-			p.end()
+		if !p.awaitExit(time.Until(end)) {
+			p.killAndWait()
 		}
 	}
 }
 
-// signal sends a signal that ends none to a machine's processes.
+// signal sends a signal that is not expected to end a process to all of a machine's processes.
 func (m *machine) signal(s syscall.Signal) {
 	for _, p := range m.procs {
 		p.signal(s, false)
 	}
 }
 
-// replace puts an empty machine at another address in a machine's place.
+// replace kills a machine and starts an empty one at another address in its place.
 func (c *cluster) replace(old *machine) (*machine, error) {
 	old.kill()
-	old.unrelay()
+	old.closeRelays()
 	c.mu.Lock()
-	n := c.plan.machines() + c.added
-	c.added++
-	m := c.machine(n, old.control, old.carrier)
-	m.lifecycle.Lock() // nothing strikes it before it has started
+	n := c.plan.machines() + c.replacements
+	c.replacements++
+	m := c.newMachine(n, old.control, old.carrier)
+	m.lifecycle.Lock() // no fault is injected into it before it has started
 	defer m.lifecycle.Unlock()
 	c.gone = append(c.gone, old)
 	for i := range c.machines {
@@ -278,15 +277,15 @@
 			c.machines[i] = m
 		}
 	}
-	c.tellControls()
+	c.publishControlAddrs()
 	c.mu.Unlock()
-	if err := c.relay(m); err != nil {
+	if err := c.startRelays(m); err != nil {
 		return m, err
 	}
 	return m, c.startMachine(m, false)
 }
 
-// faults lists the processes that ended by themselves, with the end of their logs.
+// faults lists the processes that exited unexpectedly, with the end of their logs.
 func (c *cluster) faults() (out []string) {
 	for _, m := range c.all() {
 		for _, p := range m.procs {
@@ -298,15 +297,15 @@
 	return out
 }
 
-// end ends every process, in order at first.
+// end shuts down every process, gracefully at first, and closes the relays and the platform.
 func (c *cluster) end() {
 	var wg sync.WaitGroup
 	for _, m := range c.all() {
-		wg.Go(m.term)
+		wg.Go(m.terminate)
 	}
 	wg.Wait()
 	for _, m := range c.all() {
-		m.unrelay()
+		m.closeRelays()
 	}
 	c.listener.Close()
 	if c.server != nil {
@@ -314,7 +313,7 @@
 	}
 }
 
-// ready waits until every pooler says that it takes clients.
+// ready waits until every proxy reports that it accepts clients.
 func (c *cluster) ready(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
 	for _, m := range c.all() {
@@ -335,10 +334,10 @@
 }
 
 func isReady(client *http.Client, m *machine) bool {
-	a, err := client.Get("http://" + m.ip + ":" + readyPort + "/readyz")
+	response, err := client.Get("http://" + m.ip + ":" + readyPort + "/readyz")
 	if err != nil {
 		return false
 	}
-	a.Body.Close()
-	return a.StatusCode == http.StatusOK
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
--- a/internal/testbed/datagrams.go
+++ b/internal/testbed/datagrams.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// datagramRelay stands in front of an address for datagrams of a process.
+// datagramRelay receives the datagrams for a process and forwards them as the links allow.
 type datagramRelay struct {
-	links  *links
-	hostOf func(ip string) string
-	host   string
-	target *net.UDPAddr
-	conn   *net.UDPConn
+	links        *links
+	hostBySource func(ip string) string
+	host         string
+	target       *net.UDPAddr
+	conn         *net.UDPConn
 }
 
-// mostDatagram is the largest datagram that is passed on.
-const mostDatagram = 64 << 10
+// maxDatagram is the size in bytes of the largest datagram that is forwarded.
+const maxDatagram = 64 << 10
 
-func newDatagramRelay(l *links, hostOf func(string) string, host, addr, target string) (*datagramRelay, error) {
-	at, err := net.ResolveUDPAddr("udp4", addr)
+func newDatagramRelay(l *links, hostBySource func(string) string, host, addr, target string) (*datagramRelay, error) {
+	listenAddr, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	to, err := net.ResolveUDPAddr("udp4", target)
+	targetAddr, err := net.ResolveUDPAddr("udp4", target)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp4", at)
+	conn, err := net.ListenUDP("udp4", listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	r := &datagramRelay{links: l, hostOf: hostOf, host: host, target: to, conn: conn}
+	r := &datagramRelay{links: l, hostBySource: hostBySource, host: host, target: targetAddr, conn: conn}
 	go r.serve()
 	return r, nil
 }
@@ -38,22 +38,22 @@
 func (r *datagramRelay) close() { r.conn.Close() }
 
 func (r *datagramRelay) serve() {
-	buf := make([]byte, mostDatagram)
+	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := r.conn.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		state, _ := r.links.state(r.hostOf(from.IP.String()), r.host)
-		if state.cut || state.refuse || r.links.draw(state.lose) {
+		state, _ := r.links.state(r.hostBySource(from.IP.String()), r.host)
+		if state.cut || state.refuse || r.links.sample(state.datagramLoss) {
 			continue
 		}
-		times := 1
-		if r.links.draw(state.repeat) {
-			times++
+		copies := 1
+		if r.links.sample(state.duplication) {
+			copies++
 		}
 		datagram := append([]byte(nil), buf[:n]...)
-		for range times {
+		for range copies {
 			if state.delay == 0 {
 				r.send(datagram)
 				continue
@@ -63,7 +63,7 @@
 	}
 }
 
-// send passes a datagram on; one to a process that is not there is lost.
+// send forwards a datagram; it is lost if the process is not running.
 func (r *datagramRelay) send(datagram []byte) {
 	_, _ = r.conn.WriteToUDP(datagram, r.target)
 }
--- a/internal/testbed/host.go
+++ b/internal/testbed/host.go
@@ -9,18 +9,18 @@
 	"indigowalk/internal/kernel"
 )
 
-// loopback is this machine's network as stand-ins use it: hosts are addresses of the
-// loopback, whose connections can be reset and held up.
+// loopback is the network that stand-ins use: its hosts are addresses of the loopback interface,
+// whose connections can be reset and stalled.
 type loopback struct {
 	links *links
 
 	mu       sync.Mutex
 	hosts    map[string]*host
-	callers  map[string]string // hosts by the address that they call from, if it is another
-	controls []string          // control addresses, as the platform knows them
+	callers  map[string]string // hosts by their source address, where that differs from the host's own
+	controls []string          // addresses of the control nodes that the platform knows
 }
 
-// host is one address with what it has open.
+// host is one address with its open listeners and connections.
 type host struct {
 	ip  string
 	net *loopback
@@ -36,18 +36,18 @@
 	return &loopback{links: l, hosts: map[string]*host{}, callers: map[string]string{}}
 }
 
-// callsFrom notes that a host calls from another address.
-func (l *loopback) callsFrom(host, ip string) {
+// registerSource records that a host connects from the source address ip instead of its own.
+func (l *loopback) registerSource(host, ip string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.callers[ip] = host
 }
 
-// hostOf is the host that calls from an address.
-func (l *loopback) hostOf(ip string) string {
+// hostBySource returns the host that connects from a source address.
+func (l *loopback) hostBySource(ip string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if host, other := l.callers[ip]; other {
+	if host, found := l.callers[ip]; found {
 		return host
 	}
 	return ip
@@ -81,17 +81,17 @@
 	l.controls = addrs
 }
 
-// Reaches implements standin.Environment: a host that is silent, or cut off, is not
-// reached.
+// Reaches implements standin.Environment: a host that is silent or cut off in either direction is
+// unreachable.
 func (l *loopback) Reaches(from, to string) bool {
 	a, _, _ := net.SplitHostPort(from)
 	b, _, _ := net.SplitHostPort(to)
-	there, _ := l.links.state(a, b)
-	back, _ := l.links.state(b, a)
-	return !l.silentAt(a) && !l.silentAt(b) && !there.cut && !back.cut
+	forward, _ := l.links.state(a, b)
+	reverse, _ := l.links.state(b, a)
+	return !l.isSilent(a) && !l.isSilent(b) && !forward.cut && !reverse.cut
 }
 
-func (l *loopback) silentAt(ip string) bool {
+func (l *loopback) isSilent(ip string) bool {
 	h := l.host(ip)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,9 +99,9 @@
 }
 
 // Made implements standin.Environment.
-func (l *loopback) Made(c net.Conn) bool { return l.links.made(c.LocalAddr().String()) }
+func (l *loopback) Made(c net.Conn) bool { return l.links.reachedTarget(c.LocalAddr().String()) }
 
-// Silence implements standin.Environment: the host reads and writes nothing.
+// Silence implements standin.Environment: while it is silent, the host reads and writes nothing.
 func (l *loopback) Silence(ip string, silent bool) {
 	h := l.host(ip)
 	h.mu.Lock()
@@ -119,22 +119,22 @@
 		ln.Close()
 	}
 	clear(h.listeners)
-	h.breakConns()
+	h.resetConns()
 }
 
-// Break resets the connections of a host that goes on listening.
+// Break resets the connections of a host, which continues to listen.
 func (l *loopback) Break(ip string) {
 	h := l.host(ip)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.breakConns()
+	h.resetConns()
 }
 
-// breakConns ends every connection with a reset. The caller holds the lock.
-func (h *host) breakConns() {
+// resetConns closes every connection with a reset. The caller holds the lock.
+func (h *host) resetConns() {
 	for c := range h.conns {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // it is closed either way
+			_ = tcp.SetLinger(0) // best effort: the connection is closed in any case
 		}
 		c.Conn.Close()
 	}
@@ -142,8 +142,8 @@
 	h.wake.Broadcast()
 }
 
-// await waits as long as the host is silent.
-func (h *host) await(c *hostConn) {
+// awaitResponsive blocks while the host is silent and the connection is open.
+func (h *host) awaitResponsive(c *hostConn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for h.silent && h.conns[c] {
@@ -186,26 +186,26 @@
 		return nil, err
 	}
 	ip, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	from := l.h.net.hostOf(ip)
+	from := l.h.net.hostBySource(ip)
 	l.h.mu.Lock()
 	defer l.h.mu.Unlock()
-	kept := &hostConn{Conn: c, h: l.h, from: from}
-	l.h.conns[kept] = true
-	return kept, nil
+	accepted := &hostConn{Conn: c, h: l.h, from: from}
+	l.h.conns[accepted] = true
+	return accepted, nil
 }
 
-// hostConn is a connection that was made to a host.
+// hostConn is a connection that a host has accepted.
 type hostConn struct {
 	net.Conn
 	h    *host
-	from string // who made it
+	from string // host that opened the connection
 }
 
 // Read implements net.Conn.
 func (c *hostConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.h.await(c)
-	if n > 0 && !c.passes(c.from, c.h.ip) {
+	c.h.awaitResponsive(c)
+	if n > 0 && !c.awaitLink(c.from, c.h.ip) {
 		return 0, net.ErrClosed
 	}
 	return n, err
@@ -213,17 +213,17 @@
 
 // Write implements net.Conn.
 func (c *hostConn) Write(b []byte) (int, error) {
-	c.h.await(c)
-	if !c.passes(c.h.ip, c.from) {
+	c.h.awaitResponsive(c)
+	if !c.awaitLink(c.h.ip, c.from) {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(b)
 }
 
-// passes waits until the link carries what is on its way; false if the connection breaks
-// by it.
-func (c *hostConn) passes(from, to string) bool {
-	for end := time.Now().Add(holdMost); ; {
+// awaitLink waits until the link can deliver data. It returns false if it has reset the connection
+// instead, because the link refuses connections or has been cut for maxHold.
+func (c *hostConn) awaitLink(from, to string) bool {
+	for end := time.Now().Add(maxHold); ; {
 		state, changed := c.h.net.links.state(from, to)
 		if !state.cut && !state.refuse {
 			time.Sleep(state.delay)
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -6,103 +6,103 @@
 	"time"
 )
 
-// impairment is what is wrong with the links that it matches, in the direction of the
-// bytes: from who sends them to who would get them.
+// impairment describes the faults of a link in one direction: from the sender of the bytes to
+// their receiver.
 type impairment struct {
-	cut       bool          // nothing passes; what is on its way waits
-	refuse    bool          // new connections are reset, those that there are too
-	loseReply float64       // share of the answers that are lost with their connection
-	lose      float64       // share of datagrams that are lost
-	repeat    float64       // share of datagrams that come twice
-	delay     time.Duration // more time for everything
+	cut          bool          // nothing is delivered; data in transit waits
+	refuse       bool          // new and existing connections are reset
+	replyLoss    float64       // share of the responses that are lost together with their connection
+	datagramLoss float64       // share of datagrams that are lost
+	duplication  float64       // share of datagrams that are delivered twice
+	delay        time.Duration // additional latency
 }
 
-// worse is what two impairments make together.
-func (i impairment) worse(o impairment) impairment {
+// combine returns the joint effect of two impairments.
+func (i impairment) combine(o impairment) impairment {
 	return impairment{
-		cut: i.cut || o.cut, refuse: i.refuse || o.refuse, loseReply: max(i.loseReply, o.loseReply),
-		lose: max(i.lose, o.lose), repeat: max(i.repeat, o.repeat), delay: i.delay + o.delay,
+		cut: i.cut || o.cut, refuse: i.refuse || o.refuse, replyLoss: max(i.replyLoss, o.replyLoss),
+		datagramLoss: max(i.datagramLoss, o.datagramLoss), duplication: max(i.duplication, o.duplication), delay: i.delay + o.delay,
 	}
 }
 
-// rule is an impairment of some links.
+// rule applies an impairment to the links that it matches.
 type rule struct {
 	matches func(from, to string) bool
 	impairment
 }
 
-// links are all links between hosts, by their addresses. They are whole but for the
-// rules in force.
+// links are all links between hosts, by address. A link that no active rule matches is unimpaired.
 type links struct {
-	mu      sync.Mutex
-	rules   map[int]rule
-	next    int
-	changed chan struct{} // closes at the next change of the rules
-	random  *rand.Rand
-	unmade  map[string]bool // calls that relays took and could not pass on, by the caller's address
+	mu          sync.Mutex
+	rules       map[int]rule
+	next        int
+	changed     chan struct{} // closed at the next change of the rules
+	random      *rand.Rand
+	unforwarded map[string]bool // connections that relays accepted but could not forward, by the caller's address
 }
 
 func newLinks(seed uint64) *links {
-	return &links{rules: map[int]rule{}, changed: make(chan struct{}), unmade: map[string]bool{}, random: rand.New(rand.NewPCG(seed, linksStream))}
+	return &links{rules: map[int]rule{}, changed: make(chan struct{}), unforwarded: map[string]bool{}, random: rand.New(rand.NewPCG(seed, linksStream))}
 }
 
-// linksStream is the stream of random numbers that links draw from.
+// linksStream selects the random number stream of the links.
 const linksStream = 9000
 
-// noteUnmade notes that a call was taken by a relay and reached nobody behind it.
-func (l *links) noteUnmade(caller string) {
+// recordUnforwarded records that a relay accepted a connection and could not connect to its target.
+func (l *links) recordUnforwarded(caller string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unmade[caller] = true
+	l.unforwarded[caller] = true
 }
 
-// made tells, once, whether a call from that address reached whom it was for.
-func (l *links) made(caller string) bool {
+// reachedTarget reports whether the connection from the caller's address reached its target. It
+// forgets a failed connection once it has reported it.
+func (l *links) reachedTarget(caller string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	unmade := l.unmade[caller]
-	delete(l.unmade, caller)
-	return !unmade
+	unforwarded := l.unforwarded[caller]
+	delete(l.unforwarded, caller)
+	return !unforwarded
 }
 
-// impair puts a rule in force and returns what takes it back.
+// impair activates a rule and returns a function that removes it.
 func (l *links) impair(matches func(from, to string) bool, i impairment) (heal func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	number := l.next
 	l.next++
 	l.rules[number] = rule{matches, i}
-	l.ring()
+	l.notifyChange()
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		delete(l.rules, number)
-		l.ring()
+		l.notifyChange()
 	}
 }
 
-// ring wakes whoever waits for a change. The caller holds the lock.
-func (l *links) ring() {
+// notifyChange wakes all that wait for a change of the rules. The caller holds the lock.
+func (l *links) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// state is what is wrong with a link now, and a channel that closes when that may have
+// state returns the current impairment of a link, and a channel that is closed when it may have
 // changed.
 func (l *links) state(from, to string) (impairment, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all impairment
+	var combined impairment
 	for _, r := range l.rules {
 		if r.matches(from, to) {
-			all = all.worse(r.impairment)
+			combined = combined.combine(r.impairment)
 		}
 	}
-	return all, l.changed
+	return combined, l.changed
 }
 
-// draw tells whether something that happens to such a share happens now.
-func (l *links) draw(share float64) bool {
+// sample returns true with the probability share.
+func (l *links) sample(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -111,19 +111,19 @@
 	return l.random.Float64() < share
 }
 
-// between matches the links of some hosts with others, both ways.
+// between matches the links between two sets of hosts, in both directions.
 func between(some, others map[string]bool) func(from, to string) bool {
 	return func(from, to string) bool {
 		return some[from] && others[to] || others[from] && some[to]
 	}
 }
 
-// oneWay matches the links from some hosts to others.
+// oneWay matches the links from one set of hosts to another, in this direction only.
 func oneWay(from, to map[string]bool) func(from, to string) bool {
 	return func(a, b string) bool { return from[a] && to[b] }
 }
 
-// hostSet are hosts by address.
+// hostSet returns a set of host addresses.
 func hostSet(addresses ...string) map[string]bool {
 	set := make(map[string]bool, len(addresses))
 	for _, address := range addresses {
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -16,7 +16,7 @@
 // Roles of processes.
 const controlRole = "control"
 
-// Ports, alike on every machine.
+// Ports, the same on every machine.
 const (
 	controlCallPort = "7440"
 	carrierCallPort = "7441"
@@ -27,20 +27,20 @@
 	platformPort = "8783"
 )
 
-// machine is an address with its processes. Others reach it through relays at its
-// address; the processes listen at another, and call from there.
+// machine is an address with its processes. Others reach them through relays at this address; the
+// processes listen at a second one, which is also the source address of their connections.
 type machine struct {
 	name    string
 	ip      string
 	bind    string
 	zone    string
 	control bool // a control node runs here
-	carrier bool // a pooler or gateway does
+	carrier bool // a pooler or gateway runs here
 	procs   []*process
 
 	relays    []*relay
 	datagrams []*datagramRelay
-	// lifecycle is held by whoever starts or ends the processes.
+	// lifecycle is held while the processes are started or stopped.
 	lifecycle sync.Mutex
 }
 
@@ -51,31 +51,31 @@
 type process struct {
 	role    string
 	name    string
-	dir     string // of its disk
+	dir     string // its data directory
 	log     string // path of its log
 	program string
 	cores   int64
 
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	done     chan struct{}
-	expected bool // it is about to be ended from here
-	died     error
-	logs     *logPipe
-	began    time.Time
+	mu             sync.Mutex
+	cmd            *exec.Cmd
+	done           chan struct{}
+	exitExpected   bool // the testbed has sent a signal that may end it
+	unexpectedExit error
+	logs           *logPipe
+	startedAt      time.Time
 }
 
 // raceExit is the code with which a race-built program ends at the first race.
 const raceExit = 66
 
-// write writes the settings of a process.
+// write writes the settings file of a process.
 func (p *process) write(text string) error {
 	return os.WriteFile(p.settings(), []byte(text), 0o600)
 }
 
 func (p *process) settings() string { return p.dir + ".conf" }
 
-// start starts the process; it must not run.
+// start starts the process, which must not be running.
 func (p *process) start() error {
 	logs, err := newLogPipe(p.log)
 	if err != nil {
@@ -87,7 +87,7 @@
 		"INDIGOWALK_SETTINGS="+p.settings(), "GOMAXPROCS="+strconv.FormatInt(p.cores, 10),
 		"GORACE=halt_on_error=1 exitcode="+strconv.Itoa(raceExit))
 	cmd.Stdout, cmd.Stderr = logs.in, logs.in
-	// It must not outlive the testbed, however that ends.
+	// The process must not outlive the testbed, however the testbed exits.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("testbed: %s: %w", p.name, err)
@@ -95,49 +95,49 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	done := make(chan struct{})
-	p.cmd, p.done, p.expected, p.logs, p.began = cmd, done, false, logs, time.Now()
+	p.cmd, p.done, p.exitExpected, p.logs, p.startedAt = cmd, done, false, logs, time.Now()
 	go p.wait(cmd, done)
 	return nil
 }
 
-// wait notes a process that ends by itself.
+// wait waits for the process to exit and records an unexpected exit or a detected race.
 func (p *process) wait(cmd *exec.Cmd, done chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var code *exec.ExitError
 	raced := errors.As(err, &code) && code.ExitCode() == raceExit
-	if (!p.expected || raced) && p.died == nil {
-		p.died = fmt.Errorf("%s ended by itself: %v", p.name, cmd.ProcessState)
+	if (!p.exitExpected || raced) && p.unexpectedExit == nil {
+		p.unexpectedExit = fmt.Errorf("%s ended by itself: %v", p.name, cmd.ProcessState)
 	}
 	close(done)
 }
 
-// signal sends a signal; ends says that the process may end by it.
+// signal sends a signal; ends says that the process may exit because of it.
 func (p *process) signal(s syscall.Signal, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expected = p.expected || ends
+	p.exitExpected = p.exitExpected || ends
 	if p.cmd != nil && p.cmd.Process != nil {
-		_ = p.cmd.Process.Signal(s) // one that has ended needs none
+		_ = p.cmd.Process.Signal(s) // best effort: the process may have exited already
 	}
 }
 
-// age is for how long the process has run.
-func (p *process) age() time.Duration {
+// uptime returns the time since the last start of the process.
+func (p *process) uptime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.began)
+	return time.Since(p.startedAt)
 }
 
-// end ends the process and waits for it.
-func (p *process) end() {
+// killAndWait kills the process and waits for its exit, up to a minute.
+func (p *process) killAndWait() {
 	p.signal(syscall.SIGKILL, true)
-	p.await(time.Minute)
+	p.awaitExit(time.Minute)
 }
 
-// await waits for the end of the process; it reports whether that came in time.
-func (p *process) await(span time.Duration) bool {
+// awaitExit waits for the process to exit and reports whether it did within the timeout.
+func (p *process) awaitExit(timeout time.Duration) bool {
 	p.mu.Lock()
 	done := p.done
 	p.mu.Unlock()
@@ -147,33 +147,33 @@
 	select {
 	case <-done:
 		return true
-	case <-time.After(span):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// wipe empties the disk.
+// wipe removes the data directory.
 func (p *process) wipe() error { return os.RemoveAll(p.dir) }
 
-// fault tells how the process ended if nobody had ended it.
+// fault returns the unexpected exit of the process, if there was one.
 func (p *process) fault() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.died
+	return p.unexpectedExit
 }
 
-// tail is the end of the log.
+// tail returns the end of the log.
 func (p *process) tail() string {
 	raw, err := os.ReadFile(p.log)
 	if err != nil {
 		return ""
 	}
-	const most = 3000
-	return string(raw[max(0, len(raw)-most):])
+	const maxBytes = 3000
+	return string(raw[max(0, len(raw)-maxBytes):])
 }
 
-// processes adds the machine's processes.
-func (m *machine) processes(dir, program, tier string, cores int64) {
+// addProcesses adds the processes that run on the machine.
+func (m *machine) addProcesses(dir, program, tier string, cores int64) {
 	add := func(role string) {
 		name := m.name + "-" + role
 		m.procs = append(m.procs, &process{
@@ -188,7 +188,7 @@
 	}
 }
 
-// settings are those of a process of the machine.
+// settings returns the settings file content for a process of the machine.
 func (m *machine) settings(p *process, plan Plan, seeds []string, platform string, bootstrap bool) string {
 	var b strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&b, "%s=%v\n", key, value) }
--- a/internal/testbed/machine_troubles.go
+++ b/internal/testbed/machine_faults.go
@@ -12,50 +12,50 @@
 	"indigowalk/internal/history"
 )
 
-// Spans of troubles of machines.
+// Durations of machine faults.
 const (
-	longestDown   = 2 * time.Second
-	longestFreeze = 3 * time.Second
-	// longestHalfFile is for how long a settings file is only written in half.
-	longestHalfFile = 80 * time.Millisecond
-	// beginning is how long a program takes to say which signals it takes.
-	beginning = 100 * time.Millisecond
-	// oneIn is how often what is told to end is killed before it has ended.
-	oneIn = 4
+	longestDown = 2 * time.Second
+	maxFreeze   = 3 * time.Second
+	// maxPartialFile is the longest time for which a settings file is only partly written.
+	maxPartialFile = 80 * time.Millisecond
+	// signalSetupTime is how long a program takes after its start to install its signal handlers.
+	signalSetupTime = 100 * time.Millisecond
+	// killOneIn: one in this many graceful shutdowns is cut short by a kill.
+	killOneIn = 4
 )
 
-// draw picks a machine: a control machine where it must be one, and half of the time
-// otherwise too, unless these are spared.
-func (t *troubles) draw(r *rand.Rand, control bool) *machine {
+// pickMachine picks a random machine. It is a control machine if control is set, and otherwise too
+// half of the time, unless the plan spares the control machines.
+func (t *troubles) pickMachine(r *rand.Rand, control bool) *machine {
 	all, spared := t.cluster.all(), t.cluster.plan.SpareControl
 	if !control && !spared && r.IntN(2) == 0 {
 		return all[r.IntN(len(all))]
 	}
-	var some []*machine
+	var candidates []*machine
 	for _, m := range all {
 		if m.control != spared {
-			some = append(some, m)
+			candidates = append(candidates, m)
 		}
 	}
-	return some[r.IntN(len(some))]
+	return candidates[r.IntN(len(candidates))]
 }
 
-// strikeMachine carries one trouble of a machine out, to its end; none if it may not come
-// now.
+// strikeMachine injects one machine fault and returns when it is over. It does nothing if the fault
+// is not permitted now.
 func (t *troubles) strikeMachine(ctx context.Context, kind string, r *rand.Rand) error {
 	if kind == All {
-		return t.all(ctx, r)
+		return t.restartAll(ctx, r)
 	}
-	m := t.draw(r, kind == Wipe || kind == Replace)
+	m := t.pickMachine(r, kind == Wipe || kind == Replace)
 	switch kind {
 	case Freeze:
 		t.freeze(ctx, m, r)
 		return nil
 	case Hup:
-		return t.hup(ctx, m, r)
+		return t.changeSettings(ctx, m, r)
 	}
 	if !m.lifecycle.TryLock() {
-		return nil // another timeline has it end or start
+		return nil // another timeline is starting or stopping it
 	}
 	defer m.lifecycle.Unlock()
 	take := t.cluster.losses.take
@@ -70,7 +70,7 @@
 	down := span(r, longestDown)
 	switch kind {
 	case Term:
-		t.term(ctx, m, r)
+		t.terminate(ctx, m, r)
 		sleep(ctx, down/4)
 	case Replace:
 		_, err := t.cluster.replace(m)
@@ -87,10 +87,10 @@
 	return t.cluster.startMachine(m, false)
 }
 
-// term tells a machine's processes to end; some are killed before they have.
-func (t *troubles) term(ctx context.Context, m *machine, r *rand.Rand) {
-	if r.IntN(oneIn) > 0 {
-		m.term()
+// terminate shuts down a machine's processes; some are killed before they have exited.
+func (t *troubles) terminate(ctx context.Context, m *machine, r *rand.Rand) {
+	if r.IntN(killOneIn) > 0 {
+		m.terminate()
 		return
 	}
 	defer t.note(Kill, m, true)()
@@ -101,7 +101,7 @@
 	m.kill()
 }
 
-// wipe empties the disks of a machine.
+// wipe removes the data directories of a machine.
 func (m *machine) wipe() error {
 	for _, p := range m.procs {
 		if err := p.wipe(); err != nil {
@@ -111,8 +111,7 @@
 	return nil
 }
 
-// freeze has a machine's processes stand still for a while, whatever else happens to
-// them meanwhile.
+// freeze suspends a machine's processes for a while, regardless of other faults in the meantime.
 func (t *troubles) freeze(ctx context.Context, m *machine, r *rand.Rand) {
 	if !t.cluster.losses.take(m) {
 		return
@@ -120,15 +119,15 @@
 	defer t.cluster.losses.give(m)
 	defer t.note(Freeze, m, true)()
 	m.signal(syscall.SIGSTOP)
-	sleep(ctx, span(r, longestFreeze))
+	sleep(ctx, span(r, maxFreeze))
 	m.signal(syscall.SIGCONT)
 }
 
-// hup changes the settings files of a machine and tells its processes, at times while the
-// files are only there in half.
-func (t *troubles) hup(ctx context.Context, m *machine, r *rand.Rand) error {
+// changeSettings changes the settings files of a machine and makes its processes reload them,
+// sometimes while the files are only partly written.
+func (t *troubles) changeSettings(ctx context.Context, m *machine, r *rand.Rand) error {
 	if !m.lifecycle.TryLock() {
-		m.reload() // one that ends or starts is told too
+		m.reload() // processes that are stopping or starting get the signal too
 		return nil
 	}
 	defer m.lifecycle.Unlock()
@@ -146,7 +145,7 @@
 				return fmt.Errorf("testbed: %w", err)
 			}
 			m.reload()
-			sleep(ctx, span(r, longestHalfFile))
+			sleep(ctx, span(r, maxPartialFile))
 		}
 		if err := p.write(text); err != nil {
 			return fmt.Errorf("testbed: %w", err)
@@ -156,19 +155,20 @@
 	return nil
 }
 
-// reload tells a machine's processes that their settings have changed, but for those that
-// have only just begun: before a program has said that it takes the signal, the system
-// ends it by that, whatever the program is.
+// reload sends SIGHUP to a machine's processes, except to those that have only just started: until
+// a program has installed a handler for this signal, the system terminates it.
 func (m *machine) reload() {
 	for _, p := range m.procs {
-		if p.age() > beginning {
+		if p.uptime() > signalSetupTime {
 			p.signal(syscall.SIGHUP, false)
 		}
 	}
 }
 
-// all kills every process at once and starts them again, where no machine is lost beside.
-func (t *troubles) all(ctx context.Context, r *rand.Rand) error {
+// restartAll kills every process at once and starts them again. It does nothing while another
+// timeline starts or stops a machine, or if a machine is lost at the time and the plan doesn't go
+// beyond the tolerated failures.
+func (t *troubles) restartAll(ctx context.Context, r *rand.Rand) error {
 	machines := t.cluster.all()
 	for _, m := range machines {
 		if !m.lifecycle.TryLock() {
@@ -184,8 +184,8 @@
 	return t.cluster.restart(ctx, span(r, longestDown)/2, nil)
 }
 
-// restart kills every process at once, empties the disks of one machine if one is named,
-// and starts all again after a while. The caller holds every lifecycle.
+// restart kills every process at once, removes the data directories of the machine wiped unless it
+// is nil, and starts all again after a while. The caller holds the lifecycle lock of every machine.
 func (c *cluster) restart(ctx context.Context, down time.Duration, wiped *machine) error {
 	machines := c.all()
 	for _, m := range machines {
--- a/internal/testbed/relay_test.go
+++ b/internal/testbed/relay_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// echoBehindRelay is a service that sends lines back, behind a relay.
+// echoBehindRelay starts a service that echoes lines, behind a relay.
 func echoBehindRelay(t *testing.T) (l *links, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -43,10 +43,10 @@
 	return l, r.ln.Addr().String()
 }
 
-// longEnough is more than what passes takes on any machine.
+// longEnough is longer than a successful exchange takes on any machine.
 const longEnough = 10 * time.Second
 
-// exchange sends a line and waits for one to come back.
+// exchange sends a line and waits for a line in response.
 func exchange(c net.Conn, wait time.Duration) error {
 	if _, err := c.Write([]byte("line\n")); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return err
 }
 
-func TestRelayPassesAsTheLinksAllow(t *testing.T) {
+func TestRelayForwardsAsLinksAllow(t *testing.T) {
 	l, addr := echoBehindRelay(t)
 	everything := func(string, string) bool { return true }
 	there := oneWay(hostSet("caller"), hostSet("callee"))
@@ -66,14 +66,14 @@
 	for name, c := range map[string]struct {
 		matches func(from, to string) bool
 		impairment
-		passes, heals bool // while it lasts, and on the same connection after it
+		passes, heals bool // during the impairment, and on the same connection after it
 	}{
 		"others are cut off": {matches: between(hostSet("caller"), hostSet("another")), impairment: impairment{cut: true}, passes: true, heals: true},
 		"cut":                {matches: everything, impairment: impairment{cut: true}, heals: true},
 		"cut there":          {matches: there, impairment: impairment{cut: true}, heals: true},
 		"cut back":           {matches: back, impairment: impairment{cut: true}, heals: true},
 		"refused":            {matches: everything, impairment: impairment{refuse: true}},
-		"answers are lost":   {matches: everything, impairment: impairment{loseReply: 1}},
+		"responses are lost": {matches: everything, impairment: impairment{replyLoss: 1}},
 		"delayed":            {matches: everything, impairment: impairment{delay: time.Millisecond}, passes: true, heals: true},
 	} {
 		conn, err := net.Dial("tcp4", addr)
@@ -86,7 +86,7 @@
 		heal := l.impair(c.matches, c.impairment)
 		wait := longEnough
 		if !c.passes {
-			wait = holdMost / 5
+			wait = maxHold / 5
 		}
 		if err := exchange(conn, wait); (err == nil) != c.passes {
 			t.Errorf("%s: passes %v, want %v: %v", name, err == nil, c.passes, err)
@@ -99,12 +99,12 @@
 	}
 }
 
-func TestImpairmentsAddUp(t *testing.T) {
+func TestImpairmentsCombine(t *testing.T) {
 	l := newLinks(1)
 	healCut := l.impair(between(hostSet("a"), hostSet("b")), impairment{cut: true})
-	healDelay := l.impair(oneWay(hostSet("a"), hostSet("b")), impairment{delay: 5, lose: 0.5})
+	healDelay := l.impair(oneWay(hostSet("a"), hostSet("b")), impairment{delay: 5, datagramLoss: 0.5})
 	defer healDelay()
-	if state, _ := l.state("a", "b"); state != (impairment{cut: true, delay: 5, lose: 0.5}) {
+	if state, _ := l.state("a", "b"); state != (impairment{cut: true, delay: 5, datagramLoss: 0.5}) {
 		t.Errorf("there: %+v", state)
 	}
 	if state, _ := l.state("b", "a"); state != (impairment{cut: true}) {
@@ -115,14 +115,14 @@
 	select {
 	case <-changed:
 	default:
-		t.Error("nobody was told that a cut has healed")
+		t.Error("the removal of a cut did not signal a change of the links")
 	}
 	if state, _ := l.state("b", "a"); state != (impairment{}) {
 		t.Errorf("after: %+v", state)
 	}
 }
 
-func TestDatagramsPassAsTheLinksAllow(t *testing.T) {
+func TestDatagramRelayForwardsAsLinksAllow(t *testing.T) {
 	target, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -145,7 +145,7 @@
 		text string
 		impairment
 		times int
-	}{{"1", impairment{}, 1}, {"2", impairment{cut: true}, 0}, {"3", impairment{lose: 1}, 0}, {"4", impairment{repeat: 1}, 2}, {"5", impairment{}, 1}} {
+	}{{"1", impairment{}, 1}, {"2", impairment{cut: true}, 0}, {"3", impairment{datagramLoss: 1}, 0}, {"4", impairment{duplication: 1}, 2}, {"5", impairment{}, 1}} {
 		heal := l.impair(everything, step.impairment)
 		if _, err := c.Write([]byte(step.text)); err != nil {
 			t.Fatal(err)
@@ -153,13 +153,13 @@
 		for n := range step.times + 1 {
 			wait := longEnough
 			if n == step.times {
-				wait = 50 * time.Millisecond // no more of them comes
+				wait = 50 * time.Millisecond // no further copy is expected
 			}
 			if err := target.SetReadDeadline(time.Now().Add(wait)); err != nil {
 				t.Fatal(err)
 			}
 			buf := make([]byte, 10)
-			length, _ := target.Read(buf) // 0 bytes if none comes
+			length, _ := target.Read(buf) // 0 bytes if none arrives
 			got.Write(buf[:length])
 		}
 		heal()
@@ -169,8 +169,9 @@
 	}
 }
 
-// A call that a relay took for a process that is gone is told from one that broke.
-func TestCallsThatReachNobodyAreTold(t *testing.T) {
+// A connection that a relay accepted for a process that does not run is distinguished from one that
+// broke later.
+func TestUnforwardedConnectionsAreReported(t *testing.T) {
 	for name, made := range map[string]bool{"a process that runs": true, "a process that is gone": false} {
 		l, addr := echoBehindRelay(t)
 		if !made {
@@ -189,17 +190,17 @@
 		}
 		conn, err := net.Dial("tcp4", addr)
 		if err != nil {
-			// The reset may come before the kernel tells that there is a connection.
+			// The reset may arrive before the kernel reports the connection as established.
 			if made || !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("%s: %v", name, err)
 			}
 			continue
 		}
 		passed := exchange(conn, longEnough) == nil
-		told := (&loopback{links: l}).Made(conn)
+		reported := (&loopback{links: l}).Made(conn)
 		conn.Close()
-		if passed != made || told != made {
-			t.Errorf("%s: the line came back: %t, told as made: %t", name, passed, told)
+		if passed != made || reported != made {
+			t.Errorf("%s: the line was echoed: %t, reported as connected: %t", name, passed, reported)
 		}
 	}
 }
