--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -42,7 +42,7 @@
 
 	mu           sync.Mutex
 	machines     []*machine
-	gone         []*machine // that have been replaced
+	replaced     []*machine // that have been replaced
 	replacements int        // number of machines that replaced another
 }
 
@@ -95,7 +95,7 @@
 	}
 	c := &cluster{listener: listener, plan: plan, program: program, dir: dir, net: newLoopback(newLinks(uint64(plan.Seed))), platform: &standin.Platform{}}
 	c.losses = newLosses(int(c.plan.Tolerate))
-	if plan.Beyond {
+	if plan.ExceedTolerated {
 		c.losses = newLosses(0)
 	}
 	for i := range plan.machines() {
@@ -108,7 +108,7 @@
 func (c *cluster) newMachine(n int, control, carrier bool) *machine {
 	m := &machine{
 		name: fmt.Sprintf("edge-%d", n+1), ip: address(machineGroup, n), bind: address(bindGroup, n), zone: fmt.Sprintf("zone-%d", n%zones+1),
-		control: control, carrier: carrier,
+		control: control, proxy: carrier,
 	}
 	m.addProcesses(c.dir, c.program, c.plan.Tier, c.plan.Cores)
 	c.net.registerSource(m.ip, m.bind)
@@ -120,8 +120,8 @@
 	if m.control {
 		ports, datagrams = append(ports, controlPort, controlCallPort), append(datagrams, controlCallPort)
 	}
-	if m.carrier {
-		ports, datagrams = append(ports, clientPort, readyPort, carrierCallPort), append(datagrams, carrierCallPort)
+	if m.proxy {
+		ports, datagrams = append(ports, clientPort, readyPort, proxyCallPort), append(datagrams, proxyCallPort)
 	}
 	return ports, datagrams
 }
@@ -268,10 +268,10 @@
 	c.mu.Lock()
 	n := c.plan.machines() + c.replacements
 	c.replacements++
-	m := c.newMachine(n, old.control, old.carrier)
+	m := c.newMachine(n, old.control, old.proxy)
 	m.lifecycle.Lock() // no fault is injected into it before it has started
 	defer m.lifecycle.Unlock()
-	c.gone = append(c.gone, old)
+	c.replaced = append(c.replaced, old)
 	for i := range c.machines {
 		if c.machines[i] == old {
 			c.machines[i] = m
@@ -317,7 +317,7 @@
 func (c *cluster) ready(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
 	for _, m := range c.all() {
-		for m.carrier && !isReady(client, m) {
+		for m.proxy && !isReady(client, m) {
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("testbed: %s is not ready: %w", m.name, context.Cause(ctx))
--- a/internal/testbed/database_faults.go
+++ b/internal/testbed/database_faults.go
@@ -12,25 +12,25 @@
 
 // Durations of database faults.
 const (
-	longestCrash      = 4 * time.Second
+	maxCrash          = 4 * time.Second
 	maxHang           = 1500 * time.Millisecond
 	maxDeaf           = 2 * time.Second
-	longestManners    = 3 * time.Second
+	maxMisbehaving    = 3 * time.Second
 	maxHeartbeatDelay = 5 * time.Second // latency of heartbeats
 	// drainDuration is how long a database that is being removed continues to serve.
 	drainDuration = drainBound + time.Second
 )
 
 // hang makes a host unresponsive for a while.
-func (t *troubles) hang(ctx context.Context, ip string, r *rand.Rand) {
+func (t *faultInjector) hang(ctx context.Context, ip string, r *rand.Rand) {
 	t.cluster.net.Silence(ip, true)
-	sleep(ctx, span(r, maxHang))
+	sleep(ctx, randomDuration(r, maxHang))
 	t.cluster.net.Silence(ip, false)
 }
 
-// strikeDatabase injects one database fault and returns when it is over. It does nothing if fewer
+// injectDatabaseFault injects one database fault and returns when it is over. It does nothing if fewer
 // than three databases of the service are alive and not being removed.
-func (t *troubles) strikeDatabase(ctx context.Context, kind string, r *rand.Rand) error {
+func (t *faultInjector) injectDatabaseFault(ctx context.Context, kind string, r *rand.Rand) error {
 	number := r.IntN(len(t.groups))
 	g := t.groups[number]
 	var alive []*standin.Database
@@ -55,7 +55,7 @@
 	switch kind {
 	case Crash:
 		d.Crash(r.IntN(3) == 0)
-		sleep(ctx, span(r, longestCrash))
+		sleep(ctx, randomDuration(r, maxCrash))
 		d.Return(id)
 	case Release:
 		t.replaceDatabase(ctx, g, number, d, id, r)
@@ -65,15 +65,15 @@
 		t.hang(ctx, d.IP, r)
 	case Deaf:
 		d.Deaf(true)
-		sleep(ctx, span(r, maxDeaf))
+		sleep(ctx, randomDuration(r, maxDeaf))
 		if r.IntN(2) == 0 {
 			t.crashPrimary(ctx, g, d, id, r)
 		}
 		d.Deaf(false)
-	case Manners:
+	case ProtocolViolation:
 		manners := standin.AllManners
 		d.Behave(manners[r.IntN(len(manners))], r.Float64()/2)
-		sleep(ctx, span(r, longestManners))
+		sleep(ctx, randomDuration(r, maxMisbehaving))
 		d.Behave(standin.WellBehaved, 0)
 	}
 	return nil
@@ -81,7 +81,7 @@
 
 // crashPrimary crashes the primary for a while, unless it is the excluded database or another fault
 // affects it.
-func (t *troubles) crashPrimary(ctx context.Context, g *standin.Group, excluded *standin.Database, id string, r *rand.Rand) {
+func (t *faultInjector) crashPrimary(ctx context.Context, g *standin.Group, excluded *standin.Database, id string, r *rand.Rand) {
 	primary := g.Lead()
 	if primary == nil || primary == excluded || !primary.Take() {
 		return
@@ -90,17 +90,17 @@
 	faultNumber := t.traffic.Begin(history.Trouble{Kind: Crash, Node: primary.ID, At: t.traffic.Now()})
 	defer func() { t.traffic.End(faultNumber) }()
 	primary.Crash(false)
-	sleep(ctx, span(r, longestCrash))
+	sleep(ctx, randomDuration(r, maxCrash))
 	primary.Return(id)
 }
 
 // replaceDatabase replaces a database in a planned way. Some databases leave without announcing
 // that they drain, and the heartbeats of some new ones are delayed.
-func (t *troubles) replaceDatabase(ctx context.Context, g *standin.Group, number int, d *standin.Database, id string, r *rand.Rand) {
+func (t *faultInjector) replaceDatabase(ctx context.Context, g *standin.Group, number int, d *standin.Database, id string, r *rand.Rand) {
 	zone := fmt.Sprintf("zone-%d", 1+r.IntN(zones))
 	heartbeatDelay := time.Duration(0)
 	if r.IntN(2) == 0 {
-		heartbeatDelay = span(r, maxHeartbeatDelay)
+		heartbeatDelay = randomDuration(r, maxHeartbeatDelay)
 	}
 	t.adding.Lock()
 	g.AddLate(id, address(databaseGroup+number, len(g.Databases())), zone, "replica", heartbeatDelay)
--- a/internal/testbed/gateways.go
+++ b/internal/testbed/gateways.go
@@ -52,7 +52,7 @@
 	for _, s := range b.services {
 		var entries []standin.Entry
 		for i, m := range b.cluster.all() {
-			if m.carrier {
+			if m.proxy {
 				entries = append(entries, standin.Entry{
 					Number: i + 1, Address: func() string { return b.cluster.all()[i].clientAddr() },
 					Network: b.cluster.net.Network(address(clientGroup, 1+i)),
@@ -95,7 +95,7 @@
 }
 
 // injectWorkerFault injects one fault into a worker of an HTTP service.
-func (t *troubles) injectWorkerFault(ctx context.Context, kind string, r *rand.Rand) error {
+func (t *faultInjector) injectWorkerFault(ctx context.Context, kind string, r *rand.Rand) error {
 	number := r.IntN(len(t.services))
 	s := t.services[number]
 	workers := s.Workers()
@@ -110,7 +110,7 @@
 	switch kind {
 	case Crash:
 		d.Crash(r.IntN(3) == 0)
-		sleep(ctx, span(r, longestCrash))
+		sleep(ctx, randomDuration(r, maxCrash))
 		t.cluster.net.Silence(d.IP, false)
 		s.Add(id, d.IP, d.Zone)
 	case Release:
@@ -128,9 +128,9 @@
 		t.cluster.net.Break(d.IP)
 	case Hang:
 		t.hang(ctx, d.IP, r)
-	case Manners:
+	case ProtocolViolation:
 		d.Be(standin.AllFaults[r.IntN(len(standin.AllFaults))])
-		sleep(ctx, span(r, longestManners))
+		sleep(ctx, randomDuration(r, maxMisbehaving))
 		d.Be(standin.Well)
 	}
 	return nil
--- a/internal/testbed/limit_faults.go
+++ b/internal/testbed/limit_faults.go
@@ -25,36 +25,36 @@
 	maxSpareBytes       = 400
 )
 
-// strikeLimits injects one fault of a process's resources and returns when it is over.
-func (t *troubles) strikeLimits(ctx context.Context, kind string, r *rand.Rand) error {
+// injectLimitFault injects one fault of a process's resources and returns when it is over.
+func (t *faultInjector) injectLimitFault(ctx context.Context, kind string, r *rand.Rand) error {
 	m := t.pickMachine(r, kind == FullDisk)
 	p := m.procs[r.IntN(len(m.procs))]
 	switch kind {
 	case Descriptors:
-		if !t.cluster.losses.take(m) {
+		if !t.cluster.losses.tryAcquire(m) {
 			return nil
 		}
-		defer t.cluster.losses.give(m)
-		defer t.note(kind, m, true)()
+		defer t.cluster.losses.release(m)
+		defer t.recordFault(kind, m, true)()
 		used, err := descriptors(p.pid())
 		if err != nil {
 			return nil // the process has just exited
 		}
-		lowerLimit(ctx, p, unix.RLIMIT_NOFILE, uint64(used+r.IntN(maxSpareDescriptors)), span(r, maxLimited))
+		lowerLimit(ctx, p, unix.RLIMIT_NOFILE, uint64(used+r.IntN(maxSpareDescriptors)), randomDuration(r, maxLimited))
 	case FullDisk:
-		if !t.cluster.losses.take(m) {
+		if !t.cluster.losses.tryAcquire(m) {
 			return nil
 		}
-		defer t.cluster.losses.give(m)
-		defer t.note(kind, m, false)()
+		defer t.cluster.losses.release(m)
+		defer t.recordFault(kind, m, false)()
 		size := uint64(0)
 		if info, err := os.Stat(filepath.Join(m.procs[0].dir, controlstate.StoreFile)); err == nil {
 			size = uint64(info.Size())
 		}
-		lowerLimit(ctx, m.procs[0], unix.RLIMIT_FSIZE, size+uint64(r.IntN(maxSpareBytes)), span(r, maxLimited))
+		lowerLimit(ctx, m.procs[0], unix.RLIMIT_FSIZE, size+uint64(r.IntN(maxSpareBytes)), randomDuration(r, maxLimited))
 	case LogReader:
 		defer p.pauseLogReader()()
-		sleep(ctx, span(r, maxUnread))
+		sleep(ctx, randomDuration(r, maxUnread))
 	}
 	return nil
 }
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -18,9 +18,9 @@
 	maxDelay         = 40 * time.Millisecond
 )
 
-// strikeLinks injects one link fault and returns when it is over. It does nothing if the fault is
+// injectLinkFault injects one link fault and returns when it is over. It does nothing if the fault is
 // not permitted now.
-func (t *troubles) strikeLinks(ctx context.Context, kind string, r *rand.Rand) error {
+func (t *faultInjector) injectLinkFault(ctx context.Context, kind string, r *rand.Rand) error {
 	switch kind {
 	case CutCore, CutCarrier, CutDatabases:
 		t.cutMachine(ctx, kind, r)
@@ -32,12 +32,12 @@
 		t.degradeLinks(ctx, kind, r)
 	case Delay:
 		m := t.pickMachine(r, false)
-		if !t.cluster.losses.take(m) {
+		if !t.cluster.losses.tryAcquire(m) {
 			return nil
 		}
-		defer t.cluster.losses.give(m)
-		defer t.note(Delay, m, true)()
-		t.impairFor(ctx, span(r, maxDegraded), between(hostSet(m.ip), t.otherHosts(m)), impairment{delay: span(r, maxDelay)})
+		defer t.cluster.losses.release(m)
+		defer t.recordFault(Delay, m, true)()
+		t.impairFor(ctx, randomDuration(r, maxDegraded), between(hostSet(m.ip), t.otherHosts(m)), impairment{delay: randomDuration(r, maxDelay)})
 	case ResetLinks:
 		t.resetLinks(r)
 	}
@@ -45,20 +45,20 @@
 }
 
 // impairFor applies an impairment for the given duration.
-func (t *troubles) impairFor(ctx context.Context, duration time.Duration, matches func(from, to string) bool, i impairment) {
+func (t *faultInjector) impairFor(ctx context.Context, duration time.Duration, matches func(from, to string) bool, i impairment) {
 	heal := t.cluster.net.links.impair(matches, i)
 	defer heal()
 	sleep(ctx, duration)
 }
 
 // otherHosts returns the addresses of the other machines and of the stand-ins, except clients.
-func (t *troubles) otherHosts(m *machine) map[string]bool {
+func (t *faultInjector) otherHosts(m *machine) map[string]bool {
 	set := t.machineSet(func(o *machine) bool { return o != m })
-	maps.Copy(set, t.hosts(-1))
+	maps.Copy(set, t.databaseHosts(-1))
 	return set
 }
 
-func (t *troubles) machineSet(which func(*machine) bool) map[string]bool {
+func (t *faultInjector) machineSet(which func(*machine) bool) map[string]bool {
 	set := map[string]bool{}
 	for _, m := range t.cluster.all() {
 		if which(m) {
@@ -70,16 +70,16 @@
 
 // cutMachine isolates one machine from the other control machines or from the databases of a
 // service, sometimes in one direction only.
-func (t *troubles) cutMachine(ctx context.Context, kind string, r *rand.Rand) {
+func (t *faultInjector) cutMachine(ctx context.Context, kind string, r *rand.Rand) {
 	m := t.pickMachine(r, kind == CutCore)
-	if !t.cluster.losses.take(m) {
+	if !t.cluster.losses.tryAcquire(m) {
 		return
 	}
-	defer t.cluster.losses.give(m)
-	defer t.note(kind, m, false)()
+	defer t.cluster.losses.release(m)
+	defer t.recordFault(kind, m, false)()
 	peers := t.machineSet(func(o *machine) bool { return o != m && o.control })
 	if kind == CutDatabases {
-		peers = t.hosts(r.IntN(int(t.cluster.plan.Services)))
+		peers = t.databaseHosts(r.IntN(int(t.cluster.plan.Services)))
 	}
 	matches := between(hostSet(m.ip), peers)
 	switch r.IntN(4) {
@@ -88,11 +88,11 @@
 	case 1:
 		matches = oneWay(peers, hostSet(m.ip))
 	}
-	t.impairFor(ctx, span(r, maxCut), matches, impairment{cut: true, refuse: r.IntN(4) == 0})
+	t.impairFor(ctx, randomDuration(r, maxCut), matches, impairment{cut: true, refuse: r.IntN(4) == 0})
 }
 
 // cutPrimary isolates a primary from some machines or from its replicas.
-func (t *troubles) cutPrimary(ctx context.Context, r *rand.Rand) {
+func (t *faultInjector) cutPrimary(ctx context.Context, r *rand.Rand) {
 	if len(t.groups) == 0 {
 		return
 	}
@@ -112,12 +112,12 @@
 			}
 		}
 	}
-	t.impairFor(ctx, span(r, maxCut), between(hostSet(primary.IP), peers), impairment{cut: true})
+	t.impairFor(ctx, randomDuration(r, maxCut), between(hostSet(primary.IP), peers), impairment{cut: true})
 }
 
 // splitControl partitions the control machines into two halves, regardless of the number of
 // failures that may be tolerated.
-func (t *troubles) splitControl(ctx context.Context, r *rand.Rand) {
+func (t *faultInjector) splitControl(ctx context.Context, r *rand.Rand) {
 	var ips []string
 	for _, m := range t.cluster.all() {
 		if m.control {
@@ -128,31 +128,31 @@
 	half := len(ips) / 2
 	for _, m := range t.cluster.all() {
 		if m.control {
-			defer t.note(Split, m, false)()
+			defer t.recordFault(Split, m, false)()
 		}
 	}
-	t.impairFor(ctx, span(r, maxCut), between(hostSet(ips[:half]...), hostSet(ips[half:]...)), impairment{cut: true})
+	t.impairFor(ctx, randomDuration(r, maxCut), between(hostSet(ips[:half]...), hostSet(ips[half:]...)), impairment{cut: true})
 }
 
 // degradeLinks makes some responses or datagrams between the cluster's processes, operators and
 // databases get lost. Datagrams may also be duplicated.
-func (t *troubles) degradeLinks(ctx context.Context, kind string, r *rand.Rand) {
+func (t *faultInjector) degradeLinks(ctx context.Context, kind string, r *rand.Rand) {
 	number := t.traffic.Begin(history.Trouble{Kind: kind, Control: true, At: t.traffic.Now()})
 	defer func() { t.traffic.End(number) }()
 	own := t.machineSet(func(*machine) bool { return true })
 	own[operatorHost()] = true
-	maps.Copy(own, t.hosts(-1))
+	maps.Copy(own, t.databaseHosts(-1))
 	i := impairment{replyLoss: maxReplyLoss * r.Float64()}
 	if kind == Datagrams {
 		i = impairment{datagramLoss: maxDatagramShare * r.Float64(), duplication: maxDatagramShare * r.Float64()}
 	}
-	t.impairFor(ctx, span(r, maxDegraded), between(own, own), i)
+	t.impairFor(ctx, randomDuration(r, maxDegraded), between(own, own), i)
 }
 
 // resetLinks resets some of the connections to a machine's processes, except those of clients.
-func (t *troubles) resetLinks(r *rand.Rand) {
+func (t *faultInjector) resetLinks(r *rand.Rand) {
 	m := t.pickMachine(r, false)
-	over := t.note(ResetLinks, m, false)
+	over := t.recordFault(ResetLinks, m, false)
 	defer over()
 	share := r.Float64()
 	for _, relay := range m.relays {
--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -24,8 +24,8 @@
 
 func newLosses(limit int) *losses { return &losses{limit: limit, lost: map[*machine]*loss{}} }
 
-// take records the loss of a machine, if the limit allows it; otherwise it returns false.
-func (l *losses) take(m *machine) bool {
+// tryAcquire records the loss of a machine, if the limit allows it; otherwise it returns false.
+func (l *losses) tryAcquire(m *machine) bool {
 	if !m.control {
 		return true
 	}
@@ -52,15 +52,15 @@
 	return n
 }
 
-// none reports whether no machine is lost or still catching up.
-func (l *losses) none() bool {
+// noneLost reports whether no machine is lost or still catching up.
+func (l *losses) noneLost() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.others(nil) == 0
 }
 
-// give records that a fault of a machine has ended.
-func (l *losses) give(m *machine) {
+// release records that a fault of a machine has ended.
+func (l *losses) release(m *machine) {
 	if !m.control {
 		return
 	}
@@ -75,10 +75,10 @@
 // return and catch up: without a limit on lost machines, others may have been lost meanwhile.
 const diskCatchup = 20 * time.Second
 
-// takeDisk records that a machine loses its disk, if one may be lost now. A limit on lost
+// tryAcquireDisk records that a machine loses its disk, if one may be lost now. A limit on lost
 // machines covers disks too.
-func (l *losses) takeDisk(m *machine) bool {
-	if !l.take(m) {
+func (l *losses) tryAcquireDisk(m *machine) bool {
+	if !l.tryAcquire(m) {
 		return false
 	}
 	l.mu.Lock()
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -19,7 +19,7 @@
 // Ports, the same on every machine.
 const (
 	controlCallPort = "7440"
-	carrierCallPort = "7441"
+	proxyCallPort   = "7441"
 
 	clientPort   = "8784"
 	readyPort    = "8785"
@@ -35,7 +35,7 @@
 	bind    string
 	zone    string
 	control bool // a control node runs here
-	carrier bool // a pooler or gateway runs here
+	proxy   bool // a pooler or gateway runs here
 	procs   []*process
 
 	relays    []*relay
@@ -183,7 +183,7 @@
 	if m.control {
 		add(controlRole)
 	}
-	if m.carrier {
+	if m.proxy {
 		add(tier)
 	}
 }
--- a/internal/testbed/machine_faults.go
+++ b/internal/testbed/machine_faults.go
@@ -14,7 +14,7 @@
 
 // Durations of machine faults.
 const (
-	longestDown = 2 * time.Second
+	maxDowntime = 2 * time.Second
 	maxFreeze   = 3 * time.Second
 	// maxPartialFile is the longest time for which a settings file is only partly written.
 	maxPartialFile = 80 * time.Millisecond
@@ -26,7 +26,7 @@
 
 // pickMachine picks a random machine. It is a control machine if control is set, and otherwise too
 // half of the time, unless the plan spares the control machines.
-func (t *troubles) pickMachine(r *rand.Rand, control bool) *machine {
+func (t *faultInjector) pickMachine(r *rand.Rand, control bool) *machine {
 	all, spared := t.cluster.all(), t.cluster.plan.SpareControl
 	if !control && !spared && r.IntN(2) == 0 {
 		return all[r.IntN(len(all))]
@@ -40,9 +40,9 @@
 	return candidates[r.IntN(len(candidates))]
 }
 
-// strikeMachine injects one machine fault and returns when it is over. It does nothing if the fault
+// injectMachineFault injects one machine fault and returns when it is over. It does nothing if the fault
 // is not permitted now.
-func (t *troubles) strikeMachine(ctx context.Context, kind string, r *rand.Rand) error {
+func (t *faultInjector) injectMachineFault(ctx context.Context, kind string, r *rand.Rand) error {
 	if kind == All {
 		return t.restartAll(ctx, r)
 	}
@@ -58,16 +58,16 @@
 		return nil // another timeline is starting or stopping it
 	}
 	defer m.lifecycle.Unlock()
-	take := t.cluster.losses.take
+	take := t.cluster.losses.tryAcquire
 	if kind == Wipe || kind == Replace {
-		take = t.cluster.losses.takeDisk
+		take = t.cluster.losses.tryAcquireDisk
 	}
 	if !take(m) {
 		return nil
 	}
-	defer t.cluster.losses.give(m)
-	defer t.note(kind, m, true)()
-	down := span(r, longestDown)
+	defer t.cluster.losses.release(m)
+	defer t.recordFault(kind, m, true)()
+	down := randomDuration(r, maxDowntime)
 	switch kind {
 	case Term:
 		t.terminate(ctx, m, r)
@@ -88,16 +88,16 @@
 }
 
 // terminate shuts down a machine's processes; some are killed before they have exited.
-func (t *troubles) terminate(ctx context.Context, m *machine, r *rand.Rand) {
+func (t *faultInjector) terminate(ctx context.Context, m *machine, r *rand.Rand) {
 	if r.IntN(killOneIn) > 0 {
 		m.terminate()
 		return
 	}
-	defer t.note(Kill, m, true)()
+	defer t.recordFault(Kill, m, true)()
 	for _, p := range m.procs {
 		p.signal(syscall.SIGTERM, true)
 	}
-	sleep(ctx, span(r, grace))
+	sleep(ctx, randomDuration(r, grace))
 	m.kill()
 }
 
@@ -112,26 +112,26 @@
 }
 
 // freeze suspends a machine's processes for a while, regardless of other faults in the meantime.
-func (t *troubles) freeze(ctx context.Context, m *machine, r *rand.Rand) {
-	if !t.cluster.losses.take(m) {
+func (t *faultInjector) freeze(ctx context.Context, m *machine, r *rand.Rand) {
+	if !t.cluster.losses.tryAcquire(m) {
 		return
 	}
-	defer t.cluster.losses.give(m)
-	defer t.note(Freeze, m, true)()
+	defer t.cluster.losses.release(m)
+	defer t.recordFault(Freeze, m, true)()
 	m.signal(syscall.SIGSTOP)
-	sleep(ctx, span(r, maxFreeze))
+	sleep(ctx, randomDuration(r, maxFreeze))
 	m.signal(syscall.SIGCONT)
 }
 
 // changeSettings changes the settings files of a machine and makes its processes reload them,
 // sometimes while the files are only partly written.
-func (t *troubles) changeSettings(ctx context.Context, m *machine, r *rand.Rand) error {
+func (t *faultInjector) changeSettings(ctx context.Context, m *machine, r *rand.Rand) error {
 	if !m.lifecycle.TryLock() {
 		m.reload() // processes that are stopping or starting get the signal too
 		return nil
 	}
 	defer m.lifecycle.Unlock()
-	defer t.note(Hup, m, true)()
+	defer t.recordFault(Hup, m, true)()
 	for _, p := range m.procs {
 		raw, err := os.ReadFile(p.settings())
 		if err != nil {
@@ -145,7 +145,7 @@
 				return fmt.Errorf("testbed: %w", err)
 			}
 			m.reload()
-			sleep(ctx, span(r, maxPartialFile))
+			sleep(ctx, randomDuration(r, maxPartialFile))
 		}
 		if err := p.write(text); err != nil {
 			return fmt.Errorf("testbed: %w", err)
@@ -168,7 +168,7 @@
 // restartAll kills every process at once and starts them again. It does nothing while another
 // timeline starts or stops a machine, or if a machine is lost at the time and the plan doesn't go
 // beyond the tolerated failures.
-func (t *troubles) restartAll(ctx context.Context, r *rand.Rand) error {
+func (t *faultInjector) restartAll(ctx context.Context, r *rand.Rand) error {
 	machines := t.cluster.all()
 	for _, m := range machines {
 		if !m.lifecycle.TryLock() {
@@ -176,12 +176,12 @@
 		}
 		defer m.lifecycle.Unlock()
 	}
-	if !t.cluster.losses.none() && !t.cluster.plan.Beyond {
+	if !t.cluster.losses.noneLost() && !t.cluster.plan.ExceedTolerated {
 		return nil
 	}
 	number := t.traffic.Begin(history.Trouble{Kind: All, Everywhere: true, Control: true, At: t.traffic.Now()})
 	defer func() { t.traffic.End(number) }()
-	return t.cluster.restart(ctx, span(r, longestDown)/2, nil)
+	return t.cluster.restart(ctx, randomDuration(r, maxDowntime)/2, nil)
 }
 
 // restart kills every process at once, removes the data directories of the machine wiped unless it
--- a/internal/testbed/misbehaving_clients.go
+++ b/internal/testbed/misbehaving_clients.go
@@ -34,17 +34,17 @@
 }
 
 // injectClientFault makes several clients misbehave in the same way at one proxy.
-func (t *troubles) injectClientFault(ctx context.Context, _ string, r *rand.Rand) error {
+func (t *faultInjector) injectClientFault(ctx context.Context, _ string, r *rand.Rand) error {
 	var proxies []*machine
 	for _, m := range t.cluster.all() {
-		if m.carrier {
+		if m.proxy {
 			proxies = append(proxies, m)
 		}
 	}
 	m := proxies[r.IntN(len(proxies))]
 	choices := misbehaviors(t.cluster.plan.Tier)
 	misbehave := choices[r.IntN(len(choices))]
-	ctx, cancel := context.WithTimeout(ctx, span(r, longestMisbehavior))
+	ctx, cancel := context.WithTimeout(ctx, randomDuration(r, longestMisbehavior))
 	defer cancel()
 	done := make(chan struct{}, misbehavingClients)
 	for range misbehavingClients {
--- a/internal/testbed/plan.go
+++ b/internal/testbed/plan.go
@@ -47,12 +47,12 @@
 
 // Kinds of faults of databases.
 const (
-	Crash   = "crash"   // a database ends without notice and returns, or is removed permanently
-	Release = "release" // a database is replaced by a planned change
-	Reset   = "reset"   // a database's connections are reset
-	Hang    = "hang"    // a database hangs for a while
-	Deaf    = "deaf"    // a replica receives nothing from its primary for a while
-	Manners = "manners" // a database violates the wire protocol
+	Crash             = "crash"   // a database ends without notice and returns, or is removed permanently
+	Release           = "release" // a database is replaced by a planned change
+	Reset             = "reset"   // a database's connections are reset
+	Hang              = "hang"    // a database hangs for a while
+	Deaf              = "deaf"    // a replica receives nothing from its primary for a while
+	ProtocolViolation = "manners" // a database violates the wire protocol
 )
 
 // MisbehavingClients is the kind of fault where clients violate the protocol or stall.
@@ -80,9 +80,9 @@
 	Timelines int64 `key:"timelines" default:"2" validate:"gte=1,lte=8"`
 	// Tolerate is how many machines with a control node may be lost at once.
 	Tolerate int64 `key:"tolerate" default:"1" validate:"gte=1,lte=3"`
-	// Beyond allows more machines to be lost at once than tolerated; service may be
+	// ExceedTolerated allows more machines to be lost at once than tolerated; service may be
 	// unavailable then.
-	Beyond bool `key:"beyond"`
+	ExceedTolerated bool `key:"beyond"`
 	// SpareControl excludes machines with a control node from faults, so that proxies are checked
 	// against all their guarantees while control nodes are undisturbed.
 	SpareControl bool `key:"spare_control"`
--- a/internal/testbed/processor_faults.go
+++ b/internal/testbed/processor_faults.go
@@ -19,14 +19,14 @@
 	maxThrottled = 6 * time.Second
 )
 
-// strikeProcessors lets a machine's processes run for a part of each period only, as if their
+// injectProcessorFault lets a machine's processes run for a part of each period only, as if their
 // processor quota were used up. The checks make no exception for this fault.
-func (t *troubles) strikeProcessors(ctx context.Context, kind string, r *rand.Rand) error {
+func (t *faultInjector) injectProcessorFault(ctx context.Context, kind string, r *rand.Rand) error {
 	m := t.pickMachine(r, false)
 	running := time.Duration((minShare + (1-minShare)*r.Float64()) * float64(quotaPeriod))
 	number := t.traffic.Begin(history.Trouble{Kind: kind, Node: m.clientAddr(), Calm: true, At: t.traffic.Now()})
 	defer func() { t.traffic.End(number) }()
-	for end := time.Now().Add(span(r, maxThrottled)); time.Now().Before(end) && ctx.Err() == nil; {
+	for end := time.Now().Add(randomDuration(r, maxThrottled)); time.Now().Before(end) && ctx.Err() == nil; {
 		m.signal(syscall.SIGSTOP)
 		sleep(ctx, quotaPeriod-running)
 		m.signal(syscall.SIGCONT)
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -226,11 +226,11 @@
 		clients.Go(func() { b.operators.run(workloadCtx, b.random(operatorStreams+uint64(i))) })
 	}
 	for i, m := range b.cluster.all() {
-		if m.carrier {
+		if m.proxy {
 			clients.Go(func() { b.probe(workloadCtx, i, b.random(probeStreams+uint64(i))) })
 		}
 	}
-	injector := &troubles{
+	injector := &faultInjector{
 		cluster: b.cluster, traffic: b.traffic, groups: b.groups, services: b.services,
 		failed: func(err error) { b.fail(err); cancelWorkload(); cancelFaults() },
 	}
@@ -279,7 +279,7 @@
 	}
 	number := b.traffic.Begin(history.Trouble{Kind: All, Everywhere: true, Control: true, At: b.traffic.Now()})
 	defer func() { b.traffic.End(number) }()
-	return b.cluster.restart(ctx, span(r, longestDown), controls[r.IntN(len(controls))])
+	return b.cluster.restart(ctx, randomDuration(r, maxDowntime), controls[r.IntN(len(controls))])
 }
 
 func (b *bed) fail(err error) {
@@ -301,7 +301,7 @@
 	for _, g := range b.groups {
 		var poolers []standin.Pooler
 		for i, m := range b.cluster.all() {
-			if m.carrier {
+			if m.proxy {
 				poolers = append(poolers, standin.Pooler{
 					Number: i + 1, Address: func() string { return b.cluster.all()[i].clientAddr() },
 					Network: b.cluster.net.Network(address(clientGroup, 1+i)),
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -68,11 +68,11 @@
 	for tier, faults := range map[string][]string{
 		testbed.Pooler: {
 			testbed.Kill, testbed.Term, testbed.Hup, testbed.Freeze, testbed.CutCore, testbed.CutCarrier, testbed.LoseReplies,
-			testbed.Datagrams, testbed.LogReader, testbed.Crash, testbed.Reset, testbed.Manners, testbed.MisbehavingClients,
+			testbed.Datagrams, testbed.LogReader, testbed.Crash, testbed.Reset, testbed.ProtocolViolation, testbed.MisbehavingClients,
 		},
 		testbed.Gateway: {
 			testbed.Kill, testbed.Term, testbed.Hup, testbed.CutDatabases, testbed.ResetLinks, testbed.Delay,
-			testbed.Crash, testbed.Release, testbed.Hang, testbed.Manners, testbed.MisbehavingClients,
+			testbed.Crash, testbed.Release, testbed.Hang, testbed.ProtocolViolation, testbed.MisbehavingClients,
 		},
 	} {
 		plan := small(faults...)
--- a/internal/testbed/timelines.go
+++ b/internal/testbed/timelines.go
@@ -11,10 +11,10 @@
 	"indigowalk/internal/standin"
 )
 
-// troubles injects the faults of the plan. Each timeline is a sequence of faults with pauses
+// faultInjector injects the faults of the plan. Each timeline is a sequence of faults with pauses
 // between them, drawn from its own random stream; timelines are independent of each other, so
 // that their faults overlap in any combination.
-type troubles struct {
+type faultInjector struct {
 	cluster  *cluster
 	traffic  *history.Traffic
 	groups   []*standin.Group   // in a run with poolers
@@ -46,21 +46,21 @@
 }
 
 // timelines returns the timelines that have at least one kind of fault in the plan.
-func (t *troubles) timelines() []timeline {
-	databases := t.strikeDatabase
+func (t *faultInjector) timelines() []timeline {
+	databases := t.injectDatabaseFault
 	if t.cluster.plan.Tier == Gateway {
 		databases = t.injectWorkerFault
 	}
 	var all []timeline
 	for range t.cluster.plan.Timelines {
-		all = append(all, timeline{"machines", []string{Kill, Freeze, Term, Hup, Wipe, Replace, All}, t.strikeMachine})
+		all = append(all, timeline{"machines", []string{Kill, Freeze, Term, Hup, Wipe, Replace, All}, t.injectMachineFault})
 	}
 	all = append(all,
-		timeline{"links", []string{CutCore, CutCarrier, CutDatabases, CutPrimary, LoseReplies, Datagrams, Delay, ResetLinks, Split}, t.strikeLinks},
-		timeline{"processors", []string{Throttle}, t.strikeProcessors},
-		timeline{"limits", []string{Descriptors, FullDisk, LogReader}, t.strikeLimits},
-		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, Manners}, databases},
-		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, Manners}, databases},
+		timeline{"links", []string{CutCore, CutCarrier, CutDatabases, CutPrimary, LoseReplies, Datagrams, Delay, ResetLinks, Split}, t.injectLinkFault},
+		timeline{"processors", []string{Throttle}, t.injectProcessorFault},
+		timeline{"limits", []string{Descriptors, FullDisk, LogReader}, t.injectLimitFault},
+		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, ProtocolViolation}, databases},
+		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, ProtocolViolation}, databases},
 		timeline{"clients", []string{MisbehavingClients}, t.injectClientFault},
 	)
 	var enabled []timeline
@@ -76,7 +76,7 @@
 var controlFaults = []string{Wipe, Replace, All, CutCore, Split, LoseReplies, Datagrams, FullDisk}
 
 // planned returns those of the given kinds of faults that the plan allows.
-func (t *troubles) planned(kinds []string) (enabled []string) {
+func (t *faultInjector) planned(kinds []string) (enabled []string) {
 	plan := t.cluster.plan
 	for _, kind := range kinds {
 		if plan.has(kind) && !(plan.SpareControl && slices.Contains(controlFaults, kind)) {
@@ -87,7 +87,7 @@
 }
 
 // run runs one timeline until ctx ends.
-func (t *troubles) run(ctx context.Context, line timeline, r *rand.Rand) {
+func (t *faultInjector) run(ctx context.Context, line timeline, r *rand.Rand) {
 	mean := float64(t.cluster.plan.PauseMs) * float64(time.Millisecond)
 	for {
 		sleep(ctx, time.Duration(mean*r.ExpFloat64()))
@@ -101,9 +101,9 @@
 	}
 }
 
-// hosts returns the addresses of all databases; true marks those of the service with the given
+// databaseHosts returns the addresses of all databases; true marks those of the service with the given
 // number, or all if it is negative.
-func (t *troubles) hosts(service int) map[string]bool {
+func (t *faultInjector) databaseHosts(service int) map[string]bool {
 	set := map[string]bool{}
 	for i, g := range t.groups {
 		for _, d := range g.Databases() {
@@ -118,16 +118,16 @@
 	return set
 }
 
-// note records the start of a fault of a machine; own says that it affects the machine's own
+// recordFault records the start of a fault of a machine; own says that it affects the machine's own
 // processes or its links to clients. The returned function records the end.
-func (t *troubles) note(kind string, m *machine, own bool) (over func()) {
+func (t *faultInjector) recordFault(kind string, m *machine, own bool) (over func()) {
 	number := t.traffic.Begin(history.Trouble{
 		Kind: kind, Node: m.clientAddr(), Elsewhere: !own, Control: m.control, Planned: kind == Term || kind == Hup, At: t.traffic.Now(),
 	})
 	return func() { t.traffic.End(number) }
 }
 
-// span returns a random duration below limit.
-func span(r *rand.Rand, limit time.Duration) time.Duration {
+// randomDuration returns a random duration below limit.
+func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(limit)))
 }
--- a/internal/testbed/verdict.go
+++ b/internal/testbed/verdict.go
@@ -33,7 +33,7 @@
 // logBreaches searches the logs of all processes for violated invariants and forbidden texts.
 func (c *cluster) logBreaches(now time.Duration) (out []history.Breach) {
 	c.mu.Lock()
-	machines := append(append([]*machine(nil), c.machines...), c.gone...)
+	machines := append(append([]*machine(nil), c.machines...), c.replaced...)
 	c.mu.Unlock()
 	for _, m := range machines {
 		for _, p := range m.procs {
@@ -100,8 +100,8 @@
 		if m.control {
 			addrs = append(addrs, m.ip+":"+controlCallPort)
 		}
-		if m.carrier {
-			addrs = append(addrs, m.ip+":"+carrierCallPort)
+		if m.proxy {
+			addrs = append(addrs, m.ip+":"+proxyCallPort)
 		}
 		for _, p := range m.procs {
 			if n, err := descriptors(p.pid()); err == nil {
--- a/internal/testbed/verdict_test.go
+++ b/internal/testbed/verdict_test.go
@@ -61,30 +61,30 @@
 		first, second, proxy := &machine{control: true}, &machine{control: true}, &machine{}
 		l := newLosses(1)
 		for _, m := range []*machine{first, first, proxy} {
-			if !l.take(m) {
+			if !l.tryAcquire(m) {
 				t.Fatal("take refused a machine within the limit, or one without a control node")
 			}
 		}
-		l.give(first)
-		if l.take(second) || l.none() {
+		l.release(first)
+		if l.tryAcquire(second) || l.noneLost() {
 			t.Error("a second machine may be lost while the first still is")
 		}
-		l.give(first)
-		if l.take(second) {
+		l.release(first)
+		if l.tryAcquire(second) {
 			t.Error("a second machine may be lost before the first has caught up")
 		}
 		time.Sleep(catchup + time.Millisecond)
-		if !l.none() || !l.takeDisk(second) {
+		if !l.noneLost() || !l.tryAcquireDisk(second) {
 			t.Error("no machine may be lost though all have caught up")
 		}
-		if l.takeDisk(first) {
+		if l.tryAcquireDisk(first) {
 			t.Error("two disks may be lost at once")
 		}
 		unbounded := newLosses(0)
-		if !unbounded.take(first) || !unbounded.take(second) {
+		if !unbounded.tryAcquire(first) || !unbounded.tryAcquire(second) {
 			t.Error("a machine may not be lost though there is no limit")
 		}
-		if unbounded.takeDisk(first) {
+		if unbounded.tryAcquireDisk(first) {
 			t.Error("a disk may be lost while another machine is lost")
 		}
 	})
