--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -26,7 +26,7 @@
 func TestLeftStays(t *testing.T) {
 	core(t, 4, 1, func(w *World, g *Group) {
 		d := g.DB(2)
-		g.Add("ledger-4", "10.4.64.9", "z4", "replica").Deaf(false)
+		g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 		time.Sleep(2 * time.Second)
 		entry := func(id string) string {
 			raw, err := w.Process("control", controlPrimary(w)).replica().Read("database/" + id)
--- a/internal/simulation/clients_test.go
+++ b/internal/simulation/clients_test.go
@@ -52,7 +52,7 @@
 		t.Run(method, func(t *testing.T) {
 			serveRequests(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
-					d.Be(Mute)
+					d.InjectFault(Mute)
 				}
 				c := send(t, w, s, requestHost, method, path)
 				time.Sleep(100 * time.Millisecond)
@@ -88,7 +88,7 @@
 		t.Run(name, func(t *testing.T) {
 			serveRequests(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
-					d.Be(c.fault)
+					d.InjectFault(c.fault)
 				}
 				conn := send(t, w, s, deaf, "GET", "/safe/a")
 				defer conn.Close()
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -58,14 +58,14 @@
 
 func TestDarkPrimary(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		old := g.Lead()
+		old := g.Primary()
 		l := under(w, g, func() {
 			old.Crash(true)
 			time.Sleep(5 * time.Second)
 			old.Return("ledger-1b")
 		})
 		served(t, l, 3*time.Second)
-		if lead := g.Lead(); lead == old || lead == nil {
+		if lead := g.Primary(); lead == old || lead == nil {
 			t.Error("nobody took over")
 		}
 	})
@@ -74,12 +74,12 @@
 func TestDeafReplicaIsNotPromoted(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			g.DB(1).Deaf(true)
+			g.DB(1).SetReplicationStopped(true)
 			time.Sleep(2 * time.Second)
-			g.Lead().Crash(false)
+			g.Primary().Crash(false)
 		})
 		served(t, l, 3*time.Second)
-		if g.Lead() != g.DB(2) {
+		if g.Primary() != g.DB(2) {
 			t.Error("the replica that had received everything does not lead")
 		}
 	})
@@ -90,16 +90,16 @@
 func TestNoPromotionFromOneReplica(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			g.DB(1).Deaf(true)
+			g.DB(1).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(2).Crash(false)
-			g.Lead().Crash(false)
+			g.Primary().Crash(false)
 			time.Sleep(4 * time.Second)
-			if g.Lead() != nil {
+			if g.Primary() != nil {
 				t.Error("a replica was promoted that lacks commits")
 			}
 			g.DB(2).Return("ledger-3b")
-			w.Until("a lead", 5*time.Second, func() bool { return g.Lead() != nil })
+			w.Until("a lead", 5*time.Second, func() bool { return g.Primary() != nil })
 		})
 		served(t, l, 9*time.Second)
 	})
@@ -110,14 +110,14 @@
 func TestReturnedIdDoesNotBlockNextMove(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			first := g.Lead()
+			first := g.Primary()
 			first.Crash(true)
 			time.Sleep(4 * time.Second)
 			first.Return("ledger-1b")
 			time.Sleep(3 * time.Second)
-			second := g.Lead()
+			second := g.Primary()
 			second.Crash(true)
-			w.Until("the next lead", 4*time.Second, func() bool { l := g.Lead(); return l != nil && l != second })
+			w.Until("the next lead", 4*time.Second, func() bool { l := g.Primary(); return l != nil && l != second })
 		})
 		served(t, l, 3*time.Second)
 	})
@@ -127,7 +127,7 @@
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
 			g.DB(2).Crash(true)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(false)
 			time.Sleep(3 * time.Second)
 			lead.Return("ledger-1b")
@@ -138,15 +138,15 @@
 
 func TestReleaseOfPrimary(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		old := g.Lead()
+		old := g.Primary()
 		l := under(w, g, func() {
-			g.Add("ledger-4", "10.4.64.9", "z4", "replica").Deaf(false)
+			g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 			time.Sleep(2 * time.Second)
 			old.Drain()
 			time.Sleep(4 * time.Second)
 		})
 		served(t, l, 1200*time.Millisecond)
-		if g.Lead() == old {
+		if g.Primary() == old {
 			t.Error("the draining database still leads")
 		}
 		if l.Unsure > 0 {
@@ -160,14 +160,14 @@
 func TestLeadFailsWhileOneReplicaEnds(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			g.Add("ledger-4", "10.4.64.9", "z4", "replica").Deaf(false)
+			g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 			time.Sleep(2 * time.Second)
 			g.DB(2).Drain()
 			time.Sleep(3 * time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(true)
 			g.DB(2).Crash(false)
-			w.Until("the next lead", 4*time.Second, func() bool { l := g.Lead(); return l != nil && l != lead })
+			w.Until("the next lead", 4*time.Second, func() bool { l := g.Primary(); return l != nil && l != lead })
 		})
 		served(t, l, 3*time.Second)
 	})
@@ -298,7 +298,7 @@
 			t.Errorf("a read at the primary without a lease: %q", a.Code)
 		}
 		s.Close()
-		lead := g.Lead()
+		lead := g.Primary()
 		lead.Crash(false)
 		z, _ := w.Login(1, "p.ledger")
 		w.Until("the other poolers are served", 6*time.Second, func() bool {
@@ -360,7 +360,7 @@
 								w.Start("control", z, false)
 							}
 						case 1:
-							if d := g.Lead(); d != nil {
+							if d := g.Primary(); d != nil {
 								d.Crash(r.IntN(2) == 0)
 								time.Sleep(3 * time.Second)
 								d.Return(fmt.Sprint(d.Addr, "-", round))
--- a/internal/simulation/control_test.go
+++ b/internal/simulation/control_test.go
@@ -197,14 +197,14 @@
 		for a := 1; a <= 4; a++ {
 			w.Net.Cut(ip(5), ip(a), true) // the pooler there says nothing any more
 		}
-		lead := g.Lead()
+		lead := g.Primary()
 		s, _ := w.Login(z, "p.ledger")
 		defer s.Close()
 		s.Query("PUT k 1")
 		lead.Crash(false)
 		time.Sleep(time.Second)
 		w.Process("control", backup).Kill()
-		took := w.Until("the next lead", 8*time.Second, func() bool { l := g.Lead(); return l != nil && l != lead })
+		took := w.Until("the next lead", 8*time.Second, func() bool { l := g.Primary(); return l != nil && l != lead })
 		if took > 2200*time.Millisecond { // what is left of a lease of 2.5 s, and the promotion
 			t.Errorf("the lead moved %v after the backup was lost", took)
 		}
--- a/internal/simulation/cutoff_test.go
+++ b/internal/simulation/cutoff_test.go
@@ -67,9 +67,9 @@
 				t.Errorf("a change was known after %v", took)
 			}
 			time.Sleep(2 * time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(false)
-			if took := w.Until("the next lead", 5*time.Second, func() bool { l := g.Lead(); return l != nil && l != lead }); took > 2*time.Second {
+			if took := w.Until("the next lead", 5*time.Second, func() bool { l := g.Primary(); return l != nil && l != lead }); took > 2*time.Second {
 				t.Errorf("a lead moved after %v", took)
 			}
 			time.Sleep(time.Until(end))
--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -12,20 +12,20 @@
 func TestNothingPastItsDrain(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			g.DB(2).Deaf(true)
+			g.DB(2).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(1).Leave(20*time.Second, true)
 			time.Sleep(5 * time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(true)
 			if g.next(lead, 2*time.Second) != g.DB(1) {
 				t.Error("the replica that holds everything does not lead")
 			}
 			time.Sleep(4 * time.Second) // it leads, and no one follows yet
-			if g.Lead() != g.DB(1) {
+			if g.Primary() != g.DB(1) {
 				t.Error("the lead left before anyone could follow")
 			}
-			g.DB(2).Deaf(false)
+			g.DB(2).SetReplicationStopped(false)
 			g.next(g.DB(1), 2*time.Second)
 		})
 		served(t, l, 8*time.Second)
--- a/internal/simulation/explained_test.go
+++ b/internal/simulation/explained_test.go
@@ -43,12 +43,12 @@
 		if a, id := s.Query("PUT x 1"); a.Code != "" || len(failures(w.Process("pooler", 1))) > 0 {
 			t.Fatalf("%s: %v", id, a)
 		}
-		g.Lead().Lose(1)
+		g.Primary().Lose(1)
 		_, id := s.Query("PUT x 2")
 		explained(t, w.Process("pooler", 1), id, "unanswered", "deadline")
 		g.DB(1).Crash(false)
 		g.DB(2).Crash(false)
-		g.Lead().Crash(false)
+		g.Primary().Crash(false)
 		time.Sleep(time.Second)
 		_, id = s.Query("FETCH x")
 		explained(t, w.Process("pooler", 1), id, "lead_moves", "")
@@ -67,12 +67,12 @@
 func TestAFailedRequestIsExplained(t *testing.T) {
 	serveRequests(t, func(w *World, s *Service) {
 		for _, d := range s.Workers() {
-			d.Be(Loses)
+			d.InjectFault(Loses)
 		}
 		s.Ask(1, "unsafe-1", false, "what")
 		explained(t, w.Process("gateway", 1), "unsafe-1", "no_whole_answer", "connection broken")
 		for _, d := range s.Workers() {
-			d.Be(Sheds)
+			d.InjectFault(Sheds)
 		}
 		s.Ask(1, "unsafe-2", false, "what")
 		explained(t, w.Process("gateway", 1), "unsafe-2", "every_database_that_was_asked_is_busy", "not run: 503")
--- a/internal/simulation/full_test.go
+++ b/internal/simulation/full_test.go
@@ -24,7 +24,7 @@
 func TestAPrimaryThatTakesNothing(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			lead := g.Lead()
+			lead := g.Primary()
 			w.Net.Full(lead.IP, true)
 			time.Sleep(500 * time.Millisecond)
 			changed(w, 1, 7)
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -87,11 +87,11 @@
 func atFailing(t *testing.T, s *Service, fault Fault) *Requests {
 	t.Helper()
 	l := load(s, func() {
-		s.DB(0).Be(fault)
-		s.DB(3).Be(fault)
+		s.DB(0).InjectFault(fault)
+		s.DB(3).InjectFault(fault)
 		time.Sleep(3 * time.Second)
-		s.DB(0).Be(Well)
-		s.DB(3).Be(Well)
+		s.DB(0).InjectFault(Well)
+		s.DB(3).InjectFault(Well)
 	})
 	if l.Slowest > 900*time.Millisecond {
 		t.Errorf("the slowest answer took %v", l.Slowest)
@@ -130,7 +130,7 @@
 			}
 		}
 		for i := range 8 {
-			s.DB(i).Be(Loses)
+			s.DB(i).InjectFault(Loses)
 		}
 		for z := 1; z <= 4; z++ {
 			for n, safe := range []bool{false, true, false} {
@@ -149,7 +149,7 @@
 func TestRestedConnectionsAndTheirHeaders(t *testing.T) {
 	serveRequests(t, func(_ *World, s *Service) {
 		for i := range 8 {
-			s.DB(i).Be(Forgetful)
+			s.DB(i).InjectFault(Forgetful)
 		}
 		for n := range 30 {
 			if a := s.Ask(1, fmt.Sprint("rested-", n), false, "x"); a.Status != 200 {
--- a/internal/simulation/group.go
+++ b/internal/simulation/group.go
@@ -64,7 +64,7 @@
 func (e environment) Silence(ip string, silent bool)   { e.w.Net.Dark(ip, silent) }
 func (e environment) Reset(ip string)                  { e.w.Net.Reset(ip) }
 
-func (e environment) Made(net.Conn) bool { return true }
+func (e environment) ReachedPeer(net.Conn) bool { return true }
 
 func (e environment) Reaches(from, to string) bool {
 	e.w.Net.mu.Lock()
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -86,7 +86,7 @@
 		}
 
 		g := w.Groups["ledger07"]
-		lead := g.Lead()
+		lead := g.Primary()
 		for z := 1; z <= poolers; z++ { // every pooler has a connection to it
 			s, code := w.Login(z, "p.ledger07")
 			if s == nil {
@@ -101,7 +101,7 @@
 		if bytes, datagrams := during(500 * time.Millisecond); bytes > 10_000 || datagrams > 40 {
 			t.Errorf("a crash that all poolers saw: up to %d bytes in %d datagrams to a pooler", bytes, datagrams)
 		}
-		w.Until("the next lead", 3*time.Second, func() bool { l := g.Lead(); return l != nil && l != lead })
+		w.Until("the next lead", 3*time.Second, func() bool { l := g.Primary(); return l != nil && l != lead })
 		time.Sleep(time.Second)
 		for z := 1; z <= poolers; z++ {
 			if down := kernel.Need[*health.Monitor](w.Process("pooler", z).Kernel).Down(); len(down) != 1 {
--- a/internal/simulation/latebeat_test.go
+++ b/internal/simulation/latebeat_test.go
@@ -18,7 +18,7 @@
 	g.DB(1).Leave(10*time.Second, true)
 	time.Sleep(1200 * time.Millisecond)
 	stays = g.DB(2)
-	stays.Deaf(true)
+	stays.SetReplicationStopped(true)
 	time.Sleep(400 * time.Millisecond)
 	return newcomer, stays
 }
@@ -29,7 +29,7 @@
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
 			newcomer, _ := replacedLate(g, 3*time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(false)
 			if g.next(lead, 5*time.Second) != newcomer {
 				t.Error("the replica that holds what was acknowledged does not lead")
@@ -45,15 +45,15 @@
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
 			newcomer, _ := replacedLate(g, 3*time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(false)
 			newcomer.Crash(false)
 			time.Sleep(7 * time.Second)
-			if g.Lead() != nil {
+			if g.Primary() != nil {
 				t.Error("a database was promoted that lacks commits")
 			}
 			lead.Return("ledger-1b")
-			w.Until("it leads again", 3*time.Second, func() bool { return g.Lead() == lead && strings.Contains(w.status(), "1 with a lead") })
+			w.Until("it leads again", 3*time.Second, func() bool { return g.Primary() == lead && strings.Contains(w.status(), "1 with a lead") })
 		})
 		served(t, l, 11*time.Second)
 	})
@@ -66,21 +66,21 @@
 		l := w.NewLoad(g, 7)
 		time.Sleep(3 * time.Second)
 		newcomer, stays := replacedLate(g, 30*time.Second)
-		lead := g.Lead()
+		lead := g.Primary()
 		lead.Crash(false)
 		newcomer.Crash(false)
 		time.Sleep(7 * time.Second)
 		l.Stop()
 		host := w.Net.Host("10.250.0.9")
 		waiting, err := tools.Ask(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).WaitingOf("ledger")
-		if err != nil || !strings.Contains(waiting.Why, "an acknowledged commit is on no replica that is known; 1.") || g.Lead() != nil {
-			t.Fatalf("waiting: %+v %v, %v leads", waiting, err, g.Lead())
+		if err != nil || !strings.Contains(waiting.Why, "an acknowledged commit is on no replica that is known; 1.") || g.Primary() != nil {
+			t.Fatalf("waiting: %+v %v, %v leads", waiting, err, g.Primary())
 		}
-		g.Forgive()
+		g.DiscardAcked()
 		if err := waiting.Accept(context.Background(), host, waiting.Turn, "someone"); err != nil {
 			t.Fatal(err)
 		}
-		w.Until("the one that stays leads", 3*time.Second, func() bool { return g.Lead() == stays })
+		w.Until("the one that stays leads", 3*time.Second, func() bool { return g.Primary() == stays })
 		if recorded := leadOf(t, w); recorded.Waived == "" {
 			t.Errorf("the record: %+v", recorded)
 		}
--- a/internal/simulation/leaving_test.go
+++ b/internal/simulation/leaving_test.go
@@ -55,9 +55,9 @@
 					}
 				}
 				if c.mute {
-					g.Lead().Behave(standin.Silent, 1)
+					g.Primary().Behave(standin.Silent, 1)
 				} else {
-					g.Lead().Slow(time.Minute)
+					g.Primary().Slow(time.Minute)
 				}
 				if c.full {
 					busy(w, 60)
@@ -80,7 +80,7 @@
 func TestALeavingPoolerAnswersWhoeverComes(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		p := w.Process("pooler", 1)
-		g.Lead().Slow(50 * time.Millisecond)
+		g.Primary().Slow(50 * time.Millisecond)
 		over := make(chan struct{})
 		var clients sync.WaitGroup
 		for range 10 {
@@ -147,7 +147,7 @@
 		w.Until("a configuration is taken", 3*time.Second, func() bool { return w.Replace(1, 1, w.patientRoutes(2)) == 200 })
 		time.Sleep(time.Second)
 		for i := range 2 * w.Zones {
-			s.DB(i).Be(Mute)
+			s.DB(i).InjectFault(Mute)
 		}
 		dial := func() net.Conn {
 			c, err := w.Net.Host("10.251.0.1").Dial(context.Background(), ip(1)+":8784", 0)
--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -115,7 +115,7 @@
 		return
 	}
 	defer s.Close()
-	g.Own(s.Name, tenant)
+	g.SetSessionTenant(s.Name, tenant)
 	texts := []string{fmt.Sprintf("PUT %s%d %d", tenant, zone, n)}
 	if n%3 == 0 {
 		texts = []string{"BEGIN", "FETCH " + tenant, texts[0], "COMMIT"}
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -18,8 +18,8 @@
 // next waits for a lead other than old.
 func (g *Group) next(old *Database, limit time.Duration) *Database {
 	g.w.T.Helper()
-	g.w.Until("the next lead", limit, func() bool { l := g.Lead(); return l != nil && l != old })
-	return g.Lead()
+	g.w.Until("the next lead", limit, func() bool { l := g.Primary(); return l != nil && l != old })
+	return g.Primary()
 }
 
 // ask asks every process for its view.
@@ -54,7 +54,7 @@
 					return
 				}
 				time.Sleep(5 * time.Second)
-				if g.Lead() != nil {
+				if g.Primary() != nil {
 					t.Error("a database was promoted, though two that may hold commits were away")
 				}
 				if text := w.status(); !strings.Contains(text, "service ledger waits: a replica that does not answer may hold an acknowledged commit; "+second.ID) {
@@ -89,9 +89,9 @@
 	time.Sleep(time.Second)
 	for _, d := range g.Databases()[1:] {
 		if d != g.DB(2) && d != second && d != third { // it alone stays
-			d.Deaf(true)
+			d.SetReplicationStopped(true)
 			time.Sleep(1500 * time.Millisecond) // those that leave are let receive
-			d.Deaf(false)
+			d.SetReplicationStopped(false)
 		}
 	}
 	time.Sleep(20 * time.Millisecond)
@@ -110,7 +110,7 @@
 			time.Sleep(time.Second)
 			g.DB(2).Crash(true)
 			time.Sleep(5 * time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(true)
 			time.Sleep(time.Second)
 			g.DB(2).Return("ledger-3b")
@@ -126,7 +126,7 @@
 func TestOnlyALeavingReplicaHoldsACommit(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			g.DB(2).Deaf(true)
+			g.DB(2).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(1).Leave(12*time.Second, true)
 			time.Sleep(time.Second)
@@ -135,16 +135,16 @@
 			if n := g.Acked() - before; n < 20 {
 				t.Errorf("%d commits in a second", n)
 			}
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(true)
 			if g.next(lead, 3*time.Second) != g.DB(1) {
 				t.Error("the replica that had received everything does not lead")
 			}
 			time.Sleep(2 * time.Second)
-			if g.Lead() != g.DB(1) {
+			if g.Primary() != g.DB(1) {
 				t.Error("the lead left before anyone could follow")
 			}
-			g.DB(2).Deaf(false)
+			g.DB(2).SetReplicationStopped(false)
 			if g.next(g.DB(1), 2*time.Second) != g.DB(2) {
 				t.Error("the replica that stays does not lead")
 			}
@@ -174,7 +174,7 @@
 			g.DB(1).Leave(20*time.Second, true)
 			g.DB(3).Leave(3*time.Second, true)
 			time.Sleep(3*time.Second + 100*time.Millisecond)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(true)
 			if g.next(lead, 2*time.Second) != g.DB(1) {
 				t.Error("the replica that had received everything does not lead")
@@ -195,7 +195,7 @@
 		served(t, under(w, g, func() {
 			g.DB(2).Crash(true)
 			time.Sleep(2 * time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(true)
 			if g.next(lead, 2*time.Second) != g.DB(1) {
 				t.Error("the replica that had received everything does not lead")
@@ -213,11 +213,11 @@
 		served(t, under(w, g, func() {
 			g.DB(2).Crash(false)
 			time.Sleep(2 * time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			w.Process("pooler", 2).Kill()
 			lead.Crash(false)
 			time.Sleep(5 * time.Second)
-			if g.Lead() != nil {
+			if g.Primary() != nil {
 				t.Error("a database was promoted, though the lost pooler may have acknowledged more")
 			}
 			g.DB(2).Return("ledger-3b")
@@ -236,7 +236,7 @@
 			time.Sleep(2 * time.Second)
 			w.Process("pooler", 2).Kill()
 			time.Sleep(4 * time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(true)
 			if g.next(lead, 2*time.Second) != g.DB(1) {
 				t.Error("the replica that had received everything does not lead")
@@ -255,7 +255,7 @@
 			time.Sleep(3 * time.Second)
 			g.DB(2).Leave(9*time.Second, true)
 			time.Sleep(time.Second)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(true)
 			g.next(lead, 3*time.Second)
 			lead.Return("ledger-1b")
@@ -268,22 +268,22 @@
 func TestAddressOfADrainingReplica(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			g.DB(2).Deaf(true)
+			g.DB(2).SetReplicationStopped(true)
 			g.DB(1).Leave(3*time.Second, false)
 			time.Sleep(3*time.Second - time.Millisecond)
-			lead := g.Lead()
+			lead := g.Primary()
 			lead.Crash(false)
 			time.Sleep(500 * time.Millisecond)
 			g.Add("ledger-9", "10.2.64.1", "z2", "replica")
 			time.Sleep(4 * time.Second)
-			if g.Lead() != nil {
+			if g.Primary() != nil {
 				t.Error("a database was promoted that lacks commits")
 			}
 			if text := w.status(); !strings.Contains(text, "waits: a database that is gone may have held an acknowledged commit; ledger-2, gone") {
 				t.Errorf("status says:\n%s", text)
 			}
 			lead.Return("ledger-1b") // it alone holds them
-			w.Until("a lead", 3*time.Second, func() bool { return g.Lead() == lead })
+			w.Until("a lead", 3*time.Second, func() bool { return g.Primary() == lead })
 			entry := func(id string) string {
 				raw, err := w.Process("control", controlPrimary(w)).replica().Read("database/" + id)
 				if err != nil {
@@ -307,11 +307,11 @@
 func TestLossForGoodIsTold(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		l := under(w, g, func() {
-			g.DB(2).Deaf(true)
+			g.DB(2).SetReplicationStopped(true)
 			g.DB(1).Leave(4*time.Second, true)
 			g.DB(0).Leave(3*time.Second, true)
 			time.Sleep(8 * time.Second)
-			if g.Lead() != nil {
+			if g.Primary() != nil {
 				t.Error("a database was promoted that lacks commits")
 			}
 			if text := w.status(); !strings.Contains(text, "service ledger waits: acknowledged commits may be lost: all databases that may have held them are gone; 1.") {
@@ -328,14 +328,14 @@
 // come back: for the failover that waits, under a name, and not for the next one.
 func TestAcceptedLoss(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		g.DB(2).Deaf(true)
+		g.DB(2).SetReplicationStopped(true)
 		l := w.NewLoad(g, 7)
 		time.Sleep(3 * time.Second)
 		g.DB(1).Crash(false)
 		g.DB(0).Crash(false)
 		time.Sleep(4 * time.Second)
 		l.Stop()
-		if g.Lead() != nil {
+		if g.Primary() != nil {
 			t.Fatal("a database was promoted that lacks commits")
 		}
 		host := w.Net.Host("10.250.0.9")
@@ -353,14 +353,14 @@
 			t.Error("an order without a name was taken")
 		}
 		time.Sleep(time.Second)
-		if g.Lead() != nil {
+		if g.Primary() != nil {
 			t.Error("an order that was refused had its effect")
 		}
-		g.Forgive()
+		g.DiscardAcked()
 		if err := waiting.Accept(context.Background(), host, waiting.Turn, "someone"); err != nil {
 			t.Fatal(err)
 		}
-		w.Until("the one that is left leads", 3*time.Second, func() bool { return g.Lead() == g.DB(2) })
+		w.Until("the one that is left leads", 3*time.Second, func() bool { return g.Primary() == g.DB(2) })
 		w.Until("that is known", 2*time.Second, func() bool { _, err := ask(); return err != nil })
 		lead := leadOf(t, w)
 		if lead.Accepted.By != "someone" || lead.Accepted.FailoverID != 1 || lead.Accepted.AtMs == 0 || lead.MinPosition != "" {
@@ -390,7 +390,7 @@
 // itself for the primary, is not waited for when that one is lost.
 func TestSupersededPrimaryIsHeard(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		first := g.Lead()
+		first := g.Primary()
 		cut := func(cut bool) {
 			for z := 1; z <= 4; z++ {
 				w.Net.Cut(first.IP, ip(z), cut)
@@ -419,7 +419,7 @@
 	for _, both := range []bool{false, true} {
 		play(t, func(w *World, g *Group) {
 			l := under(w, g, func() {
-				first := g.Lead()
+				first := g.Primary()
 				first.Crash(true)
 				w.Until("the platform is called", 4*time.Second, func() bool { return w.Calls() == 1 })
 				w.Process("control", controlPrimary(w)).Kill()
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -44,12 +44,12 @@
 		for range 20 {
 			s.Query("FETCH k")
 		}
-		g.Lead().Lose(1)
+		g.Primary().Lose(1)
 		start := time.Now()
 		if a, _ := s.Query("FETCH k"); a.Code != "" || time.Since(start) > 300*time.Millisecond {
 			t.Errorf("a read whose answer was lost: %q after %v", a.Code, time.Since(start))
 		}
-		g.Lead().Lose(1)
+		g.Primary().Lose(1)
 		if a, _ := s.Query("PUT k 1"); a.Code != lineprotocol.Unknown {
 			t.Errorf("a write whose answer was lost: %q", a.Code)
 		}
@@ -63,7 +63,7 @@
 // that poolers have acknowledged leaving.
 func TestReleaseAfterHandOver(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		old := g.Lead()
+		old := g.Primary()
 		l := under(w, g, func() {
 			z := controlPrimary(w)
 			go func() {
@@ -72,7 +72,7 @@
 			}()
 			w.Process("control", z).Term()
 			w.Start("control", z, false)
-			w.Until("the next lead", 3*time.Second, func() bool { l := g.Lead(); return l != nil && l != old })
+			w.Until("the next lead", 3*time.Second, func() bool { l := g.Primary(); return l != nil && l != old })
 		})
 		served(t, l, 1500*time.Millisecond)
 	})
@@ -82,11 +82,11 @@
 // does not run, holds a move up and does not break it.
 func TestPlatformRefuses(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		old := g.Lead()
+		old := g.Primary()
 		l := under(w, g, func() {
 			w.Refuse(429, 503, 0, 409)
 			old.Crash(false)
-			w.Until("the next lead", 8*time.Second, func() bool { l := g.Lead(); return l != nil && l != old })
+			w.Until("the next lead", 8*time.Second, func() bool { l := g.Primary(); return l != nil && l != old })
 		})
 		served(t, l, 6*time.Second)
 		if n := w.Calls(); n < 5 || n > 8 {
--- a/internal/simulation/standin_test.go
+++ b/internal/simulation/standin_test.go
@@ -45,14 +45,14 @@
 			w := NewWorld(t, 1, 3)
 			defer w.Close()
 			g := w.Group("ledger")
-			lead := g.Lead()
-			g.DB(1).Deaf(true)
-			g.DB(2).Deaf(true)
+			lead := g.Primary()
+			g.DB(1).SetReplicationStopped(true)
+			g.DB(2).SetReplicationStopped(true)
 			first := put(t, w, lead, "ledger", "a.1")
 			time.Sleep(100*time.Millisecond + time.Duration(later)*time.Millisecond)
 			second := put(t, w, lead, "ledger", "b.1")
 			time.Sleep(100 * time.Millisecond)
-			g.DB(1).Deaf(false)
+			g.DB(1).SetReplicationStopped(false)
 			if a := <-second; a == nil || a.Code != "" {
 				t.Fatalf("the second write: %v", a)
 			}
@@ -72,15 +72,15 @@
 		w := NewWorld(t, 1, 3)
 		defer w.Close()
 		g := w.Group("ledger")
-		old := g.Lead()
-		old.Deaf(true)
+		old := g.Primary()
+		old.SetReplicationStopped(true)
 		old.Crash(false)
 		g.PromoteTo(g.DB(1).ID)
 		time.Sleep(time.Second)
-		old.Deaf(false)
+		old.SetReplicationStopped(false)
 		old.Return("ledger-1b")
-		if lead := g.DB(1); old.Role() != "replica" || g.Lead() != lead {
-			t.Errorf("the old primary is back as a %s, and %v leads", old.Role(), g.Lead().ID)
+		if lead := g.DB(1); old.Role() != "replica" || g.Primary() != lead {
+			t.Errorf("the old primary is back as a %s, and %v leads", old.Role(), g.Primary().ID)
 		}
 	})
 }
--- a/internal/simulation/stray_test.go
+++ b/internal/simulation/stray_test.go
@@ -22,16 +22,16 @@
 	play(t, func(w *World, g *Group) {
 		z := controlPrimary(w)
 		under(w, g, func() {
-			g.DB(1).Deaf(true)
-			g.DB(2).Deaf(true) // so that writes are under way when they are paused
+			g.DB(1).SetReplicationStopped(true)
+			g.DB(2).SetReplicationStopped(true) // so that writes are under way when they are paused
 			time.Sleep(100 * time.Millisecond)
 			w.Net.Cut(ip(z), g.DB(0).IP, true) // only the failover manager finds it down
 			heldReplicas(w, g)
 			time.Sleep(30 * time.Millisecond)
 			g.DB(2).Control("CONTINUE", "")
-			g.DB(2).Deaf(false)
+			g.DB(2).SetReplicationStopped(false)
 			time.Sleep(3 * time.Second)
-			g.DB(1).Deaf(false)
+			g.DB(1).SetReplicationStopped(false)
 			w.Net.Cut(ip(z), g.DB(0).IP, false)
 		})
 	})
--- a/internal/simulation/tenants_test.go
+++ b/internal/simulation/tenants_test.go
@@ -53,7 +53,7 @@
 	if s == nil {
 		w.T.Fatalf("a session of %s: %s", tenant, code)
 	}
-	g.Own(s.Name, tenant)
+	g.SetSessionTenant(s.Name, tenant)
 	return s
 }
 
@@ -108,7 +108,7 @@
 		if a, _ := bob.Query("COMMIT"); a.Code != lineprotocol.RolledBack {
 			t.Errorf("a transaction whose key became another's: %q", a.Code)
 		}
-		g.Own(bob.Name, "cid")
+		g.SetSessionTenant(bob.Name, "cid")
 		if a, _ := bob.Query("PUT z 2"); a.Code != "" {
 			t.Errorf("under its new tenant: %s %s", a.Code, a.Text)
 		}
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -55,9 +55,9 @@
 	go d.heartbeatLoop(stop)
 }
 
-// Take reserves a running database for one fault that crashes or drains it. It returns false if
+// Reserve reserves a running database for one fault that crashes or drains it. It returns false if
 // the database is already reserved, not running or draining.
-func (d *Database) Take() bool {
+func (d *Database) Reserve() bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	if d.reserved || !d.alive || d.draining {
@@ -67,8 +67,8 @@
 	return true
 }
 
-// Give releases the reservation that Take made.
-func (d *Database) Give() {
+// Release releases the reservation that Take made.
+func (d *Database) Release() {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	d.reserved = false
@@ -106,8 +106,8 @@
 	d.start()
 }
 
-// Deaf stops a replica from receiving replicated writes, or lets it receive them again.
-func (d *Database) Deaf(stopped bool) {
+// SetReplicationStopped stops a replica from receiving replicated writes, or lets it receive them again.
+func (d *Database) SetReplicationStopped(stopped bool) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	if d.replicationStopped = stopped; !stopped && d.alive && d.role == replica {
--- a/internal/standin/environment.go
+++ b/internal/standin/environment.go
@@ -24,9 +24,9 @@
 	Controls() []string
 	// Reaches reports whether packets pass from one address to another.
 	Reaches(from, to string) bool
-	// Made reports whether a broken connection had reached its intended peer. It may not have
+	// ReachedPeer reports whether a broken connection had reached its intended peer. It may not have
 	// where a relay in between accepts connections on behalf of others.
-	Made(c net.Conn) bool
+	ReachedPeer(c net.Conn) bool
 	// Silence makes a host unresponsive, or responsive again.
 	Silence(ip string, silent bool)
 	// Reset breaks a host's connections and closes its addresses.
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -68,8 +68,8 @@
 // DB returns the database that was added as number i, counted from 0.
 func (g *Group) DB(i int) *Database { return g.Databases()[i] }
 
-// Lead returns the primary of the newest term, or nil if there is none that runs.
-func (g *Group) Lead() *Database {
+// Primary returns the primary of the newest term, or nil if there is none that runs.
+func (g *Group) Primary() *Database {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.currentPrimary()
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// Own records the tenant that a session belongs to; its statements may run for no other tenant.
+// SetSessionTenant records the tenant that a session belongs to; its statements may run for no other tenant.
 // With "" they are not checked.
-func (g *Group) Own(session, tenant string) {
+func (g *Group) SetSessionTenant(session, tenant string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.owners[session] = tenant
@@ -116,8 +116,8 @@
 	g.acked[id] = true
 }
 
-// Forgive discards the record of acknowledged commits, so that their loss is no violation.
-func (g *Group) Forgive() {
+// DiscardAcked discards the record of acknowledged commits, so that their loss is no violation.
+func (g *Group) DiscardAcked() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.acked)
--- a/internal/standin/requests.go
+++ b/internal/standin/requests.go
@@ -51,7 +51,7 @@
 	b.WriteString("\r\n" + body)
 	a := Raw(c, b.Bytes())
 	a.Took = time.Since(start)
-	a.Unsent = a.Status == 0 && !s.env.Made(c)
+	a.Unsent = a.Status == 0 && !s.env.ReachedPeer(c)
 	if a.Status == http.StatusOK {
 		s.checkSuccess(id, a)
 	}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -132,8 +132,8 @@
 	s.expected[id], s.unsafe[id] = content, !safe
 }
 
-// Be injects a fault from now on; Well ends it.
-func (d *Worker) Be(f Fault) {
+// InjectFault injects a fault from now on; Well ends it.
+func (d *Worker) InjectFault(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = f
@@ -189,9 +189,9 @@
 	return false
 }
 
-// Take reserves a worker for one fault at a time. It returns false if the worker is already reserved
+// Reserve reserves a worker for one fault at a time. It returns false if the worker is already reserved
 // or has stopped.
-func (d *Worker) Take() bool {
+func (d *Worker) Reserve() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	reserved := d.reserved || d.ctx.Err() != nil
@@ -199,8 +199,8 @@
 	return !reserved
 }
 
-// Give releases the reservation that Take made.
-func (d *Worker) Give() {
+// Release releases the reservation that Take made.
+func (d *Worker) Release() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reserved = false
--- a/internal/testbed/database_faults.go
+++ b/internal/testbed/database_faults.go
@@ -44,10 +44,10 @@
 	}
 	d := alive[r.IntN(len(alive))]
 	if kind == Crash || kind == Release {
-		if !d.Take() {
+		if !d.Reserve() {
 			return nil
 		}
-		defer d.Give()
+		defer d.Release()
 	}
 	faultNumber := t.traffic.Begin(history.Trouble{Kind: kind, Node: d.ID, Planned: kind == Release, At: t.traffic.Now()})
 	defer func() { t.traffic.End(faultNumber) }()
@@ -64,12 +64,12 @@
 	case Hang:
 		t.hang(ctx, d.IP, r)
 	case Deaf:
-		d.Deaf(true)
+		d.SetReplicationStopped(true)
 		sleep(ctx, randomDuration(r, maxDeaf))
 		if r.IntN(2) == 0 {
 			t.crashPrimary(ctx, g, d, id, r)
 		}
-		d.Deaf(false)
+		d.SetReplicationStopped(false)
 	case ProtocolViolation:
 		manners := standin.AllManners
 		d.Behave(manners[r.IntN(len(manners))], r.Float64()/2)
@@ -82,11 +82,11 @@
 // crashPrimary crashes the primary for a while, unless it is the excluded database or another fault
 // affects it.
 func (t *faultInjector) crashPrimary(ctx context.Context, g *standin.Group, excluded *standin.Database, id string, r *rand.Rand) {
-	primary := g.Lead()
-	if primary == nil || primary == excluded || !primary.Take() {
+	primary := g.Primary()
+	if primary == nil || primary == excluded || !primary.Reserve() {
 		return
 	}
-	defer primary.Give()
+	defer primary.Release()
 	faultNumber := t.traffic.Begin(history.Trouble{Kind: Crash, Node: primary.ID, At: t.traffic.Now()})
 	defer func() { t.traffic.End(faultNumber) }()
 	primary.Crash(false)
--- a/internal/testbed/gateways.go
+++ b/internal/testbed/gateways.go
@@ -100,10 +100,10 @@
 	s := t.services[number]
 	workers := s.Workers()
 	d := workers[r.IntN(len(workers))]
-	if !d.Take() {
+	if !d.Reserve() {
 		return nil // it is down or draining
 	}
-	defer d.Give()
+	defer d.Release()
 	fault := t.traffic.Begin(history.Trouble{Kind: kind, Node: d.ID, Planned: kind == Release, At: t.traffic.Now()})
 	defer func() { t.traffic.End(fault) }()
 	id := fmt.Sprintf("%s-r%d", s.Name, t.rounds.next())
@@ -129,9 +129,9 @@
 	case Hang:
 		t.hang(ctx, d.IP, r)
 	case ProtocolViolation:
-		d.Be(standin.AllFaults[r.IntN(len(standin.AllFaults))])
+		d.InjectFault(standin.AllFaults[r.IntN(len(standin.AllFaults))])
 		sleep(ctx, randomDuration(r, maxMisbehaving))
-		d.Be(standin.Well)
+		d.InjectFault(standin.Well)
 	}
 	return nil
 }
--- a/internal/testbed/host.go
+++ b/internal/testbed/host.go
@@ -98,8 +98,8 @@
 	return h.silent
 }
 
-// Made implements standin.Environment.
-func (l *loopback) Made(c net.Conn) bool { return l.links.reachedTarget(c.LocalAddr().String()) }
+// ReachedPeer implements standin.Environment.
+func (l *loopback) ReachedPeer(c net.Conn) bool { return l.links.reachedTarget(c.LocalAddr().String()) }
 
 // Silence implements standin.Environment: while it is silent, the host reads and writes nothing.
 func (l *loopback) Silence(ip string, silent bool) {
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -97,7 +97,7 @@
 		return
 	}
 	g := t.groups[r.IntN(len(t.groups))]
-	primary := g.Lead()
+	primary := g.Primary()
 	if primary == nil {
 		return
 	}
--- a/internal/testbed/relay_test.go
+++ b/internal/testbed/relay_test.go
@@ -197,7 +197,7 @@
 			continue
 		}
 		passed := exchange(conn, longEnough) == nil
-		reported := (&loopback{links: l}).Made(conn)
+		reported := (&loopback{links: l}).ReachedPeer(conn)
 		conn.Close()
 		if passed != made || reported != made {
 			t.Errorf("%s: the line was echoed: %t, reported as connected: %t", name, passed, reported)
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -370,7 +370,7 @@
 		rev, _ = b.operators.read(r)
 	}
 	for _, g := range b.groups {
-		if leader := g.Lead(); leader != nil {
+		if leader := g.Primary(); leader != nil {
 			b.traffic.Promoted(history.Promotion{Service: g.Service, Database: leader.ID, Holds: leader.Holds(), At: b.traffic.Now()})
 		}
 	}
