--- a/cmd/indigowalk/accept.go
+++ b/cmd/indigowalk/accept.go
@@ -45,15 +45,15 @@
 	}
 	t := toolRun{out: out, errOut: errOut, json: *asJSON}
 	ctx, network := context.Background(), kernel.HostNetwork{}
-	system := tools.Ask(ctx, network, fs.Args()[1:], true)
-	waiting, err := system.WaitingOf(fs.Arg(0))
+	system := tools.CollectReports(ctx, network, fs.Args()[1:], true)
+	waiting, err := system.FindBlocked(fs.Arg(0))
 	if err != nil {
 		return t.fail(err)
 	}
 	if *failoverNumber == 0 {
 		return t.show(waiting, waiting.Print)
 	}
-	if err := waiting.Accept(ctx, network, *failoverNumber, *acceptedBy); err != nil {
+	if err := waiting.AcceptLoss(ctx, network, *failoverNumber, *acceptedBy); err != nil {
 		return t.fail(err)
 	}
 	return t.show(waiting, func(w io.Writer) {
--- a/cmd/indigowalk/tools.go
+++ b/cmd/indigowalk/tools.go
@@ -186,7 +186,7 @@
 			return t.fail(fmt.Errorf("%s: %w", view, err))
 		}
 	} else {
-		system = tools.Ask(context.Background(), kernel.HostNetwork{}, []string{from}, true)
+		system = tools.CollectReports(context.Background(), kernel.HostNetwork{}, []string{from}, true)
 	}
 	step, target := operands[0], ""
 	var config *routeconfig.Configuration
@@ -208,7 +208,7 @@
 	default:
 		return exitUsage
 	}
-	p, err := system.Make(step, target, config)
+	p, err := system.MakePlan(step, target, config)
 	if err != nil {
 		return t.fail(err)
 	}
@@ -233,13 +233,13 @@
 		if r.CutOff {
 			fmt.Fprint(w, ", the last one cut off")
 		}
-		if r.Broken > 0 {
-			fmt.Fprintf(w, "; broken at record %d: %s\n", r.Broken, r.Rule)
+		if r.FirstViolation > 0 {
+			fmt.Fprintf(w, "; broken at record %d: %s\n", r.FirstViolation, r.Rule)
 		} else {
 			fmt.Fprintln(w, "; every rule kept")
 		}
 	})
-	if r.Broken > 0 {
+	if r.FirstViolation > 0 {
 		return exitFault
 	}
 	return code
@@ -247,8 +247,8 @@
 
 func (t toolRun) failures(addrs []string, all bool, only string) int {
 	ctx, network := context.Background(), kernel.HostNetwork{}
-	report := tools.Ask(ctx, network, addrs, all).Failures(ctx, network)
-	report.Only(only)
+	report := tools.CollectReports(ctx, network, addrs, all).Failures(ctx, network)
+	report.Filter(only)
 	code := t.show(report, report.Print)
 	if len(report.Missing) > 0 {
 		return exitFault
@@ -257,7 +257,7 @@
 }
 
 func (t toolRun) status(addrs []string, all, details bool, only string) int {
-	system := tools.Ask(context.Background(), kernel.HostNetwork{}, addrs, all)
+	system := tools.CollectReports(context.Background(), kernel.HostNetwork{}, addrs, all)
 	code := t.show(system, func(w io.Writer) { system.Print(w, details, only) })
 	if len(system.Missing) > 0 {
 		return exitFault
--- a/internal/simulation/cutoff_test.go
+++ b/internal/simulation/cutoff_test.go
@@ -194,7 +194,7 @@
 	core(t, 4, 1, func(w *World, g *Group) {
 		cut := controlPrimary(w)
 		host, addr := w.Net.Host("10.250.0.9"), func(z int) string { return ip(z) + ":7440" }
-		before := tools.Ask(context.Background(), host, []string{addr(cut)}, false)
+		before := tools.CollectReports(context.Background(), host, []string{addr(cut)}, false)
 		w.Isolate(cut, true)
 		time.Sleep(4 * time.Second)
 		says := func(sys *tools.System) string {
@@ -202,23 +202,23 @@
 			sys.Print(&text, false, "")
 			return text.String()
 		}
-		alone := tools.Ask(context.Background(), host, []string{addr(cut)}, false)
+		alone := tools.CollectReports(context.Background(), host, []string{addr(cut)}, false)
 		name := fmt.Sprintf("control-%d", cut)
 		if text := says(alone); !strings.Contains(text, "not current, no primary among those asked; the last that "+name+" heard of is epoch") ||
 			!strings.Contains(text, "hears no primary") || strings.Contains(text, "configuration: version") {
 			t.Errorf("the one that is cut off says:\n%s", text)
 		}
-		if _, err := alone.Make("restart", "", nil); err == nil {
+		if _, err := alone.MakePlan("restart", "", nil); err == nil {
 			t.Error("planned on what a member says that does not lead")
 		}
-		all := tools.Ask(context.Background(), host, []string{addr(1), addr(2), addr(3), addr(4)}, false)
+		all := tools.CollectReports(context.Background(), host, []string{addr(1), addr(2), addr(3), addr(4)}, false)
 		if p := all.Primary(); p == nil || p.Node == name || strings.Contains(says(all), "not current") || !strings.Contains(says(all), name+" in") {
 			t.Errorf("all say:\n%s", says(all))
 		}
 		// What was asked before the cut, beside what others have heard since.
-		mixed := &tools.System{Reports: append(before.Reports, tools.Ask(context.Background(), host, []string{addr(1 + cut%4)}, false).Reports...)}
+		mixed := &tools.System{Reports: append(before.Reports, tools.CollectReports(context.Background(), host, []string{addr(1 + cut%4)}, false).Reports...)}
 		mixed.Reports[1].LeaseUs = 0
-		plan, err := mixed.Make("restart", "", nil)
+		plan, err := mixed.MakePlan("restart", "", nil)
 		if !strings.Contains(says(mixed), "not current: control-") || err != nil || len(plan.Warnings) != 1 {
 			t.Errorf("mixed, %v, %v:\n%s", plan, err, says(mixed))
 		}
--- a/internal/simulation/latebeat_test.go
+++ b/internal/simulation/latebeat_test.go
@@ -72,12 +72,12 @@
 		time.Sleep(7 * time.Second)
 		l.Stop()
 		host := w.Net.Host("10.250.0.9")
-		waiting, err := tools.Ask(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).WaitingOf("ledger")
-		if err != nil || !strings.Contains(waiting.Why, "an acknowledged commit is on no replica that is known; 1.") || g.Primary() != nil {
+		waiting, err := tools.CollectReports(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).FindBlocked("ledger")
+		if err != nil || !strings.Contains(waiting.Reason, "an acknowledged commit is on no replica that is known; 1.") || g.Primary() != nil {
 			t.Fatalf("waiting: %+v %v, %v leads", waiting, err, g.Primary())
 		}
 		g.DiscardAcked()
-		if err := waiting.Accept(context.Background(), host, waiting.Turn, "someone"); err != nil {
+		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID, "someone"); err != nil {
 			t.Fatal(err)
 		}
 		w.Until("the one that stays leads", 3*time.Second, func() bool { return g.Primary() == stays })
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -24,13 +24,13 @@
 
 // ask asks every process for its view.
 func (w *World) ask() *tools.System {
-	return tools.Ask(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true)
+	return tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true)
 }
 
 // status is what the tool says of the system in short.
 func (w *World) status() string {
 	var b bytes.Buffer
-	tools.Ask(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true).Print(&b, false, "")
+	tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true).Print(&b, false, "")
 	return b.String()
 }
 
@@ -339,17 +339,17 @@
 			t.Fatal("a database was promoted that lacks commits")
 		}
 		host := w.Net.Host("10.250.0.9")
-		ask := func() (*tools.Waiting, error) {
-			return tools.Ask(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).WaitingOf("ledger")
+		ask := func() (*tools.BlockedFailover, error) {
+			return tools.CollectReports(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).FindBlocked("ledger")
 		}
 		waiting, err := ask()
-		if err != nil || waiting.Turn != 1 || !strings.Contains(waiting.Why, "ledger-2") {
+		if err != nil || waiting.FailoverID != 1 || !strings.Contains(waiting.Reason, "ledger-2") {
 			t.Fatalf("waiting: %+v %v", waiting, err)
 		}
-		if err := waiting.Accept(context.Background(), host, waiting.Turn+1, "someone"); err == nil {
+		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID+1, "someone"); err == nil {
 			t.Error("an order for another turn was taken")
 		}
-		if err := waiting.Accept(context.Background(), host, waiting.Turn, ""); err == nil {
+		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID, ""); err == nil {
 			t.Error("an order without a name was taken")
 		}
 		time.Sleep(time.Second)
@@ -357,7 +357,7 @@
 			t.Error("an order that was refused had its effect")
 		}
 		g.DiscardAcked()
-		if err := waiting.Accept(context.Background(), host, waiting.Turn, "someone"); err != nil {
+		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID, "someone"); err != nil {
 			t.Fatal(err)
 		}
 		w.Until("the one that is left leads", 3*time.Second, func() bool { return g.Primary() == g.DB(2) })
@@ -366,7 +366,7 @@
 		if lead.Accepted.By != "someone" || lead.Accepted.FailoverID != 1 || lead.Accepted.AtMs == 0 || lead.MinPosition != "" {
 			t.Errorf("the record: %+v", lead)
 		}
-		if err := waiting.Accept(context.Background(), host, waiting.Turn, "someone"); err == nil {
+		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID, "someone"); err == nil {
 			t.Error("an order for a move that is over was taken")
 		}
 	})
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -233,7 +233,7 @@
 	play(t, func(w *World, g *Group) {
 		z := controlPrimary(w)
 		host := w.Net.Host("10.250.0.9")
-		sys := tools.Ask(context.Background(), host, []string{ip(z) + ":7440"}, true)
+		sys := tools.CollectReports(context.Background(), host, []string{ip(z) + ":7440"}, true)
 		if len(sys.Reports) != 8 || len(sys.Missing) != 0 || sys.Primary() == nil {
 			t.Fatalf("%d reports, %v missing", len(sys.Reports), sys.Missing)
 		}
@@ -252,26 +252,26 @@
 		if text := says(false, "pooler-2"); !strings.Contains(text, "pooler pooler-2 in z2") || strings.Contains(text, "pooler-3") {
 			t.Errorf("of one pooler:\n%s", text)
 		}
-		p, err := sys.Make("release", "ledger-1", nil)
+		p, err := sys.MakePlan("release", "ledger-1", nil)
 		if err != nil || len(p.Warnings) != 0 || !strings.Contains(p.Effects[0], "[ledger-2 ledger-3]") || p.Headroom["ledger"] != 14 || p.Conns["ledger"] != 20 {
 			t.Errorf("release: %+v %v", p, err)
 		}
-		p, err = sys.Make("lose", fmt.Sprintf("control-%d", z), nil)
+		p, err = sys.MakePlan("lose", fmt.Sprintf("control-%d", z), nil)
 		if err != nil || !strings.Contains(strings.Join(p.Effects, "\n"), "takes over") || !strings.HasSuffix(p.Restart[7], fmt.Sprintf("control-%d", z)) {
 			t.Errorf("loss: %+v %v", p, err)
 		}
-		p, err = sys.Make("grow", "40", nil)
+		p, err = sys.MakePlan("grow", "40", nil)
 		if err != nil || p.Conns["ledger"] != 2 || len(p.Warnings) != 0 || !strings.Contains(strings.Join(p.Effects, "\n"), "44 members") {
 			t.Errorf("40 poolers: %+v %v", p, err)
 		}
-		if p, err = sys.Make("grow", "91", nil); err != nil || len(p.Warnings) != 1 {
+		if p, err = sys.MakePlan("grow", "91", nil); err != nil || len(p.Warnings) != 1 {
 			t.Errorf("91 poolers on 90 connections: %+v %v", p, err)
 		}
-		if _, err := sys.Make("drain", "nothing", nil); err == nil {
+		if _, err := sys.MakePlan("drain", "nothing", nil); err == nil {
 			t.Error("a drain of an unknown database was planned")
 		}
 		w.Process("pooler", 2).Kill()
-		sys = tools.Ask(context.Background(), host, []string{ip(z) + ":7440"}, true)
+		sys = tools.CollectReports(context.Background(), host, []string{ip(z) + ":7440"}, true)
 		if len(sys.Reports) != 7 || len(sys.Missing) != 1 {
 			t.Errorf("with a pooler gone: %d reports, %v missing", len(sys.Reports), sys.Missing)
 		}
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -28,7 +28,7 @@
 	log                []entry // received entries; clipped when shared, so that an append copies
 	replicationStopped bool
 	alive              bool
-	reserved           bool // by a fault that crashes or drains it; see Take
+	reserved           bool // by a fault that crashes or drains it; see Reserve
 	draining           bool
 	drainAckedAt       time.Time // when draining or deregistration was first acknowledged
 	seq                int64
@@ -67,7 +67,7 @@
 	return true
 }
 
-// Release releases the reservation that Take made.
+// Release ends the reservation that Reserve made.
 func (d *Database) Release() {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
@@ -106,7 +106,8 @@
 	d.start()
 }
 
-// SetReplicationStopped stops a replica from receiving replicated writes, or lets it receive them again.
+// SetReplicationStopped stops a replica from receiving replicated writes, or lets it receive them
+// again.
 func (d *Database) SetReplicationStopped(stopped bool) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
--- a/internal/standin/environment.go
+++ b/internal/standin/environment.go
@@ -24,8 +24,8 @@
 	Controls() []string
 	// Reaches reports whether packets pass from one address to another.
 	Reaches(from, to string) bool
-	// ReachedPeer reports whether a broken connection had reached its intended peer. It may not have
-	// where a relay in between accepts connections on behalf of others.
+	// ReachedPeer reports whether a broken connection had reached its intended peer. It may not
+	// have where a relay in between accepts connections on behalf of others.
 	ReachedPeer(c net.Conn) bool
 	// Silence makes a host unresponsive, or responsive again.
 	Silence(ip string, silent bool)
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -75,7 +75,7 @@
 	return g.currentPrimary()
 }
 
-// currentPrimary is Lead for a caller that holds the lock.
+// currentPrimary is Primary for a caller that holds the lock.
 func (g *Group) currentPrimary() *Database {
 	if d := g.newestPrimary(); d != nil && d.alive {
 		return d
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// SetSessionTenant records the tenant that a session belongs to; its statements may run for no other tenant.
+// SetSessionTenant records the tenant that a session belongs to; its statements may run for no
+// other tenant.
 // With "" they are not checked.
 func (g *Group) SetSessionTenant(session, tenant string) {
 	g.mu.Lock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -69,7 +69,7 @@
 	Work     time.Duration
 
 	mu       sync.Mutex
-	reserved bool // a fault is being injected; see Take
+	reserved bool // a fault is being injected; see Reserve
 	fault    Fault
 	healthy  bool
 	draining bool
@@ -189,8 +189,8 @@
 	return false
 }
 
-// Reserve reserves a worker for one fault at a time. It returns false if the worker is already reserved
-// or has stopped.
+// Reserve reserves a worker for one fault at a time. It returns false if the worker is already
+// reserved or has stopped.
 func (d *Worker) Reserve() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -199,7 +199,7 @@
 	return !reserved
 }
 
-// Release releases the reservation that Take made.
+// Release ends the reservation that Reserve made.
 func (d *Worker) Release() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/database_faults.go
+++ b/internal/testbed/database_faults.go
@@ -28,8 +28,8 @@
 	t.cluster.net.Silence(ip, false)
 }
 
-// injectDatabaseFault injects one database fault and returns when it is over. It does nothing if fewer
-// than three databases of the service are alive and not being removed.
+// injectDatabaseFault injects one database fault and returns when it is over. It does nothing if
+// fewer than three databases of the service are alive and not being removed.
 func (t *faultInjector) injectDatabaseFault(ctx context.Context, kind string, r *rand.Rand) error {
 	number := r.IntN(len(t.groups))
 	g := t.groups[number]
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -18,8 +18,8 @@
 	maxDelay         = 40 * time.Millisecond
 )
 
-// injectLinkFault injects one link fault and returns when it is over. It does nothing if the fault is
-// not permitted now.
+// injectLinkFault injects one link fault and returns when it is over. It does nothing if the fault
+// is not permitted now.
 func (t *faultInjector) injectLinkFault(ctx context.Context, kind string, r *rand.Rand) error {
 	switch kind {
 	case CutCore, CutCarrier, CutDatabases:
--- a/internal/testbed/machine_faults.go
+++ b/internal/testbed/machine_faults.go
@@ -40,8 +40,8 @@
 	return candidates[r.IntN(len(candidates))]
 }
 
-// injectMachineFault injects one machine fault and returns when it is over. It does nothing if the fault
-// is not permitted now.
+// injectMachineFault injects one machine fault and returns when it is over. It does nothing if the
+// fault is not permitted now.
 func (t *faultInjector) injectMachineFault(ctx context.Context, kind string, r *rand.Rand) error {
 	if kind == All {
 		return t.restartAll(ctx, r)
--- a/internal/testbed/plan.go
+++ b/internal/testbed/plan.go
@@ -34,7 +34,7 @@
 	Datagrams    = "datagrams"     // datagrams are lost, duplicated and delayed
 	Delay        = "delay"         // the links of a machine have added latency
 	ResetLinks   = "reset_links"   // connections between the program's processes are reset
-	Split        = "split"         // the control machines are partitioned into halves; only if Beyond is set
+	Split        = "split"         // the control machines are partitioned into halves; only if ExceedTolerated is set
 )
 
 // Kinds of faults of a process's resources.
--- a/internal/testbed/timelines.go
+++ b/internal/testbed/timelines.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// databaseHosts returns the addresses of all databases; true marks those of the service with the given
-// number, or all if it is negative.
+// databaseHosts returns the addresses of all databases; true marks those of the service with the
+// given number, or all if it is negative.
 func (t *faultInjector) databaseHosts(service int) map[string]bool {
 	set := map[string]bool{}
 	for i, g := range t.groups {
--- a/internal/testbed/verdict.go
+++ b/internal/testbed/verdict.go
@@ -110,7 +110,7 @@
 		}
 	}
 	network := kernel.HostNetwork{BindIP: operatorHost()}
-	for _, text := range findLeaks(open, tools.Ask(ctx, network, addrs, false)) {
+	for _, text := range findLeaks(open, tools.CollectReports(ctx, network, addrs, false)) {
 		out = append(out, history.Breach{Rule: Leak, At: now, Text: text})
 	}
 	return out
--- a/internal/tools/failures.go
+++ b/internal/tools/failures.go
@@ -55,9 +55,9 @@
 	return result
 }
 
-// Only keeps the failures of which the node, role, request ID, route, service, tenant or cause
+// Filter keeps the failures of which the node, role, request ID, route, service, tenant or cause
 // contains text.
-func (r *FailureReport) Only(text string) {
+func (r *FailureReport) Filter(text string) {
 	r.Failures = slices.DeleteFunc(r.Failures, func(f NodeFailure) bool {
 		return !anyContains(text, f.Node, f.Role, f.ID, f.Route, f.Service, f.Tenant, f.Cause)
 	})
--- a/internal/tools/plan.go
+++ b/internal/tools/plan.go
@@ -38,9 +38,9 @@
 	return s, nil
 }
 
-// Make returns the plan of a step: "config" with a parsed configuration, "drain" or "release" with
-// a database, "lose" with a node, "restart" of all processes, or "grow" to a number of poolers.
-func (s *System) Make(step, what string, conf *routeconfig.Configuration) (*Plan, error) {
+// MakePlan returns the plan of a step: "config" with a parsed configuration, "drain" or "release"
+// with a database, "lose" with a node, "restart" of all processes, or "grow" to a number of poolers.
+func (s *System) MakePlan(step, what string, conf *routeconfig.Configuration) (*Plan, error) {
 	p := s.Primary()
 	if p == nil {
 		return nil, fmt.Errorf("the view holds no control node with a lease: ask all members")
--- a/internal/tools/replay.go
+++ b/internal/tools/replay.go
@@ -18,10 +18,10 @@
 
 // ReplayResult is the outcome of replaying a recording.
 type ReplayResult struct {
-	Records int    `json:"records"`
-	CutOff  bool   `json:"cut_off,omitempty"` // the last record is truncated
-	Broken  int    `json:"broken,omitempty"`  // number of the first record that violates a rule, from 1
-	Rule    string `json:"rule,omitempty"`
+	Records        int    `json:"records"`
+	CutOff         bool   `json:"cut_off,omitempty"` // the last record is truncated
+	FirstViolation int    `json:"broken,omitempty"`  // number of the first record that violates a rule, from 1
+	Rule           string `json:"rule,omitempty"`
 }
 
 // Replay feeds a recording through the code that made the recorded decisions. It writes the state
@@ -39,8 +39,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("record %d: %w", result.Records, err)
 		}
-		if rule != "" && result.Broken == 0 {
-			result.Broken, result.Rule = result.Records, rule
+		if rule != "" && result.FirstViolation == 0 {
+			result.FirstViolation, result.Rule = result.Records, rule
 		}
 	}
 	return result, nil
--- a/internal/tools/status.go
+++ b/internal/tools/status.go
@@ -27,9 +27,9 @@
 
 const requestTimeout = 2 * kernel.Second
 
-// Ask collects the reports of the processes at the given internal addresses. With all set, it also
-// queries every member that they know.
-func Ask(ctx context.Context, n kernel.Network, addrs []string, all bool) *System {
+// CollectReports collects the reports of the processes at the given internal addresses. With all set, it
+// also queries every member that they know.
+func CollectReports(ctx context.Context, n kernel.Network, addrs []string, all bool) *System {
 	k := kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler))
 	endpoint := rpc.NewEndpoint(k, "")
 	defer endpoint.CloseConnections()
