--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -386,9 +386,10 @@
 	ShuttingDown <-chan struct{} // when closed, the wait ends with ErrShuttingDown
 }
 
-// NewLimit returns a WaitLimit that lasts for the given time, and ends early when ending is closed.
-func NewLimit(timeout kernel.Micros, ending <-chan struct{}) WaitLimit {
-	return WaitLimit{time.Now().Add(timeout.Duration()), ending}
+// NewLimit returns a WaitLimit that lasts for the given time, and ends early when shuttingDown
+// is closed.
+func NewLimit(timeout kernel.Micros, shuttingDown <-chan struct{}) WaitLimit {
+	return WaitLimit{time.Now().Add(timeout.Duration()), shuttingDown}
 }
 
 func (p WaitLimit) left() kernel.Micros { return kernel.Micros(time.Until(p.Until) / time.Microsecond) }
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -104,8 +104,8 @@
 	commits        commitTracker
 	failoverSeenAt map[string]kernel.Micros // when the current failover became known, by service
 
-	changes kernel.Notifier // rings at each change
-	// drained rings when nothing is in flight any more at a primary that is being replaced.
+	changes kernel.Notifier // notifies of each change
+	// drained notifies when nothing is in flight any more at a primary that is being replaced.
 	drained  kernel.Notifier
 	relaying atomic.Int32 // number of peers' polls being relayed
 }
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -30,7 +30,7 @@
 	epoch   int64
 	poolers map[string]*leaseHolder
 	acks    ackTracker
-	bell    kernel.Notifier
+	changes kernel.Notifier
 }
 
 // Report is what a pooler reports about the primaries with a poll.
@@ -71,7 +71,7 @@
 		r.acks.unreportedUntil = max(r.acks.unreportedUntil, now)
 	}
 	if changed := fresh || !maps.Equal(d.Left, report.Left); changed {
-		r.bell.NotifyAll()
+		r.changes.NotifyAll()
 	}
 	d.Report, d.lastHeard = report, now
 	return incarnation, true
@@ -171,7 +171,7 @@
 }
 
 // Changed returns a channel that is closed when a pooler's acknowledgements change.
-func (r *Readers) Changed() <-chan struct{} { return r.bell.Wait() }
+func (r *Readers) Changed() <-chan struct{} { return r.changes.Wait() }
 
 // proxyPrefix starts the keys of the control state's entries that register poolers: a pooler is
 // registered before it is granted its first lease, so that the next primary knows which poolers
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -86,7 +86,7 @@
 	budget      byteBudget
 	faults      outbox // for all peers
 	suspicions  outbox // for the control nodes
-	bell        kernel.Notifier
+	changes     kernel.Notifier
 }
 
 // New returns a health monitor.
@@ -124,7 +124,7 @@
 }
 
 // Changed returns a channel that is closed at the next change of any database's state.
-func (s *Monitor) Changed() <-chan struct{} { return s.bell.Wait() }
+func (s *Monitor) Changed() <-chan struct{} { return s.changes.Wait() }
 
 // Bind binds a session to a database that is up.
 func (s *Monitor) Bind(id string) *Binding {
@@ -268,7 +268,7 @@
 		}
 		if e.OK {
 			s.k.Log.Info("database up", "id", e.Database, "generation", h.generation)
-			s.bell.NotifyAll()
+			s.changes.NotifyAll()
 			return
 		}
 		s.handleDown(e.Database, e.Generation)
@@ -286,7 +286,7 @@
 	for b := range s.bindings[id] {
 		b.apply(Notice{id, generation})
 	}
-	s.bell.NotifyAll()
+	s.changes.NotifyAll()
 }
 
 // nextCheck returns the time until a check is due.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -98,7 +98,7 @@
 	nextSeq        uint64
 	pendingAcks    map[uint64]chan struct{}
 	handlers       map[string]func(from string, body json.RawMessage)
-	changeBell     kernel.Notifier
+	changes        kernel.Notifier
 }
 
 // New returns a member list. Its incarnation is the wall-clock time, so that a restarted
@@ -122,7 +122,7 @@
 }
 
 // Changed returns a channel that is closed at the next change of membership.
-func (r *Memberlist) Changed() <-chan struct{} { return r.changeBell.Wait() }
+func (r *Memberlist) Changed() <-chan struct{} { return r.changes.Wait() }
 
 // Handle registers the handler for kind k of datagrams that another package defines.
 // All handlers must be registered before Serve is called.
@@ -351,7 +351,7 @@
 			sends = newMemberSends
 		}
 		r.queueUpdate(e, sends)
-		r.changeBell.NotifyAll()
+		r.changes.NotifyAll()
 		return Member{}, false
 	}
 	if m.Incarnation < e.Incarnation || m.Incarnation == e.Incarnation && m.Status <= e.Status {
@@ -364,7 +364,7 @@
 	e.Member = m
 	r.queueUpdate(e, r.retransmitLimit())
 	if changed {
-		r.changeBell.NotifyAll()
+		r.changes.NotifyAll()
 	}
 	return Member{}, false
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -180,7 +180,7 @@
 			e.Status, e.statusSince = Dead, now
 			r.queueUpdate(e, r.retransmitLimit())
 			r.k.Log.Info("member declared dead: suspicion not refuted in time", "name", e.Name, "role", e.Role)
-			r.changeBell.NotifyAll()
+			r.changes.NotifyAll()
 		case e.Status == Dead && now-e.statusSince > 60*r.cfg.ProbeInterval:
 			delete(r.members, addr)
 		}
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -63,7 +63,7 @@
 // recordIncarnation records the incarnation of the process at an address. It reports
 // whether that is the newest one, and returns the newest. If an incoming connection
 // is given, it must be newer than the caller's previous one, which it replaces.
-func (e *Endpoint) recordIncarnation(addr string, life, seq int64, c net.Conn) (newest int64, ok bool) {
+func (e *Endpoint) recordIncarnation(addr string, incarnation, seq int64, c net.Conn) (newest int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.processes[addr]
@@ -72,21 +72,21 @@
 			e.processes[addr] = p
 		}
 	}
-	if life < p.incarnation || c != nil && life == p.incarnation && seq <= p.seq {
+	if incarnation < p.incarnation || c != nil && incarnation == p.incarnation && seq <= p.seq {
 		e.k.Counters.Add("rpc.old_life", 1)
 		return p.incarnation, false
 	}
-	if (life > p.incarnation || c != nil) && p.conn != nil {
+	if (incarnation > p.incarnation || c != nil) && p.conn != nil {
 		p.conn.Close()
 		p.conn = nil
 	}
-	if life > p.incarnation {
-		p.incarnation, p.seq = life, 0
+	if incarnation > p.incarnation {
+		p.incarnation, p.seq = incarnation, 0
 	}
 	if c != nil {
 		p.seq, p.conn = seq, c
 	}
-	return life, true
+	return incarnation, true
 }
 
 // raiseIncarnation moves this process to the incarnation after other, which belonged
@@ -100,7 +100,7 @@
 	}
 }
 
-func (e *Endpoint) currentIncarnation() (life int64) {
+func (e *Endpoint) currentIncarnation() (incarnation int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.incarnation
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -95,8 +95,8 @@
 	}()
 }
 
-func helloLine(from, to string, life int) string {
-	return fmt.Sprintf(`{"hello":{"from":"%s","to":"%s","life":%d,"seq":1}}`, from, to, life)
+func helloLine(from, to string, incarnation int) string {
+	return fmt.Sprintf(`{"hello":{"from":"%s","to":"%s","life":%d,"seq":1}}`, from, to, incarnation)
 }
 
 // A response is accepted only from the intended process in its newest incarnation,
