--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -224,7 +224,7 @@
 	if !ok {
 		return
 	}
-	var beat discovery.Heartbeat
+	var beat discovery.Beat
 	if err := json.Unmarshal(raw, &beat); err != nil {
 		r.writeError(w, http.StatusBadRequest, "beat: "+err.Error())
 		return
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -50,8 +50,9 @@
 	return d
 }
 
-// Heartbeat is what a database sends periodically.
-type Heartbeat struct {
+// Beat is the heartbeat that a database sends periodically. The name of the type stands in the
+// response to a malformed one ("json: cannot unmarshal ... field Beat.svc"), so it must not change.
+type Beat struct {
 	Service  string `json:"svc"`
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
@@ -119,7 +120,7 @@
 // Heartbeat processes a heartbeat; it returns nil only once everything in it that is control
 // state is durable. A database that is draining never returns under the same ID, and one that is
 // gone or was replaced never exists again: a heartbeat that says otherwise is a delayed one.
-func (a *Registry) Heartbeat(ctx context.Context, id string, b Heartbeat) error {
+func (a *Registry) Heartbeat(ctx context.Context, id string, b Beat) error {
 	if id == "" || b.Service == "" || b.Address == "" {
 		a.k.Counters.Add("discovery.malformed", 1)
 		return ErrMalformed
@@ -168,7 +169,7 @@
 
 // recordObserved records what a heartbeat contains besides control state; it returns false for a
 // heartbeat that is older than one processed before.
-func (a *Registry) recordObserved(id string, b Heartbeat) bool {
+func (a *Registry) recordObserved(id string, b Beat) bool {
 	now := a.k.Clock.Now()
 	a.mu.Lock()
 	old, known := a.observed[id]
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), nil)
 		for day := range 1000 {
-			if !a.recordObserved(fmt.Sprint("database-", day), Heartbeat{Seq: 1, Role: "replica"}) {
+			if !a.recordObserved(fmt.Sprint("database-", day), Beat{Seq: 1, Role: "replica"}) {
 				t.Fatal("a first heartbeat was considered delayed")
 			}
 			time.Sleep(24 * time.Hour)
