--- a/internal/simulation/latebeat_test.go
+++ b/internal/simulation/latebeat_test.go
@@ -9,86 +9,89 @@
 	"indigowalk/internal/tools"
 )
 
-// replacedLate has a replica be replaced by one whose beats come late, and returns the
-// new one and the one that stays, which receives nothing from then on: the new one
-// alone receives what the primary commits.
-func replacedLate(g *Group, late time.Duration) (newcomer, stays *Database) {
-	newcomer = g.AddLate("ledger-4", "10.4.64.9", "z4", "replica", late)
+// replaceWithLateHeartbeats replaces a replica by one whose heartbeats arrive after the given
+// delay, and stops replication to the remaining replica, so that only the replacement receives
+// what the primary commits. It returns both.
+func replaceWithLateHeartbeats(g *Group, delay time.Duration) (replacement, remaining *Database) {
+	replacement = g.AddLate("ledger-4", "10.4.64.9", "z4", "replica", delay)
 	time.Sleep(300 * time.Millisecond)
 	g.DB(1).Leave(10*time.Second, true)
 	time.Sleep(1200 * time.Millisecond)
-	stays = g.DB(2)
-	stays.SetReplicationStopped(true)
+	remaining = g.DB(2)
+	remaining.SetReplicationStopped(true)
 	time.Sleep(400 * time.Millisecond)
-	return newcomer, stays
+	return replacement, remaining
 }
 
-// Guards against LOST where a replica receives before its first beat is taken: it alone
-// holds acknowledged commits, so nobody else is promoted, and it is as soon as it is known.
-func TestCommitsOnAReplicaWhoseFirstBeatIsLate(t *testing.T) {
+// Guards against the loss of acknowledged commits (LOST) when a replica receives commits before
+// its first heartbeat has arrived. It alone holds acknowledged commits, so no other replica may
+// be promoted, and it must be as soon as it is known.
+func TestCommitsOnReplicaWithLateFirstHeartbeat(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
-			newcomer, _ := replacedLate(g, 3*time.Second)
-			lead := g.Primary()
-			lead.Crash(false)
-			if g.next(lead, 5*time.Second) != newcomer {
-				t.Error("the replica that holds what was acknowledged does not lead")
+		load := under(w, g, func() {
+			replacement, _ := replaceWithLateHeartbeats(g, 3*time.Second)
+			primary := g.Primary()
+			primary.Crash(false)
+			if g.next(primary, 5*time.Second) != replacement {
+				t.Error("the replica that holds the acknowledged commits was not promoted")
 			}
 		})
-		served(t, l, 5*time.Second)
+		served(t, load, 5*time.Second)
 	})
 }
 
-// Guards against a wait without an end: the replica that nobody knew is lost as well, and
-// the primary's return gives the service back what was acknowledged.
-func TestPrimaryReturnsWhereNobodyKnownHoldsItsCommits(t *testing.T) {
+// Guards against a failover that waits forever: the replica that was not known yet crashes as
+// well, and the old primary has the acknowledged commits when it returns, so it must become primary
+// again.
+func TestPrimaryReturnsWhenNoKnownReplicaHasItsCommits(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
-			newcomer, _ := replacedLate(g, 3*time.Second)
-			lead := g.Primary()
-			lead.Crash(false)
-			newcomer.Crash(false)
+		load := under(w, g, func() {
+			replacement, _ := replaceWithLateHeartbeats(g, 3*time.Second)
+			primary := g.Primary()
+			primary.Crash(false)
+			replacement.Crash(false)
 			time.Sleep(7 * time.Second)
 			if g.Primary() != nil {
-				t.Error("a database was promoted that lacks commits")
+				t.Error("a database that lacks acknowledged commits was promoted")
 			}
-			lead.Return("ledger-1b")
-			w.Until("it leads again", 3*time.Second, func() bool { return g.Primary() == lead && strings.Contains(w.status(), "1 with a lead") })
+			primary.Return("ledger-1b")
+			w.Until("the returned database is primary again", 3*time.Second, func() bool { return g.Primary() == primary && strings.Contains(w.status(), "1 with a lead") })
 		})
-		served(t, l, 11*time.Second)
+		served(t, load, 11*time.Second)
 	})
 }
 
-// Guards against a wait without an end: an operator accepts that what the lost replica held
-// is gone, and what was accepted is not waited for at the next move.
-func TestLossOnAReplicaThatWasNeverKnownIsAccepted(t *testing.T) {
+// Guards against a failover that waits forever: the only replica with the last acknowledged commits
+// is lost before its first heartbeat arrives. An operator accepts the loss, and the next failover
+// does not wait for these commits either.
+func TestAcceptedLossOfCommitsOnUnregisteredReplica(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := w.NewLoad(g, 7)
+		load := w.NewLoad(g, 7)
 		time.Sleep(3 * time.Second)
-		newcomer, stays := replacedLate(g, 30*time.Second)
-		lead := g.Primary()
-		lead.Crash(false)
-		newcomer.Crash(false)
+		replacement, remaining := replaceWithLateHeartbeats(g, 30*time.Second)
+		primary := g.Primary()
+		primary.Crash(false)
+		replacement.Crash(false)
 		time.Sleep(7 * time.Second)
-		l.Stop()
+		load.Stop()
 		host := w.Net.Host("10.250.0.9")
-		waiting, err := tools.CollectReports(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).FindBlocked("ledger")
-		if err != nil || !strings.Contains(waiting.Reason, "an acknowledged commit is on no replica that is known; 1.") || g.Primary() != nil {
-			t.Fatalf("waiting: %+v %v, %v leads", waiting, err, g.Primary())
+		blocked, err := tools.CollectReports(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).FindBlocked("ledger")
+		if err != nil || !strings.Contains(blocked.Reason, "an acknowledged commit is on no replica that is known; 1.") || g.Primary() != nil {
+			t.Fatalf("blocked failover: %+v, error %v, primary %v", blocked, err, g.Primary())
 		}
 		g.DiscardAcked()
-		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID, "someone"); err != nil {
+		if err := blocked.AcceptLoss(context.Background(), host, blocked.FailoverID, "someone"); err != nil {
 			t.Fatal(err)
 		}
-		w.Until("the one that stays leads", 3*time.Second, func() bool { return g.Primary() == stays })
-		if recorded := leadOf(t, w); recorded.Waived == "" {
-			t.Errorf("the record: %+v", recorded)
+		w.Until("the remaining replica is primary", 3*time.Second, func() bool { return g.Primary() == remaining })
+		if leader := leadOf(t, w); leader.Waived == "" {
+			t.Errorf("the accepted loss is not recorded: %+v", leader)
 		}
-		lead.Return("ledger-1b")
-		time.Sleep(5 * time.Second) // the one that leaves is gone and forgotten
-		stays.Crash(false)
-		l = w.NewLoad(g, 8) // somebody has to find out
-		defer l.Stop()
-		g.next(stays, 8*time.Second)
+		primary.Return("ledger-1b")
+		time.Sleep(5 * time.Second) // until the replaced replica has left and its entry has been removed
+		remaining.Crash(false)
+		load = w.NewLoad(g, 8) // so that a pooler detects the crash
+		defer load.Stop()
+		g.next(remaining, 8*time.Second)
 	})
 }
--- a/internal/simulation/memory_test.go
+++ b/internal/simulation/memory_test.go
@@ -13,8 +13,8 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// playSmall runs a scenario on a cluster whose processes have 64 MB.
-func playSmall(t *testing.T, f func(w *World, g *Group)) {
+// runWithLittleMemory runs a scenario on a cluster whose processes have a memory limit of 64 MB.
+func runWithLittleMemory(t *testing.T, scenario func(w *World, g *Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
@@ -23,12 +23,13 @@
 		g := w.Group("ledger")
 		w.Boot()
 		w.Configure()
-		f(w, g)
+		scenario(w, g)
 	})
 }
 
-// told passes on what a session is sent first.
-func told(s *Session) <-chan string {
+// firstLine returns a channel that receives the first line sent to a session, or "" if the session
+// ends before or none comes within a minute.
+func firstLine(s *Session) <-chan string {
 	line := make(chan string, 1)
 	go func() {
 		text, _ := s.LineWithin(time.Minute)
@@ -37,8 +38,8 @@
 	return line
 }
 
-// heard returns what has been passed on, "" if nothing has.
-func heard(line <-chan string) string {
+// receivedLine returns the line that is ready in the channel, or "" if there is none.
+func receivedLine(line <-chan string) string {
 	select {
 	case text := <-line:
 		return text
@@ -47,11 +48,11 @@
 	}
 }
 
-// Messages that never become whole take a bounded part of a process's memory, for a
-// bounded time, and short statements are served meanwhile.
-func TestHalfMessagesAreBounded(t *testing.T) {
+// Messages that clients never complete take a bounded share of a pooler's memory for a bounded
+// time, and short statements are served meanwhile.
+func TestMemoryOfIncompleteMessagesIsBounded(t *testing.T) {
 	const clients, length = 30, 900 << 10
-	playSmall(t, func(w *World, g *Group) {
+	runWithLittleMemory(t, func(w *World, g *Group) {
 		var lines []<-chan string
 		for range clients {
 			s, code := w.Login(1, "p.ledger")
@@ -60,71 +61,72 @@
 			}
 			defer s.Close()
 			go s.Send([]byte("QUERY half PUT thing " + strings.Repeat("x", length)))
-			lines = append(lines, told(s))
+			lines = append(lines, firstLine(s))
 		}
 		time.Sleep(time.Second)
-		var open []<-chan string
+		var pending []<-chan string
 		for _, line := range lines {
-			switch text := heard(line); {
+			switch text := receivedLine(line); {
 			case strings.HasPrefix(text, "ERROR "+lineprotocol.Retry):
 			case text == "":
-				open = append(open, line)
+				pending = append(pending, line)
 			default:
-				t.Errorf("a half message is told %q", text)
+				t.Errorf("an incomplete message is answered %q", text)
 			}
 		}
-		if held := len(open) * length; held > 16<<20 {
-			t.Errorf("%d of %d half messages are held, %d MB of 64", len(open), clients, held>>20)
+		if heldBytes := len(pending) * length; heldBytes > 16<<20 {
+			t.Errorf("%d of %d incomplete messages are kept in memory, %d MB of 64", len(pending), clients, heldBytes>>20)
 		}
-		other, _ := w.Login(1, "p.ledger")
-		defer other.Close()
-		if a, _ := other.Query("PUT short 1"); a.Code != "" {
-			t.Errorf("a short statement beside them: %s", a.Code)
+		session, _ := w.Login(1, "p.ledger")
+		defer session.Close()
+		if a, _ := session.Query("PUT short 1"); a.Code != "" {
+			t.Errorf("a short statement while incomplete messages are pending: %s", a.Code)
 		}
 		time.Sleep(31 * time.Second)
-		for _, line := range open {
-			if text := heard(line); !strings.HasPrefix(text, "ERROR "+lineprotocol.Retry) {
-				t.Errorf("a message that is not whole after half a minute is told %q", text)
+		for _, line := range pending {
+			if text := receivedLine(line); !strings.HasPrefix(text, "ERROR "+lineprotocol.Retry) {
+				t.Errorf("a message that is incomplete after 31 s is answered %q", text)
 			}
 		}
-		if a, _ := other.Query("PUT long " + strings.Repeat("y", length)); a.Code != "" {
-			t.Errorf("a long statement half a minute later: %s", a.Code)
+		if a, _ := session.Query("PUT long " + strings.Repeat("y", length)); a.Code != "" {
+			t.Errorf("a long statement after the incomplete messages have expired: %s", a.Code)
 		}
 		time.Sleep(31 * time.Second)
-		other.Query("BEGIN")
+		session.Query("BEGIN")
 		time.Sleep(time.Second)
-		if a, _ := other.Query("PUT short 2"); a.Code != "" || other.State != "T" {
-			t.Errorf("a transaction long after a long statement: %s in state %s", a.Code, other.State)
+		if a, _ := session.Query("PUT short 2"); a.Code != "" || session.State != "T" {
+			t.Errorf("a transaction 31 s after a long statement: %s in state %s", a.Code, session.State)
 		}
 	})
 }
 
-// What a session keeps is bounded, by itself and with all others.
-func TestWhatSessionsKeepIsBounded(t *testing.T) {
-	const clients, shapes, length = 100, 40, 30 << 10
-	playSmall(t, func(w *World, g *Group) {
-		kept, sessions := 0, []*Session{}
+// The memory that prepared statements take is bounded for each session and for all sessions of a
+// pooler together.
+func TestMemoryOfPreparedStatementsIsBounded(t *testing.T) {
+	const clients, statements, length = 100, 40, 30 << 10
+	runWithLittleMemory(t, func(w *World, g *Group) {
+		totalBytes, sessions := 0, []*Session{}
 		for range clients {
 			s, code := w.Login(1, "p.ledger")
 			if code != "" {
 				t.Fatalf("log-in: %s", code)
 			}
 			sessions = append(sessions, s)
-			own := 0
-			for i := range shapes {
+			sessionBytes := 0
+			for i := range statements {
 				a, _ := s.Query(fmt.Sprintf("PARSE s%d PUT %s", i, strings.Repeat("q", length)))
 				if a.Code != "" {
 					break
 				}
-				own += length
+				sessionBytes += length
 			}
-			if own == 0 && kept == 0 || own > 1<<20 {
-				t.Errorf("a session may keep %d bytes", own)
+			if sessionBytes == 0 && totalBytes == 0 || sessionBytes > 1<<20 {
+				t.Errorf("the prepared statements of one session take %d bytes", sessionBytes)
 			}
-			kept += own
+			totalBytes += sessionBytes
 		}
-		if kept > 16<<20 {
-			t.Errorf("%d sessions keep %d MB of 64", clients, kept>>20)
+		if totalBytes > 16<<20 {
+			t.Errorf("the prepared statements of %d sessions take %d MB of 64", clients, totalBytes>>20)
 		}
 		for _, s := range sessions {
 			s.Close()
@@ -133,52 +135,52 @@
 		s, _ := w.Login(1, "p.ledger")
 		defer s.Close()
 		if a, _ := s.Query("PARSE s PUT " + strings.Repeat("q", length)); a.Code != "" {
-			t.Errorf("after all of them have gone: %s", a.Code)
+			t.Errorf("a prepared statement after all other sessions have been closed: %s", a.Code)
 		}
 	})
 }
 
-// A connection to a database keeps the prepared names of clients that went, but not all
-// that there ever were.
-func TestPreparedNamesOfConnectionsAreBounded(t *testing.T) {
-	const shapes, most = 1500, 600
+// A connection to a database keeps the prepared statements of earlier clients for reuse, but only a
+// bounded number of them.
+func TestPreparedStatementsPerConnectionAreBounded(t *testing.T) {
+	const statements, limit = 1500, 600
 	play(t, func(w *World, g *Group) {
 		s, _ := w.Login(1, "p.ledger")
 		defer s.Close()
 		s.Query("OPTION colour red")
-		for i := range shapes {
+		for i := range statements {
 			s.Query(fmt.Sprintf("PARSE s PUT shape%d", i))
 			if a, _ := s.Query(fmt.Sprintf("RUN s thing %d", i)); a.Code != "" {
-				t.Fatalf("shape %d: %s", i, a.Code)
+				t.Fatalf("statement %d: %s", i, a.Code)
 			}
 			s.Query("CLOSE s")
 		}
 		for i := range 3 {
-			if n := g.DB(i).MostPrepared(); n > most {
-				t.Errorf("a connection to database %d has %d prepared names", i+1, n)
+			if n := g.DB(i).MostPrepared(); n > limit {
+				t.Errorf("a connection to database %d has %d prepared statements", i+1, n)
 			}
 		}
 	})
 }
 
-// half sends so many requests, each with a body of which all but the end comes, and tells
-// a second later how many are not answered; the others must have been answered 503.
-func half(t *testing.T, w *World, addr, head string, requests, length int) (open int) {
+// sendTruncatedBodies sends requests whose bodies lack their last byte, and returns how many are
+// still unanswered a second later. The others must have been answered with status 503.
+func sendTruncatedBodies(t *testing.T, w *World, addr, head string, requests, length int) (pending int) {
 	t.Helper()
 	var answers []<-chan int
 	for range requests {
-		c, err := w.Net.Host(requestHost).Dial(context.Background(), addr, 0)
+		conn, err := w.Net.Host(requestHost).Dial(context.Background(), addr, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { conn.Close() })
 		answer := make(chan int, 1)
 		answers = append(answers, answer)
 		go func() {
-			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head, length, strings.Repeat("x", length-1))
+			fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n%s", head, length, strings.Repeat("x", length-1))
 		}()
 		go func() {
-			if a, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
+			if a, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
 				a.Body.Close()
 				answer <- a.StatusCode
 			}
@@ -189,18 +191,18 @@
 		select {
 		case status := <-answer:
 			if status != http.StatusServiceUnavailable {
-				t.Errorf("half a body is answered %d", status)
+				t.Errorf("a request with an incomplete body got status %d, want 503", status)
 			}
 		default:
-			open++
+			pending++
 		}
 	}
-	return open
+	return pending
 }
 
-// Bodies that never become whole take a bounded part of a gateway's memory, and of a
-// control node's.
-func TestHalfBodiesAreBounded(t *testing.T) {
+// Request bodies that clients never complete take a bounded share of the memory of a gateway and
+// of a control node.
+func TestMemoryOfIncompleteBodiesIsBounded(t *testing.T) {
 	for role, c := range map[string]struct {
 		requests, length int
 		port, head       string
@@ -220,13 +222,13 @@
 				if role == "control" {
 					zone = controlPrimary(w)
 				}
-				open := half(t, w, ip(zone)+":"+c.port, c.head, c.requests, c.length)
-				if held := open * c.length; open == 0 || held > 16<<20 {
-					t.Errorf("%d of %d half bodies are held, %d MB of 64", open, c.requests, held>>20)
+				pending := sendTruncatedBodies(t, w, ip(zone)+":"+c.port, c.head, c.requests, c.length)
+				if heldBytes := pending * c.length; pending == 0 || heldBytes > 16<<20 {
+					t.Errorf("%d of %d incomplete bodies are kept in memory, %d MB of 64", pending, c.requests, heldBytes>>20)
 				}
 				time.Sleep(15 * time.Second)
-				if again := half(t, w, ip(zone)+":"+c.port, c.head, 1, c.length); again != 1 {
-					t.Error("once they are gone, one is refused")
+				if pendingAgain := sendTruncatedBodies(t, w, ip(zone)+":"+c.port, c.head, 1, c.length); pendingAgain != 1 {
+					t.Error("a body is refused after the incomplete ones have expired")
 				}
 			})
 		})
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -20,24 +20,25 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// ledgerFrame is what the orders of these tests have besides their own routes.
+// ledgerFrame is the part of the configuration that all orders of these tests share.
 var ledgerFrame = history.Frame{Service: "ledger"}
 
-// random is an order of an operator that knows a version: several operators
-// pick few numbers, so that they often pick the same.
-func random(rng *rand.Rand, known int64) history.Order {
-	o := history.Order{Update: known > 0 && rng.IntN(2) == 0, Base: known, Rev: known + 1 + rng.Int64N(2), Routes: map[string]int64{}}
+// randomOrder returns an order of an operator that knows the version knownRev. It picks one of only
+// two numbers for the new version, so that concurrent operators often pick the same.
+func randomOrder(rng *rand.Rand, knownRev int64) history.Order {
+	order := history.Order{Update: knownRev > 0 && rng.IntN(2) == 0, Base: knownRev, Rev: knownRev + 1 + rng.Int64N(2), Routes: map[string]int64{}}
 	for range 1 + rng.IntN(3) {
-		o.Routes[string(rune('a'+rng.IntN(5)))] = 1000 + rng.Int64N(1000)
+		order.Routes[string(rune('a'+rng.IntN(5)))] = 1000 + rng.Int64N(1000)
 	}
 	if rng.IntN(12) == 0 {
-		o.Invalid = history.Faults[rng.IntN(len(history.Faults))]
+		order.Invalid = history.Faults[rng.IntN(len(history.Faults))]
 	}
-	return o
+	return order
 }
 
-// readBack is what a configuration holds; 0 if there is none.
-func readBack(raw []byte) (rev int64, routes map[string]int64) {
+// parseConfiguration returns the version of a configuration and the deadlines of its routes in
+// milliseconds, by name. The version is 0 if there is no valid configuration.
+func parseConfiguration(raw []byte) (rev int64, routes map[string]int64) {
 	var c routeconfig.Configuration
 	if len(raw) == 0 || json.Unmarshal(raw, &c) != nil {
 		return 0, nil
@@ -49,45 +50,45 @@
 	return c.Rev, routes
 }
 
-// crashing is a control state whose primary may end between any two steps of a
-// batch of changes: what it wrote then lasts or not, and nobody gets an answer.
-type crashing struct{ lasting, next map[string]json.RawMessage }
+// crashingState is a control state whose primary may crash before it answers a batch of changes.
+// What it wrote in the batch is then either durable or lost, and no operator gets an answer.
+type crashingState struct{ durable, pending map[string]json.RawMessage }
 
-func (s *crashing) Read(key string) (json.RawMessage, error) { return s.lasting[key], nil }
+func (s *crashingState) Read(key string) (json.RawMessage, error) { return s.durable[key], nil }
 
-func (s *crashing) Update(_ context.Context, change controlstate.ChangeFunc) error {
-	changes, err := change(s.next)
+func (s *crashingState) Update(_ context.Context, change controlstate.ChangeFunc) error {
+	changes, err := change(s.pending)
 	if err == nil {
-		maps.Copy(s.next, changes)
+		maps.Copy(s.pending, changes)
 	}
 	return err
 }
 
-// Operators that pick equal numbers send and send again, in batches of eight;
-// the primary ends at any step and the next one begins with an empty memory.
-// ORDER-SAME and LEDGER-BOUNDED rest on it.
-func TestOrdersOnACrashingState(t *testing.T) {
-	const kept = 8
-	var taken, again, refused, forgotten, lost int
+// Concurrent operators send and retry orders, often with the same version number, in batches of up
+// to eight. The primary may crash at the end of a batch, and the next one starts with empty memory.
+// Verifies the invariants ORDER-SAME and LEDGER-BOUNDED.
+func TestOrdersWithPrimaryCrashes(t *testing.T) {
+	const ledgerSize = 8
+	var accepted, repeated, rejected, evicted, lostBatches int
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		s := &crashing{lasting: map[string]json.RawMessage{}}
-		h := history.NewOrders()
+		state := &crashingState{durable: map[string]json.RawMessage{}}
+		orders := history.NewOrders()
 		start := func() *routeconfig.Registry {
-			return routeconfig.New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), s, kept)
+			return routeconfig.New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), state, ledgerSize)
 		}
-		c := start()
-		known := make([]int64, 4) // by operator
-		var newest []int          // orders that were taken, in their order
-		read := func() int64 {
-			asked := h.Tick()
-			raw, err := c.Fetch()
+		registry := start()
+		knownRevs := make([]int64, 4) // by operator
+		var acceptedOrders []int      // numbers of the accepted orders, oldest first
+		readBack := func() int64 {
+			asked := orders.Tick()
+			raw, err := registry.Fetch()
 			if err != nil {
 				t.Fatal(err)
 			}
-			rev, routes := readBack(raw)
+			rev, routes := parseConfiguration(raw)
 			if rev > 0 {
-				h.Read(asked, rev, routes)
+				orders.Read(asked, rev, routes)
 			}
 			return rev
 		}
@@ -98,178 +99,180 @@
 				code  int
 			}
 			var batch []call
-			s.next = maps.Clone(s.lasting)
-			ends, keeps := rng.IntN(4) == 0, rng.IntN(2) == 0
-			before := slices.Clone(newest)
+			state.pending = maps.Clone(state.durable)
+			crashes, persists := rng.IntN(4) == 0, rng.IntN(2) == 0
+			previouslyAccepted := slices.Clone(acceptedOrders)
 			for range 1 + rng.IntN(8) {
-				n, all := 0, len(h.All())
+				n, total := 0, len(orders.All())
 				switch draw := rng.IntN(10); {
-				case all == 0 || draw < 4:
-					n = h.Add(random(rng, known[rng.IntN(len(known))]))
+				case total == 0 || draw < 4:
+					n = orders.Add(randomOrder(rng, knownRevs[rng.IntN(len(knownRevs))]))
 				case draw < 9:
-					n = max(0, all-1-rng.IntN(12)) // what is under way
+					n = max(0, total-1-rng.IntN(12)) // retry a recent order
 				default:
-					n = rng.IntN(all)
+					n = rng.IntN(total)
 				}
-				o := h.Get(n)
-				take := c.Replace
-				if o.Update {
-					take = c.Update
+				order := orders.Get(n)
+				apply := registry.Replace
+				if order.Update {
+					apply = registry.Update
 				}
-				code, asked := 200, h.Tick()
-				err := take(t.Context(), o.Base, o.Body(history.Frame{Service: "s"}))
+				code, asked := 200, orders.Tick()
+				err := apply(t.Context(), order.Base, order.Body(history.Frame{Service: "s"}))
 				switch {
 				case errors.As(err, new(*routeconfig.ValidationError)):
 					code = 400
-					refused++
+					rejected++
 				case errors.Is(err, routeconfig.ErrVersionConflict):
 					code = 412
-					refused++
+					rejected++
 				case errors.Is(err, routeconfig.ErrOutcomeUnknown):
 					code = 503
-					forgotten++
-					if i := slices.Index(newest, n); i >= 0 && i >= len(newest)-kept {
-						t.Errorf("seed %d: order %d is forgotten, the %dth of %d", seed, n, i+1, len(newest))
+					evicted++
+					if i := slices.Index(acceptedOrders, n); i >= 0 && i >= len(acceptedOrders)-ledgerSize {
+						t.Errorf("seed %d: the ledger has no record of order %d, number %d of %d accepted ones", seed, n, i+1, len(acceptedOrders))
 					}
 				case err != nil:
 					t.Fatal(err)
 				}
-				if code == 200 && !slices.Contains(newest, n) {
-					newest = append(newest, n)
-					taken++
+				if code == 200 && !slices.Contains(acceptedOrders, n) {
+					acceptedOrders = append(acceptedOrders, n)
+					accepted++
 				} else if code == 200 {
-					again++
+					repeated++
 				}
 				batch = append(batch, call{n, asked, code})
 			}
-			if ends {
-				lost++
-				c = start()
+			if crashes {
+				lostBatches++
+				registry = start()
 			}
-			if ends && !keeps {
-				newest = before
+			if crashes && !persists {
+				acceptedOrders = previouslyAccepted
 			} else {
-				s.lasting = s.next
+				state.durable = state.pending
 			}
 			for _, b := range batch {
-				if ends {
+				if crashes {
 					b.code = 0
 				}
-				h.Answered(b.n, b.asked, b.code)
+				orders.Answered(b.n, b.asked, b.code)
 			}
 			if rng.IntN(2) == 0 {
-				known[rng.IntN(len(known))] = read()
+				knownRevs[rng.IntN(len(knownRevs))] = readBack()
 			}
 		}
-		read()
-		for _, fault := range h.Breaches() {
-			t.Errorf("seed %d: %s", seed, fault)
+		readBack()
+		for _, breach := range orders.Breaches() {
+			t.Errorf("seed %d: %s", seed, breach)
 		}
 	}
-	if min(taken, again, refused, forgotten, lost) < 150 {
-		t.Errorf("too little happened: %d taken, %d again, %d refused, %d forgotten, %d batches lost", taken, again, refused, forgotten, lost)
+	if min(accepted, repeated, rejected, evicted, lostBatches) < 150 {
+		t.Errorf("some outcomes occurred fewer than 150 times: %d orders accepted, %d repeated, %d rejected, %d evicted, %d batches lost", accepted, repeated, rejected, evicted, lostBatches)
 	}
 }
 
-// send makes one call with an order, at one control node; 0 stands for no clear
-// answer.
-func (w *World) send(zone int, o history.Order) int {
-	call := "/Conf.Replace"
-	if o.Update {
-		call = "/Conf.Update"
+// sendOrder sends an order to one control node and returns the status code, or 0 if the outcome is
+// unknown.
+func (w *World) sendOrder(zone int, order history.Order) int {
+	path := "/Conf.Replace"
+	if order.Update {
+		path = "/Conf.Update"
 	}
-	code := w.post(zone, call, map[string]string{"X-Indigowalk-Base-Version": strconv.FormatInt(o.Base, 10)}, o.Body(ledgerFrame))
+	code := w.post(zone, path, map[string]string{"X-Indigowalk-Base-Version": strconv.FormatInt(order.Base, 10)}, order.Body(ledgerFrame))
 	if code >= 500 || code < 200 || code >= 300 && code < 400 || code == http.StatusRequestTimeout {
 		return 0
 	}
 	return code
 }
 
-// fetch reads the configuration back at one control node into the history.
-func (w *World) fetch(h *history.Orders, zone int) (int64, bool) {
-	asked := h.Tick()
+// readConfiguration reads the configuration back from one control node, records it in the history
+// and returns its version.
+func (w *World) readConfiguration(orders *history.Orders, zone int) (int64, bool) {
+	asked := orders.Tick()
 	code, raw := w.Call(w.Net.Host("10.250.0.1"), "GET", ip(zone)+":8782", "/Conf.Fetch", nil, nil)
-	rev, routes := readBack(raw)
+	rev, routes := parseConfiguration(raw)
 	if code != 200 || rev == 0 {
 		return 0, false
 	}
-	if rev > 1 { // the first one is not of the history
-		h.Read(asked, rev, routes)
+	if rev > 1 { // the first version was not written by an order of the history
+		orders.Read(asked, rev, routes)
 	}
 	return rev, true
 }
 
-// Operators that pick equal numbers, eight orders under way, lost answers and
-// sends to other nodes, while control nodes are killed, end, fall silent, lose their
-// disks or all their power.
-func TestOrdersAcrossTakeOvers(t *testing.T) {
+// Eight concurrent operators send orders, often with the same version number, lose answers and retry
+// at other control nodes. Meanwhile control nodes are killed, shut down, become unresponsive, lose
+// their disks or are all killed at once.
+func TestOrdersAcrossFailovers(t *testing.T) {
 	const seed = 1
 	core(t, 4, 1, func(w *World, g *Group) {
-		h := history.NewOrders()
-		end := make(chan struct{})
+		orders := history.NewOrders()
+		stop := make(chan struct{})
 		var wg sync.WaitGroup
 		for i := range 8 {
 			rng := rand.New(rand.NewPCG(seed, uint64(i)+10))
-			wg.Go(func() { w.operate(h, rng, end) })
+			wg.Go(func() { w.runOperator(orders, rng, stop) })
 		}
 		rng := rand.New(rand.NewPCG(seed, 3))
 		for range 5 {
 			time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
-			w.trouble(rng)
+			w.failControlNodes(rng)
 		}
-		close(end)
+		close(stop)
 		wg.Wait()
 		w.Net.Heal()
-		w.Until("a version is read back", 10*time.Second, func() bool { _, ok := w.fetch(h, 1); return ok })
+		w.Until("the configuration is read back", 10*time.Second, func() bool { _, ok := w.readConfiguration(orders, 1); return ok })
 		acked := 0
-		for n, o := range h.All() {
-			if slices.Contains(h.Acknowledged(), n) {
+		for n, order := range orders.All() {
+			if slices.Contains(orders.Acknowledged(), n) {
 				acked++
-				asked := h.Tick()
-				w.Until("it is acknowledged again", 5*time.Second, func() bool {
-					code := w.send(1+rng.IntN(4), o)
-					h.Answered(n, asked, code)
+				asked := orders.Tick()
+				w.Until("an acknowledged order is answered again", 5*time.Second, func() bool {
+					code := w.sendOrder(1+rng.IntN(4), order)
+					orders.Answered(n, asked, code)
 					return code != 0
 				})
 			}
 		}
-		w.Until("the end is read back", 10*time.Second, func() bool { _, ok := w.fetch(h, 2); return ok })
-		for _, fault := range h.Breaches() {
-			t.Error(fault)
+		w.Until("the final configuration is read back", 10*time.Second, func() bool { _, ok := w.readConfiguration(orders, 2); return ok })
+		for _, breach := range orders.Breaches() {
+			t.Error(breach)
 		}
-		t.Logf("%d of %d orders acknowledged, %d answers, %d readings", acked, len(h.All()), len(h.Answers()), len(h.Readings()))
+		t.Logf("%d of %d orders acknowledged, %d answers, %d readings", acked, len(orders.All()), len(orders.Answers()), len(orders.Readings()))
 		if acked < 15 {
-			t.Errorf("only %d of %d orders were acknowledged", acked, len(h.All()))
+			t.Errorf("only %d of %d orders were acknowledged", acked, len(orders.All()))
 		}
 	})
 }
 
-// operate is an operator: it sends an order on top of the version that it
-// knows until it has a clear answer, and loses some answers.
-func (w *World) operate(h *history.Orders, rng *rand.Rand, end chan struct{}) {
+// runOperator acts as an operator until stop is closed: it reads the current version, and sends an
+// order based on it, which it retries until it gets a definite answer or has tried often enough. It
+// ignores a third of the answers, as if they had been lost.
+func (w *World) runOperator(orders *history.Orders, rng *rand.Rand, stop chan struct{}) {
 	for {
 		select {
-		case <-end:
+		case <-stop:
 			return
 		default:
 		}
-		// All at about the same time, so that they meet on one version.
+		// All operators send at about the same time, so that their orders conflict on one version.
 		const round = time.Second
 		time.Sleep(round - time.Duration(time.Now().UnixNano())%round + time.Duration(rng.IntN(20))*time.Millisecond)
-		known, ok := w.fetch(h, 1+rng.IntN(4))
+		rev, ok := w.readConfiguration(orders, 1+rng.IntN(4))
 		if !ok {
 			continue
 		}
-		o := random(rng, known)
-		n := h.Add(o)
-		o = h.Get(n)
+		order := randomOrder(rng, rev)
+		n := orders.Add(order)
+		order = orders.Get(n)
 		for try := range 12 {
-			asked := h.Tick()
-			code := w.send(1+rng.IntN(4), o)
+			asked := orders.Tick()
+			code := w.sendOrder(1+rng.IntN(4), order)
 			if rng.IntN(3) == 0 {
-				code = 0 // lost on its way
+				code = 0 // the answer is lost
 			}
-			h.Answered(n, asked, code)
+			orders.Answered(n, asked, code)
 			if code != 0 {
 				break
 			}
@@ -278,25 +281,25 @@
 	}
 }
 
-// trouble strikes a control node, the primary mostly, or all of them, and waits
-// until what was struck counts as back.
-func (w *World) trouble(rng *rand.Rand) {
+// failControlNodes injects a random fault into one control node, mostly the primary, or kills all of
+// them. It restores them and waits until the others count them as available again.
+func (w *World) failControlNodes(rng *rand.Rand) {
 	z := controlPrimary(w)
 	if z == 0 || rng.IntN(4) == 0 {
 		z = 1 + rng.IntN(4)
 	}
-	again := func(z int) { w.Start("control", z, false) }
+	restart := func(z int) { w.Start("control", z, false) }
 	switch p := w.Process("control", z); rng.IntN(6) {
 	case 0:
 		p.Kill()
-		again(z)
+		restart(z)
 	case 1:
 		p.Kill()
 		time.Sleep(1500 * time.Millisecond)
-		again(z)
+		restart(z)
 	case 2:
 		p.Term()
-		again(z)
+		restart(z)
 	case 3:
 		w.Net.Dark(ip(z), true)
 		time.Sleep(3 * time.Second)
@@ -304,80 +307,80 @@
 	case 4:
 		p.Kill()
 		p.Wipe()
-		again(z)
+		restart(z)
 	case 5:
 		for z := 1; z <= 4; z++ {
 			w.Process("control", z).Kill()
 		}
 		for z := 1; z <= 4; z++ {
-			again(z)
+			restart(z)
 		}
 	}
 	time.Sleep(4 * time.Second)
 }
 
-// TAKEN-LASTS: at any step of a write the primary ends, or all lose their power,
-// or besides that the primary its disk. Where who leads next holds the
-// order, that is acknowledged when it is sent again, and its rival under the same
-// number is refused; else the rival is taken, and it is not.
-func TestOrderAtEachStepOfATakeOver(t *testing.T) {
+// Verifies the invariant TAKEN-LASTS: at any step of writing an order, the primary is killed, or all
+// control nodes are, or all are and the primary also loses its disk. If the next primary has the
+// order, it acknowledges a retry and rejects a rival order with the same version number; otherwise
+// it accepts the rival and rejects the retry.
+func TestOrderAtEachStepOfFailover(t *testing.T) {
 	for _, c := range []struct {
-		what          string
-		struck, wiped int // control nodes from the primary on
-	}{{"the primary ends", 1, 0}, {"all lose power", 4, 0}, {"and the primary its disk", 4, 1}} {
-		var held, dropped int
+		name          string
+		killed, wiped int // number of control nodes, counted from the primary
+	}{{"primary killed", 1, 0}, {"all killed", 4, 0}, {"all killed, primary's disk lost", 4, 1}} {
+		var survived, lost int
 		core(t, 4, 1, func(w *World, g *Group) {
-			h := history.NewOrders()
-			known := int64(1)
+			orders := history.NewOrders()
+			knownRev := int64(1)
 			for step := range 8 {
 				z := controlPrimary(w)
-				first, second := h.Add(history.Order{Base: known, Rev: known + 1, Routes: map[string]int64{"a": 7}}), h.Add(history.Order{Base: known, Rev: known + 1, Routes: map[string]int64{"a": 8}})
-				asked, got := h.Tick(), make(chan int)
-				go func() { got <- w.send(z, h.Get(first)) }()
+				first, rival := orders.Add(history.Order{Base: knownRev, Rev: knownRev + 1, Routes: map[string]int64{"a": 7}}), orders.Add(history.Order{Base: knownRev, Rev: knownRev + 1, Routes: map[string]int64{"a": 8}})
+				asked, firstCode := orders.Tick(), make(chan int)
+				go func() { firstCode <- w.sendOrder(z, orders.Get(first)) }()
 				time.Sleep(time.Duration(step) * 500 * time.Microsecond)
-				strike := func(f func(i, z int)) {
-					for i := range c.struck {
+				forEachKilled := func(f func(i, z int)) {
+					for i := range c.killed {
 						f(i, 1+(z-1+i)%4)
 					}
 				}
-				strike(func(i, z int) {
+				forEachKilled(func(i, z int) {
 					p := w.Process("control", z)
 					p.Kill()
 					if i < c.wiped {
 						p.Wipe()
 					}
 				})
-				h.Answered(first, asked, <-got)
-				if c.struck > 1 {
-					strike(func(_, z int) { w.Start("control", z, false) })
+				orders.Answered(first, asked, <-firstCode)
+				if c.killed > 1 {
+					forEachKilled(func(_, z int) { w.Start("control", z, false) })
 				}
-				clear := func(n int) (code int) {
-					asked := h.Tick()
-					w.Until("a clear answer", 8*time.Second, func() bool { code = w.send(1+z%4, h.Get(n)); return code != 0 })
-					h.Answered(n, asked, code)
+				resend := func(n int) (code int) {
+					asked := orders.Tick()
+					w.Until("an order has a definite answer", 8*time.Second, func() bool { code = w.sendOrder(1+z%4, orders.Get(n)); return code != 0 })
+					orders.Answered(n, asked, code)
 					return code
 				}
-				switch codes := [2]int{clear(second), clear(first)}; codes {
+				switch codes := [2]int{resend(rival), resend(first)}; codes {
 				case [2]int{412, 200}:
-					held++
+					survived++
 				case [2]int{200, 412}:
-					dropped++
+					lost++
 				default:
-					t.Errorf("%s, step %d: the rival got %d, the order sent again %d", c.what, step, codes[0], codes[1])
+					t.Errorf("%s, step %d: the rival got status %d, the retried order %d", c.name, step, codes[0], codes[1])
 				}
-				known++
-				if c.struck == 1 {
+				knownRev++
+				if c.killed == 1 {
 					w.Start("control", z, false)
 				}
-				w.Until("read back", 6*time.Second, func() bool { rev, ok := w.fetch(h, z); return ok && rev == known })
-				time.Sleep(4 * time.Second) // until what was struck counts as back
+				w.Until("the new version is read back", 6*time.Second, func() bool { rev, ok := w.readConfiguration(orders, z); return ok && rev == knownRev })
+				time.Sleep(4 * time.Second) // until the killed nodes count as available again
 			}
-			for _, fault := range h.Breaches() {
-				t.Errorf("%s: %s", c.what, fault)
+			for _, breach := range orders.Breaches() {
+				t.Errorf("%s: %s", c.name, breach)
 			}
 		})
-		if held < 2 || dropped < 2 {
-			t.Errorf("%s: the order was held %d times and dropped %d times", c.what, held, dropped)
+		if survived < 2 || lost < 2 {
+			t.Errorf("%s: the order survived %d times and was lost %d times, want each at least twice", c.name, survived, lost)
 		}
 	}
 }
--- a/internal/simulation/poll_test.go
+++ b/internal/simulation/poll_test.go
@@ -15,33 +15,34 @@
 	"indigowalk/internal/rpc"
 )
 
-// One poll of the primary fails, and the pooler knows it as no member: it is asked
-// again by the word of others, not shunned for good.
-func TestAPollThatFailedOnceIsMadeAgain(t *testing.T) {
+// One poll of the primary control node fails, while the pooler does not list it among the control
+// nodes. Since other control nodes name it as the primary, the pooler must poll it again and not
+// avoid it for good.
+func TestPollIsRetriedAfterFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := NewNet(1)
+		network := NewNet(1)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		endpoint := func(host, addr string) (*kernel.Kernel, *rpc.Endpoint) {
-			k := kernel.NewKernel("control", n.Host(host), slog.New(slog.DiscardHandler))
+			k := kernel.NewKernel("control", network.Host(host), slog.New(slog.DiscardHandler))
 			return k, rpc.NewEndpoint(k, addr)
 		}
 		const primary, other = "10.0.0.1:7440", "10.0.0.2:7440"
-		asked := 0
-		_, p := endpoint("10.0.0.1", primary)
-		p.Handle("distribution.poll", func(context.Context, json.RawMessage) (any, error) {
-			if asked++; asked == 2 {
-				return nil, errors.New("not now")
+		polls := 0
+		_, primaryEndpoint := endpoint("10.0.0.1", primary)
+		primaryEndpoint.Handle("distribution.poll", func(context.Context, json.RawMessage) (any, error) {
+			if polls++; polls == 2 {
+				return nil, errors.New("temporarily unavailable")
 			}
 			time.Sleep(100 * time.Millisecond)
 			return map[string]any{"epoch": 1, "seq": 1, "lease_us": 500_000}, nil
 		})
-		_, o := endpoint("10.0.0.2", other)
-		o.Handle("distribution.poll", func(context.Context, json.RawMessage) (any, error) {
+		_, otherEndpoint := endpoint("10.0.0.2", other)
+		otherEndpoint.Handle("distribution.poll", func(context.Context, json.RawMessage) (any, error) {
 			return map[string]any{"elsewhere": primary}, nil
 		})
-		k, b := endpoint("10.0.0.3", "10.0.0.3:7441")
-		subscriber := distribution.NewSubscriber(k, b, distribution.SubscriberConfig{
+		k, poolerEndpoint := endpoint("10.0.0.3", "10.0.0.3:7441")
+		subscriber := distribution.NewSubscriber(k, poolerEndpoint, distribution.SubscriberConfig{
 			ProxyName: "d", PollWait: func() kernel.Micros { return 600 * kernel.Millisecond },
 			ControlNodes:  func() []string { return []string{other} },
 			Peers:         func() []string { return nil },
@@ -50,16 +51,16 @@
 			OnDatabases:   func(map[string]discovery.Database) {},
 			Bounds:        func() distribution.Bounds { return distribution.Bounds{} },
 		})
-		go p.Serve(ctx)
-		go o.Serve(ctx)
+		go primaryEndpoint.Serve(ctx)
+		go otherEndpoint.Serve(ctx)
 		go subscriber.Serve(ctx)
 		time.Sleep(3 * time.Second)
-		if _, _, _, left := subscriber.Version(); asked < 10 || left <= 0 {
-			t.Errorf("the primary was asked %d times, the lease runs for %d us", asked, left)
+		if _, _, _, leaseLeft := subscriber.Version(); polls < 10 || leaseLeft <= 0 {
+			t.Errorf("the primary was polled %d times and the lease runs for another %d us, want at least 10 polls and a valid lease", polls, leaseLeft)
 		}
 		cancel()
 		for _, host := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
-			n.Reset(host)
+			network.Reset(host)
 		}
 		time.Sleep(5 * time.Second)
 	})
