--- a/internal/simulation/leaving_test.go
+++ b/internal/simulation/leaving_test.go
@@ -27,7 +27,7 @@
 		setup         []string // statements that are answered before the shutdown
 		statement     string
 		poolExhausted bool // every connection that the pool may open is in use
-		silent        bool // the database answers nothing at all; otherwise it answers session statements and delays the others by a minute
+		silent        bool // the database answers nothing at all; otherwise it delays reads, writes and commits by a minute
 		want          string
 	}{
 		"write":                           {[]string{"PUT z 1"}, "PUT a 1", false, false, "UNKNOWN"},
