--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -18,33 +18,34 @@
 	"indigowalk/internal/tools"
 )
 
-// rule is how far quotas may be exceeded, as the settings have it by default.
-var rule = quota.Tolerance{Window: 5 * kernel.Second, Excess: 0.1, Slack: 20}
+// quotaTolerance is by how much quotas may be exceeded with the default settings.
+var quotaTolerance = quota.Tolerance{Window: 5 * kernel.Second, Excess: 0.1, Slack: 20}
 
-// arrivals are the operations that databases ran, by tenant.
-type arrivals struct {
-	mu sync.Mutex
-	at map[string][]time.Time
+// operationTimes records when databases began operations, by tenant.
+type operationTimes struct {
+	mu       sync.Mutex
+	byTenant map[string][]time.Time
 }
 
-// watch notes the arrivals at a group's databases; it is called before there are any.
-func watch(g *Group) *arrivals {
-	a := &arrivals{at: map[string][]time.Time{}}
-	g.Observe.Ran = func(r standin.Run) {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		if r.Begins {
-			a.at[r.Who] = append(a.at[r.Who], time.Now())
+// recordOperations records the operations that a group's databases run. It must be called before
+// the first one.
+func recordOperations(g *Group) *operationTimes {
+	o := &operationTimes{byTenant: map[string][]time.Time{}}
+	g.Observe.Ran = func(run standin.Run) {
+		o.mu.Lock()
+		defer o.mu.Unlock()
+		if run.Begins {
+			o.byTenant[run.Who] = append(o.byTenant[run.Who], time.Now())
 		}
 	}
-	return a
+	return o
 }
 
-// between counts a tenant's arrivals in a span.
-func (a *arrivals) between(tenant string, from, to time.Time) (n int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, at := range a.at[tenant] {
+// countBetween counts a tenant's operations from one time up to another, exclusive.
+func (o *operationTimes) countBetween(tenant string, from, to time.Time) (n int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, at := range o.byTenant[tenant] {
 		if !at.Before(from) && at.Before(to) {
 			n++
 		}
@@ -52,140 +53,144 @@
 	return n
 }
 
-// within fails unless every window since a time has no more arrivals than allowed.
-func (a *arrivals) within(t TB, tenant routeconfig.Tenant, since time.Time) {
+// checkLimit fails the test if any window that begins at or after since has more operations than the
+// tenant's limit and quotaTolerance allow.
+func (o *operationTimes) checkLimit(t TB, tenant routeconfig.Tenant, since time.Time) {
 	t.Helper()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	most := rule.MaxOperations(quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
-	at := a.at[tenant.Name]
-	for first, i := 0, 0; i < len(at); i++ {
-		for at[i].Sub(at[first]) > rule.Window.Duration() || at[first].Before(since) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	maxOperations := quotaTolerance.MaxOperations(quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
+	times := o.byTenant[tenant.Name]
+	for first, i := 0, 0; i < len(times); i++ {
+		for times[i].Sub(times[first]) > quotaTolerance.Window.Duration() || times[first].Before(since) {
 			first++
 		}
-		if n := i - first + 1; float64(n) > most {
-			t.Errorf("%s: %d operations within %v, and %.0f are allowed", tenant.Name, n, rule.Window.Duration(), most)
+		if n := i - first + 1; float64(n) > maxOperations {
+			t.Errorf("tenant %s: %d operations within %v, at most %.0f are allowed", tenant.Name, n, quotaTolerance.Window.Duration(), maxOperations)
 			return
 		}
 	}
 }
 
-// limited is a tenant whose key is its name.
-func limited(name string, rate, burst float64) routeconfig.Tenant {
-	t := tenant(name, "key-"+name)
+// limitedTenant returns a tenant with a limit, whose API key is its name after "key-".
+func limitedTenant(name string, rate, burst float64) routeconfig.Tenant {
+	t := newTenant(name, "key-"+name)
 	t.RatePerS, t.Burst = rate, burst
 	return t
 }
 
-// demand is clients of one tenant in one zone.
-type demand struct {
+// tenantLoad is a load by clients of one tenant in one zone.
+type tenantLoad struct {
 	stop            chan struct{}
 	done            sync.WaitGroup
 	mu              sync.Mutex
 	served, refused int
-	last            time.Time     // when one was served
-	gap             time.Duration // the longest between two that were
+	lastServed      time.Time
+	longestGap      time.Duration // between two served operations
 }
 
-// demand has clients of a tenant send operations at a zone's pooler, at so many a second,
-// whatever becomes of them.
-func (w *World) demand(g *Group, zone int, tenant string, perSecond int) *demand {
+// startTenantLoad starts clients of a tenant that send operations to a zone's pooler at the given
+// rate, whether they are served or not.
+func (w *World) startTenantLoad(g *Group, zone int, tenant string, perSecond int) *tenantLoad {
 	const clients = 8
-	d := &demand{stop: make(chan struct{}), last: time.Now()}
+	l := &tenantLoad{stop: make(chan struct{}), lastServed: time.Now()}
 	for i := range clients {
-		d.done.Go(func() {
+		l.done.Go(func() {
 			time.Sleep(time.Duration(i) * time.Second / time.Duration(perSecond))
 			for n := 0; ; n++ {
 				select {
-				case <-d.stop:
+				case <-l.stop:
 					return
 				case <-time.After(clients * time.Second / time.Duration(perSecond)):
 				}
-				d.operate(w, g, zone, tenant, n)
+				l.runOperation(w, g, zone, tenant, n)
 			}
 		})
 	}
-	return d
+	return l
 }
 
-// operate is one operation: a statement, or a transaction of two.
-func (d *demand) operate(w *World, g *Group, zone int, tenant string, n int) {
-	s, _ := w.loginAs(zone, "p.ledger", "key-"+tenant)
+// runOperation opens a session and runs operation n: a transaction of two statements if n is a
+// multiple of 3, otherwise a single statement.
+func (l *tenantLoad) runOperation(w *World, g *Group, zone int, tenant string, n int) {
+	s, _ := w.loginWithKey(zone, "p.ledger", "key-"+tenant)
 	if s == nil {
 		return
 	}
 	defer s.Close()
 	g.SetSessionTenant(s.Name, tenant)
-	texts := []string{fmt.Sprintf("PUT %s%d %d", tenant, zone, n)}
+	statements := []string{fmt.Sprintf("PUT %s%d %d", tenant, zone, n)}
 	if n%3 == 0 {
-		texts = []string{"BEGIN", "FETCH " + tenant, texts[0], "COMMIT"}
+		statements = []string{"BEGIN", "FETCH " + tenant, statements[0], "COMMIT"}
 	}
 	code := ""
-	for _, text := range texts {
-		a, _ := s.Query(text)
-		if code = a.Code; code != "" {
+	for _, statement := range statements {
+		answer, _ := s.Query(statement)
+		if code = answer.Code; code != "" {
 			break
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch code {
 	case "":
-		d.gap = max(d.gap, time.Since(d.last))
-		d.last = time.Now()
-		d.served++
+		l.longestGap = max(l.longestGap, time.Since(l.lastServed))
+		l.lastServed = time.Now()
+		l.served++
 	case lineprotocol.Retry:
-		d.refused++
+		l.refused++
 	}
 }
 
-func (d *demand) end() (served, refused int) {
-	close(d.stop)
-	d.done.Wait()
-	return d.served, d.refused
+// finish stops the clients and returns how many operations were served and refused.
+func (l *tenantLoad) finish() (served, refused int) {
+	close(l.stop)
+	l.done.Wait()
+	return l.served, l.refused
 }
 
-// One tenant that floods every node has what its limit allows, and no more; others are
-// served as if it were not there, and one without a limit is not counted.
-func TestQuotaOverAllNodes(t *testing.T) {
+// A tenant that floods every node gets what its limit allows and no more. Other tenants are served
+// as if it did not exist, and the operations of a tenant without a limit are not counted.
+func TestQuotaAcrossNodes(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		ran := watch(g)
-		hot, quiet, free := limited("hot", 40, 20), limited("quiet", 40, 20), limited("free", 0, 0)
-		w.put(1, w.withTenants(2, hot, quiet, free))
+		operations := recordOperations(g)
+		hot, quiet, free := limitedTenant("hot", 40, 20), limitedTenant("quiet", 40, 20), limitedTenant("free", 0, 0)
+		w.replaceAndAwait(1, w.configurationWithTenants(2, hot, quiet, free))
 		time.Sleep(5 * time.Second)
-		began := time.Now()
-		var hots, quiets []*demand
+		start := time.Now()
+		var hotLoads, quietLoads []*tenantLoad
 		for z := 1; z <= 4; z++ {
-			hots = append(hots, w.demand(g, z, "hot", 50))
-			quiets = append(quiets, w.demand(g, z, "quiet", 6))
+			hotLoads = append(hotLoads, w.startTenantLoad(g, z, "hot", 50))
+			quietLoads = append(quietLoads, w.startTenantLoad(g, z, "quiet", 6))
 		}
-		unlimited := w.demand(g, 2, "free", 80)
+		freeLoad := w.startTenantLoad(g, 2, "free", 80)
 		time.Sleep(15 * time.Second)
-		w.Until("the status names the tenant whose stock is empty", 2*time.Second, func() bool {
+		w.Until("the status reports the tenant whose stock is empty", 2*time.Second, func() bool {
 			status := w.status()
 			return strings.Contains(status, "tenants: 3, 2 with a limit, 1 with nothing in stock") && strings.Contains(status, "  tenant hot: 0.")
 		})
-		for i, d := range quiets {
-			if served, refused := d.end(); refused > 0 || served < 80 {
-				t.Errorf("a quiet tenant in zone %d: %d served, %d refused", i+1, served, refused)
+		for i, load := range quietLoads {
+			if served, refused := load.finish(); refused > 0 || served < 80 {
+				t.Errorf("tenant below its limit, zone %d: %d operations served, %d refused", i+1, served, refused)
 			}
 		}
-		if served, refused := unlimited.end(); refused > 0 || served < 1000 {
-			t.Errorf("a tenant without a limit: %d served, %d refused", served, refused)
+		if served, refused := freeLoad.finish(); refused > 0 || served < 1000 {
+			t.Errorf("tenant without a limit: %d operations served, %d refused", served, refused)
 		}
-		for _, d := range hots {
-			d.end()
+		for _, load := range hotLoads {
+			load.finish()
 		}
-		if n := ran.between("hot", began, time.Now()); n < 15*36 {
-			t.Errorf("of a limit of 40 a second, %d operations ran in 15 s", n)
+		if n := operations.countBetween("hot", start, time.Now()); n < 15*36 {
+			t.Errorf("limit of 40 operations per second: only %d ran in 15 s", n)
 		}
-		ran.within(t, hot, began)
-		ran.within(t, quiet, began)
+		operations.checkLimit(t, hot, start)
+		operations.checkLimit(t, quiet, start)
 	})
 }
 
-// flooded plays with one tenant that floods from every zone.
-func flooded(t *testing.T, f func(w *World, hot routeconfig.Tenant, ran *arrivals)) {
+// withFloodingTenant runs a scenario while clients in every zone exceed the limit of one tenant, and
+// then checks the limit and the recordings.
+func withFloodingTenant(t *testing.T, scenario func(w *World, hot routeconfig.Tenant, operations *operationTimes)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
 		defer w.Close()
@@ -193,27 +198,28 @@
 		g := w.Group("ledger")
 		w.Boot()
 		w.Configure()
-		ran := watch(g)
-		hot := limited("hot", 40, 40)
-		w.put(1, w.withTenants(2, hot))
+		operations := recordOperations(g)
+		hot := limitedTenant("hot", 40, 40)
+		w.replaceAndAwait(1, w.configurationWithTenants(2, hot))
 		time.Sleep(5 * time.Second)
-		began := time.Now()
-		var demands []*demand
+		start := time.Now()
+		var loads []*tenantLoad
 		for z := 1; z <= 4; z++ {
-			demands = append(demands, w.demand(g, z, "hot", 40))
+			loads = append(loads, w.startTenantLoad(g, z, "hot", 40))
 		}
 		time.Sleep(6 * time.Second)
-		f(w, hot, ran)
-		for _, d := range demands {
-			d.end()
+		scenario(w, hot, operations)
+		for _, load := range loads {
+			load.finish()
 		}
-		ran.within(t, hot, began)
-		audited(w, ran)
+		operations.checkLimit(t, hot, start)
+		checkRecordings(w, operations)
 	})
 }
 
-// audited fails unless the recordings of all nodes show what the databases saw.
-func audited(w *World, ran *arrivals) {
+// checkRecordings fails the test unless the quota check of all nodes' recordings finds the operations
+// that the databases ran, up to 2 % more, and no excess.
+func checkRecordings(w *World, operations *operationTimes) {
 	w.T.Helper()
 	var paths []string
 	for z := 1; z <= w.Zones; z++ {
@@ -225,54 +231,56 @@
 			}
 		}
 	}
-	c, err := tools.CheckQuota(paths)
+	check, err := tools.CheckQuota(paths)
 	if err != nil {
-		w.T.Errorf("the recordings: %v", err)
+		w.T.Errorf("checking the recordings: %v", err)
 		return
 	}
-	if seen := ran.between("hot", time.Time{}, time.Now()); c.Excess != nil || len(c.LeftOut) > 0 || c.Operations < seen || c.Operations > seen+seen/50 {
-		w.T.Errorf("the recordings of %d operations at databases: %+v", seen, c)
+	if executed := operations.countBetween("hot", time.Time{}, time.Now()); check.Excess != nil || len(check.LeftOut) > 0 || check.Operations < executed || check.Operations > executed+executed/50 {
+		w.T.Errorf("the databases ran %d operations, the recordings show %+v", executed, check)
 	}
 }
 
-// The next primary of the control state grants slices soon, and none that the one
-// before may have granted.
-func TestQuotaHolderLost(t *testing.T) {
-	flooded(t, func(w *World, hot routeconfig.Tenant, ran *arrivals) {
+// After the control primary is killed, the next one soon grants slices, but none of the stock that
+// the previous one may have granted.
+func TestQuotaAfterControlFailover(t *testing.T) {
+	withFloodingTenant(t, func(w *World, hot routeconfig.Tenant, operations *operationTimes) {
 		for range 2 {
-			lost := controlPrimary(w)
-			w.Process("control", lost).Kill()
-			began := time.Now()
-			w.Until("operations run again", 3*time.Second, func() bool {
-				return ran.between("hot", began.Add(1500*time.Millisecond), time.Now()) > 20
+			killed := controlPrimary(w)
+			w.Process("control", killed).Kill()
+			start := time.Now()
+			w.Until("operations run after the failover", 3*time.Second, func() bool {
+				return operations.countBetween("hot", start.Add(1500*time.Millisecond), time.Now()) > 20
 			})
-			w.Start("control", lost, false)
+			w.Start("control", killed, false)
 			time.Sleep(8 * time.Second)
-			if n := ran.between("hot", time.Now().Add(-4*time.Second), time.Now()); n < 4*36 {
-				t.Errorf("of a limit of 40 a second, %d operations ran in 4 s", n)
+			if n := operations.countBetween("hot", time.Now().Add(-4*time.Second), time.Now()); n < 4*36 {
+				t.Errorf("limit of 40 operations per second: only %d ran in 4 s", n)
 			}
 		}
 	})
 }
 
-// With the control nodes parted in two, only the side of the primary is granted slices.
-func TestQuotaCutInTwo(t *testing.T) {
-	flooded(t, func(w *World, hot routeconfig.Tenant, ran *arrivals) {
-		for _, alone := range []int{controlPrimary(w), 1 + controlPrimary(w)%4} {
-			w.Isolate(alone, true)
+// While the control primary, or the node after it, is partitioned from the others, slices are
+// granted only on the primary's side.
+func TestQuotaPartition(t *testing.T) {
+	withFloodingTenant(t, func(w *World, hot routeconfig.Tenant, operations *operationTimes) {
+		for _, isolated := range []int{controlPrimary(w), 1 + controlPrimary(w)%4} {
+			w.Isolate(isolated, true)
 			time.Sleep(7 * time.Second)
-			w.Isolate(alone, false)
+			w.Isolate(isolated, false)
 			time.Sleep(6 * time.Second)
-			if n := ran.between("hot", time.Now().Add(-4*time.Second), time.Now()); n < 4*36 {
-				t.Errorf("of a limit of 40 a second, %d operations ran in 4 s", n)
+			if n := operations.countBetween("hot", time.Now().Add(-4*time.Second), time.Now()); n < 4*36 {
+				t.Errorf("limit of 40 operations per second: only %d ran in 4 s", n)
 			}
 		}
 	})
 }
 
-// After all power is lost nothing is known of what was granted.
-func TestQuotaPowerLost(t *testing.T) {
-	flooded(t, func(w *World, hot routeconfig.Tenant, ran *arrivals) {
+// After all nodes have lost power, no record exists of the slices that were granted before. The limit
+// still holds, and operations run again.
+func TestQuotaPowerLoss(t *testing.T) {
+	withFloodingTenant(t, func(w *World, hot routeconfig.Tenant, operations *operationTimes) {
 		for z := 1; z <= 4; z++ {
 			w.Process("control", z).Kill()
 			w.Process("pooler", z).Kill()
@@ -282,31 +290,31 @@
 			w.Start("pooler", z, false)
 		}
 		time.Sleep(12 * time.Second)
-		if n := ran.between("hot", time.Now().Add(-4*time.Second), time.Now()); n < 4*36 {
-			t.Errorf("of a limit of 40 a second, %d operations ran in 4 s", n)
+		if n := operations.countBetween("hot", time.Now().Add(-4*time.Second), time.Now()); n < 4*36 {
+			t.Errorf("limit of 40 operations per second: only %d ran in 4 s", n)
 		}
 	})
 }
 
-// A lower limit binds a window after every node knows it; a tenant that is taken away
-// is not served, and has the new limit when it comes back.
-func TestQuotaLowered(t *testing.T) {
-	flooded(t, func(w *World, hot routeconfig.Tenant, ran *arrivals) {
-		low := limited("hot", 5, 5)
-		w.put(2, w.withTenants(3, low))
-		since := time.Now()
+// A lowered limit is enforced one window after every node has it. A tenant that is removed is not
+// served, and has the lowered limit when it is added again.
+func TestQuotaLimitLowered(t *testing.T) {
+	withFloodingTenant(t, func(w *World, hot routeconfig.Tenant, operations *operationTimes) {
+		lowered := limitedTenant("hot", 5, 5)
+		w.replaceAndAwait(2, w.configurationWithTenants(3, lowered))
+		changedAt := time.Now()
 		time.Sleep(8 * time.Second)
-		ran.within(t, low, since.Add(rule.Window.Duration()))
-		w.put(3, w.withTenants(4, limited("other", 5, 5)))
+		operations.checkLimit(t, lowered, changedAt.Add(quotaTolerance.Window.Duration()))
+		w.replaceAndAwait(3, w.configurationWithTenants(4, limitedTenant("other", 5, 5)))
 		time.Sleep(time.Second)
-		if n := ran.between("hot", time.Now().Add(-500*time.Millisecond), time.Now()); n > 0 {
-			t.Errorf("a tenant that is gone: %d operations ran", n)
+		if n := operations.countBetween("hot", time.Now().Add(-500*time.Millisecond), time.Now()); n > 0 {
+			t.Errorf("removed tenant: %d operations ran", n)
 		}
-		w.put(4, w.withTenants(5, low))
+		w.replaceAndAwait(4, w.configurationWithTenants(5, lowered))
 		time.Sleep(8 * time.Second)
-		ran.within(t, low, since.Add(rule.Window.Duration()))
-		if n := ran.between("hot", time.Now().Add(-4*time.Second), time.Now()); n < 18 {
-			t.Errorf("of a limit of 5 a second, %d operations ran in 4 s", n)
+		operations.checkLimit(t, lowered, changedAt.Add(quotaTolerance.Window.Duration()))
+		if n := operations.countBetween("hot", time.Now().Add(-4*time.Second), time.Now()); n < 18 {
+			t.Errorf("limit of 5 operations per second: only %d ran in 4 s", n)
 		}
 	})
 }
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -15,38 +15,38 @@
 	"indigowalk/internal/tools"
 )
 
-// next waits for a lead other than old.
+// awaitNewPrimary waits for a primary other than old and returns it.
 func (g *Group) next(old *Database, limit time.Duration) *Database {
 	g.w.T.Helper()
-	g.w.Until("the next lead", limit, func() bool { l := g.Primary(); return l != nil && l != old })
+	g.w.Until("a new primary is promoted", limit, func() bool { p := g.Primary(); return p != nil && p != old })
 	return g.Primary()
 }
 
-// ask asks every process for its view.
-func (w *World) ask() *tools.System {
+// collectReports collects the status reports of all processes.
+func (w *World) collectReports() *tools.System {
 	return tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true)
 }
 
-// status is what the tool says of the system in short.
+// statusText returns the short output of the status tool.
 func (w *World) status() string {
-	var b bytes.Buffer
-	tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true).Print(&b, false, "")
-	return b.String()
+	var text bytes.Buffer
+	tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true).Print(&text, false, "")
+	return text.String()
 }
 
-// A second loss right after two replacements: a replica and the primary leave,
-// the next lead crashes after two seconds, and the one after that is lost before
-// the first is back, just when those that leave were needed. If a pooler is lost
-// with it, nothing says that the others hold everything while two databases are
-// away; when one is back they do, though those that left are gone. If all poolers
-// tell what they acknowledged, a database that has received that leads at once.
+// A second loss right after two replacements: a replica and the primary drain, the next primary crashes
+// after 2 s, and the primary after that is lost before the crashed one has returned, while the draining
+// databases are still needed. If a pooler is lost with it, nothing shows that the remaining databases
+// hold every acknowledged commit as long as two databases are absent; once one of the two has returned
+// they do, although the drained ones are gone. If all poolers report what they acknowledged, a database
+// that has received as much is promoted at once.
 func TestSecondLossAfterReplacements(t *testing.T) {
-	for _, told := range []bool{true, false} {
+	for _, allPoolersReport := range []bool{true, false} {
 		play(t, func(w *World, g *Group) {
-			l := under(w, g, func() {
-				second, third := lossAfterReplacements(g)
-				third.Crash(told)
-				if !told {
+			load := under(w, g, func() {
+				second, third := replaceThenCrash(g)
+				third.Crash(allPoolersReport)
+				if !allPoolersReport {
 					w.Process("pooler", 4).Kill()
 				} else {
 					g.next(third, 2*time.Second)
@@ -55,27 +55,27 @@
 				}
 				time.Sleep(5 * time.Second)
 				if g.Primary() != nil {
-					t.Error("a database was promoted, though two that may hold commits were away")
+					t.Error("a database was promoted although two absent ones may hold commits")
 				}
 				if text := w.status(); !strings.Contains(text, "service ledger waits: a replica that does not answer may hold an acknowledged commit; "+second.ID) {
-					t.Errorf("status says:\n%s", text)
+					t.Errorf("unexpected status:\n%s", text)
 				}
 				second.Return(second.ID + "b")
 				g.next(third, 2*time.Second)
 				w.Start("pooler", 4, false)
 			})
-			served(t, l, 9*time.Second)
+			served(t, load, 9*time.Second)
 			if text := w.status(); strings.Contains(text, "waits") {
-				t.Errorf("status says:\n%s", text)
+				t.Errorf("unexpected status:\n%s", text)
 			}
 		})
 	}
 }
 
-// lossAfterReplacements has a replica and the primary leave and the next lead
-// crash; it returns that and the one that leads then, which is the last to hold
-// everything but those that leave.
-func lossAfterReplacements(g *Group) (second, third *Database) {
+// replaceThenCrash replaces a replica and the primary and crashes the next primary. It returns that one
+// and the primary after it, which then is the last database, apart from draining ones, to hold every
+// commit.
+func replaceThenCrash(g *Group) (second, third *Database) {
 	g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 	time.Sleep(time.Second)
 	g.DB(2).Leave(8*time.Second, true)
@@ -88,9 +88,9 @@
 	third = g.next(second, 3*time.Second)
 	time.Sleep(time.Second)
 	for _, d := range g.Databases()[1:] {
-		if d != g.DB(2) && d != second && d != third { // it alone stays
+		if d != g.DB(2) && d != second && d != third { // the only replica that is not draining
 			d.SetReplicationStopped(true)
-			time.Sleep(1500 * time.Millisecond) // those that leave are let receive
+			time.Sleep(1500 * time.Millisecond) // meanwhile the draining ones receive commits
 			d.SetReplicationStopped(false)
 		}
 	}
@@ -98,11 +98,12 @@
 	return second, third
 }
 
-// A leaving replica that has deregistered is not waited for, though the one
-// that stays could not be reached meanwhile, since another held all that it did.
-func TestLeftWhileTheStayingOneWasAway(t *testing.T) {
+// A failover does not wait for a drained replica that has deregistered, although the only replica that
+// is not draining was unreachable in the meantime, because another one held everything that the
+// deregistered one did.
+func TestReplicaDeregisteredWhileOtherUnreachable(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 			time.Sleep(time.Second)
 			g.DB(1).Leave(4*time.Second, true)
@@ -110,22 +111,22 @@
 			time.Sleep(time.Second)
 			g.DB(2).Crash(true)
 			time.Sleep(5 * time.Second)
-			lead := g.Primary()
-			lead.Crash(true)
+			primary := g.Primary()
+			primary.Crash(true)
 			time.Sleep(time.Second)
 			g.DB(2).Return("ledger-3b")
-			g.next(lead, 3*time.Second)
+			g.next(primary, 3*time.Second)
 		})
-		served(t, l, 5*time.Second)
+		served(t, load, 5*time.Second)
 	})
 }
 
-// Only a replica that leaves receives: commits go on, it leads for the time
-// being when the lead is lost, and hands over to the one that stays as soon as
-// that has caught up.
-func TestOnlyALeavingReplicaHoldsACommit(t *testing.T) {
+// While only a draining replica receives replicated writes, commits continue. It becomes the primary
+// when the primary is lost, and hands over to the replica that is not draining once that has
+// caught up.
+func TestOnlyDrainingReplicaHoldsCommits(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(1).Leave(12*time.Second, true)
@@ -133,40 +134,40 @@
 			before := g.Acked()
 			time.Sleep(time.Second)
 			if n := g.Acked() - before; n < 20 {
-				t.Errorf("%d commits in a second", n)
+				t.Errorf("only %d commits in 1 s", n)
 			}
-			lead := g.Primary()
-			lead.Crash(true)
-			if g.next(lead, 3*time.Second) != g.DB(1) {
-				t.Error("the replica that had received everything does not lead")
+			primary := g.Primary()
+			primary.Crash(true)
+			if g.next(primary, 3*time.Second) != g.DB(1) {
+				t.Error("the replica that had received every commit was not promoted")
 			}
 			time.Sleep(2 * time.Second)
 			if g.Primary() != g.DB(1) {
-				t.Error("the lead left before anyone could follow")
+				t.Error("the primary was demoted before another replica had caught up")
 			}
 			g.DB(2).SetReplicationStopped(false)
 			if g.next(g.DB(1), 2*time.Second) != g.DB(2) {
-				t.Error("the replica that stays does not lead")
+				t.Error("the replica that is not draining was not promoted")
 			}
-			moves := int64(0)
+			failovers := int64(0)
 			for z := 1; z <= 4; z++ {
-				moves += w.Process("control", z).Kernel.Counters.Snapshot()["failover.moves"]
+				failovers += w.Process("control", z).Kernel.Counters.Snapshot()["failover.moves"]
 			}
-			if moves != 2 {
-				t.Errorf("%d moves were begun", moves)
+			if failovers != 2 {
+				t.Errorf("%d failovers were started, want 2", failovers)
 			}
 		})
-		served(t, l, 6*time.Second)
+		served(t, load, 6*time.Second)
 	})
 }
 
-// AcknowledgedIsKnown: the replica that stays is dark, one that leaves ends without
-// a limit, and right after that the lead is gone for good. The other one that
-// leaves has received all that carriers acknowledged, so it leads, for the time that
-// it has left; nobody waits for those that may have held more.
-func TestLeadLostRightAfterALeavingReplica(t *testing.T) {
+// Guards AcknowledgedIsKnown where the replica that is not draining is unreachable, a draining one stops
+// with no recorded limit, and right after that the primary is lost permanently. The other draining
+// replica has received everything that the poolers acknowledged, so it is promoted for the time that it
+// still runs. The failover does not wait for databases that may have held more.
+func TestPrimaryLostAfterDrainingReplica(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 			time.Sleep(time.Second)
 			g.DB(2).Crash(true)
@@ -174,31 +175,31 @@
 			g.DB(1).Leave(20*time.Second, true)
 			g.DB(3).Leave(3*time.Second, true)
 			time.Sleep(3*time.Second + 100*time.Millisecond)
-			lead := g.Primary()
-			lead.Crash(true)
-			if g.next(lead, 2*time.Second) != g.DB(1) {
-				t.Error("the replica that had received everything does not lead")
+			primary := g.Primary()
+			primary.Crash(true)
+			if g.next(primary, 2*time.Second) != g.DB(1) {
+				t.Error("the replica that had received every commit was not promoted")
 			}
 			time.Sleep(time.Second)
 			g.DB(2).Return("ledger-3b")
 			g.next(g.DB(1), 3*time.Second)
 		})
-		served(t, l, 4*time.Second)
+		served(t, load, 4*time.Second)
 	})
 }
 
-// AcknowledgedIsKnown: two databases that do not leave are gone for good, the lead
-// while the other was dark already, and a third has received all that carriers
+// Guards AcknowledgedIsKnown where two databases are lost permanently without draining, the primary when
+// the other one was unreachable already. A third has received everything that the poolers
 // acknowledged.
-func TestTwoGoneForGood(t *testing.T) {
+func TestTwoDatabasesLostPermanently(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		served(t, under(w, g, func() {
 			g.DB(2).Crash(true)
 			time.Sleep(2 * time.Second)
-			lead := g.Primary()
-			lead.Crash(true)
-			if g.next(lead, 2*time.Second) != g.DB(1) {
-				t.Error("the replica that had received everything does not lead")
+			primary := g.Primary()
+			primary.Crash(true)
+			if g.next(primary, 2*time.Second) != g.DB(1) {
+				t.Error("the replica that had received every commit was not promoted")
 			}
 			time.Sleep(time.Second)
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica")
@@ -206,40 +207,40 @@
 	})
 }
 
-// AcknowledgedIsKnown: a pooler is lost just before the lead is. What it acknowledged
-// last is not known, so the lead is followed only once the silent replica is back.
-func TestAPoolerIsLostWithTheLead(t *testing.T) {
+// Guards AcknowledgedIsKnown where a pooler is lost just before the primary. What it acknowledged last is
+// not known, so a new primary is promoted only once the crashed replica has returned.
+func TestPoolerLostWithPrimary(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		served(t, under(w, g, func() {
 			g.DB(2).Crash(false)
 			time.Sleep(2 * time.Second)
-			lead := g.Primary()
+			primary := g.Primary()
 			w.Process("pooler", 2).Kill()
-			lead.Crash(false)
+			primary.Crash(false)
 			time.Sleep(5 * time.Second)
 			if g.Primary() != nil {
-				t.Error("a database was promoted, though the lost pooler may have acknowledged more")
+				t.Error("a database was promoted although the lost pooler may have acknowledged more commits")
 			}
 			g.DB(2).Return("ledger-3b")
-			g.next(lead, 2*time.Second)
+			g.next(primary, 2*time.Second)
 			w.Start("pooler", 2, false)
 		}), 9*time.Second)
 	})
 }
 
-// AcknowledgedIsKnown: a pooler is lost, and the lead some seconds later. By then
-// other poolers have seen positions that cover all that the lost one acknowledged.
-func TestAPoolerIsLostBeforeTheLead(t *testing.T) {
+// Guards AcknowledgedIsKnown where a pooler is lost, and the primary some seconds later. By then other
+// poolers have seen positions that cover everything that the lost one acknowledged.
+func TestPoolerLostBeforePrimary(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		served(t, under(w, g, func() {
 			g.DB(2).Crash(true)
 			time.Sleep(2 * time.Second)
 			w.Process("pooler", 2).Kill()
 			time.Sleep(4 * time.Second)
-			lead := g.Primary()
-			lead.Crash(true)
-			if g.next(lead, 2*time.Second) != g.DB(1) {
-				t.Error("the replica that had received everything does not lead")
+			primary := g.Primary()
+			primary.Crash(true)
+			if g.next(primary, 2*time.Second) != g.DB(1) {
+				t.Error("the replica that had received every commit was not promoted")
 			}
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 			w.Start("pooler", 2, false)
@@ -247,231 +248,230 @@
 	})
 }
 
-// Where nobody stays, one that leaves follows a lead that is lost.
-func TestOnlyALeavingReplicaRuns(t *testing.T) {
+// If every remaining replica is draining, one of them is promoted when the primary is lost.
+func TestOnlyDrainingReplicaRuns(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		served(t, under(w, g, func() {
 			g.DB(1).Leave(time.Second, true)
 			time.Sleep(3 * time.Second)
 			g.DB(2).Leave(9*time.Second, true)
 			time.Sleep(time.Second)
-			lead := g.Primary()
-			lead.Crash(true)
-			g.next(lead, 3*time.Second)
-			lead.Return("ledger-1b")
+			primary := g.Primary()
+			primary.Crash(true)
+			g.next(primary, 3*time.Second)
+			primary.Return("ledger-1b")
 		}), 4*time.Second)
 	})
 }
 
-// A database that is new at the address of one that drained and never said that
-// it left is another one: that one's log is not there.
-func TestAddressOfADrainingReplica(t *testing.T) {
+// A new database at the address of a drained one that never deregistered is a different database: it
+// does not have the log of the drained one.
+func TestAddressOfDrainingReplicaReused(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			g.DB(1).Leave(3*time.Second, false)
 			time.Sleep(3*time.Second - time.Millisecond)
-			lead := g.Primary()
-			lead.Crash(false)
+			primary := g.Primary()
+			primary.Crash(false)
 			time.Sleep(500 * time.Millisecond)
 			g.Add("ledger-9", "10.2.64.1", "z2", "replica")
 			time.Sleep(4 * time.Second)
 			if g.Primary() != nil {
-				t.Error("a database was promoted that lacks commits")
+				t.Error("a database that lacks commits was promoted")
 			}
 			if text := w.status(); !strings.Contains(text, "waits: a database that is gone may have held an acknowledged commit; ledger-2, gone") {
-				t.Errorf("status says:\n%s", text)
+				t.Errorf("unexpected status:\n%s", text)
 			}
-			lead.Return("ledger-1b") // it alone holds them
-			w.Until("a lead", 3*time.Second, func() bool { return g.Primary() == lead })
-			entry := func(id string) string {
+			primary.Return("ledger-1b") // the only one that holds the commits
+			w.Until("the old primary leads again", 3*time.Second, func() bool { return g.Primary() == primary })
+			databaseEntry := func(id string) string {
 				raw, err := w.Process("control", controlPrimary(w)).replica().Read("database/" + id)
 				if err != nil {
 					t.Error(err)
 				}
 				return string(raw)
 			}
-			w.Until("the old one is forgotten", 5*time.Second, func() bool { return entry("ledger-2") == "" })
+			w.Until("the entry of the drained database is removed", 5*time.Second, func() bool { return databaseEntry("ledger-2") == "" })
 			code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(controlPrimary(w))+":8782", "/Servers.Heartbeat/ledger-2", nil,
 				fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z2","slots":7,"status":"draining","target_role":"replica","call_seq":999}`, g.DB(1).Addr))
-			if entry("ledger-2") != "" || entry("ledger-9") == "" {
-				t.Errorf("a late beat, answered %d, put the old one back", code)
+			if databaseEntry("ledger-2") != "" || databaseEntry("ledger-9") == "" {
+				t.Errorf("a late heartbeat, answered with %d, restored the entry of the drained database", code)
 			}
 		})
-		served(t, l, 9*time.Second)
+		served(t, load, 9*time.Second)
 	})
 }
 
-// All that may have held an acknowledged commit are gone for good: nobody is
-// promoted, and the status says so.
-func TestLossForGoodIsTold(t *testing.T) {
+// If all databases that may have held an acknowledged commit are gone permanently, none is promoted and
+// the status reports the reason.
+func TestPermanentLossIsReported(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			g.DB(1).Leave(4*time.Second, true)
 			g.DB(0).Leave(3*time.Second, true)
 			time.Sleep(8 * time.Second)
 			if g.Primary() != nil {
-				t.Error("a database was promoted that lacks commits")
+				t.Error("a database that lacks commits was promoted")
 			}
 			if text := w.status(); !strings.Contains(text, "service ledger waits: acknowledged commits may be lost: all databases that may have held them are gone; 1.") {
-				t.Errorf("status says:\n%s", text)
+				t.Errorf("unexpected status:\n%s", text)
 			}
 		})
-		if l.Served < 100 {
-			t.Errorf("served %d", l.Served)
+		if load.Served < 100 {
+			t.Errorf("only %d writes were served", load.Served)
 		}
 	})
 }
 
-// An operator accepts that a database which may hold acknowledged commits does not
-// come back: for the failover that waits, under a name, and not for the next one.
+// An operator accepts that a database which may hold acknowledged commits does not return. The request
+// must name the operator and the failover that is blocked, and is not valid for another one.
 func TestAcceptedLoss(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		g.DB(2).SetReplicationStopped(true)
-		l := w.NewLoad(g, 7)
+		load := w.NewLoad(g, 7)
 		time.Sleep(3 * time.Second)
 		g.DB(1).Crash(false)
 		g.DB(0).Crash(false)
 		time.Sleep(4 * time.Second)
-		l.Stop()
+		load.Stop()
 		if g.Primary() != nil {
-			t.Fatal("a database was promoted that lacks commits")
+			t.Fatal("a database that lacks commits was promoted")
 		}
 		host := w.Net.Host("10.250.0.9")
-		ask := func() (*tools.BlockedFailover, error) {
+		findBlocked := func() (*tools.BlockedFailover, error) {
 			return tools.CollectReports(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).FindBlocked("ledger")
 		}
-		waiting, err := ask()
-		if err != nil || waiting.FailoverID != 1 || !strings.Contains(waiting.Reason, "ledger-2") {
-			t.Fatalf("waiting: %+v %v", waiting, err)
+		blocked, err := findBlocked()
+		if err != nil || blocked.FailoverID != 1 || !strings.Contains(blocked.Reason, "ledger-2") {
+			t.Fatalf("blocked failover: %+v %v", blocked, err)
 		}
-		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID+1, "someone"); err == nil {
-			t.Error("an order for another turn was taken")
+		if err := blocked.AcceptLoss(context.Background(), host, blocked.FailoverID+1, "someone"); err == nil {
+			t.Error("a request for another failover was accepted")
 		}
-		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID, ""); err == nil {
-			t.Error("an order without a name was taken")
+		if err := blocked.AcceptLoss(context.Background(), host, blocked.FailoverID, ""); err == nil {
+			t.Error("a request without an operator's name was accepted")
 		}
 		time.Sleep(time.Second)
 		if g.Primary() != nil {
-			t.Error("an order that was refused had its effect")
+			t.Error("a refused request took effect")
 		}
 		g.DiscardAcked()
-		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID, "someone"); err != nil {
+		if err := blocked.AcceptLoss(context.Background(), host, blocked.FailoverID, "someone"); err != nil {
 			t.Fatal(err)
 		}
-		w.Until("the one that is left leads", 3*time.Second, func() bool { return g.Primary() == g.DB(2) })
-		w.Until("that is known", 2*time.Second, func() bool { _, err := ask(); return err != nil })
-		lead := leadOf(t, w)
-		if lead.Accepted.By != "someone" || lead.Accepted.FailoverID != 1 || lead.Accepted.AtMs == 0 || lead.MinPosition != "" {
-			t.Errorf("the record: %+v", lead)
+		w.Until("the remaining replica is promoted", 3*time.Second, func() bool { return g.Primary() == g.DB(2) })
+		w.Until("the status no longer reports a blocked failover", 2*time.Second, func() bool { _, err := findBlocked(); return err != nil })
+		recorded := leadOf(t, w)
+		if recorded.Accepted.By != "someone" || recorded.Accepted.FailoverID != 1 || recorded.Accepted.AtMs == 0 || recorded.MinPosition != "" {
+			t.Errorf("recorded leader: %+v", recorded)
 		}
-		if err := waiting.AcceptLoss(context.Background(), host, waiting.FailoverID, "someone"); err == nil {
-			t.Error("an order for a move that is over was taken")
+		if err := blocked.AcceptLoss(context.Background(), host, blocked.FailoverID, "someone"); err == nil {
+			t.Error("a request for a completed failover was accepted")
 		}
 	})
 }
 
-// leadOf is the lead in the control state.
+// recordedLeader returns the leader of the service "ledger" that is recorded in the control state.
 func leadOf(t *testing.T, w *World) failover.Leader {
 	t.Helper()
 	state, err := w.Process("control", controlPrimary(w)).replica().Durable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	leads, err := failover.Decode(state.Entries)
+	leaders, err := failover.Decode(state.Entries)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return leads["ledger"]
+	return leaders["ledger"]
 }
 
-// A primary that was cut off while another was promoted, and so still takes
-// itself for the primary, is not waited for when that one is lost.
-func TestSupersededPrimaryIsHeard(t *testing.T) {
+// A primary that was partitioned while another one was promoted, and so still believes that it is the
+// primary, does not block the failover when the other one is lost.
+func TestSupersededPrimaryDoesNotBlockFailover(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		first := g.Primary()
-		cut := func(cut bool) {
+		isolate := func(cut bool) {
 			for z := 1; z <= 4; z++ {
 				w.Net.Cut(first.IP, ip(z), cut)
 			}
 		}
-		l := under(w, g, func() {
-			cut(true)
+		load := under(w, g, func() {
+			isolate(true)
 			w.Net.Cut(first.IP, g.DB(1).IP, true)
 			w.Net.Cut(first.IP, g.DB(2).IP, true)
 			second := g.next(first, 5*time.Second)
 			time.Sleep(time.Second)
 			second.Crash(true)
 			time.Sleep(time.Second)
-			cut(false)
+			isolate(false)
 			g.next(second, 3*time.Second)
 		})
-		served(t, l, 6*time.Second)
+		served(t, load, 6*time.Second)
 	})
 }
 
-// The chosen replica is promoted while the control node that chose it is lost, and
-// crashes before anyone has heard of it. The other one, which held as much, leads;
-// if that is lost too, the first does once it returns as the primary that it was
-// made.
-func TestPromotedUnheardAndCrashed(t *testing.T) {
-	for _, both := range []bool{false, true} {
+// The chosen replica is promoted while the control node that chose it is lost, and crashes before any
+// process learns of the promotion. The other replica, which held as much, is promoted; if that
+// one is lost too, the first leads once it returns as the primary.
+func TestPromotedReplicaCrashesUnnoticed(t *testing.T) {
+	for _, otherCrashes := range []bool{false, true} {
 		play(t, func(w *World, g *Group) {
-			l := under(w, g, func() {
+			load := under(w, g, func() {
 				first := g.Primary()
 				first.Crash(true)
-				w.Until("the platform is called", 4*time.Second, func() bool { return w.Calls() == 1 })
+				w.Until("the platform is called to promote", 4*time.Second, func() bool { return w.Calls() == 1 })
 				w.Process("control", controlPrimary(w)).Kill()
 				second := g.next(first, time.Second)
 				second.Crash(false)
-				if !both {
+				if !otherCrashes {
 					g.next(second, 5*time.Second)
 					return
 				}
 				g.DB(3 - slices.Index(g.Databases(), second)).Crash(true)
 				time.Sleep(5 * time.Second)
 				second.Return(second.ID + "b")
-				w.Until("it leads again", 3*time.Second, func() bool { return strings.Contains(w.status(), "1 services, 1 with a lead") })
+				w.Until("the promoted replica leads after its return", 3*time.Second, func() bool { return strings.Contains(w.status(), "1 services, 1 with a lead") })
 			})
-			if !both {
-				served(t, l, 6*time.Second)
+			if !otherCrashes {
+				served(t, load, 6*time.Second)
 			}
 		})
 	}
 }
 
-// A CONTINUE of before its draining that comes late has a confined replica receive
-// past its limit: it is paused anew, and the limit covers what it has received.
-func TestConfinedAgain(t *testing.T) {
+// A CONTINUE that was sent before the draining arrives late and makes a paused draining replica receive
+// commits past its limit. It must be paused again, and the new limit must cover what it has received.
+func TestDrainingReplicaPausedAgain(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		under(w, g, func() {
-			d := g.DB(2)
-			d.Leave(8*time.Second, true)
-			state := func() (held int64, received, limit lineprotocol.Position) {
-				s, err := w.Process("control", controlPrimary(w)).replica().Durable()
+			replica := g.DB(2)
+			replica.Leave(8*time.Second, true)
+			readState := func() (pausedTerm int64, received, limit lineprotocol.Position) {
+				state, err := w.Process("control", controlPrimary(w)).replica().Durable()
 				if err != nil {
 					t.Fatal(err)
 				}
-				known, err := discovery.Decode(s.Entries)
+				databases, err := discovery.Decode(state.Entries)
 				if err != nil {
 					t.Fatal(err)
 				}
-				limit, _ = lineprotocol.ParsePosition(known[d.ID].Limit)
-				received, held = d.Position()
-				return held, received, limit
+				limit, _ = lineprotocol.ParsePosition(databases[replica.ID].Limit)
+				received, pausedTerm = replica.Position()
+				return pausedTerm, received, limit
 			}
-			confined := func() bool {
-				held, received, limit := state()
-				return held != 0 && limit.Term != 0 && !limit.Less(received)
+			pausedWithinLimit := func() bool {
+				pausedTerm, received, limit := readState()
+				return pausedTerm != 0 && limit.Term != 0 && !limit.Less(received)
 			}
-			w.Until("the leaving replica is confined", 3*time.Second, confined)
-			_, _, before := state()
-			d.Control("CONTINUE", "")
-			time.Sleep(100 * time.Millisecond) // the load writes
-			w.Until("it is confined again", 2*time.Second, confined)
-			if _, _, limit := state(); !before.Less(limit) {
-				t.Errorf("limit %v, before the late CONTINUE %v", limit, before)
+			w.Until("the draining replica is paused within its limit", 3*time.Second, pausedWithinLimit)
+			_, _, firstLimit := readState()
+			replica.Control("CONTINUE", "")
+			time.Sleep(100 * time.Millisecond) // for writes of the load
+			w.Until("the draining replica is paused again", 2*time.Second, pausedWithinLimit)
+			if _, _, limit := readState(); !firstLimit.Less(limit) {
+				t.Errorf("limit %v after the late CONTINUE, %v before", limit, firstLimit)
 			}
 		})
 	})
--- a/internal/simulation/resets_test.go
+++ b/internal/simulation/resets_test.go
@@ -14,23 +14,23 @@
 	"indigowalk/internal/kernel"
 )
 
-// tallied is a history of additions to one number: how many were acknowledged, how
-// many ended without a clear answer, and what the number was in the end.
-type tallied struct{ acked, unclear, value int }
+// counterHistory records increments of one counter: how many were acknowledged, how many have an
+// unknown outcome, and the final value.
+type counterHistory struct{ acked, unknown, value int }
 
-// check finds what was lost or counted twice.
-func (h tallied) check() error {
+// check returns an error if increments were lost or took effect twice.
+func (h counterHistory) check() error {
 	switch {
 	case h.value < h.acked:
-		return fmt.Errorf("%d acknowledged additions are lost", h.acked-h.value)
-	case h.value > h.acked+h.unclear:
-		return fmt.Errorf("%d additions took effect twice", h.value-h.acked-h.unclear)
+		return fmt.Errorf("%d acknowledged increments were lost", h.acked-h.value)
+	case h.value > h.acked+h.unknown:
+		return fmt.Errorf("%d increments took effect twice", h.value-h.acked-h.unknown)
 	}
 	return nil
 }
 
-func TestTheCheckOfAdditions(t *testing.T) {
-	for h, ok := range map[tallied]bool{
+func TestCounterHistoryCheck(t *testing.T) {
+	for h, ok := range map[counterHistory]bool{
 		{5, 0, 5}: true, {5, 2, 6}: true, {5, 2, 7}: true, {5, 2, 4}: false, {5, 2, 8}: false,
 	} {
 		if (h.check() == nil) != ok {
@@ -39,43 +39,45 @@
 	}
 }
 
-// add adds one to a number in the control state, at whichever control node leads.
-func add(w *World, key string) (acked, sent bool) {
+// incrementCounter increments a counter in the control state at the control node that holds the lease.
+// sent is false if the increment certainly did not take effect.
+func incrementCounter(w *World, key string) (acked, sent bool) {
 	for z := 1; z <= w.Zones; z++ {
-		p := w.Process("control", z)
-		if p == nil {
+		process := w.Process("control", z)
+		if process == nil {
 			continue
 		}
-		v := kernel.Need[*controlstate.Replica](p.Kernel)
-		if _, left := v.Lease(); left <= 0 {
+		replica := kernel.Need[*controlstate.Replica](process.Kernel)
+		if _, left := replica.Lease(); left <= 0 {
 			continue
 		}
-		err := v.Update(context.Background(), func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
-			return map[string]json.RawMessage{key: json.RawMessage(fmt.Sprint(number(entries, key) + 1))}, nil
+		err := replica.Update(context.Background(), func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+			return map[string]json.RawMessage{key: json.RawMessage(fmt.Sprint(counterValue(entries, key) + 1))}, nil
 		})
 		return err == nil, !errors.Is(err, controlstate.ErrNotPrimary)
 	}
 	return false, false
 }
 
-func number(entries map[string]json.RawMessage, key string) (n int) {
+// counterValue returns the value of a counter in the control state, 0 if there is none.
+func counterValue(entries map[string]json.RawMessage, key string) (n int) {
 	json.Unmarshal(entries[key], &n)
 	return n
 }
 
-// All connections of core machines are reset, again and again, under load and a
-// storm of changes: what was acknowledged is kept, nothing takes effect twice, no
-// call gets another's answer, and changes are taken as soon as it is over.
-func TestResetsInTheCore(t *testing.T) {
-	for name, ports := range map[string][]string{"all connections": nil, "calls alone": {"7440", "7441"}} {
+// All connections of machines with control nodes are reset repeatedly under load and many configuration
+// changes. What was acknowledged is kept, nothing takes effect twice, no call gets another's response,
+// and changes are accepted as soon as the resets end.
+func TestConnectionResets(t *testing.T) {
+	for name, ports := range map[string][]string{"all connections": nil, "RPC connections": {"7440", "7441"}} {
 		t.Run(name, func(t *testing.T) {
 			play(t, func(w *World, g *Group) {
-				l := w.NewLoad(g, 11)
+				load := w.NewLoad(g, 11)
 				rng := rand.New(rand.NewPCG(5, 5))
 				stop := make(chan struct{})
 				var wg sync.WaitGroup
 				var mu sync.Mutex
-				h := tallied{}
+				history := counterHistory{}
 				for range 3 {
 					wg.Go(func() {
 						for {
@@ -84,12 +86,12 @@
 								return
 							case <-time.After(40 * time.Millisecond):
 							}
-							acked, sent := add(w, "number")
+							acked, sent := incrementCounter(w, "number")
 							mu.Lock()
 							if acked {
-								h.acked++
+								history.acked++
 							} else if sent {
-								h.unclear++
+								history.unknown++
 							}
 							mu.Unlock()
 						}
@@ -106,10 +108,10 @@
 						}
 					}
 				})
-				rev, orders, refused := int64(1), 0, 0
-				for until := time.Now().Add(5 * time.Second); time.Now().Before(until); orders++ {
+				rev, changes, refused := int64(1), 0, 0
+				for end := time.Now().Add(5 * time.Second); time.Now().Before(end); changes++ {
 					body := w.Configuration(rev + 1)
-					for tries := 0; ; tries++ {
+					for attempt := 0; ; attempt++ {
 						code := w.Replace(1+rng.IntN(w.Zones), rev, body)
 						if code == 200 {
 							rev++
@@ -118,8 +120,8 @@
 						if code/100 == 4 {
 							refused++
 						}
-						if tries > 100 {
-							t.Fatalf("an order is not taken: %d", code)
+						if attempt > 100 {
+							t.Fatalf("a configuration change is not accepted: status %d", code)
 						}
 						time.Sleep(time.Duration(20+rng.IntN(100)) * time.Millisecond)
 					}
@@ -127,39 +129,39 @@
 				}
 				close(stop)
 				wg.Wait()
-				w.Until("a change is taken after the resets", 4*time.Second, func() bool {
+				w.Until("a configuration change is accepted after the resets", 4*time.Second, func() bool {
 					if w.Replace(1, rev, w.Configuration(rev+1)) == 200 {
 						rev++
 						return true
 					}
 					return false
 				})
-				l.Stop()
+				load.Stop()
 				state, err := kernel.Need[*controlstate.Replica](w.Process("control", controlPrimary(w)).Kernel).Durable()
 				if err != nil {
 					t.Fatal(err)
 				}
-				h.value = number(state.Entries, "number")
-				if err := h.check(); err != nil {
-					t.Errorf("%v: %+v", err, h)
+				history.value = counterValue(state.Entries, "number")
+				if err := history.check(); err != nil {
+					t.Errorf("%v: %+v", err, history)
 				}
-				if got := w.Fetch(); got != rev || refused > 0 || orders < 10 || h.acked < 50 {
-					t.Errorf("version %d, not %d, %d orders, %d refused, %+v", got, rev, orders, refused, h)
+				if version := w.Fetch(); version != rev || refused > 0 || changes < 10 || history.acked < 50 {
+					t.Errorf("configuration version %d, want %d; %d changes, %d refused, %+v", version, rev, changes, refused, history)
 				}
-				broken := int64(0)
-				for _, p := range w.procs {
-					n := p.Kernel.Counters.Snapshot()
-					broken += n["rpc.unreachable"]
-					for _, c := range []string{"rpc.malformed", "rpc.unasked", "rpc.misdirected", "rpc.unknown_op"} {
-						if n[c] > 0 {
-							t.Errorf("%s: %s %d", p.Name, c, n[c])
+				unreachable := int64(0)
+				for _, process := range w.procs {
+					counters := process.Kernel.Counters.Snapshot()
+					unreachable += counters["rpc.unreachable"]
+					for _, counter := range []string{"rpc.malformed", "rpc.unasked", "rpc.misdirected", "rpc.unknown_op"} {
+						if counters[counter] > 0 {
+							t.Errorf("%s: %s %d", process.Name, counter, counters[counter])
 						}
 					}
 				}
-				if broken < 40 {
-					t.Errorf("only %d calls were broken off", broken)
+				if unreachable < 40 {
+					t.Errorf("only %d calls were interrupted", unreachable)
 				}
-				t.Logf("%d orders, %+v, %d writes served, %d calls broken off", orders, h, l.Served, broken)
+				t.Logf("%d changes, %+v, %d writes served, %d calls interrupted", changes, history, load.Served, unreachable)
 			})
 		})
 	}
--- a/internal/simulation/stray_test.go
+++ b/internal/simulation/stray_test.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// heldReplicas waits until both replicas of a group of three are paused.
-func heldReplicas(w *World, g *Group) {
+// awaitPausedReplicas waits until both replicas of a group of three are paused.
+func awaitPausedReplicas(w *World, g *Group) {
 	w.T.Helper()
-	w.Until("the replicas are paused", 10*time.Second, func() bool {
+	w.Until("both replicas are paused", 10*time.Second, func() bool {
 		_, first := g.DB(1).Position()
 		_, second := g.DB(2).Position()
 		return first > 0 && second > 0
 	})
 }
 
-// A CONTINUE of a failover manager that has lost its term since comes late, between the
-// choice and the promotion: what was under way at the old primary is acknowledged
-// by the replica that it wakes, and the chosen one must not lack it.
-func TestALateContinueLosesNothing(t *testing.T) {
+// A CONTINUE of a failover manager whose term has ended arrives late, between the choice of the new
+// primary and its promotion. The replica that it resumes acknowledges the old primary's commits in
+// flight, and the chosen replica must not lack them.
+func TestLateContinueLosesNoCommit(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		z := controlPrimary(w)
+		manager := controlPrimary(w)
 		under(w, g, func() {
 			g.DB(1).SetReplicationStopped(true)
-			g.DB(2).SetReplicationStopped(true) // so that writes are under way when they are paused
+			g.DB(2).SetReplicationStopped(true) // so that writes are in flight when the replicas are paused
 			time.Sleep(100 * time.Millisecond)
-			w.Net.Cut(ip(z), g.DB(0).IP, true) // only the failover manager finds it down
-			heldReplicas(w, g)
+			w.Net.Cut(ip(manager), g.DB(0).IP, true) // only the failover manager considers it down
+			awaitPausedReplicas(w, g)
 			time.Sleep(30 * time.Millisecond)
 			g.DB(2).Control("CONTINUE", "")
 			g.DB(2).SetReplicationStopped(false)
 			time.Sleep(3 * time.Second)
 			g.DB(1).SetReplicationStopped(false)
-			w.Net.Cut(ip(z), g.DB(0).IP, false)
+			w.Net.Cut(ip(manager), g.DB(0).IP, false)
 		})
 	})
 }
 
-// A CONTINUE that got lost is said again: a replica stays paused no longer than
-// the move for which it was paused.
-func TestALostContinueIsSaidAgain(t *testing.T) {
+// A lost CONTINUE is sent again: a replica must not stay paused after the failover for which it was
+// paused has ended.
+func TestLostContinueIsRepeated(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		z := controlPrimary(w)
+		manager := controlPrimary(w)
 		g.DB(2).Crash(true)
-		w.Net.Cut(ip(z), g.DB(0).IP, true)
-		l := w.NewLoad(g, 3)
+		w.Net.Cut(ip(manager), g.DB(0).IP, true)
+		load := w.NewLoad(g, 3)
 		w.Until("a replica is paused", 10*time.Second, func() bool {
-			_, held := g.DB(1).Position()
-			return held > 0
+			_, pausedTerm := g.DB(1).Position()
+			return pausedTerm > 0
 		})
-		w.Net.Cut(ip(z), g.DB(1).IP, true)
-		w.Net.Cut(ip(z), g.DB(0).IP, false)
+		w.Net.Cut(ip(manager), g.DB(1).IP, true)
+		w.Net.Cut(ip(manager), g.DB(0).IP, false)
 		time.Sleep(5 * time.Second)
-		w.Net.Cut(ip(z), g.DB(1).IP, false)
+		w.Net.Cut(ip(manager), g.DB(1).IP, false)
 		time.Sleep(5 * time.Second)
-		if _, held := g.DB(1).Position(); held > 0 {
+		if _, pausedTerm := g.DB(1).Position(); pausedTerm > 0 {
 			t.Error("a replica is still paused")
 		}
-		l.Stop()
+		load.Stop()
 	})
 }
