--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -53,8 +53,8 @@
 	return n
 }
 
-// checkLimit fails the test if any window that begins at or after since has more operations than the
-// tenant's limit and quotaTolerance allow.
+// checkLimit fails the test if any window that begins at or after since has more operations than
+// the tenant's limit and quotaTolerance allow.
 func (o *operationTimes) checkLimit(t TB, tenant routeconfig.Tenant, since time.Time) {
 	t.Helper()
 	o.mu.Lock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// limitedTenant returns a tenant with a limit, whose API key is its name after "key-".
+// limitedTenant returns a tenant with a limit, whose API key is "key-" followed by its name.
 func limitedTenant(name string, rate, burst float64) routeconfig.Tenant {
 	t := newTenant(name, "key-"+name)
 	t.RatePerS, t.Burst = rate, burst
@@ -188,8 +188,8 @@
 	})
 }
 
-// withFloodingTenant runs a scenario while clients in every zone exceed the limit of one tenant, and
-// then checks the limit and the recordings.
+// withFloodingTenant runs a scenario while clients in every zone exceed the limit of one tenant,
+// and then checks the limit and the recordings.
 func withFloodingTenant(t *testing.T, scenario func(w *World, hot routeconfig.Tenant, operations *operationTimes)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
@@ -217,8 +217,8 @@
 	})
 }
 
-// checkRecordings fails the test unless the quota check of all nodes' recordings finds the operations
-// that the databases ran, up to 2 % more, and no excess.
+// checkRecordings fails the test unless the quota check of all nodes' recordings finds the
+// operations that the databases ran, up to 2 % more, and no excess.
 func checkRecordings(w *World, operations *operationTimes) {
 	w.T.Helper()
 	var paths []string
@@ -277,8 +277,8 @@
 	})
 }
 
-// After all nodes have lost power, no record exists of the slices that were granted before. The limit
-// still holds, and operations run again.
+// After all nodes have lost power, no record exists of the slices that were granted before. The
+// limit still holds, and operations run again.
 func TestQuotaPowerLoss(t *testing.T) {
 	withFloodingTenant(t, func(w *World, hot routeconfig.Tenant, operations *operationTimes) {
 		for z := 1; z <= 4; z++ {
--- a/internal/simulation/replacement_test.go
+++ b/internal/simulation/replacement_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// replaceUntilAccepted replaces version from of the configuration by version to, and retries at every
-// control node until one accepts it.
+// replaceUntilAccepted replaces version from of the configuration by version to, and retries at
+// every control node until one accepts it.
 func changed(w *World, from, to int64) {
 	w.T.Helper()
 	w.Until("a configuration change is accepted", 5*time.Second, func() bool {
@@ -46,16 +46,17 @@
 	})
 }
 
-// checkDurable checks that a version of the configuration can be read back and replaced by the next.
+// checkDurable checks that a version of the configuration can be read back and replaced by the
+// next.
 func checkDurable(w *World, rev int64) {
 	w.T.Helper()
 	w.Until(fmt.Sprint("configuration version ", rev, " is read back"), 8*time.Second, func() bool { return w.Fetch() == rev })
 	changed(w, rev, rev+1)
 }
 
-// Guards AcknowledgedSurvives where a backup restarts with an empty disk before its loss is detected.
-// By the time it no longer counts as lost, the state must be on as many disks as before, although
-// nothing was written in the meantime.
+// Guards the invariant AcknowledgedSurvives where a backup restarts with an empty disk before its
+// loss is detected. By the time it no longer counts as lost, the state must be on as many disks as
+// before, although nothing was written in the meantime.
 func TestBackupRestartsWithEmptyDisk(t *testing.T) {
 	core(t, 4, 1, func(w *World, g *Group) {
 		changed(w, 1, 7)
@@ -68,9 +69,9 @@
 	})
 }
 
-// Guards AcknowledgedSurvives where a control node that shuts down gracefully is the last one with the
-// state, because the other one that had it is lost before a later view is formed. The node must stay
-// until others have the state, but no longer than its grace period.
+// Guards the invariant AcknowledgedSurvives where a control node that shuts down gracefully is the
+// last one with the state, because the other one that had it is lost before a later view is formed.
+// The node must stay until others have the state, but no longer than its grace period.
 func TestLastStateHolderShutsDown(t *testing.T) {
 	for _, role := range []string{"backup", "primary"} {
 		core(t, 4, 1, func(w *World, g *Group) {
@@ -93,8 +94,9 @@
 	}
 }
 
-// Guards AcknowledgedSurvives where two failures are tolerated: a view with only one backup, formed
-// while other control nodes were down, must have two by the time those no longer count as lost.
+// Guards the invariant AcknowledgedSurvives where two failures are tolerated: a view with only one
+// backup, formed while other control nodes were down, must have two by the time those no longer
+// count as lost.
 func TestBackupsAddedOnceNodesReturn(t *testing.T) {
 	for _, zones := range []int{5, 6} {
 		core(t, zones, 2, func(w *World, g *Group) {
@@ -120,9 +122,9 @@
 	}
 }
 
-// Guards MajorityRemains where the primary, alone or together with another witness, is lost permanently
-// and replaced by a new node. Once the new nodes no longer count as lost, as many nodes may be lost
-// permanently again, and a majority of the witnesses must remain.
+// Guards the invariant MajorityRemains where the primary, alone or together with another witness,
+// is lost permanently and replaced by a new node. Once the new nodes no longer count as lost, as
+// many nodes may be lost permanently again, and a majority of the witnesses must remain.
 func TestWitnessesReplacedBeforeSecondLoss(t *testing.T) {
 	for _, c := range []struct{ zones, losses int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
 		core(t, c.zones, c.losses, func(w *World, g *Group) {
@@ -152,8 +154,9 @@
 	}
 }
 
-// Guards MajorityRemains where the control nodes are exactly twice the tolerated failures: half of them
-// are lost permanently at once, and as many new ones start, at once or one after the other.
+// Guards the invariant MajorityRemains where the control nodes are exactly twice the tolerated
+// failures: half of them are lost permanently at once, and as many new ones start, at once or one
+// after the other.
 func TestHalfOfWitnessesReplaced(t *testing.T) {
 	for _, startInterval := range []time.Duration{0, time.Second, 3 * time.Second} {
 		core(t, 4, 2, func(w *World, g *Group) {
@@ -181,10 +184,10 @@
 	}
 }
 
-// Guards against CONFIG violations, here a lost configuration, where the control nodes are exactly twice
-// the tolerated failures. One is lost permanently. While its replacement is new, another is down, first
-// with its disk intact and then with the disk lost. Once the replacement no longer counts as lost, a
-// third disk is lost. Those three disks were the ones that held the state.
+// Guards against CONFIG violations, here a lost configuration, where the control nodes are exactly
+// twice the tolerated failures. One is lost permanently. While its replacement is new, another is
+// down, first with its disk intact and then with the disk lost. Once the replacement no longer
+// counts as lost, a third disk is lost. Those three disks were the ones that held the state.
 func TestThirdDiskLost(t *testing.T) {
 	core(t, 4, 2, func(w *World, g *Group) {
 		changed(w, 1, 7)
@@ -211,9 +214,9 @@
 	})
 }
 
-// Guards MajorityRemains where the control nodes are exactly twice the tolerated failures: one is lost
-// permanently and another is down. With the replacement of the first one more than half are running,
-// so changes are accepted.
+// Guards the invariant MajorityRemains where the control nodes are exactly twice the tolerated
+// failures: one is lost permanently and another is down. With the replacement of the first one more
+// than half are running, so changes are accepted.
 func TestNewNodeRestoresMajority(t *testing.T) {
 	for _, variant := range []int{0, 1} {
 		core(t, 4, 2, func(w *World, g *Group) {
@@ -235,9 +238,9 @@
 	}
 }
 
-// Guards MajorityRemains where a witness is lost permanently and replaced, and the primary is lost before
-// or while the new node becomes a witness. Once the new node no longer counts as lost, another node is
-// lost, which is the last of the tolerated failures.
+// Guards the invariant MajorityRemains where a witness is lost permanently and replaced, and the
+// primary is lost before or while the new node becomes a witness. Once the new node no longer
+// counts as lost, another node is lost, which is the last of the tolerated failures.
 func TestPrimaryLostDuringWitnessReplacement(t *testing.T) {
 	for delay := 800 * time.Millisecond; delay <= 3*time.Second; delay += 600 * time.Millisecond {
 		core(t, 5, 2, func(w *World, g *Group) {
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -34,12 +34,12 @@
 	return text.String()
 }
 
-// A second loss right after two replacements: a replica and the primary drain, the next primary crashes
-// after 2 s, and the primary after that is lost before the crashed one has returned, while the draining
-// databases are still needed. If a pooler is lost with it, nothing shows that the remaining databases
-// hold every acknowledged commit as long as two databases are absent; once one of the two has returned
-// they do, although the drained ones are gone. If all poolers report what they acknowledged, a database
-// that has received as much is promoted at once.
+// A second loss right after two replacements: a replica and the primary drain, the next primary
+// crashes after 2 s, and the primary after that is lost before the crashed one has returned, while
+// the draining databases are still needed. If a pooler is lost with it, nothing shows that the
+// remaining databases hold every acknowledged commit as long as two databases are absent; once one
+// of the two has returned they do, although the drained ones are gone. If all poolers report what
+// they acknowledged, a database that has received as much is promoted at once.
 func TestSecondLossAfterReplacements(t *testing.T) {
 	for _, allPoolersReport := range []bool{true, false} {
 		play(t, func(w *World, g *Group) {
@@ -72,9 +72,9 @@
 	}
 }
 
-// replaceThenCrash replaces a replica and the primary and crashes the next primary. It returns that one
-// and the primary after it, which then is the last database, apart from draining ones, to hold every
-// commit.
+// replaceThenCrash replaces a replica and the primary and crashes the next primary. It returns that
+// one and the primary after it, which then is the last database, apart from draining ones, to hold
+// every commit.
 func replaceThenCrash(g *Group) (second, third *Database) {
 	g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 	time.Sleep(time.Second)
@@ -98,9 +98,9 @@
 	return second, third
 }
 
-// A failover does not wait for a drained replica that has deregistered, although the only replica that
-// is not draining was unreachable in the meantime, because another one held everything that the
-// deregistered one did.
+// A failover does not wait for a drained replica that has deregistered, although the only replica
+// that is not draining was unreachable in the meantime, because another one held everything that
+// the deregistered one did.
 func TestReplicaDeregisteredWhileOtherUnreachable(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		load := under(w, g, func() {
@@ -121,9 +121,9 @@
 	})
 }
 
-// While only a draining replica receives replicated writes, commits continue. It becomes the primary
-// when the primary is lost, and hands over to the replica that is not draining once that has
-// caught up.
+// While only a draining replica receives replicated writes, commits continue. It becomes the
+// primary when the primary is lost, and hands over to the replica that is not draining once that
+// has caught up.
 func TestOnlyDrainingReplicaHoldsCommits(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		load := under(w, g, func() {
@@ -161,10 +161,11 @@
 	})
 }
 
-// Guards AcknowledgedIsKnown where the replica that is not draining is unreachable, a draining one stops
-// with no recorded limit, and right after that the primary is lost permanently. The other draining
-// replica has received everything that the poolers acknowledged, so it is promoted for the time that it
-// still runs. The failover does not wait for databases that may have held more.
+// Guards the invariant AcknowledgedIsKnown where the replica that is not draining is unreachable, a
+// draining one stops with no recorded limit, and right after that the primary is lost permanently.
+// The other draining replica has received everything that the poolers acknowledged, so it is
+// promoted for the time that it still runs. The failover does not wait for databases that may have
+// held more.
 func TestPrimaryLostAfterDrainingReplica(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		load := under(w, g, func() {
@@ -188,9 +189,9 @@
 	})
 }
 
-// Guards AcknowledgedIsKnown where two databases are lost permanently without draining, the primary when
-// the other one was unreachable already. A third has received everything that the poolers
-// acknowledged.
+// Guards the invariant AcknowledgedIsKnown where two databases are lost permanently without
+// draining, the primary when the other one was unreachable already. A third has received everything
+// that the poolers acknowledged.
 func TestTwoDatabasesLostPermanently(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		served(t, under(w, g, func() {
@@ -207,8 +208,9 @@
 	})
 }
 
-// Guards AcknowledgedIsKnown where a pooler is lost just before the primary. What it acknowledged last is
-// not known, so a new primary is promoted only once the crashed replica has returned.
+// Guards the invariant AcknowledgedIsKnown where a pooler is lost just before the primary. What it
+// acknowledged last is not known, so a new primary is promoted only once the crashed replica has
+// returned.
 func TestPoolerLostWithPrimary(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		served(t, under(w, g, func() {
@@ -228,8 +230,9 @@
 	})
 }
 
-// Guards AcknowledgedIsKnown where a pooler is lost, and the primary some seconds later. By then other
-// poolers have seen positions that cover everything that the lost one acknowledged.
+// Guards the invariant AcknowledgedIsKnown where a pooler is lost, and the primary some seconds
+// later. By then other poolers have seen positions that cover everything that the lost one
+// acknowledged.
 func TestPoolerLostBeforePrimary(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		served(t, under(w, g, func() {
@@ -264,8 +267,8 @@
 	})
 }
 
-// A new database at the address of a drained one that never deregistered is a different database: it
-// does not have the log of the drained one.
+// A new database at the address of a drained one that never deregistered is a different database:
+// it does not have the log of the drained one.
 func TestAddressOfDrainingReplicaReused(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		load := under(w, g, func() {
@@ -303,8 +306,8 @@
 	})
 }
 
-// If all databases that may have held an acknowledged commit are gone permanently, none is promoted and
-// the status reports the reason.
+// If all databases that may have held an acknowledged commit are gone permanently, none is promoted
+// and the status reports the reason.
 func TestPermanentLossIsReported(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		load := under(w, g, func() {
@@ -325,8 +328,9 @@
 	})
 }
 
-// An operator accepts that a database which may hold acknowledged commits does not return. The request
-// must name the operator and the failover that is blocked, and is not valid for another one.
+// An operator accepts that a database which may hold acknowledged commits does not return. The
+// request must name the operator and the failover that is blocked, and is not valid for another
+// one.
 func TestAcceptedLoss(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		g.DB(2).SetReplicationStopped(true)
@@ -387,8 +391,8 @@
 	return leaders["ledger"]
 }
 
-// A primary that was partitioned while another one was promoted, and so still believes that it is the
-// primary, does not block the failover when the other one is lost.
+// A primary that was partitioned while another one was promoted, and so still believes that it is
+// the primary, does not block the failover when the other one is lost.
 func TestSupersededPrimaryDoesNotBlockFailover(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		first := g.Primary()
@@ -412,8 +416,8 @@
 	})
 }
 
-// The chosen replica is promoted while the control node that chose it is lost, and crashes before any
-// process learns of the promotion. The other replica, which held as much, is promoted; if that
+// The chosen replica is promoted while the control node that chose it is lost, and crashes before
+// any process learns of the promotion. The other replica, which held as much, is promoted; if that
 // one is lost too, the first leads once it returns as the primary.
 func TestPromotedReplicaCrashesUnnoticed(t *testing.T) {
 	for _, otherCrashes := range []bool{false, true} {
@@ -441,8 +445,9 @@
 	}
 }
 
-// A CONTINUE that was sent before the draining arrives late and makes a paused draining replica receive
-// commits past its limit. It must be paused again, and the new limit must cover what it has received.
+// A CONTINUE that was sent before the draining arrives late and makes a paused draining replica
+// receive commits past its limit. It must be paused again, and the new limit must cover what it has
+// received.
 func TestDrainingReplicaPausedAgain(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		under(w, g, func() {
--- a/internal/simulation/resets_test.go
+++ b/internal/simulation/resets_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// incrementCounter increments a counter in the control state at the control node that holds the lease.
-// sent is false if the increment certainly did not take effect.
+// incrementCounter increments a counter in the control state at the control node that holds the
+// lease. sent is false if the increment certainly did not take effect.
 func incrementCounter(w *World, key string) (acked, sent bool) {
 	for z := 1; z <= w.Zones; z++ {
 		process := w.Process("control", z)
@@ -65,9 +65,9 @@
 	return n
 }
 
-// All connections of machines with control nodes are reset repeatedly under load and many configuration
-// changes. What was acknowledged is kept, nothing takes effect twice, no call gets another's response,
-// and changes are accepted as soon as the resets end.
+// All connections of machines with control nodes are reset repeatedly under load and many
+// configuration changes. What was acknowledged is kept, nothing takes effect twice, no call gets
+// another's response, and changes are accepted as soon as the resets end.
 func TestConnectionResets(t *testing.T) {
 	for name, ports := range map[string][]string{"all connections": nil, "RPC connections": {"7440", "7441"}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// A primary that drains right after a handover between control nodes must be replaced without waiting
-// for leases that poolers have acknowledged giving up.
+// A primary that drains right after a handover between control nodes must be replaced without
+// waiting for leases that poolers have acknowledged giving up.
 func TestDrainAfterControlHandover(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		old := g.Primary()
@@ -78,8 +78,8 @@
 	})
 }
 
-// A platform that is over its rate limit, unavailable, does not respond, or reports that the database is
-// not running delays a failover but does not abort it.
+// A platform that enforces its rate limit, is unavailable, does not respond, or reports that the
+// database is not running delays a failover but does not abort it.
 func TestPlatformErrorsDelayFailover(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		old := g.Primary()
@@ -108,7 +108,7 @@
 			}
 			conn.Write([]byte(message))
 			if n, err := conn.Read(make([]byte, 1)); err == nil {
-				t.Errorf("the malformed message %q got a response of %d bytes", message, n)
+				t.Errorf("message %q of a faulty peer got a response of %d bytes", message, n)
 			}
 			conn.Close()
 		}
@@ -186,8 +186,8 @@
 	})
 }
 
-// Prepared statements and options with the same name in two sessions, split and pipelined input, and
-// transactions that stay idle too long.
+// Prepared statements and options with the same name in two sessions, split and pipelined input,
+// and transactions that stay idle too long.
 func TestSessions(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		redSession, _ := w.Login(1, "p.ledger")
--- a/internal/simulation/tenants_test.go
+++ b/internal/simulation/tenants_test.go
@@ -31,8 +31,8 @@
 	return raw
 }
 
-// replaceAndAwait replaces version base of the configuration and waits until every pooler has the new
-// version.
+// replaceAndAwait replaces version base of the configuration and waits until every pooler has the
+// new version.
 func (w *World) replaceAndAwait(base int64, body []byte) {
 	w.T.Helper()
 	var config routeconfig.Configuration
@@ -48,8 +48,8 @@
 	return standin.LoginAs(w.clients(zone), ip(zone)+":8784", database, key)
 }
 
-// sessionWithKey opens a session with a tenant's API key at a zone's pooler, and fails the test if that
-// is refused.
+// sessionWithKey opens a session with a tenant's API key at a zone's pooler, and fails the test if
+// that is refused.
 func (w *World) sessionWithKey(g *Group, zone int, key, tenant string) *Session {
 	w.T.Helper()
 	s, code := w.loginWithKey(zone, "p.ledger", key)
@@ -64,9 +64,9 @@
 	return routeconfig.Tenant{Name: name, Keys: keys}
 }
 
-// The API key determines the tenant at each operation. An unknown key is denied, and so is one that is
-// revoked while a client with it is connected; the client's open transaction is rolled back. Databases
-// learn the tenant's name, on connections that serve only that tenant.
+// The API key determines the tenant at each operation. An unknown key is denied, and so is one that
+// is revoked while a client with it is connected; the client's open transaction is rolled back.
+// Databases learn the tenant's name, on connections that serve only that tenant.
 func TestTenantKeys(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		w.replaceAndAwait(1, w.configurationWithTenants(2, newTenant("ann", "key-a1", "key-a2"), newTenant("bob", "key-b")))
@@ -118,8 +118,8 @@
 	})
 }
 
-// Many tenants share few connections: idle ones are evicted for other tenants, and no statement runs on
-// a connection of another tenant.
+// Many tenants share few connections: idle ones are evicted for other tenants, and no statement
+// runs on a connection of another tenant.
 func TestManyTenantsOnFewConnections(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		var tenants []routeconfig.Tenant
@@ -157,9 +157,9 @@
 	})
 }
 
-// Guards RevokedInTime where no node may serve a revoked key (bounds.revoke_global): a pooler that is
-// partitioned from all control nodes stops serving in time, and serves again once it has the
-// configuration.
+// Guards the invariant RevokedInTime where no node may serve a revoked key (bounds.revoke_global):
+// a pooler that is partitioned from all control nodes stops serving in time, and serves again once
+// it has the configuration.
 func TestRevokedInTime(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		w.Process("pooler", 4).Kill()
