--- a/internal/controlstate/candidacy.go
+++ b/internal/controlstate/candidacy.go
@@ -64,13 +64,13 @@
 	if v.lastProposed.Epoch > c.known.Epoch {
 		c.known = v.lastProposed
 	}
-	c.view, c.sets = v.members.proposal(c.known, c.wasActive, c.epoch, now)
+	c.view, c.sets = v.policy.proposal(c.known, c.wasActive, c.epoch, now)
 	return c, nil
 }
 
 // elect collects promises from the witnesses. Those that do not respond are asked in a second
-// round. Where only half of a set of witnesses survives, newcomers are asked as well; with their
-// votes the view replaces the lost witnesses.
+// round. Where only half of a set of witnesses survives, newcomers (control nodes that joined after
+// that set was formed) are asked as well; with their votes the view replaces the lost witnesses.
 func (v *Replica) elect(ctx context.Context, c *candidacy) map[string]promiseResponse {
 	voters := union(slices.Concat(c.sets, c.known.witnessSets())...)
 	responses := v.collectPromises(ctx, c.epoch, voters, firstRoundTimeout, c.decided)
@@ -103,12 +103,12 @@
 	return responses
 }
 
-// decided reports whether the witnesses have granted the promise, or can no longer do so in this
-// round.
+// decided reports whether the outcome of a round is certain: a majority of each set of witnesses
+// has promised the epoch, or can no longer do so in this round.
 func (c *candidacy) decided(responses map[string]promiseResponse) bool {
 	possible := func(addr string) bool {
-		a, ok := responses[addr]
-		return !ok || a.Granted
+		response, ok := responses[addr]
+		return !ok || response.Granted
 	}
 	return majorityOfEach(c.sets, grantedBy(responses)) || !majorityOfEach(c.sets, possible)
 }
@@ -118,8 +118,8 @@
 func (v *Replica) adoptNewcomers(c *candidacy, responses map[string]promiseResponse, unreached []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	unreachable := intersection(unreached, v.members.suspects(c.known, responses))
-	view, ok := v.members.succession(c.known, c.view, responses, unreachable)
+	unreachable := intersection(unreached, v.policy.suspects(c.known, responses))
+	view, ok := v.policy.newcomerView(c.known, c.view, responses, unreachable)
 	if !ok {
 		return
 	}
@@ -131,8 +131,8 @@
 // respondents returns the nodes whose response is final: retrying in this attempt would not change
 // it.
 func respondents(responses map[string]promiseResponse) (addrs []string) {
-	for addr, a := range responses {
-		if a.Granted || a.refused() {
+	for addr, response := range responses {
+		if response.Granted || response.refused() {
 			addrs = append(addrs, addr)
 		}
 	}
@@ -142,7 +142,8 @@
 // probeTimeout is how long a control node may take to respond to probes by others.
 const probeTimeout = secondRoundTimeout
 
-// findUnreachable returns those control nodes that none of the probing nodes can reach.
+// findUnreachable returns those of the control nodes that neither this node nor the nodes that it
+// asks to probe them can reach.
 func (v *Replica) findUnreachable(ctx context.Context, addrs []string) (unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
@@ -160,14 +161,14 @@
 	return unreachable
 }
 
-// halfSurvives is memberPolicy.halfSurvives under the lock.
+// halfSurvives calls memberPolicy.halfSurvives while holding v.mu.
 func (v *Replica) halfSurvives(known View, responses map[string]promiseResponse) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.members.halfSurvives(known, responses)
+	return v.policy.halfSurvives(known, responses)
 }
 
-// grantedBy returns a predicate that reports whether an address has promised.
+// grantedBy returns a predicate that reports whether the node at an address has promised.
 func grantedBy(responses map[string]promiseResponse) func(addr string) bool {
 	return func(addr string) bool { return responses[addr].Granted }
 }
@@ -175,9 +176,9 @@
 // disksOf returns the disks of the nodes that have promised, by address.
 func disksOf(responses map[string]promiseResponse) map[string]string {
 	disks := map[string]string{}
-	for addr, a := range responses {
-		if a.Granted {
-			disks[addr] = a.Disk
+	for addr, response := range responses {
+		if response.Granted {
+			disks[addr] = response.Disk
 		}
 	}
 	return disks
@@ -233,9 +234,9 @@
 	if !v.active {
 		v.beginTerm(c.epoch)
 		for _, addr := range voters {
-			v.members.lastHeard[addr] = v.members.primarySince
+			v.policy.lastGranted[addr] = v.policy.primarySince
 		}
-		v.renewAt = v.members.primarySince // renew at once, to learn which other control nodes take part
+		v.renewAt = v.policy.primarySince // renew at once, to learn which other control nodes participate
 	}
 	v.active, v.state, v.newestView = true, state, c.view
 	v.takeoverAt = v.leaseEnd
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -32,7 +32,7 @@
 	Bootstrap         bool
 	Lease             kernel.Micros
 	WitnessTimeout    kernel.Micros          // a witness unreachable for longer than this is replaced
-	CatchupTimeout    kernel.Micros          // how long to wait for as many control nodes as the tolerated failures require
+	CatchupTimeout    kernel.Micros          // how long changes are refused while there are fewer control nodes than the tolerated failures require
 	FailuresTolerated int                    // control nodes that may be lost at once, together with their disks
 	ControlNodes      func() []string        // internal addresses of the control nodes believed to be alive
 	MembershipChanged func() <-chan struct{} // closed when the set of live control nodes changes
@@ -41,7 +41,7 @@
 	Reachable func(ctx context.Context, addr string) bool
 }
 
-// Replica is one control node's share in replicating the control state: it votes as a witness,
+// Replica is the part of a control node that replicates the control state: it votes as a witness,
 // stores the state as primary or backup, and campaigns to become primary.
 type Replica struct {
 	k        *kernel.Kernel
@@ -54,19 +54,19 @@
 	// mu guards the fields in memory; it is never held during disk or network I/O.
 	mu         sync.Mutex
 	witness    witness
-	state      State // stored on this disk; on the active primary also on the disks of all backups
+	state      State // stored on the local disk; the state of the active primary is also on the disks of all backups
 	newestView View  // newest view known
 	// lastProposed is the last view that this control node asked witnesses to accept. Some may
 	// have accepted it, so the next attempt starts from it unless a newer view is known.
 	lastProposed      View
-	takeoverAt        kernel.Micros // not before then may this control node campaign against the newest view
+	takeoverAt        kernel.Micros // earliest time at which this control node may campaign to replace the newest view
 	primaryAliveUntil kernel.Micros // until then the primary of the newest view counts as alive
-	active            bool
-	term              *Term // the latest term of this control node
+	active            bool          // became primary and has not stepped down since; the lease may have expired
+	term              *Term         // the latest term of this control node
 	cancelTerm        context.CancelFunc
 	leaseEnd          kernel.Micros
 	renewAt           kernel.Micros
-	members           memberPolicy
+	policy            memberPolicy
 	missedRenewals    map[string]int // consecutive renewals that a control node did not answer
 	leaving           bool           // Leave was called
 	nextCampaignAt    kernel.Micros  // earliest time of the next campaign after a failed one or a loss of the lease
@@ -81,34 +81,34 @@
 	stagedUntil           kernel.Micros
 	warnedTooFewWitnesses bool // already logged that there are fewer witnesses than the tolerated failures require
 
-	diskRefusing atomic.Bool // the last write to the disk failed
-	diskStalled  atomic.Bool // the disk has not completed a request for a while
+	diskFailing atomic.Bool // the last write to the disk failed
+	diskStalled atomic.Bool // the disk has not completed a request for a while
 
 	writeGate    kernel.Gate // serializes writes and view changes
 	stateGate    kernel.Gate // serializes writes of the state to disk
 	registerGate kernel.Gate // serializes writes of the witness register to disk
-	intake       snapshotReceiver
+	receiver     snapshotReceiver
 	changed      kernel.Notifier
 	wake         chan struct{}
 }
 
-// Open opens the store and registers the RPC handlers through which this control node takes part
-// in elections.
-func Open(k *kernel.Kernel, b *rpc.Endpoint, cfg Config) (*Replica, error) {
-	st, err := openStore(cfg.Dir, k.Sync)
+// Open opens the store and registers the RPC handlers through which this control node
+// participates in elections.
+func Open(k *kernel.Kernel, endpoint *rpc.Endpoint, cfg Config) (*Replica, error) {
+	store, err := openStore(cfg.Dir, k.Sync)
 	if err != nil {
 		return nil, err
 	}
-	self := Member{cfg.Name, b.Addr(), st.Disk}
+	self := Member{cfg.Name, endpoint.Addr(), store.Disk}
 	v := &Replica{
-		k: k, endpoint: b, cfg: cfg, lease: cfg.Lease, store: st,
-		self: self, members: newMemberPolicy(self, cfg), missedRenewals: map[string]int{},
+		k: k, endpoint: endpoint, cfg: cfg, lease: cfg.Lease, store: store,
+		self: self, policy: newMemberPolicy(self, cfg), missedRenewals: map[string]int{},
 		wake: make(chan struct{}, 1), writeGate: kernel.NewGate(), stateGate: kernel.NewGate(), registerGate: kernel.NewGate(),
-		intake: snapshotReceiver{gate: kernel.NewGate()},
+		receiver: snapshotReceiver{gate: kernel.NewGate()},
 	}
 	now := k.Clock.Now()
 	v.witness = witness{lease: cfg.Lease}
-	reg, found, err := st.loadRegister()
+	reg, found, err := store.loadRegister()
 	if err != nil {
 		return nil, err
 	}
@@ -119,33 +119,33 @@
 	case cfg.Bootstrap:
 		// First start of the cluster: the seeds are the initial witnesses.
 		v.witness.reg.Accepted.Witnesses = cfg.Seeds()
-		if err := st.Save(registerKey, v.witness.reg); err != nil {
+		if err := store.Save(registerKey, v.witness.reg); err != nil {
 			return nil, err
 		}
 	default:
 		v.witness.abstains = true
 	}
-	if v.state, err = st.LoadState(); err != nil {
+	if v.state, err = store.LoadState(); err != nil {
 		return nil, err
 	}
 	v.newestView = v.witness.reg.Accepted
-	v.takeoverAt = v.members.takeoverTime(v.newestView, now)
-	if st.tornBytes > 0 {
+	v.takeoverAt = v.policy.takeoverTime(v.newestView, now)
+	if store.tornBytes > 0 {
 		k.Counters.Add("controlstate.torn_tails", 1)
-		k.Log.Warn("truncated an incomplete last record of the store", "bytes", st.tornBytes)
+		k.Log.Warn("truncated an incomplete last record of the store", "bytes", store.tornBytes)
 	}
-	rpc.HandleTyped(b, "controlstate.promise", v.onPromise)
-	rpc.HandleTyped(b, "controlstate.accept", v.onAccept)
-	rpc.HandleTyped(b, "controlstate.renew", v.onRenew)
-	rpc.HandleTyped(b, "controlstate.release", v.onRelease)
-	rpc.HandleTyped(b, "controlstate.register", v.onRegister)
-	rpc.HandleTyped(b, "controlstate.offer", v.onOffer)
-	rpc.HandleTyped(b, "controlstate.copy", v.onCopy)
-	rpc.HandleTyped(b, "controlstate.write", v.onWrite)
-	rpc.HandleTyped(b, "controlstate.succeed", v.onSucceed)
-	rpc.HandleTyped(b, "controlstate.leaving", v.onLeaving)
-	rpc.HandleTyped(b, "controlstate.tell", v.onAnnounce)
-	rpc.HandleTyped(b, "controlstate.void", v.onVoidLease)
+	rpc.HandleTyped(endpoint, "controlstate.promise", v.onPromise)
+	rpc.HandleTyped(endpoint, "controlstate.accept", v.onAccept)
+	rpc.HandleTyped(endpoint, "controlstate.renew", v.onRenew)
+	rpc.HandleTyped(endpoint, "controlstate.release", v.onRelease)
+	rpc.HandleTyped(endpoint, "controlstate.register", v.onRegister)
+	rpc.HandleTyped(endpoint, "controlstate.offer", v.onOffer)
+	rpc.HandleTyped(endpoint, "controlstate.copy", v.onCopy)
+	rpc.HandleTyped(endpoint, "controlstate.write", v.onWrite)
+	rpc.HandleTyped(endpoint, "controlstate.succeed", v.onSucceed)
+	rpc.HandleTyped(endpoint, "controlstate.leaving", v.onLeaving)
+	rpc.HandleTyped(endpoint, "controlstate.tell", v.onAnnounce)
+	rpc.HandleTyped(endpoint, "controlstate.void", v.onVoidLease)
 	return v, nil
 }
 
@@ -172,7 +172,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now, out := v.k.Clock.Now(), map[string]kernel.Micros{}
-	for addr, at := range v.members.lastHeard {
+	for addr, at := range v.policy.lastGranted {
 		out[addr] = now - at
 	}
 	return out
@@ -244,7 +244,7 @@
 	}
 }
 
-// hasKey returns a predicate that reports whether an address responded.
+// hasKey returns a predicate that reports whether there is a response from an address.
 func hasKey[A any](got map[string]A) func(string) bool {
 	return func(addr string) bool { _, ok := got[addr]; return ok }
 }
@@ -253,22 +253,22 @@
 // responses received once enough reports true, or once all calls have succeeded or failed.
 func callAll[A any](ctx context.Context, v *Replica, addrs []string, op string, request func(addr string) any, enough func(map[string]A) bool) map[string]A {
 	type callResult struct {
-		addr   string
-		answer A
-		err    error
+		addr     string
+		response A
+		err      error
 	}
 	ch := make(chan callResult, len(addrs))
 	for _, addr := range addrs {
 		go func() {
 			result := callResult{addr: addr}
-			result.err = v.endpoint.Call(ctx, addr, op, request(addr), &result.answer, callTimeout)
+			result.err = v.endpoint.Call(ctx, addr, op, request(addr), &result.response, callTimeout)
 			ch <- result
 		}()
 	}
 	responses := map[string]A{}
 	for range addrs {
 		if result := <-ch; result.err == nil {
-			if responses[result.addr] = result.answer; enough(responses) {
+			if responses[result.addr] = result.response; enough(responses) {
 				break
 			}
 		}
@@ -276,8 +276,8 @@
 	return responses
 }
 
-// Serve runs until ctx is done: as primary it renews the lease, otherwise it campaigns when no
-// primary holds one. A witness with an empty disk first recovers its register.
+// Serve runs until ctx is done: as primary it renews the lease, otherwise it campaigns once no
+// primary holds a lease. A witness with an empty disk first recovers its register.
 func (v *Replica) Serve(ctx context.Context) error {
 	if v.Abstains() {
 		go v.recoverWitness(ctx)
@@ -323,9 +323,10 @@
 	return min(max(due-now, 20*kernel.Millisecond), v.lease/2)
 }
 
-// campaignNotBefore returns when this control node, as a member, may campaign. A leaving node
-// waits half a lease longer, so that it campaigns only if no other member has: it then holds
-// state that others may have lost, and hands over once they have a copy.
+// campaignNotBefore returns the earliest time at which this control node, as a member, may
+// campaign. A leaving node waits half a lease longer, so that it campaigns only if no other member
+// has. In that case the others may have lost the state that it holds, and it hands over once they
+// have a copy.
 func (v *Replica) campaignNotBefore() kernel.Micros {
 	at := max(v.takeoverAt, v.nextCampaignAt)
 	if v.leaving {
@@ -334,9 +335,10 @@
 	return at
 }
 
-// mayCampaign reports whether this control node holds the state of the newest view.
+// mayCampaign reports whether this control node may campaign: it holds the state of the newest
+// view or, at the first start, may form the first view.
 func (v *Replica) mayCampaign() bool {
-	return v.members.mayCampaign(v.newestView, v.cfg.Bootstrap && !v.witness.abstains)
+	return v.policy.mayCampaign(v.newestView, v.cfg.Bootstrap && !v.witness.abstains)
 }
 
 // reconcile carries out the actions that are due. The desired condition is one primary with an
@@ -344,17 +346,17 @@
 func (v *Replica) reconcile(ctx context.Context) {
 	v.mu.Lock()
 	now := v.k.Clock.Now()
-	active, leads := v.active, v.holdsLease(now)
+	active, isPrimary := v.active, v.holdsLease(now)
 	renew := active && now >= v.renewAt
 	electionDue := !active && now >= v.campaignNotBefore()
 	mayCampaign := v.mayCampaign() && !v.diskStalled.Load()
-	newViewWanted := leads && now >= v.nextCampaignAt && (max(v.highestEpochTried, v.state.Epoch) > v.newestView.Epoch || v.members.wantsNewView(v.newestView, now))
+	newViewWanted := isPrimary && now >= v.nextCampaignAt && (max(v.highestEpochTried, v.state.Epoch) > v.newestView.Epoch || v.policy.wantsNewView(v.newestView, now))
 	announce := electionDue && !mayCampaign && v.newestView.Epoch > 0 && now >= v.nextAnnounceAt
 	if announce {
 		v.nextAnnounceAt = now + v.lease
 	}
 	v.mu.Unlock()
-	if active && !leads {
+	if active && !isPrimary {
 		v.stepDown("lease expired")
 		return
 	}
@@ -372,9 +374,9 @@
 }
 
 // Leave drains this control node: a primary hands over to its backups, a backup or witness asks
-// the primary to be replaced. It returns once the primary no longer needs this control node, or
-// ctx is done. Until then acknowledged changes may be on no other disk, and its vote may be
-// needed.
+// the primary to replace it. Leave returns once the primary no longer needs this control node, or
+// ctx is done. Until then acknowledged changes may be on no other disk, and the vote of this
+// control node may be needed.
 func (v *Replica) Leave(ctx context.Context) {
 	v.mu.Lock()
 	v.leaving = true
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -54,7 +54,7 @@
 			s := open(t, dir)
 			defer s.Close()
 			if st, err := s.LoadState(); err != nil || st.Seq != 7 || len(st.Entries) != 0 || s.Disk != disk || s.Created {
-				t.Fatalf("%d bytes of the last write: state %+v %v, disk %q fresh %v", cut, st, err, s.Disk, s.Created)
+				t.Fatalf("%d bytes of the last write: state %+v %v, disk %q created %v", cut, st, err, s.Disk, s.Created)
 			}
 		}
 		check(last[:cut])
@@ -65,8 +65,8 @@
 	}
 }
 
-// Damage is distinguished from a torn last write: it is reported with the file and the record, and
-// no synced record is discarded because of it.
+// Damage is distinguished from a torn last write: opening the store fails with an error that names
+// the file and the record, and no synced record is discarded.
 func TestDamagedStoreIsReported(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, StoreFile)
@@ -87,11 +87,11 @@
 		raw  []byte
 		want error
 	}{
-		"a flipped bit in the last record":   {flip(good, len(good)-8), ErrDamaged},
-		"a flipped bit in an earlier record": {flip(good, state), ErrDamaged},
-		"a hole before a whole record":       {slices.Concat(good[:state], make([]byte, 9), good[state+9:]), ErrDamaged},
+		"a flipped bit in the last record":   {flipBit(good, len(good)-8), ErrDamaged},
+		"a flipped bit in an earlier record": {flipBit(good, state), ErrDamaged},
+		"zeros before a complete record":     {slices.Concat(good[:state], make([]byte, 9), good[state+9:]), ErrDamaged},
 		"another program's file":             {[]byte("not a store at all"), ErrDamaged},
-		"the format before":                  {[]byte("*3\r\n$3\r\nset\r\n$4\r\ndisk\r\n$14\r\ne5a0a1a \"ABCD\"\r\n"), ErrDamaged},
+		"the previous format":                {[]byte("*3\r\n$3\r\nset\r\n$4\r\ndisk\r\n$14\r\ne5a0a1a \"ABCD\"\r\n"), ErrDamaged},
 		"another format":                     {storeOfOtherFormat(t), ErrFormat},
 	} {
 		if err := os.WriteFile(path, c.raw, 0o644); err != nil {
@@ -106,11 +106,11 @@
 		t.Fatal(err)
 	}
 	if err := reg.CheckRegister(); !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), registerKey) {
-		t.Errorf("a register that contradicts itself: %v", err)
+		t.Errorf("a register that accepted a later epoch than it promised: %v", err)
 	}
 }
 
-func flip(raw []byte, at int) []byte {
+func flipBit(raw []byte, at int) []byte {
 	out := bytes.Clone(raw)
 	out[at] ^= 1
 	return out
@@ -182,12 +182,12 @@
 const lease = kernel.Second
 
 func TestWitness(t *testing.T) {
-	e := &witness{lease: lease}
+	w := &witness{lease: lease}
 	a, b := Member{"a", "a:1", "disk-a"}, Member{"b", "b:1", "disk-b"}
 	now := 10 * kernel.Second
 	promise := func(epoch int64, m Member) bool {
 		t.Helper()
-		p, err := e.promise(now, promiseRequest{epoch, m, 0})
+		p, err := w.promise(now, promiseRequest{epoch, m, 0})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -195,7 +195,7 @@
 	}
 	accept := func(v View) bool {
 		t.Helper()
-		r, err := e.accept(now, v)
+		r, err := w.accept(now, v)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -218,35 +218,35 @@
 	if accept(v1) {
 		t.Error("accepted a view of an old epoch")
 	}
-	if r, _ := e.renew(now, v1); r.Granted {
+	if r, _ := w.renew(now, v1); r.Granted {
 		t.Error("a replayed renewal of an old epoch was granted")
 	}
 	v2 := View{Epoch: 2, Primary: b, Backups: []Member{a}}
-	if r, changed := e.renew(now, v2); !r.Granted || !changed || !e.reg.Accepted.sameAs(v2) {
-		t.Error("a renewal did not replace a missed acceptance")
+	if r, changed := w.renew(now, v2); !r.Granted || !changed || !w.reg.Accepted.sameAs(v2) {
+		t.Error("a renewal of a view whose acceptance was missed did not accept it")
 	}
 	if !promise(3, b) {
 		t.Error("the holder of the lease was not allowed to form another view")
 	}
-	e.release(1)
-	if now+1 > e.leaseUntil {
+	w.release(1)
+	if now+1 > w.leaseUntil {
 		t.Error("the release of an old epoch ended the lease")
 	}
 	// After a restart, a lease granted before it may still be unexpired.
-	again := &witness{reg: e.reg, lease: lease, priorLeaseUntil: now + lease}
-	if p, _ := again.promise(now, promiseRequest{9, a, 0}); p.Granted || p.LeaseRemaining != lease {
+	restarted := &witness{reg: w.reg, lease: lease, priorLeaseUntil: now + lease}
+	if p, _ := restarted.promise(now, promiseRequest{9, a, 0}); p.Granted || p.LeaseRemaining != lease {
 		t.Error("a restarted witness promised before an earlier lease must have expired")
 	}
-	if p, _ := again.promise(now, promiseRequest{8, a, 1}); p.Granted {
-		t.Error("promised though the voided lease is that of another view")
+	if p, _ := restarted.promise(now, promiseRequest{8, a, 1}); p.Granted {
+		t.Error("promised although the voided lease is that of another view")
 	}
-	if p, _ := again.promise(now, promiseRequest{8, a, 2}); !p.Granted {
-		t.Error("not promised though the lease was voided")
+	if p, _ := restarted.promise(now, promiseRequest{8, a, 2}); !p.Granted {
+		t.Error("not promised although the lease was voided")
 	}
-	if p, _ := again.promise(now, promiseRequest{8, a, 2}); !p.Granted {
+	if p, _ := restarted.promise(now, promiseRequest{8, a, 2}); !p.Granted {
 		t.Error("the promise was not repeated to the same candidate")
 	}
-	if p, _ := again.promise(now, promiseRequest{9, b, 0}); !p.Granted {
+	if p, _ := restarted.promise(now, promiseRequest{9, b, 0}); !p.Granted {
 		t.Error("the restarted holder of that lease was refused")
 	}
 	if v2.Has(Member{"a", "a:1", "another disk"}) {
@@ -289,16 +289,16 @@
 	old, next := View{Epoch: 7, Witnesses: set}, View{Epoch: 8, Witnesses: set}
 	promised := func(v View) promiseResponse { return promiseResponse{Granted: true, Accepted: v} }
 	for name, c := range map[string]struct {
-		epoch   int64
-		answers map[string]promiseResponse
-		want    int64
+		epoch     int64
+		responses map[string]promiseResponse
+		want      int64
 	}{
-		"one accepted it, one is silent":       {9, map[string]promiseResponse{"a": promised(next), "b": promised(old), "c": promised(old)}, 7},
-		"one accepted it, two are silent":      {9, map[string]promiseResponse{"a": promised(next), "b": promised(old)}, 8},
-		"one that promised nothing may accept": {9, map[string]promiseResponse{"a": promised(next), "b": promised(old), "c": {Accepted: old}}, 8},
-		"it is of a later epoch":               {6, map[string]promiseResponse{"a": {Accepted: next}, "b": promised(old), "c": promised(old)}, 8},
+		"one accepted it, one is unresponsive":  {9, map[string]promiseResponse{"a": promised(next), "b": promised(old), "c": promised(old)}, 7},
+		"one accepted it, two are unresponsive": {9, map[string]promiseResponse{"a": promised(next), "b": promised(old)}, 8},
+		"one that promised nothing may accept":  {9, map[string]promiseResponse{"a": promised(next), "b": promised(old), "c": {Accepted: old}}, 8},
+		"it is of a later epoch":                {6, map[string]promiseResponse{"a": {Accepted: next}, "b": promised(old), "c": promised(old)}, 8},
 	} {
-		if got := highestBindingView(c.epoch, c.answers); got.Epoch != c.want {
+		if got := highestBindingView(c.epoch, c.responses); got.Epoch != c.want {
 			t.Errorf("%s: %d, want %d", name, got.Epoch, c.want)
 		}
 	}
--- a/internal/controlstate/crash_test.go
+++ b/internal/controlstate/crash_test.go
@@ -21,14 +21,14 @@
 type powerLossDisk struct {
 	t             *testing.T
 	dir           string // the directory of the store
-	images        string // where directories are reconstructed as they may be after a loss of power
+	images        string // directory in which the possible outcomes of a loss of power are reconstructed
 	dirDurable    bool   // the directory's own entry in its parent is durable
 	syncedNames   map[string]uint64
 	syncedContent map[uint64][]byte
 	files         map[uint64]*os.File // kept open, so that no inode number is reused
 	syncs         int
 	killAt        int // the process is killed before this sync
-	cuts          int // into how many parts each unsynced write is cut to tear it
+	cuts          int // number of parts into which an unsynced write is cut to produce torn writes
 
 	// The contents last acknowledged, and those being written.
 	acked, pending storeContents
@@ -64,7 +64,8 @@
 	return dir
 }
 
-// sync replaces the real sync. It first checks every outcome of a loss of power at this point.
+// sync replaces the sync of the file system. It first checks every outcome of a loss of power at
+// this point.
 func (d *powerLossDisk) sync(f *os.File) error {
 	d.checkAllOutcomes()
 	if d.syncs++; d.syncs == d.killAt {
@@ -125,32 +126,33 @@
 	return out
 }
 
-// checkAllOutcomes checks the store in every directory that a loss of power at this point may leave.
+// checkAllOutcomes checks the store for every content of the directory that may be left by a loss
+// of power at this point.
 func (d *powerLossDisk) checkAllOutcomes() {
-	now := d.readDir()
+	current := d.readDir()
 	if !d.dirDurable {
 		d.checkOutcome(map[string][]byte{})
 	}
 	layouts := []map[string]uint64{{}}
-	for _, name := range slices.Sorted(maps.Keys(mergedMaps(now, d.syncedNames))) {
-		var more []map[string]uint64
-		for _, f := range layouts {
-			for _, from := range []map[string]uint64{d.syncedNames, now} {
-				g := maps.Clone(f)
-				if n, there := from[name]; there {
-					g[name] = n
+	for _, name := range slices.Sorted(maps.Keys(mergedMaps(current, d.syncedNames))) {
+		var next []map[string]uint64
+		for _, layout := range layouts {
+			for _, from := range []map[string]uint64{d.syncedNames, current} {
+				extended := maps.Clone(layout)
+				if n, exists := from[name]; exists {
+					extended[name] = n
 				}
-				more = append(more, g)
+				next = append(next, extended)
 			}
 		}
-		layouts = more
+		layouts = next
 	}
-	for _, f := range layouts {
+	for _, layout := range layouts {
 		image := map[string][]byte{}
-		for name, n := range f {
+		for name, n := range layout {
 			image[name] = d.content(n)
 		}
-		if n, there := f[StoreFile]; there {
+		if n, exists := layout[StoreFile]; exists {
 			for _, raw := range d.possibleContents(n) {
 				image[StoreFile] = raw
 				d.checkOutcome(image)
@@ -171,12 +173,12 @@
 func (d *powerLossDisk) possibleContents(n uint64) [][]byte {
 	synced, current := d.syncedContent[n], d.content(n)
 	out := [][]byte{synced, current}
-	if extra, grown := bytes.CutPrefix(current, synced); grown && len(extra) > 1 {
-		holed := bytes.Clone(extra)
-		clear(holed[len(extra)/3 : len(extra)/2])
-		out = append(out, slices.Concat(synced, make([]byte, len(extra))), slices.Concat(synced, holed))
+	if appended, grown := bytes.CutPrefix(current, synced); grown && len(appended) > 1 {
+		holed := bytes.Clone(appended)
+		clear(holed[len(appended)/3 : len(appended)/2])
+		out = append(out, slices.Concat(synced, make([]byte, len(appended))), slices.Concat(synced, holed))
 		for i := 1; i < d.cuts; i++ {
-			out = append(out, slices.Concat(synced, extra[:len(extra)*i/d.cuts]))
+			out = append(out, slices.Concat(synced, appended[:len(appended)*i/d.cuts]))
 		}
 	}
 	return out
@@ -214,8 +216,8 @@
 	}
 }
 
-func (s State) equal(o State) bool {
-	return s.Epoch == o.Epoch && s.Seq == o.Seq && maps.EqualFunc(s.Entries, o.Entries, equalJSON)
+func (s State) equal(other State) bool {
+	return s.Epoch == other.Epoch && s.Seq == other.Seq && maps.EqualFunc(s.Entries, other.Entries, equalJSON)
 }
 
 func readContents(t *testing.T, s *Store) storeContents {
@@ -250,50 +252,51 @@
 	d.acked = readContents(d.t, s)
 	d.pending = d.acked
 	d.checkAllOutcomes()
-	now := d.acked
+	current := d.acked
 	write := func(next storeContents, f func() error) {
 		d.pending = next
 		if err := f(); err != nil {
 			d.t.Fatal(err)
 		}
-		now, d.acked = next, next
+		current, d.acked = next, next
 		d.checkAllOutcomes()
 	}
-	register := func() {
-		next := now
+	saveRegister := func() {
+		next := current
 		next.reg.Promised++
 		write(next, func() error { return s.Save(registerKey, next.reg) })
 	}
-	whole := func() {
-		next := now
-		next.state.Epoch, next.state.Entries = now.state.Epoch+1, maps.Clone(now.state.Entries)
+	saveState := func() {
+		next := current
+		next.state.Epoch, next.state.Entries = current.state.Epoch+1, maps.Clone(current.state.Entries)
 		write(next, func() error { return s.SaveState(next.state) })
 	}
-	change := func(entries map[string]json.RawMessage) {
-		next := now
-		next.state = now.state.With(entries)
+	appendChange := func(entries map[string]json.RawMessage) {
+		next := current
+		next.state = current.state.With(entries)
 		write(next, func() error { return s.Append(Change{next.state.Epoch, next.state.Seq, entries}) })
 	}
-	register()
-	whole()
-	change(map[string]json.RawMessage{"a": json.RawMessage(`"some text"`), "b": json.RawMessage(`1`)})
-	change(map[string]json.RawMessage{"a": nil, "c": json.RawMessage(`{"x":[1,2]}`)})
+	saveRegister()
+	saveState()
+	appendChange(map[string]json.RawMessage{"a": json.RawMessage(`"some text"`), "b": json.RawMessage(`1`)})
+	appendChange(map[string]json.RawMessage{"a": nil, "c": json.RawMessage(`{"x":[1,2]}`)})
 	s.size, s.compactedSize = compactThreshold+1, 1 // so that it is compacted
-	change(map[string]json.RawMessage{"b": json.RawMessage(`2`)})
-	change(map[string]json.RawMessage{"b": json.RawMessage(`3`)})
-	whole()
+	appendChange(map[string]json.RawMessage{"b": json.RawMessage(`2`)})
+	appendChange(map[string]json.RawMessage{"b": json.RawMessage(`3`)})
+	saveState()
 	s.needsCompaction = true // as after a failed sync
-	change(map[string]json.RawMessage{"b": json.RawMessage(`4`)})
+	appendChange(map[string]json.RawMessage{"b": json.RawMessage(`4`)})
 	if err := s.Close(); err != nil {
 		d.t.Fatal(err)
 	}
 	return true
 }
 
-// tearLastWrite truncates the last write of a killed process to half, as a kill may.
+// tearLastWrite truncates the last write of a killed process to half its length, as may happen when
+// a process is killed.
 func (d *powerLossDisk) tearLastWrite() {
-	n, there := d.readDir()[StoreFile]
-	if !there {
+	n, exists := d.readDir()[StoreFile]
+	if !exists {
 		return
 	}
 	if synced, current := d.syncedContent[n], d.content(n); len(current) > len(synced)+1 {
@@ -307,12 +310,12 @@
 // also in a second process after the first was killed at any point. The store must open
 // with everything that was acknowledged and without any partial write.
 func TestStoreSurvivesPowerLossAtEveryPoint(t *testing.T) {
-	whole := newPowerLossDisk(t, 0, 16)
-	if !whole.runProcess() {
+	uninterrupted := newPowerLossDisk(t, 0, 16)
+	if !uninterrupted.runProcess() {
 		t.Fatal("the process did not complete, although it was not killed")
 	}
-	points, outcomes := whole.syncs, len(whole.checked)
-	for kill := 1; kill <= whole.syncs; kill++ {
+	points, outcomes := uninterrupted.syncs, len(uninterrupted.checked)
+	for kill := 1; kill <= uninterrupted.syncs; kill++ {
 		for _, torn := range []bool{false, true} {
 			d := newPowerLossDisk(t, kill, 2)
 			d.runProcess()
--- a/internal/controlstate/disk.go
+++ b/internal/controlstate/disk.go
@@ -22,17 +22,17 @@
 func (v *Replica) recordDiskResult(err error) error {
 	if err != nil && !errors.Is(err, errStaleEpoch) {
 		v.k.Counters.Add("controlstate.disk_refused", 1)
-		if !v.diskRefusing.Swap(true) {
+		if !v.diskFailing.Swap(true) {
 			v.k.Log.Warn("disk writes fail", "error", err)
 		}
-	} else if v.diskRefusing.Swap(false) {
+	} else if v.diskFailing.Swap(false) {
 		v.k.Log.Info("disk writes succeed again")
 	}
 	return err
 }
 
 // diskTimeout is how long the disk may take for a small write before it counts as
-// stalled. A needless time-out costs a hand-over to another primary.
+// stalled. A false timeout causes a needless handover to another primary.
 const diskTimeout = 400 * kernel.Millisecond
 
 // probeKey is the key of the record that is written to check that the disk responds.
@@ -72,7 +72,7 @@
 	}
 	v.k.Counters.Add("controlstate.disk_stalled", 1)
 	v.k.Log.Warn("disk is stalled or fails", "why", err.Error())
-	if _, leads := v.Primary(); leads {
+	if _, isPrimary := v.Primary(); isPrimary {
 		v.handOver("local disk is stalled or fails")
 	}
 }
--- a/internal/controlstate/election.go
+++ b/internal/controlstate/election.go
@@ -11,13 +11,15 @@
 	"indigowalk/internal/rpc"
 )
 
+// epochRequest is a request that concerns the view of an epoch: to release its lease, to succeed its
+// primary, or to treat its lease as void.
 type epochRequest struct {
 	Epoch int64 `json:"epoch"`
 }
 
-// renew extends the lease. The renewal is sent to backups and spare control nodes as well:
-// backups must respond to keep their place, spares may be needed soon, and all of them must know
-// which primary to refer callers to.
+// renew extends the lease. The renewal is sent to backups and spare control nodes as well: backups
+// that do not respond are replaced, spares may be needed soon, and all of them must know which
+// primary to refer callers to.
 func (v *Replica) renew(ctx context.Context) {
 	v.mu.Lock()
 	view, start := v.newestView, v.k.Clock.Now()
@@ -27,24 +29,24 @@
 	}
 	v.mu.Unlock()
 	voters := union(view.quorumSets()...)
-	others := slices.DeleteFunc(union(backupAddrs(view), v.cfg.ControlNodes()), func(a string) bool { return slices.Contains(voters, a) })
+	others := slices.DeleteFunc(union(backupAddrs(view), v.cfg.ControlNodes()), func(addr string) bool { return slices.Contains(voters, addr) })
 	for _, addr := range others {
 		if addr != v.self.Addr {
 			go v.sendRenewal(ctx, addr, view)
 		}
 	}
-	type vote struct {
+	type renewalResult struct {
 		addr string
 		renewResponse
 	}
-	ch := make(chan vote, len(voters))
+	ch := make(chan renewalResult, len(voters))
 	for _, addr := range voters {
-		go func() { ch <- vote{addr, v.sendRenewal(ctx, addr, view)} }()
+		go func() { ch <- renewalResult{addr, v.sendRenewal(ctx, addr, view)} }()
 	}
 	granted := map[string]bool{}
 	for range voters {
-		a := <-ch
-		if granted[a.addr] = a.Granted; majorityOfEach(view.quorumSets(), func(addr string) bool { return granted[addr] }) {
+		result := <-ch
+		if granted[result.addr] = result.Granted; majorityOfEach(view.quorumSets(), func(addr string) bool { return granted[addr] }) {
 			v.extendLease(view, start)
 			return
 		}
@@ -72,7 +74,7 @@
 // replaced.
 const maxMissedRenewals = 2
 
-// sendRenewal sends the renewal to one control node and records whether it takes part.
+// sendRenewal sends the renewal to one control node and records whether that node participates.
 func (v *Replica) sendRenewal(ctx context.Context, addr string, view View) (response renewResponse) {
 	v.mu.Lock()
 	durable := v.durableSeq
@@ -83,7 +85,7 @@
 	i := slices.IndexFunc(view.Backups, func(b Member) bool { return b.Addr == addr })
 	switch {
 	case err == nil && i >= 0 && response.Disk != view.Backups[i].Disk:
-		// It restarted with an empty disk before it missed enough renewals.
+		// The backup restarted with an empty disk before it missed enough renewals.
 		v.missedRenewals[addr] = maxMissedRenewals
 	case err == nil && !response.Stalled:
 		delete(v.missedRenewals, addr)
@@ -96,11 +98,12 @@
 		v.excludeBackup(addr)
 	}
 	if err == nil && response.Granted && !response.Stalled {
-		v.members.lastHeard[addr] = v.k.Clock.Now()
+		v.policy.lastGranted[addr] = v.k.Clock.Now()
 	}
 	if err == nil && !response.Granted && v.active && v.newestView.Epoch == view.Epoch {
-		// It promised a later epoch to a candidate that failed, or learned of one while
-		// recovering its register: it only takes part in a view of a later epoch.
+		// The node promised a later epoch to a candidate that failed, or learned of such a
+		// promise while recovering its register: it only participates in a view of a later
+		// epoch.
 		v.highestEpochTried = max(v.highestEpochTried, response.Promised)
 	}
 	return response
@@ -144,8 +147,8 @@
 // not answer is the zero value.
 func (v *Replica) collectPromises(ctx context.Context, epoch int64, voters []string, timeout kernel.Micros, done func(responses map[string]promiseResponse) bool) map[string]promiseResponse {
 	type promiseResult struct {
-		addr   string
-		answer *promiseResponse
+		addr     string
+		response *promiseResponse
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -159,10 +162,10 @@
 	responses := map[string]promiseResponse{}
 	for range voters {
 		result := <-ch
-		if result.answer == nil {
-			result.answer = &promiseResponse{}
+		if result.response == nil {
+			result.response = &promiseResponse{}
 		}
-		if responses[result.addr] = *result.answer; done(responses) {
+		if responses[result.addr] = *result.response; done(responses) {
 			break
 		}
 	}
@@ -190,12 +193,12 @@
 	}
 }
 
-// remainingLease returns how long leases still prevent a majority of each set from granting. A
+// remainingLease returns how long leases still prevent a majority of each set from promising. A
 // lease that only a minority of stale witnesses still honours does not count.
 func remainingLease(sets [][]string, responses map[string]promiseResponse) kernel.Micros {
 	waits := []kernel.Micros{0}
-	for _, a := range responses {
-		waits = append(waits, a.LeaseRemaining)
+	for _, response := range responses {
+		waits = append(waits, response.LeaseRemaining)
 	}
 	slices.Sort(waits)
 	for _, wait := range waits {
@@ -231,13 +234,13 @@
 			v.leaseEnd = 0
 		}
 		v.newestView, v.primaryAliveUntil = view, 0
-		v.takeoverAt = max(v.takeoverAt, v.members.takeoverTime(view, v.k.Clock.Now()))
+		v.takeoverAt = max(v.takeoverAt, v.policy.takeoverTime(view, v.k.Clock.Now()))
 		v.changed.NotifyAll()
 	}
 }
 
-// announceView sends the newest view to its members. If they missed its acceptance, nobody else
-// can succeed it, since only members may campaign.
+// announceView sends the newest view to its members. Only they may campaign, so as long as they do
+// not know that the view was accepted, no control node can become its successor.
 func (v *Replica) announceView(ctx context.Context) {
 	v.mu.Lock()
 	view := v.newestView
@@ -257,66 +260,66 @@
 	return struct{}{}, nil
 }
 
-// onPromise handles a candidate's request for a promise; a granted one is answered once it is on disk.
-func (v *Replica) onPromise(ctx context.Context, q promiseRequest) (any, error) {
+// onPromise handles a candidate's request for a promise. A promise is on disk before it is answered.
+func (v *Replica) onPromise(ctx context.Context, request promiseRequest) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	v.mu.Lock()
-	a, err := v.witness.promise(v.k.Clock.Now(), q)
+	response, err := v.witness.promise(v.k.Clock.Now(), request)
 	v.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if a.Granted {
+	if response.Granted {
 		if err := v.saveRegister(ctx); err != nil {
 			return nil, err
 		}
 	}
-	a.Disk = v.self.Disk
-	v.k.Recorder.Add(VoteKind, Vote{"promise", q.Epoch, q.From.Name, a.Granted})
-	return a, nil
+	response.Disk = v.self.Disk
+	v.k.Recorder.Add(VoteKind, Vote{"promise", request.Epoch, request.From.Name, response.Granted})
+	return response, nil
 }
 
-// onAccept handles the request to accept a view; a granted one is answered once it is on disk.
-func (v *Replica) onAccept(ctx context.Context, q acceptRequest) (any, error) {
-	if q.Disk != v.self.Disk {
+// onAccept handles the request to accept a view. An acceptance is on disk before it is answered.
+func (v *Replica) onAccept(ctx context.Context, request acceptRequest) (any, error) {
+	if request.Disk != v.self.Disk {
 		v.k.Counters.Add("controlstate.other_disk_refused", 1)
 		return nil, errors.New("the promise was made on another disk")
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	v.mu.Lock()
-	a, err := v.witness.accept(v.k.Clock.Now(), q.View)
+	response, err := v.witness.accept(v.k.Clock.Now(), request.View)
 	v.mu.Unlock()
-	if err != nil || !a.Granted {
-		return a, err
+	if err != nil || !response.Granted {
+		return response, err
 	}
 	if err := v.saveRegister(ctx); err != nil {
 		return nil, err
 	}
-	if !q.View.Primary.same(v.self) { // its own view takes effect once a majority has accepted it
+	if !request.View.Primary.same(v.self) { // this node's own view takes effect once a majority has accepted it
 		v.mu.Lock()
-		v.notePrimaryAlive(v.k.Clock.Now(), q.View)
+		v.notePrimaryAlive(v.k.Clock.Now(), request.View)
 		v.mu.Unlock()
 	}
-	v.k.Recorder.Add(VoteKind, Vote{"accept", q.View.Epoch, q.View.Primary.Name, true})
-	return a, nil
+	v.k.Recorder.Add(VoteKind, Vote{"accept", request.View.Epoch, request.View.Primary.Name, true})
+	return response, nil
 }
 
 // onRenew handles the primary's renewal of its lease.
-func (v *Replica) onRenew(ctx context.Context, q renewRequest) (any, error) {
+func (v *Replica) onRenew(ctx context.Context, request renewRequest) (any, error) {
 	v.mu.Lock()
 	now := v.k.Clock.Now()
-	if q.View.Epoch < v.newestView.Epoch || len(q.View.Witnesses) == 0 {
+	if request.View.Epoch < v.newestView.Epoch || len(request.View.Witnesses) == 0 {
 		v.k.Counters.Add("controlstate.old_epoch_refused", 1)
-		a := renewResponse{Promised: v.witness.reg.Promised}
+		response := renewResponse{Promised: v.witness.reg.Promised}
 		v.mu.Unlock()
-		return a, nil
+		return response, nil
 	}
-	a, changed := v.witness.renew(now, q.View)
-	a.Disk, a.Stalled = v.self.Disk, v.diskStalled.Load()
-	v.durableSeq = max(v.durableSeq, q.Durable)
-	v.notePrimaryAlive(now, q.View)
+	response, changed := v.witness.renew(now, request.View)
+	response.Disk, response.Stalled = v.self.Disk, v.diskStalled.Load()
+	v.durableSeq = max(v.durableSeq, request.Durable)
+	v.notePrimaryAlive(now, request.View)
 	v.mu.Unlock()
 	if changed {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
@@ -325,7 +328,7 @@
 			return nil, err
 		}
 	}
-	return a, nil
+	return response, nil
 }
 
 // notePrimaryAlive records that the view's primary is active.
@@ -336,17 +339,19 @@
 			v.changed.NotifyAll() // callers can be referred to a primary again
 		}
 		v.primaryAliveUntil = now + v.lease
-		v.takeoverAt = max(v.takeoverAt, v.members.takeoverTime(view, now))
+		v.takeoverAt = max(v.takeoverAt, v.policy.takeoverTime(view, now))
 	}
 }
 
-func (v *Replica) onRelease(_ context.Context, q epochRequest) (any, error) {
+// onRelease handles the release of the lease by a primary that hands over.
+func (v *Replica) onRelease(_ context.Context, request epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.witness.release(q.Epoch)
+	v.witness.release(request.Epoch)
 	return struct{}{}, nil
 }
 
+// onRegister handles the request of a witness that recovers its register from those of others.
 func (v *Replica) onRegister(context.Context, struct{}) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -362,8 +367,8 @@
 	defer cancel()
 	err := v.writeStateToDisk(ctx, func() error {
 		v.mu.Lock()
-		have := v.state
-		fits := c.Epoch == have.Epoch && c.Seq == have.Seq+1 && !v.active
+		current := v.state
+		fits := c.Epoch == current.Epoch && c.Seq == current.Seq+1 && !v.active
 		v.mu.Unlock()
 		if !fits {
 			return errStaleEpoch
@@ -371,7 +376,7 @@
 		if err := v.store.Append(c); err != nil {
 			return err
 		}
-		return v.adoptState(have.With(c.Entries))
+		return v.adoptState(current.With(c.Entries))
 	})
 	if err != nil {
 		return nil, v.countRejection(err)
@@ -381,31 +386,32 @@
 
 // onSucceed handles the request of a primary that handed over and released its lease: this backup
 // campaigns at once.
-func (v *Replica) onSucceed(_ context.Context, q epochRequest) (any, error) {
+func (v *Replica) onSucceed(_ context.Context, request epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if q.Epoch == v.newestView.Epoch {
+	if request.Epoch == v.newestView.Epoch {
 		v.takeoverAt, v.nextCampaignAt = 0, 0
 		v.wakeUp()
 	}
 	return struct{}{}, nil
 }
 
-// onVoidLease handles the notice that the primary's address is served by another incarnation with
-// an empty disk, so that the lease of that view is held by nobody.
-func (v *Replica) onVoidLease(_ context.Context, q epochRequest) (any, error) {
+// onVoidLease handles the notice that the primary's address is now served by another incarnation
+// with an empty disk, so that the lease of that view has no holder any more: this backup campaigns
+// at once.
+func (v *Replica) onVoidLease(_ context.Context, request epochRequest) (any, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if q.Epoch != v.newestView.Epoch || !v.newestView.Has(v.self) || v.active {
+	if request.Epoch != v.newestView.Epoch || !v.newestView.Has(v.self) || v.active {
 		return nil, errStaleEpoch
 	}
-	v.voidedEpoch, v.takeoverAt, v.nextCampaignAt = q.Epoch, 0, 0
+	v.voidedEpoch, v.takeoverAt, v.nextCampaignAt = request.Epoch, 0, 0
 	v.wakeUp()
 	return struct{}{}, nil
 }
 
-// leaveResponse tells a control node that is shutting down the newest view and whether it may
-// stop.
+// leaveResponse is the response to a control node that is shutting down: the newest view, and
+// whether that node may stop now.
 type leaveResponse struct {
 	View    View `json:"view"`
 	MayStop bool `json:"go"`
@@ -416,9 +422,9 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
-	v.members.noteLeaving(m.Addr, now)
+	v.policy.noteLeaving(m.Addr, now)
 	if v.active && slices.ContainsFunc(v.newestView.Backups, m.same) {
 		v.wakeUp()
 	}
-	return leaveResponse{v.newestView, v.holdsLease(now) && v.members.safeToRemove(v.newestView, m, now)}, nil
+	return leaveResponse{v.newestView, v.holdsLease(now) && v.policy.safeToRemove(v.newestView, m, now)}, nil
 }
--- a/internal/controlstate/fulldisk_test.go
+++ b/internal/controlstate/fulldisk_test.go
@@ -33,10 +33,10 @@
 
 // The disk becomes full at some byte of a change, of a whole state or of a compaction. The
 // write must fail, the stored state must stay intact, and the next write must succeed once
-// there is room, without a restart.
+// there is free space, without a restart.
 func TestFullDiskRefusesAndServesAgain(t *testing.T) {
 	text := json.RawMessage(`"` + strings.Repeat("x", 300) + `"`)
-	for _, room := range []int64{0, 1, 40, 200, 380} {
+	for _, free := range []int64{0, 1, 40, 200, 380} {
 		for operation, write := range map[string]func(s *Store, st State) error{
 			"a change": func(s *Store, st State) error {
 				return s.Append(Change{st.Epoch, st.Seq + 1, map[string]json.RawMessage{"b": text}})
@@ -59,20 +59,20 @@
 			if err := s.SaveState(st); err != nil {
 				t.Fatal(err)
 			}
-			limit := s.size + room
+			limit := s.size + free
 			if operation == "a compaction" {
-				limit = room
+				limit = free
 			}
 			withFileSizeLimit(t, limit, func() {
 				if err := write(s, st); !errors.Is(err, syscall.EFBIG) {
-					t.Errorf("%s with %d bytes left: %v", operation, room, err)
+					t.Errorf("%s with %d bytes left: %v", operation, free, err)
 				}
 			})
 			if got, err := s.LoadState(); err != nil || !got.equal(st) {
-				t.Errorf("%s with %d bytes left: store contains epoch %d seq %d, %v", operation, room, got.Epoch, got.Seq, err)
+				t.Errorf("%s with %d bytes left: store contains epoch %d seq %d, %v", operation, free, got.Epoch, got.Seq, err)
 			}
 			if _, err := os.Stat(filepath.Join(dir, StoreFile+rewriteSuffix)); err == nil {
-				t.Errorf("%s with %d bytes left: the incomplete new file is not removed", operation, room)
+				t.Errorf("%s with %d bytes left: the incomplete new file is not removed", operation, free)
 			}
 			next := Change{st.Epoch, st.Seq + 1, map[string]json.RawMessage{"c": text}}
 			if err := s.Append(next); err != nil {
--- a/internal/controlstate/invariants_test.go
+++ b/internal/controlstate/invariants_test.go
@@ -13,16 +13,16 @@
 // same epoch.
 func TestInvariantViolationsAreDetected(t *testing.T) {
 	self := Member{Name: "a", Addr: "10.0.0.1:7440", Disk: "d"}
-	at := func() *Replica {
+	newReplica := func() *Replica {
 		k := kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))
-		return &Replica{k: k, self: self, members: newMemberPolicy(self, Config{Lease: kernel.Second}), missedRenewals: map[string]int{}, durableSeq: 7}
+		return &Replica{k: k, self: self, policy: newMemberPolicy(self, Config{Lease: kernel.Second}), missedRenewals: map[string]int{}, durableSeq: 7}
 	}
 	view := View{Epoch: 3, Primary: self, Witnesses: []string{self.Addr}}
 	for name, c := range map[string]struct {
-		play func(v *Replica)
-		want []invariant.Invariant
+		scenario func(v *Replica)
+		want     []invariant.Invariant
 	}{
-		"the newest change":     {func(v *Replica) { v.becomePrimary(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 7}, 0, nil) }, nil},
+		"state up to date":      {func(v *Replica) { v.becomePrimary(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 7}, 0, nil) }, nil},
 		"a durable change lost": {func(v *Replica) { v.becomePrimary(candidacy{epoch: 3, view: view}, State{Epoch: 3, Seq: 6}, 0, nil) }, []invariant.Invariant{invariant.DurableStateKept}},
 		"one primary": {func(v *Replica) {
 			v.observe(view)
@@ -35,8 +35,8 @@
 			v.observe(other)
 		}, []invariant.Invariant{invariant.OnePrimary}},
 	} {
-		v := at()
-		c.play(v)
+		v := newReplica()
+		c.scenario(v)
 		if got := v.k.Invariants.Violated(); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v", name, got)
 		}
--- a/internal/controlstate/membership.go
+++ b/internal/controlstate/membership.go
@@ -7,7 +7,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// memberPolicy records which control nodes take part and decides on that basis which witnesses and
+// memberPolicy records which control nodes participate and decides on that basis which witnesses and
 // backups the next view should have, and whether the current one tolerates the required failures.
 // It does no I/O and changes nothing but its own records. docs/hardening.md names the invariants
 // that depend on it.
@@ -16,32 +16,32 @@
 	tolerated        int // control nodes that may be lost at once, together with their disks
 	lease            kernel.Micros
 	witnessTimeout   kernel.Micros            // a witness unresponsive for longer than this is replaced
-	catchupTimeout   kernel.Micros            // how long to wait for as many control nodes as the tolerated failures require
+	catchupTimeout   kernel.Micros            // how long changes are refused while there are fewer control nodes than the tolerated failures require
 	primarySince     kernel.Micros            // when this control node became the primary; 0 while it is not
-	lastHeard        map[string]kernel.Micros // when each control node last granted a renewal, or voted for the takeover
+	lastGranted      map[string]kernel.Micros // when each control node last granted a renewal, or voted for the takeover
 	excluded         map[string]kernel.Micros // control nodes excluded as backups, because they failed or are leaving, and until when
 	leaveNoticeAt    map[string]kernel.Micros // when control nodes last announced that they are shutting down
-	copyFailingSince map[string]kernel.Micros // since when control nodes have failed to take a copy of the state
+	copyFailingSince map[string]kernel.Micros // since when control nodes have failed to accept a copy of the state
 }
 
 func newMemberPolicy(self Member, cfg Config) memberPolicy {
 	return memberPolicy{
 		self: self, tolerated: cfg.FailuresTolerated, lease: cfg.Lease, witnessTimeout: min(cfg.WitnessTimeout, max(cfg.Lease, cfg.CatchupTimeout-2*cfg.Lease)), catchupTimeout: cfg.CatchupTimeout,
-		lastHeard: map[string]kernel.Micros{}, excluded: map[string]kernel.Micros{}, leaveNoticeAt: map[string]kernel.Micros{}, copyFailingSince: map[string]kernel.Micros{},
+		lastGranted: map[string]kernel.Micros{}, excluded: map[string]kernel.Micros{}, leaveNoticeAt: map[string]kernel.Micros{}, copyFailingSince: map[string]kernel.Micros{},
 	}
 }
 
-// excludeFor is how long a failed control node is not used as a backup if there is another.
+// excludeFor is how long a failed control node is not used as a backup, unless there is no other.
 const excludeFor = 2 * kernel.Second
 
-// exclude excludes a control node from being a backup for a while, if there is another.
+// exclude excludes a control node from being a backup for excludeFor, unless there is no other.
 func (m *memberPolicy) exclude(addr string, now kernel.Micros) { m.excluded[addr] = now + excludeFor }
 
 func (m *memberPolicy) isExcluded(addr string, now kernel.Micros) bool { return now < m.excluded[addr] }
 
 // isLive reports whether the control node granted a renewal within the last lease period.
 func (m *memberPolicy) isLive(addr string, now kernel.Micros) bool {
-	at, ok := m.lastHeard[addr]
+	at, ok := m.lastGranted[addr]
 	return ok && now-at < m.lease
 }
 
@@ -50,20 +50,20 @@
 // replacement counts as caught up, the witness has been replaced, even if the primary was lost just
 // before it would have done so.
 func (m *memberPolicy) isUnresponsive(addr string, now kernel.Micros) bool {
-	return now-max(m.lastHeard[addr], m.primarySince) > m.witnessTimeout
+	return now-max(m.lastGranted[addr], m.primarySince) > m.witnessTimeout
 }
 
-// unheardSinceTakeover reports whether a witness was not among the voters of the takeover and has
-// not answered since, for the duration of a call: it may have been lost with the previous primary,
-// or before.
-func (m *memberPolicy) unheardSinceTakeover(addr string, now kernel.Micros) bool {
-	return m.lastHeard[addr] < m.primarySince && now-m.primarySince >= m.lease/4
+// unresponsiveSinceTakeover reports whether a witness was not among the voters of the takeover and
+// has granted no renewal since, although there was time for a call: it may have been lost with the
+// previous primary, or before.
+func (m *memberPolicy) unresponsiveSinceTakeover(addr string, now kernel.Micros) bool {
+	return m.lastGranted[addr] < m.primarySince && now-m.primarySince >= m.lease/4
 }
 
 // spares returns the live control nodes that are not in the set and not excluded.
 func (m *memberPolicy) spares(set []string, now kernel.Micros) []string {
 	var out []string
-	for addr := range m.lastHeard {
+	for addr := range m.lastGranted {
 		if m.isLive(addr, now) && !slices.Contains(set, addr) && !m.isExcluded(addr, now) {
 			out = append(out, addr)
 		}
@@ -84,11 +84,11 @@
 	for i, addr := range set {
 		switch unresponsive := m.isUnresponsive(addr, now); {
 		case addr == m.self.Addr:
-		case (unresponsive || m.unheardSinceTakeover(addr, now)) && len(spares) > 0:
+		case (unresponsive || m.unresponsiveSinceTakeover(addr, now)) && len(spares) > 0:
 			set[i], spares = spares[0], spares[1:]
 		case unresponsive && len(set) > max(3, 2*m.tolerated):
-			// Without it the set tolerates as many failures. If it stays in the set and is
-			// gone permanently, failures of others would leave too few registers.
+			// Without this witness the set tolerates just as many failures. If it stays in the
+			// set and is permanently lost, failures of others would leave too few registers.
 			return slices.Delete(set, i, i+1)
 		}
 	}
@@ -102,7 +102,7 @@
 			// number of failures tolerated; so it replaces that witness.
 			set[notLive] = spares[0]
 		default:
-			return set // it may not have been contacted yet since the takeover
+			return set // that witness may not have been contacted yet since the takeover
 		}
 		spares = spares[1:]
 	}
@@ -111,8 +111,8 @@
 
 // witnessesSuffice reports whether the witnesses tolerate the required failures: the survivors of
 // each set must include one of any majority. A previous set that is too small is dropped by the
-// next view, which is formed at once. A live control node that is not yet a witness is waited for
-// without limit, control nodes that do not exist only for catchupTimeout.
+// next view, which is formed at once. Too few witnesses suffice only if there is no live control
+// node that could be added to them, and catchupTimeout has passed since the takeover.
 func (m *memberPolicy) witnessesSuffice(view View, now kernel.Micros) bool {
 	if len(view.Prior) > 0 && len(view.Prior) < 2*m.tolerated {
 		return false
@@ -133,7 +133,7 @@
 	return ok && now-at < m.lease
 }
 
-// copyFailed records that a control node did not take a copy of the state.
+// copyFailed records that a control node did not accept a copy of the state.
 func (m *memberPolicy) copyFailed(addr string, now kernel.Micros) {
 	if _, ok := m.copyFailingSince[addr]; !ok {
 		m.copyFailingSince[addr] = now
@@ -141,15 +141,15 @@
 	m.exclude(addr, now)
 }
 
-// copySucceeded records that a control node took a copy of the state.
+// copySucceeded records that a control node accepted a copy of the state.
 func (m *memberPolicy) copySucceeded(addr string) {
 	delete(m.copyFailingSince, addr)
 	delete(m.excluded, addr)
 }
 
 // enoughCopies reports whether these backups suffice for a view. There may be fewer of them than
-// failures are tolerated only if no other control node is live. A live node that fails to take a
-// copy does not count as lost until it has failed for a lease period; one that is leaving does.
+// failures are tolerated only if no other control node is live. A live node that fails to accept a
+// copy counts as lost once it has failed for a lease period, one that is leaving at once.
 func (m *memberPolicy) enoughCopies(backups, others []string, isLive func(addr string) bool, now kernel.Micros) bool {
 	return len(backups) >= m.tolerated || !slices.ContainsFunc(others, func(addr string) bool {
 		since, fails := m.copyFailingSince[addr]
@@ -162,7 +162,7 @@
 func (m *memberPolicy) enoughBackups(view View, now kernel.Micros) bool {
 	addrs := backupAddrs(view)
 	return !slices.ContainsFunc(addrs, func(addr string) bool { return m.isExcluded(addr, now) }) &&
-		m.enoughCopies(addrs, slices.Collect(maps.Keys(m.lastHeard)), func(addr string) bool { return m.isLive(addr, now) }, now)
+		m.enoughCopies(addrs, slices.Collect(maps.Keys(m.lastGranted)), func(addr string) bool { return m.isLive(addr, now) }, now)
 }
 
 // wantsNewView reports whether the primary should form another view: because a backup failed or is
@@ -201,10 +201,10 @@
 	return view.Has(m.self)
 }
 
-// takeoverTime returns when this control node may campaign if it hears nothing more. The view's own
-// primary, restarted, may do so at once, since the lease was its own. Backups may after the lease
-// period, staggered by their position. At the first start the witnesses campaign staggered by their
-// position.
+// takeoverTime returns the earliest time at which this control node may campaign, unless the lease
+// is renewed in the meantime. The view's own primary may campaign at once after a restart, since the
+// lease is its own. Backups may campaign after the lease period, staggered by their position.
+// At the first start the witnesses campaign, staggered by their position.
 func (m *memberPolicy) takeoverTime(view View, now kernel.Micros) kernel.Micros {
 	if i := slices.Index(view.Witnesses, m.self.Addr); view.Epoch == 0 && i >= 0 {
 		return now + kernel.Micros(i)*kernel.Second/2
@@ -217,9 +217,9 @@
 
 // safeToRemove reports whether a control node may stop safely: the view does not rely on the state on
 // its disk, and a majority of the witnesses is live without it.
-func (m *memberPolicy) safeToRemove(view View, leaver Member, now kernel.Micros) bool {
-	return !view.Has(leaver) && majorityOfEach(view.quorumSets(), func(addr string) bool {
-		return addr != leaver.Addr && (addr == m.self.Addr || m.isLive(addr, now))
+func (m *memberPolicy) safeToRemove(view View, leaving Member, now kernel.Micros) bool {
+	return !view.Has(leaving) && majorityOfEach(view.quorumSets(), func(addr string) bool {
+		return addr != leaving.Addr && (addr == m.self.Addr || m.isLive(addr, now))
 	})
 }
 
--- a/internal/controlstate/membership_model_test.go
+++ b/internal/controlstate/membership_model_test.go
@@ -8,13 +8,13 @@
 	"indigowalk/internal/kernel"
 )
 
-// sizes are the simulated deployments. With fewer than 2f control nodes no majority survives the
-// tolerated failures.
-var sizes = []struct{ f, controlNodes int }{{1, 3}, {1, 4}, {1, 5}, {1, 7}, {2, 4}, {2, 5}, {2, 6}, {2, 7}, {3, 6}}
+// deployments are the simulated deployments: f is the number of failures to tolerate. With fewer
+// than 2f control nodes no majority survives the tolerated failures.
+var deployments = []struct{ f, controlNodes int }{{1, 3}, {1, 4}, {1, 5}, {1, 7}, {2, 4}, {2, 5}, {2, 6}, {2, 7}, {3, 6}}
 
 func TestMembershipModel(t *testing.T) {
 	newcomerViews := 0
-	for _, c := range sizes {
+	for _, c := range deployments {
 		for seed := range uint64(200) {
 			w := randomHistory(seed, c.f, c.controlNodes, "")
 			if newcomerViews += w.newcomerViews; w.violation != "" {
@@ -24,13 +24,13 @@
 		}
 	}
 	if newcomerViews == 0 {
-		t.Error("newcomers never took the places of lost witnesses")
+		t.Error("no history formed a view with newcomers in place of lost witnesses")
 	}
 }
 
-// Regression test with seeds that once violated MajorityRemains: newcomers voted with a half of the
-// witnesses of which one had merely refused, or lost one of their own before the next view was
-// formed; a set of five witnesses retained one that was permanently lost.
+// Regression test with seeds that once violated MajorityRemains: newcomers voted with half of the
+// witnesses although one witness had merely refused; a newcomer that had voted was lost before the
+// next view was formed; a set of five witnesses retained one that was permanently lost.
 func TestMembershipModelRegressionSeeds(t *testing.T) {
 	for _, c := range []struct {
 		f, controlNodes int
@@ -47,11 +47,11 @@
 	}
 }
 
-// Whichever nodes are partitioned or down, as long as no more disks are lost than tolerated, there is
-// one primary, and acknowledged changes survive.
+// As long as no more disks are lost than tolerated, there is at most one primary and acknowledged
+// changes survive, whichever nodes are partitioned or down.
 func TestMembershipModelWithAnyPartitions(t *testing.T) {
 	newcomerViews := 0
-	for _, c := range append(sizes, struct{ f, controlNodes int }{2, 8}) {
+	for _, c := range append(deployments, struct{ f, controlNodes int }{2, 8}) {
 		for seed := range uint64(200) {
 			w := newModel(seed, c.f, c.controlNodes, "").boot()
 			w.anyPartitions = true
@@ -63,7 +63,7 @@
 		}
 	}
 	if newcomerViews == 0 {
-		t.Error("newcomers never took the places of lost witnesses")
+		t.Error("no history formed a view with newcomers in place of lost witnesses")
 	}
 }
 
@@ -77,8 +77,9 @@
 	}
 }
 
-// explore tries each sequence of that many faults, with up to 40 steps between and after them, and at
-// the end the losses that are still tolerated and a restart of all nodes.
+// explore tries each sequence of that many faults, with up to 40 steps after each of them. Every
+// sequence ends with the losses that are still tolerated and a restart of all nodes. It returns the
+// first model that violates an invariant, or nil, and the number of histories tried.
 func explore(w *model, faults, stride int) (found *model, histories int) {
 	if faults == 0 {
 		w.loseRemaining()
@@ -92,19 +93,19 @@
 	}
 	for i := range w.nodes {
 		for kind := wiped; kind <= returned; kind++ {
-			c := w.clone()
-			if !c.inject(c.nodes[i], kind) {
+			branch := w.clone()
+			if !branch.inject(branch.nodes[i], kind) {
 				continue
 			}
 			for step := range 40 {
 				if step%stride == 0 {
-					next, n := explore(c.clone(), faults-1, stride)
+					next, n := explore(branch.clone(), faults-1, stride)
 					if histories += n; next != nil {
 						return next, histories
 					}
 				}
-				if c.advance(); c.violation != "" {
-					return c, histories
+				if branch.advance(); branch.violation != "" {
+					return branch, histories
 				}
 			}
 		}
@@ -112,33 +113,34 @@
 	return nil, histories
 }
 
-// advance carries out one pending call or, if there is none, a tick and the start of a change.
+// advance carries out one pending call or, if there is none, one tick, after which the primary
+// starts to write a change.
 func (w *model) advance() {
 	if busy := w.nodesWithPendingStep(); len(busy) > 0 {
 		busy[0].step(w)
 	} else {
 		w.tick(false)
 		w.clearRecovered()
-		if n := w.leader(); n != nil {
-			n.write(w)
+		if n := w.primary(); n != nil {
+			n.startWrite(w)
 		}
 	}
 	w.checkInvariants()
 }
 
 func TestMembershipModelAllPairsOfFaults(t *testing.T) {
-	for _, c := range []struct{ f, controlNodes, every int }{{1, 3, 2}, {1, 4, 2}, {2, 5, 8}} {
+	for _, c := range []struct{ f, controlNodes, stride int }{{1, 3, 2}, {1, 4, 2}, {2, 5, 8}} {
 		w := newModel(1, c.f, c.controlNodes, "").boot()
 		w.write()
-		broken, n := explore(w, 2, c.every)
-		if t.Logf("f %d, %d control nodes: %d histories", c.f, c.controlNodes, n); broken != nil {
-			t.Errorf("%s\n%s", broken.violation, strings.Join(broken.trace, "\n"))
+		violating, n := explore(w, 2, c.stride)
+		if t.Logf("f %d, %d control nodes: %d histories", c.f, c.controlNodes, n); violating != nil {
+			t.Errorf("%s\n%s", violating.violation, strings.Join(violating.trace, "\n"))
 		}
 	}
 }
 
-// leader returns the primary, or nil if there is none.
-func (w *model) leader() *node {
+// primary returns the control node that holds the lease, or nil if there is none.
+func (w *model) primary() *node {
 	for _, n := range w.nodes {
 		if n.up && n.holdsLease(w.now) {
 			return n
@@ -147,15 +149,16 @@
 	return nil
 }
 
-// write has the primary write a change and reports whether it was acknowledged.
+// write makes the primary write a change and reports whether it was acknowledged.
 func (w *model) write() bool {
-	before, n := w.acked, w.leader()
-	if n != nil && n.write(w) {
+	before, n := w.acked, w.primary()
+	if n != nil && n.startWrite(w) {
 		w.runPendingSteps()
 	}
 	return w.acked != before
 }
 
+// lose stops a node, which counts as lost from then on, and optionally wipes its disk.
 func (w *model) lose(n *node, wipe bool) {
 	n.countedLost = true
 	if n.stop(); wipe {
@@ -163,9 +166,9 @@
 	}
 }
 
-// formViewUnheardBy has the primary form a view while some control nodes are partitioned, and
-// acknowledge a change in it.
-func (w *model) formViewUnheardBy(primary *node, isolated ...*node) {
+// formViewWithout makes the primary form a view and write a change in it while some control nodes
+// are partitioned.
+func (w *model) formViewWithout(primary *node, isolated ...*node) {
 	for _, n := range isolated {
 		n.partitioned = true
 	}
@@ -177,13 +180,13 @@
 	}
 }
 
-// For each guard there is a history that violates an invariant with the guard removed, and does not
-// with the guard in place.
+// The model detects the removal of each guard: there is a history that violates an invariant without
+// the guard, and none of the same histories violates one with it.
 func TestMembershipModelDetectsRemovedGuards(t *testing.T) {
 	for guard, c := range map[string]struct {
 		f, controlNodes int
-		breaks          string
-		play            func(w *model)
+		violates        string
+		scenario        func(w *model)
 	}{
 		// A backup restarts with an empty disk before its absence is noticed.
 		"RenewalNamesDisk": {1, 4, "AcknowledgedSurvives", func(w *model) {
@@ -191,8 +194,8 @@
 			b := w.members()[1]
 			w.lose(b, true)
 			b.start(w)
-			w.runQuietly(11)
-			w.lose(w.leader(), true)
+			w.runWithoutFaults(11)
+			w.lose(w.primary(), true)
 		}},
 		// The primary is lost while its backup is shutting down permanently.
 		"LeaveWaits":    {1, 4, "AcknowledgedSurvives", lastHolderLeaves},
@@ -200,35 +203,35 @@
 		// A member of an older view wins the vote of a witness with an empty disk.
 		"EmptyAbstains": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
-			m[0].members.exclude(m[1].addr, w.now)
-			w.formViewUnheardBy(m[0], m[1])
+			m[0].policy.exclude(m[1].addr, w.now)
+			w.formViewWithout(m[0], m[1])
 			m[0].wipe(w)
 			w.powerCycle()
-			w.runQuietly(20)
+			w.runWithoutFaults(20)
 		}},
 		// The same, where the witness with the empty disk can read only one register.
 		"IntactOverlap": {1, 3, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
-			w.formViewUnheardBy(m[0], m[1])
-			other := w.leader().newestView.Backups[0].Addr
+			w.formViewWithout(m[0], m[1])
+			other := w.primary().newestView.Backups[0].Addr
 			m[0].wipe(w)
 			w.powerCycle()
-			w.at(other).stop()
-			w.runQuietly(20)
+			w.nodeAt(other).stop()
+			w.runWithoutFaults(20)
 		}},
-		// The set of witnesses is changed without a majority of the old set, and that
-		// majority is what returns first.
+		// The set of witnesses is changed without a majority of the old set, and the nodes of
+		// that majority return first.
 		"BothSetsAgree": {1, 4, "OldStateNeverLeads", func(w *model) {
 			m := w.members()
-			p, b, c := m[0], m[1], w.at("c")
+			p, b, c := m[0], m[1], w.nodeAt("c")
 			if p == c || b == c {
 				return
 			}
 			w.lose(c, false)
 			for range 20 {
-				p.members.lastHeard[c.addr] = w.now - 10*kernel.Second
+				p.policy.lastGranted[c.addr] = w.now - 10*kernel.Second
 			}
-			w.formViewUnheardBy(p, b)
+			w.formViewWithout(p, b)
 			c.start(w)
 			w.powerCycle()
 			for _, n := range w.nodes {
@@ -236,7 +239,7 @@
 					n.stop()
 				}
 			}
-			w.runQuietly(20)
+			w.runWithoutFaults(20)
 		}},
 		// Three control nodes are unreachable while the view is formed, and return afterwards.
 		"EnoughBackups": {2, 5, "AcknowledgedSurvives", func(w *model) {
@@ -258,12 +261,12 @@
 			}
 			w.runPendingSteps()
 			w.write()
-			w.lose(w.at(b), true)
+			w.lose(w.nodeAt(b), true)
 			w.lose(p, true)
 		}},
 		// Two of the initial three witnesses are lost, although five control nodes exist.
 		"LargeEnough": {2, 5, "MajorityRemains", func(w *model) {
-			if w.runQuietly(4); !w.write() {
+			if w.runWithoutFaults(4); !w.write() {
 				return // no change was acknowledged
 			}
 			m := w.members()
@@ -273,8 +276,8 @@
 				n.countedLost = !n.up
 			}
 		}},
-		// Two replacements have joined before the nodes they replace are stopped; then the
-		// others are partitioned into halves, with one of the replacements each.
+		// Two replacements join before the nodes that they replace are stopped; then the
+		// others are partitioned into halves, each with one of the replacements.
 		"GoneIsShown": {2, 4, "OldStateNeverLeads", func(w *model) {
 			w.write()
 			var newcomers []*node
@@ -291,14 +294,14 @@
 				n.partitioned = true
 			}
 			for range 20 {
-				w.runQuietly(1)
+				w.runWithoutFaults(1)
 				w.checkInvariants()
 				w.write()
 			}
 			for _, n := range w.nodes {
 				n.partitioned = false
 			}
-			w.runQuietly(20)
+			w.runWithoutFaults(20)
 		}},
 		"NewerViewStops": {2, 7, "OldStateNeverLeads", nil},
 		"MembersStand":   {1, 3, "OldStateNeverLeads", nil},
@@ -308,13 +311,13 @@
 			out := map[string]string{}
 			for seed := range uint64(40) {
 				w := newModel(seed, c.f, c.controlNodes, disabledGuard)
-				if c.play == nil {
+				if c.scenario == nil {
 					w = randomHistory(seed, c.f, c.controlNodes, disabledGuard)
 				} else {
 					if guard != "LargeEnough" {
 						w.boot()
 					}
-					c.play(w)
+					c.scenario(w)
 					w.checkInvariants()
 					w.checkMajorityRemains(true)
 				}
@@ -324,23 +327,25 @@
 			}
 			return out
 		}
-		for _, how := range violations("") {
-			t.Errorf("with guard %s: %s", guard, how)
+		for _, violation := range violations("") {
+			t.Errorf("with guard %s: %s", guard, violation)
 		}
-		if out := violations(guard); out[c.breaks] == "" {
-			t.Errorf("without guard %s violations are %v, not of %s", guard, out, c.breaks)
+		if out := violations(guard); out[c.violates] == "" {
+			t.Errorf("without guard %s violations are %v, not of %s", guard, out, c.violates)
 		}
 	}
 }
 
+// lastHolderLeaves loses the primary while its backup, which then holds the only copy of the state,
+// is shutting down permanently.
 func lastHolderLeaves(w *model) {
 	w.write()
 	m := w.members()
 	m[1].leaving = true
 	w.lose(m[0], true)
-	w.runQuietly(14) // the grace period
+	w.runWithoutFaults(14) // the grace period of the shutdown
 	if m[1].up {
-		m[1].end(w)
+		m[1].finishLeaving(w)
 	}
 	m[1].wipe(w)
 }
--- a/internal/controlstate/model_test.go
+++ b/internal/controlstate/model_test.go
@@ -10,21 +10,21 @@
 )
 
 // model simulates control nodes that campaign, copy the state, vote, write and fail, one step at a
-// time and in any order. Decisions are made by the functions of the daemon itself: witness,
-// memberPolicy and registerFromPeers; the model only adds what carries them out. It never loses more
-// than f control nodes at once. A node that returns counts as lost until the catch-up time has
-// passed, a replaced one until its successor has been up for that time.
+// time and in any order. Decisions are made by the code under test (witness, memberPolicy and
+// registerFromPeers); the model only carries them out. It never loses more than f control nodes at
+// once. A node that returns counts as lost until the catch-up time has passed, a replaced one until
+// its successor has been up for that time.
 type model struct {
 	rng           *rand.Rand
 	now           kernel.Micros
-	f             int
+	f             int // number of failures to tolerate
 	nodes         []*node
-	disks         int
-	writes        int
+	disks         int              // number of disks used so far
+	writes        int              // number of changes started so far
 	acked         uint64           // acknowledged changes, one bit each
-	leaders       map[int64]string // disk of the primary, by epoch
+	primaryDisks  map[int64]string // disk of the primary, by epoch
 	disabledGuard string           // the guard that is removed
-	overBudget    bool             // more than f are lost, because one left while another was lost
+	overBudget    bool             // more than f count as lost, because one left while another was lost
 	newcomerViews int              // views in which newcomers replaced half of the witnesses
 	anyPartitions bool             // any number may be partitioned, or down with their disks intact
 	violation     string           // the violated invariant, and how it was violated
@@ -39,7 +39,7 @@
 	epoch   int64  // of the stored state
 	content uint64 // changes contained in the stored state
 	// In memory.
-	up, partitioned, leaving, retired bool // partitioned: cut off or frozen, together with all others that are; retired: replaced permanently
+	up, partitioned, leaving, retired bool // partitioned: cut off, together with all other partitioned nodes, or frozen; retired: replaced permanently
 	countedLost                       bool // counts as lost
 	upSince                           kernel.Micros
 	witness                           witness
@@ -49,7 +49,7 @@
 	leaseEnd                          kernel.Micros
 	highestEpochTried                 int64
 	lastProposed                      View
-	members                           memberPolicy
+	policy                            memberPolicy
 	missedRenewals                    map[string]int
 	attempt                           *attempt
 	pendingWrite                      *pendingWrite
@@ -63,13 +63,13 @@
 	pending []string
 }
 
-// guardHolds returns ok, or true if that guard is removed.
+// guardHolds returns ok, the condition of the named guard, or true if that guard is removed.
 func (w *model) guardHolds(guard string, ok bool) bool { return ok || w.disabledGuard == guard }
 
-// violate records the first violation of an invariant.
-func (w *model) violate(invariant, how string, args ...any) {
+// recordViolation records the violation of an invariant, unless one was recorded before.
+func (w *model) recordViolation(invariant, format string, args ...any) {
 	if w.violation == "" {
-		w.violation = invariant + ": " + fmt.Sprintf(how, args...)
+		w.violation = invariant + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// logFailedAttempt adds a failed attempt to the trace, if it is among the first few in a row.
+// logFailedAttempt adds a failed attempt to the trace, unless several precede it in a row.
 func (w *model) logFailedAttempt(format string, args ...any) {
 	if n := len(w.trace); n < 4 || !strings.Contains(w.trace[n-4], "attempt failed") {
 		w.logf(format, args...)
@@ -87,7 +87,7 @@
 }
 
 func newModel(seed uint64, f, controlNodes int, disabledGuard string) *model {
-	w := &model{rng: rand.New(rand.NewPCG(seed, 3)), now: kernel.Second, f: f, leaders: map[int64]string{}, disabledGuard: disabledGuard}
+	w := &model{rng: rand.New(rand.NewPCG(seed, 3)), now: kernel.Second, f: f, primaryDisks: map[int64]string{}, disabledGuard: disabledGuard}
 	for range controlNodes {
 		w.addNode()
 	}
@@ -106,15 +106,15 @@
 
 // boot runs the first start until it is complete.
 func (w *model) boot() *model {
-	w.runQuietly(40)
+	w.runWithoutFaults(40)
 	for _, n := range w.nodes {
 		n.countedLost = false
 	}
 	return w
 }
 
-// runQuietly advances the clock without injecting faults.
-func (w *model) runQuietly(ticks int) {
+// runWithoutFaults advances the clock without injecting faults.
+func (w *model) runWithoutFaults(ticks int) {
 	for range ticks {
 		w.tick(true)
 	}
@@ -127,7 +127,7 @@
 	return n
 }
 
-// start begins an incarnation with what is on disk.
+// start starts a new incarnation of the node from the content of its disk.
 func (n *node) start(w *model) {
 	n.attempt, n.pendingWrite = nil, nil
 	n.up, n.leaving, n.partitioned, n.upSince = true, false, false, w.now
@@ -135,37 +135,37 @@
 	if n.reg.Promised == 0 && len(n.reg.Accepted.Witnesses) == 0 {
 		n.witness.abstains = w.disabledGuard != "EmptyAbstains"
 	}
-	n.members = newMemberPolicy(Member{n.addr, n.addr, n.disk}, Config{FailuresTolerated: w.f, Lease: modelLease, WitnessTimeout: modelWitnessTimeout, CatchupTimeout: modelCatchupTimeout})
+	n.policy = newMemberPolicy(Member{n.addr, n.addr, n.disk}, Config{FailuresTolerated: w.f, Lease: modelLease, WitnessTimeout: modelWitnessTimeout, CatchupTimeout: modelCatchupTimeout})
 	n.newestView = n.reg.Accepted
 	n.active, n.leaseEnd, n.highestEpochTried, n.nextCampaignAt, n.lastProposed, n.missedRenewals = false, 0, 0, 0, View{}, map[string]int{}
-	n.takeoverAt = n.members.takeoverTime(n.newestView, w.now)
+	n.takeoverAt = n.policy.takeoverTime(n.newestView, w.now)
 }
 
 func (n *node) stop() { n.up, n.active, n.attempt, n.pendingWrite = false, false, nil, nil }
 
-func (n *node) self() Member { return n.members.self }
+func (n *node) self() Member { return n.policy.self }
 
 func (n *node) holdsLease(now kernel.Micros) bool { return n.active && now < n.leaseEnd }
 
-func (w *model) at(addr string) *node {
+func (w *model) nodeAt(addr string) *node {
 	if i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.addr == addr }); i >= 0 {
 		return w.nodes[i]
 	}
 	return nil
 }
 
-// reachable returns the control node that answers a call from n to addr, or nil.
+// reachable returns the control node that responds to a call from n to addr, or nil.
 func (w *model) reachable(n *node, addr string) *node {
-	if o := w.at(addr); o != nil && o.up && o.partitioned == n.partitioned {
-		return o
+	if peer := w.nodeAt(addr); peer != nil && peer.up && peer.partitioned == n.partitioned {
+		return peer
 	}
 	return nil
 }
 
 func (w *model) reachablePeers(n *node) (out []string) {
-	for _, o := range w.nodes {
-		if o != n && w.reachable(n, o.addr) != nil {
-			out = append(out, o.addr)
+	for _, peer := range w.nodes {
+		if peer != n && w.reachable(n, peer.addr) != nil {
+			out = append(out, peer.addr)
 		}
 	}
 	return out
@@ -177,45 +177,45 @@
 			n.leaseEnd = 0
 		}
 		n.newestView = view
-		n.takeoverAt = max(n.takeoverAt, n.members.takeoverTime(view, w.now))
+		n.takeoverAt = max(n.takeoverAt, n.policy.takeoverTime(view, w.now))
 	}
 }
 
 func (n *node) notePrimaryAlive(w *model, view View) {
 	n.observe(w, view)
 	if view.Epoch == n.newestView.Epoch && !n.active {
-		n.takeoverAt = max(n.takeoverAt, n.members.takeoverTime(view, w.now))
+		n.takeoverAt = max(n.takeoverAt, n.policy.takeoverTime(view, w.now))
 	}
 }
 
 func (n *node) stepDown(w *model) {
-	n.active, n.members.primarySince, n.nextCampaignAt, n.pendingWrite = false, 0, w.now+modelLease, nil
+	n.active, n.policy.primarySince, n.nextCampaignAt, n.pendingWrite = false, 0, w.now+modelLease, nil
 }
 
 func (n *node) handOver(w *model) {
 	view := n.newestView
 	n.stepDown(w)
 	for _, addr := range union(view.quorumSets()...) {
-		if o := w.reachable(n, addr); o != nil {
-			o.witness.release(view.Epoch)
+		if peer := w.reachable(n, addr); peer != nil {
+			peer.witness.release(view.Epoch)
 		}
 	}
 	for _, b := range view.Backups {
-		if o := w.reachable(n, b.Addr); o != nil {
-			if o.newestView.Epoch == view.Epoch {
-				o.takeoverAt, o.nextCampaignAt = 0, 0
+		if peer := w.reachable(n, b.Addr); peer != nil {
+			if peer.newestView.Epoch == view.Epoch {
+				peer.takeoverAt, peer.nextCampaignAt = 0, 0
 			}
 			return
 		}
 	}
 }
 
-// write begins a change, if one is accepted now, and reports whether it did.
-func (n *node) write(w *model) bool {
+// startWrite starts to write a change, if changes are accepted now, and reports whether it did.
+func (n *node) startWrite(w *model) bool {
 	if n.attempt != nil || n.pendingWrite != nil || !n.holdsLease(w.now) || n.epoch != n.newestView.Epoch || w.writes == 60 {
 		return false
 	}
-	if !w.guardHolds("EnoughBackups", n.members.enoughBackups(n.newestView, w.now)) || !w.guardHolds("LargeEnough", n.members.witnessesSuffice(n.newestView, w.now)) {
+	if !w.guardHolds("EnoughBackups", n.policy.enoughBackups(n.newestView, w.now)) || !w.guardHolds("LargeEnough", n.policy.witnessesSuffice(n.newestView, w.now)) {
 		return false
 	}
 	n.pendingWrite = &pendingWrite{n.newestView, 1 << w.writes, backupAddrs(n.newestView)}
@@ -224,35 +224,35 @@
 	return true
 }
 
-func (c *pendingWrite) step(w *model, n *node) {
-	if len(c.pending) > 0 {
-		addr := c.pending[0]
-		c.pending = c.pending[1:]
-		if o := w.reachable(n, addr); o != nil && o.epoch == n.epoch && o.content|c.bit == n.content && !o.active {
-			o.content |= c.bit
+func (p *pendingWrite) step(w *model, n *node) {
+	if len(p.pending) > 0 {
+		addr := p.pending[0]
+		p.pending = p.pending[1:]
+		if peer := w.reachable(n, addr); peer != nil && peer.epoch == n.epoch && peer.content|p.bit == n.content && !peer.active {
+			peer.content |= p.bit
 			return
 		}
 		n.pendingWrite = nil
-		n.members.exclude(addr, w.now)
+		n.policy.exclude(addr, w.now)
 		n.campaign(w)
 		return
 	}
 	n.pendingWrite = nil
-	if n.holdsLease(w.now) && n.newestView.Epoch == c.view.Epoch {
-		w.acked |= c.bit
-		w.logf("%s acknowledges %b", n.addr, c.bit)
+	if n.holdsLease(w.now) && n.newestView.Epoch == p.view.Epoch {
+		w.acked |= p.bit
+		w.logf("%s acknowledges %b", n.addr, p.bit)
 	}
 }
 
-// tick advances the clock by one renewal period and performs all timed actions. If quiet, each node
-// completes the pending calls before the next one acts.
-func (w *model) tick(quiet bool) {
+// tick advances the clock by one renewal period and performs all timed actions. If completeCalls is
+// set, all pending calls are completed before the next node acts.
+func (w *model) tick(completeCalls bool) {
 	w.now += tick
 	for _, n := range w.nodes {
 		if n.up {
 			n.tick(w)
 		}
-		if quiet {
+		if completeCalls {
 			w.runPendingSteps()
 		}
 	}
@@ -278,17 +278,17 @@
 	if n.leaving {
 		campaignNotBefore += modelLease / 2
 	}
-	mayCampaign := w.guardHolds("MembersStand", n.members.mayCampaign(n.newestView, !n.witness.abstains && n.newestView.Epoch == 0)) && (!n.leaving || w.disabledGuard != "LeavingStands")
+	mayCampaign := w.guardHolds("MembersStand", n.policy.mayCampaign(n.newestView, !n.witness.abstains && n.newestView.Epoch == 0)) && (!n.leaving || w.disabledGuard != "LeavingStands")
 	switch {
 	case n.attempt != nil || n.pendingWrite != nil:
-	case n.holdsLease(w.now) && w.now >= n.nextCampaignAt && (max(n.highestEpochTried, n.epoch) > n.newestView.Epoch || n.members.wantsNewView(n.newestView, w.now)):
+	case n.holdsLease(w.now) && w.now >= n.nextCampaignAt && (max(n.highestEpochTried, n.epoch) > n.newestView.Epoch || n.policy.wantsNewView(n.newestView, w.now)):
 		n.campaign(w)
 	case !n.active && w.now >= campaignNotBefore && mayCampaign:
 		n.campaign(w)
 	case !n.active && w.now >= campaignNotBefore && n.newestView.Epoch > 0:
 		for _, addr := range union([]string{n.newestView.Primary.Addr}, backupAddrs(n.newestView)) {
-			if o := w.reachable(n, addr); o != nil {
-				o.observe(w, n.newestView)
+			if peer := w.reachable(n, addr); peer != nil {
+				peer.observe(w, n.newestView)
 			}
 		}
 	}
@@ -297,26 +297,26 @@
 func (n *node) renew(w *model) {
 	view, granted := n.newestView, map[string]bool{}
 	for _, addr := range union(union(view.quorumSets()...), backupAddrs(view), w.reachablePeers(n)) {
-		o := w.reachable(n, addr)
+		peer := w.reachable(n, addr)
 		if addr == n.addr {
-			o = n
+			peer = n
 		}
 		i := slices.IndexFunc(view.Backups, func(b Member) bool { return b.Addr == addr })
-		if o == nil {
+		if peer == nil {
 			n.missedRenewals[addr]++
-		} else if delete(n.missedRenewals, addr); view.Epoch >= o.newestView.Epoch {
-			a, _ := o.witness.renew(w.now, view)
-			o.reg = o.witness.reg
-			o.notePrimaryAlive(w, view)
-			if granted[addr] = a.Granted; a.Granted {
-				n.members.lastHeard[addr] = w.now
+		} else if delete(n.missedRenewals, addr); view.Epoch >= peer.newestView.Epoch {
+			response, _ := peer.witness.renew(w.now, view)
+			peer.reg = peer.witness.reg
+			peer.notePrimaryAlive(w, view)
+			if granted[addr] = response.Granted; response.Granted {
+				n.policy.lastGranted[addr] = w.now
 			} else if w.disabledGuard != "RefusalsHeeded" {
-				n.highestEpochTried = max(n.highestEpochTried, a.Promised)
+				n.highestEpochTried = max(n.highestEpochTried, response.Promised)
 			}
 		}
-		if i >= 0 && (n.missedRenewals[addr] >= maxMissedRenewals || o != nil && w.disabledGuard != "RenewalNamesDisk" && o.disk != view.Backups[i].Disk) {
+		if i >= 0 && (n.missedRenewals[addr] >= maxMissedRenewals || peer != nil && w.disabledGuard != "RenewalNamesDisk" && peer.disk != view.Backups[i].Disk) {
 			delete(n.missedRenewals, addr)
-			n.members.exclude(addr, w.now)
+			n.policy.exclude(addr, w.now)
 		}
 	}
 	if majorityOfEach(view.quorumSets(), func(addr string) bool { return granted[addr] }) && n.active && n.newestView.Epoch == view.Epoch {
@@ -330,8 +330,8 @@
 	for view, hop := n.newestView, 0; hop < 8; hop++ {
 		responses := map[string]registerResponse{}
 		for _, addr := range w.reachablePeers(n) {
-			o := w.at(addr)
-			responses[addr] = registerResponse{o.witness.reg, o.witness.abstains}
+			peer := w.nodeAt(addr)
+			responses[addr] = registerResponse{peer.witness.reg, peer.witness.abstains}
 		}
 		reg, newest, err := registerFromPeers(view, responses)
 		if w.disabledGuard == "IntactOverlap" && err != nil && len(newest.Witnesses) > 0 {
@@ -357,13 +357,13 @@
 	case n.active:
 		n.handOver(w)
 	case !n.newestView.Has(n.self()) && !slices.Contains(union(n.newestView.quorumSets()...), n.addr) || w.disabledGuard == "LeaveWaits":
-		n.end(w)
+		n.finishLeaving(w)
 		return true
 	default:
-		if p := w.reachable(n, n.newestView.Primary.Addr); p != nil && p != n {
-			p.members.noteLeaving(n.addr, w.now)
-			if n.observe(w, p.newestView); p.holdsLease(w.now) && p.members.safeToRemove(p.newestView, n.self(), w.now) {
-				n.end(w)
+		if primary := w.reachable(n, n.newestView.Primary.Addr); primary != nil && primary != n {
+			primary.policy.noteLeaving(n.addr, w.now)
+			if n.observe(w, primary.newestView); primary.holdsLease(w.now) && primary.policy.safeToRemove(primary.newestView, n.self(), w.now) {
+				n.finishLeaving(w)
 				return true
 			}
 		}
@@ -371,13 +371,14 @@
 	return false
 }
 
-func (n *node) end(w *model) {
+// finishLeaving stops a node that has been drained; it counts as lost from then on.
+func (n *node) finishLeaving(w *model) {
 	w.logf("%s stopped", n.addr)
 	n.stop()
 	n.countedLost = true
 }
 
-// nodesWithPendingStep returns the control nodes that have a call to make.
+// nodesWithPendingStep returns the running control nodes that have a pending call.
 func (w *model) nodesWithPendingStep() (out []*node) {
 	for _, n := range w.nodes {
 		if n.up && (n.attempt != nil || n.pendingWrite != nil) {
--- a/internal/controlstate/model_troubles_test.go
+++ b/internal/controlstate/model_troubles_test.go
@@ -8,23 +8,23 @@
 )
 
 // lostCount returns the number of nodes that count as lost.
-func (w *model) lostCount() (n int) {
-	for _, o := range w.nodes {
-		if o.countedLost && !o.retired {
-			n++
+func (w *model) lostCount() (count int) {
+	for _, n := range w.nodes {
+		if n.countedLost && !n.retired {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // leavingCount returns the number of nodes that are shutting down and do not count as lost yet.
-func (w *model) leavingCount() (n int) {
-	for _, o := range w.nodes {
-		if o.up && o.leaving && !o.countedLost {
-			n++
+func (w *model) leavingCount() (count int) {
+	for _, n := range w.nodes {
+		if n.up && n.leaving && !n.countedLost {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // randomFault injects a random fault, if it is allowed now.
@@ -33,7 +33,7 @@
 	if m := w.members(); len(m) > 0 && w.rng.IntN(2) == 0 {
 		n = m[w.rng.IntN(len(m))]
 	}
-	if kinds := []faultKind{wiped, killed, cutOff, toldToLeave, replaced, returned, returned, returned}; !n.retired {
+	if kinds := []faultKind{wiped, killed, isolated, shutdownRequested, replaced, returned, returned, returned}; !n.retired {
 		w.inject(n, kinds[w.rng.IntN(len(kinds))])
 	}
 }
@@ -47,7 +47,7 @@
 		return false
 	}
 	lost, leaving := w.lostCount(), w.leavingCount()
-	w.overBudget = w.overBudget || lost > w.f // one left while another was lost: lose no more until all are back
+	w.overBudget = w.overBudget || lost > w.f // one left while another was lost: none is lost until all are back
 	mayLose := (lost+max(0, leaving-1) < w.f || n.countedLost && lost == w.f) && !w.overBudget
 	switch {
 	case kind <= killed && n.up && mayLose:
@@ -56,27 +56,27 @@
 			n.wipe(w)
 		}
 		w.logf("%s lost, disk wiped: %v", n.addr, kind == wiped)
-	case kind == cutOff && n.up && !n.partitioned && (mayLose || w.anyPartitions):
+	case kind == isolated && n.up && !n.partitioned && (mayLose || w.anyPartitions):
 		w.logf("%s partitioned", n.addr)
 		n.countedLost, n.partitioned = n.countedLost || !w.anyPartitions, true
 	case kind == killed && n.up && w.anyPartitions:
 		w.logf("%s down", n.addr)
 		n.stop()
-	case kind == toldToLeave && n.up && !n.leaving && !n.partitioned && lost+leaving < w.f && !w.overBudget:
-		w.logf("%s leaves", n.addr)
+	case kind == shutdownRequested && n.up && !n.leaving && !n.partitioned && lost+leaving < w.f && !w.overBudget:
+		w.logf("%s begins to shut down", n.addr)
 		n.leaving = true
 	case kind == replaced && !n.up && mayLose && len(w.nodes) < 12:
 		w.logf("%s replaced by %c", n.addr, rune('a'+len(w.nodes)))
 		n.countedLost, n.epoch, n.content, n.reg = true, 0, 0, register{}
-		s := w.addNode()
-		s.predecessor = n
-		s.countedLost = false // its predecessor counts until this one has caught up
-		s.start(w)
+		successor := w.addNode()
+		successor.predecessor = n
+		successor.countedLost = false // its predecessor counts as lost until this one has caught up
+		successor.start(w)
 	case kind == returned && n.partitioned:
 		w.logf("%s reconnected", n.addr)
 		n.partitioned, n.upSince = false, w.now
 	case kind == returned && !n.up:
-		w.logf("%s back", n.addr)
+		w.logf("%s restarted", n.addr)
 		n.start(w)
 	default:
 		return false
@@ -85,17 +85,18 @@
 }
 
 func (w *model) hasSuccessor(n *node) bool {
-	return slices.ContainsFunc(w.nodes, func(o *node) bool { return o.predecessor == n })
+	return slices.ContainsFunc(w.nodes, func(other *node) bool { return other.predecessor == n })
 }
 
-// wipe empties the disk.
+// wipe replaces the disk of a node by an empty one.
 func (n *node) wipe(w *model) {
 	w.disks++
 	n.disk, n.reg, n.epoch, n.content = fmt.Sprint("disk", w.disks), register{}, 0, 0
 }
 
 // clearRecovered stops counting nodes as lost once they have been up for the catch-up time, provided
-// that the primary has completed its repairs. That it has by then is verified by the simulations.
+// that the primary has completed its repairs. The simulations verify that the primary has completed
+// them by then.
 func (w *model) clearRecovered() {
 	if w.overBudget = w.overBudget && w.lostCount() > 0; !slices.ContainsFunc(w.nodes, w.repaired) {
 		return
@@ -109,24 +110,25 @@
 	}
 }
 
-// repaired reports whether n is the primary and has no repair left to do.
+// repaired reports whether n is the primary and has no repair left to do: it wants no other view, and
+// all running nodes that it can reach are live.
 func (w *model) repaired(n *node) bool {
-	if !n.up || n.partitioned || n.leaving || !n.holdsLease(w.now) || max(n.highestEpochTried, n.epoch) > n.newestView.Epoch || n.members.wantsNewView(n.newestView, w.now) || w.now-n.members.primarySince < 2*tick {
+	if !n.up || n.partitioned || n.leaving || !n.holdsLease(w.now) || max(n.highestEpochTried, n.epoch) > n.newestView.Epoch || n.policy.wantsNewView(n.newestView, w.now) || w.now-n.policy.primarySince < 2*tick {
 		return false
 	}
-	for _, o := range w.nodes {
-		if o != n && o.up && !o.partitioned && !o.leaving && !n.members.isLive(o.addr, w.now) {
+	for _, peer := range w.nodes {
+		if peer != n && peer.up && !peer.partitioned && !peer.leaving && !n.policy.isLive(peer.addr, w.now) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkInvariants checks what must hold at all times.
+// checkInvariants checks the invariants that must hold at all times.
 func (w *model) checkInvariants() {
 	held := slices.ContainsFunc(w.nodes, func(n *node) bool { return n.content&w.acked == w.acked })
 	if !held {
-		w.violate("AcknowledgedSurvives", "no disk holds all of %b", w.acked)
+		w.recordViolation("AcknowledgedSurvives", "no disk contains all acknowledged changes %b", w.acked)
 	}
 	holders := ""
 	for _, n := range w.nodes {
@@ -135,7 +137,7 @@
 		}
 	}
 	if len(holders) > 1 {
-		w.violate("OneLease", "%s hold a lease at once", holders)
+		w.recordViolation("OneLease", "%s hold a lease at the same time", holders)
 	}
 }
 
@@ -162,7 +164,7 @@
 		}
 	}
 	if all <= 2*w.f && !restartAll {
-		up -= c.returnedWithoutSeat() // they become witnesses again once another node is back
+		up -= c.displacedWitnesses() // they become witnesses again once another node is back
 	}
 	if 2*up <= all {
 		return
@@ -170,7 +172,7 @@
 	for range 60 {
 		c.tick(true)
 		for _, n := range c.nodes {
-			if before := c.acked; n.up && n.write(c) {
+			if before := c.acked; n.up && n.startWrite(c) {
 				for n.pendingWrite != nil {
 					n.pendingWrite.step(c, n)
 				}
@@ -182,48 +184,48 @@
 		}
 	}
 	w.trace = c.trace
-	w.violate("MajorityRemains", "%d of %d are running, and no change is accepted", up, all)
+	w.recordViolation("MajorityRemains", "%d of %d are running, and no change is accepted", up, all)
 }
 
-// returnedWithoutSeat returns the number of nodes that have returned but whose place among the
-// witnesses was given to a newcomer, instead of the place of a permanently lost node.
-func (w *model) returnedWithoutSeat() (n int) {
+// displacedWitnesses returns the number of nodes that have returned but were replaced by a newcomer
+// in the set of witnesses, which took their place instead of that of a permanently lost node.
+func (w *model) displacedWitnesses() (count int) {
 	var newest View
-	for _, o := range w.nodes {
-		if o.up && o.newestView.Epoch > newest.Epoch {
-			newest = o.newestView
+	for _, n := range w.nodes {
+		if n.up && n.newestView.Epoch > newest.Epoch {
+			newest = n.newestView
 		}
 	}
-	for _, o := range w.nodes {
-		if o.up && !o.partitioned && o.countedLost && o.predecessor == nil && !slices.Contains(newest.Witnesses, o.addr) {
-			n++
+	for _, n := range w.nodes {
+		if n.up && !n.partitioned && n.countedLost && n.predecessor == nil && !slices.Contains(newest.Witnesses, n.addr) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func (w *model) clone() *model {
 	c := *w
 	c.rng = rand.New(rand.NewPCG(w.rng.Uint64(), 1))
-	c.leaders, c.trace, c.nodes = maps.Clone(w.leaders), slices.Clone(w.trace), nil
+	c.primaryDisks, c.trace, c.nodes = maps.Clone(w.primaryDisks), slices.Clone(w.trace), nil
 	for _, n := range w.nodes {
-		o := *n
-		o.missedRenewals, o.members.lastHeard, o.members.excluded, o.members.leaveNoticeAt = maps.Clone(n.missedRenewals), maps.Clone(n.members.lastHeard), maps.Clone(n.members.excluded), maps.Clone(n.members.leaveNoticeAt)
-		o.members.copyFailingSince = maps.Clone(n.members.copyFailingSince)
+		copied := *n
+		copied.missedRenewals, copied.policy.lastGranted, copied.policy.excluded, copied.policy.leaveNoticeAt = maps.Clone(n.missedRenewals), maps.Clone(n.policy.lastGranted), maps.Clone(n.policy.excluded), maps.Clone(n.policy.leaveNoticeAt)
+		copied.policy.copyFailingSince = maps.Clone(n.policy.copyFailingSince)
 		if n.attempt != nil {
-			s := *n.attempt
-			s.disks, s.responses, s.granted = maps.Clone(s.disks), maps.Clone(s.responses), maps.Clone(s.granted)
-			o.attempt = &s
+			a := *n.attempt
+			a.disks, a.responses, a.granted = maps.Clone(a.disks), maps.Clone(a.responses), maps.Clone(a.granted)
+			copied.attempt = &a
 		}
 		if n.pendingWrite != nil {
-			wr := *n.pendingWrite
-			o.pendingWrite = &wr
+			p := *n.pendingWrite
+			copied.pendingWrite = &p
 		}
-		c.nodes = append(c.nodes, &o)
+		c.nodes = append(c.nodes, &copied)
 	}
-	for _, o := range c.nodes {
-		if o.predecessor != nil {
-			o.predecessor = c.at(o.predecessor.addr)
+	for _, copied := range c.nodes {
+		if copied.predecessor != nil {
+			copied.predecessor = c.nodeAt(copied.predecessor.addr)
 		}
 	}
 	return &c
@@ -262,7 +264,7 @@
 			busy[w.rng.IntN(len(busy))].step(w)
 		case r < 30:
 			for _, n := range w.nodes {
-				if n.up && n.write(w) {
+				if n.up && n.startWrite(w) {
 					break
 				}
 			}
@@ -282,10 +284,10 @@
 	}
 }
 
-// powerCycle restarts all running nodes at once with what is on their disks. All of them count as
-// lost then.
+// powerCycle restarts all running nodes at once from the content of their disks. All of them count as
+// lost from then on.
 func (w *model) powerCycle() {
-	w.logf("power")
+	w.logf("power cycle")
 	for _, n := range w.nodes {
 		if n.up {
 			n.stop()
@@ -317,7 +319,7 @@
 		}
 	}
 	for _, addr := range append([]string{view.Primary.Addr}, backupAddrs(view)...) {
-		if n := w.at(addr); n != nil {
+		if n := w.nodeAt(addr); n != nil {
 			out = append(out, n)
 		}
 	}
@@ -327,8 +329,8 @@
 const (
 	wiped faultKind = iota // lost together with its disk
 	killed
-	cutOff
-	toldToLeave // asked to shut down
+	isolated
+	shutdownRequested // asked to drain and stop
 	replaced
 	returned
 )
--- a/internal/controlstate/model_votes_test.go
+++ b/internal/controlstate/model_votes_test.go
@@ -12,7 +12,7 @@
 	known          View
 	view           View
 	sets           [][]string
-	wasActive      bool // already the primary when it began
+	wasActive      bool // already the primary when the attempt began
 	pending        []string
 	phase          int  // 0 promises, 1 copies, 2 acceptances
 	askedNewcomers bool // newcomers have been asked as well
@@ -25,149 +25,150 @@
 // campaign begins an attempt at a new view.
 func (n *node) campaign(w *model) {
 	epoch := max(n.witness.reg.Promised, n.newestView.Epoch, n.epoch, n.highestEpochTried) + 1
-	s := &attempt{known: n.newestView, wasActive: n.active, disks: map[string]string{}, responses: map[string]promiseResponse{}, granted: map[string]bool{}}
+	a := &attempt{known: n.newestView, wasActive: n.active, disks: map[string]string{}, responses: map[string]promiseResponse{}, granted: map[string]bool{}}
 	if n.lastProposed.Epoch > n.newestView.Epoch {
-		s.known = n.lastProposed
+		a.known = n.lastProposed
 	}
-	s.view, s.sets = n.members.proposal(s.known, n.active, epoch, w.now)
-	if w.disabledGuard == "BothSetsAgree" && len(s.view.Prior) > 0 {
-		s.view.Prior, s.sets = nil, s.sets[1:]
+	a.view, a.sets = n.policy.proposal(a.known, n.active, epoch, w.now)
+	if w.disabledGuard == "BothSetsAgree" && len(a.view.Prior) > 0 {
+		a.view.Prior, a.sets = nil, a.sets[1:]
 	}
-	s.pending = union(slices.Concat(s.sets, s.known.witnessSets())...)
-	w.rng.Shuffle(len(s.pending), func(i, j int) { s.pending[i], s.pending[j] = s.pending[j], s.pending[i] })
-	n.attempt = s
+	a.pending = union(slices.Concat(a.sets, a.known.witnessSets())...)
+	w.rng.Shuffle(len(a.pending), func(i, j int) { a.pending[i], a.pending[j] = a.pending[j], a.pending[i] })
+	n.attempt = a
 }
 
-func (n *node) fail(w *model) {
+// abandonAttempt ends a failed attempt and schedules the next one with jitter.
+func (n *node) abandonAttempt(w *model) {
 	w.logFailedAttempt("%s attempt failed for epoch %d in phase %d: promised %v accepted %v", n.addr, n.attempt.view.Epoch, n.attempt.phase, n.attempt.disks, n.attempt.granted)
 	n.attempt = nil
 	n.nextCampaignAt = w.now + modelLease/24 + kernel.Micros(w.rng.IntN(int(modelLease/12)))
 }
 
 // step advances an attempt by one call.
-func (s *attempt) step(w *model, n *node) {
-	if s.wasActive && !n.active {
-		n.fail(w)
+func (a *attempt) step(w *model, n *node) {
+	if a.wasActive && !n.active {
+		n.abandonAttempt(w)
 		return
 	}
-	switch s.phase {
+	switch a.phase {
 	case 0:
-		s.promise(w, n)
+		a.promise(w, n)
 	case 1:
-		s.copy(w, n)
+		a.copy(w, n)
 	case 2:
-		s.accept(w, n)
+		a.accept(w, n)
 	}
 }
 
-func (s *attempt) promise(w *model, n *node) {
-	won := majorityOfEach(s.sets, hasKey(s.disks))
-	if len(s.pending) > 0 && !won {
-		addr := s.pending[0]
-		s.pending = s.pending[1:]
-		if o := w.reachable(n, addr); o != nil {
-			a, err := o.witness.promise(w.now, promiseRequest{Epoch: s.view.Epoch, From: n.self()})
+func (a *attempt) promise(w *model, n *node) {
+	won := majorityOfEach(a.sets, hasKey(a.disks))
+	if len(a.pending) > 0 && !won {
+		addr := a.pending[0]
+		a.pending = a.pending[1:]
+		if peer := w.reachable(n, addr); peer != nil {
+			response, err := peer.witness.promise(w.now, promiseRequest{Epoch: a.view.Epoch, From: n.self()})
 			if err == nil {
-				if a.Granted {
-					o.reg = o.witness.reg
-					s.disks[addr] = o.disk
+				if response.Granted {
+					peer.reg = peer.witness.reg
+					a.disks[addr] = peer.disk
 				}
-				s.responses[addr] = a
-				n.highestEpochTried = max(n.highestEpochTried, a.Promised)
+				a.responses[addr] = response
+				n.highestEpochTried = max(n.highestEpochTried, response.Promised)
 			}
 		}
 		return
 	}
-	if peers := w.reachablePeers(n); !won && !s.askedNewcomers && n.members.halfSurvives(s.known, s.responses) {
-		s.askedNewcomers = true
-		voters := union(s.sets...)
-		s.pending = slices.DeleteFunc(peers, func(addr string) bool { return slices.Contains(voters, addr) })
+	if peers := w.reachablePeers(n); !won && !a.askedNewcomers && n.policy.halfSurvives(a.known, a.responses) {
+		a.askedNewcomers = true
+		voters := union(a.sets...)
+		a.pending = slices.DeleteFunc(peers, func(addr string) bool { return slices.Contains(voters, addr) })
 		return
 	}
-	unreachable := slices.DeleteFunc(n.members.suspects(s.known, s.responses), func(addr string) bool { return w.reachable(n, addr) != nil })
+	unreachable := slices.DeleteFunc(n.policy.suspects(a.known, a.responses), func(addr string) bool { return w.reachable(n, addr) != nil })
 	if w.disabledGuard == "GoneIsShown" {
-		unreachable = n.members.nonVotersOf(s.known.establishedWitnesses(), hasKey(s.disks), nil)
+		unreachable = n.policy.nonVotersOf(a.known.establishedWitnesses(), hasKey(a.disks), nil)
 	}
-	if view, ok := n.members.succession(s.known, s.view, s.responses, unreachable); !won && ok {
-		s.view, s.sets, won = view, view.quorumSets(), true
+	if view, ok := n.policy.newcomerView(a.known, a.view, a.responses, unreachable); !won && ok {
+		a.view, a.sets, won = view, view.quorumSets(), true
 	}
-	n.highestEpochTried = max(n.highestEpochTried, s.view.Epoch)
-	if highest := highestBindingView(s.view.Epoch, s.responses); highest.Epoch > s.known.Epoch && w.disabledGuard != "NewerViewStops" {
+	n.highestEpochTried = max(n.highestEpochTried, a.view.Epoch)
+	if highest := highestBindingView(a.view.Epoch, a.responses); highest.Epoch > a.known.Epoch && w.disabledGuard != "NewerViewStops" {
 		n.observe(w, highest)
-		n.fail(w)
+		n.abandonAttempt(w)
 		return
 	}
 	if !won {
-		n.fail(w)
+		n.abandonAttempt(w)
 		return
 	}
-	n.epoch = s.view.Epoch
-	s.phase, s.pending = 1, n.members.backupCandidates(s.known, w.reachablePeers(n), hasKey(s.disks), w.now)
+	n.epoch = a.view.Epoch
+	a.phase, a.pending = 1, n.policy.backupCandidates(a.known, w.reachablePeers(n), hasKey(a.disks), w.now)
 }
 
-func (s *attempt) copy(w *model, n *node) {
-	if len(s.pending) > 0 && len(s.view.Backups) < n.members.backupCount() {
-		addr := s.pending[0]
-		s.pending = s.pending[1:]
-		if o := w.reachable(n, addr); o != nil && s.view.Epoch > o.epoch && !o.holdsLease(w.now) && !o.leaving {
-			o.epoch, o.content = s.view.Epoch, n.content
-			s.view.Backups = append(slices.Clone(s.view.Backups), o.self())
-			n.members.copySucceeded(addr)
+func (a *attempt) copy(w *model, n *node) {
+	if len(a.pending) > 0 && len(a.view.Backups) < n.policy.backupCount() {
+		addr := a.pending[0]
+		a.pending = a.pending[1:]
+		if peer := w.reachable(n, addr); peer != nil && a.view.Epoch > peer.epoch && !peer.holdsLease(w.now) && !peer.leaving {
+			peer.epoch, peer.content = a.view.Epoch, n.content
+			a.view.Backups = append(slices.Clone(a.view.Backups), peer.self())
+			n.policy.copySucceeded(addr)
 		} else {
-			n.members.copyFailed(addr, w.now)
+			n.policy.copyFailed(addr, w.now)
 		}
 		return
 	}
-	if len(s.view.Backups) == 0 || !w.guardHolds("EnoughBackups", n.members.enoughCopies(backupAddrs(s.view), slices.Collect(maps.Keys(s.disks)), hasKey(s.disks), w.now)) {
-		n.fail(w)
+	if len(a.view.Backups) == 0 || !w.guardHolds("EnoughBackups", n.policy.enoughCopies(backupAddrs(a.view), slices.Collect(maps.Keys(a.disks)), hasKey(a.disks), w.now)) {
+		n.abandonAttempt(w)
 		return
 	}
-	n.lastProposed = s.view
-	s.phase, s.start, s.pending = 2, w.now, slices.Sorted(maps.Keys(s.disks))
-	w.rng.Shuffle(len(s.pending), func(i, j int) { s.pending[i], s.pending[j] = s.pending[j], s.pending[i] })
+	n.lastProposed = a.view
+	a.phase, a.start, a.pending = 2, w.now, slices.Sorted(maps.Keys(a.disks))
+	w.rng.Shuffle(len(a.pending), func(i, j int) { a.pending[i], a.pending[j] = a.pending[j], a.pending[i] })
 }
 
-func (s *attempt) accept(w *model, n *node) {
-	won := majorityOfEach(s.sets, func(addr string) bool { return s.granted[addr] })
-	if len(s.pending) > 0 && !won {
-		addr := s.pending[0]
-		s.pending = s.pending[1:]
-		if o := w.reachable(n, addr); o != nil && o.disk == s.disks[addr] {
-			if a, _ := o.witness.accept(w.now, s.view); a.Granted {
-				o.reg = o.witness.reg
-				if s.granted[addr] = true; o != n {
-					o.notePrimaryAlive(w, s.view)
+func (a *attempt) accept(w *model, n *node) {
+	won := majorityOfEach(a.sets, func(addr string) bool { return a.granted[addr] })
+	if len(a.pending) > 0 && !won {
+		addr := a.pending[0]
+		a.pending = a.pending[1:]
+		if peer := w.reachable(n, addr); peer != nil && peer.disk == a.disks[addr] {
+			if response, _ := peer.witness.accept(w.now, a.view); response.Granted {
+				peer.reg = peer.witness.reg
+				if a.granted[addr] = true; peer != n {
+					peer.notePrimaryAlive(w, a.view)
 				}
 			}
 		}
 		return
 	}
-	if !won || n.newestView.Epoch > s.view.Epoch {
-		n.fail(w)
+	if !won || n.newestView.Epoch > a.view.Epoch {
+		n.abandonAttempt(w)
 		return
 	}
 	n.attempt = nil
 	if !n.active {
-		n.members.primarySince = w.now
-		for addr := range s.disks {
-			n.members.lastHeard[addr] = w.now
+		n.policy.primarySince = w.now
+		for addr := range a.disks {
+			n.policy.lastGranted[addr] = w.now
 		}
 	}
-	n.active, n.newestView, n.leaseEnd = true, s.view, s.start+modelLease
+	n.active, n.newestView, n.leaseEnd = true, a.view, a.start+modelLease
 	n.takeoverAt = n.leaseEnd
 	clear(n.missedRenewals)
-	w.logf("%s is primary of epoch %d, backups %v, witnesses %v, prior %v, unanimous %v", n.addr, s.view.Epoch, backupAddrs(s.view), s.view.Witnesses, s.view.Prior, s.view.Unanimous)
-	if len(s.view.Unanimous) > 0 {
+	w.logf("%s is primary of epoch %d, backups %v, witnesses %v, prior %v, unanimous %v", n.addr, a.view.Epoch, backupAddrs(a.view), a.view.Witnesses, a.view.Prior, a.view.Unanimous)
+	if len(a.view.Unanimous) > 0 {
 		w.newcomerViews++
 	}
 	if n.holdsLease(w.now) && n.content&w.acked != w.acked {
-		w.violate("OldStateNeverLeads", "%s is primary of epoch %d with changes %b, acknowledged are %b", n.addr, s.view.Epoch, n.content, w.acked)
+		w.recordViolation("OldStateNeverLeads", "%s is primary of epoch %d with changes %b, acknowledged are %b", n.addr, a.view.Epoch, n.content, w.acked)
 	}
-	if other := w.leaders[s.view.Epoch]; other != "" && other != n.disk {
-		w.violate("OnePrimaryPerEpoch", "disks %s and %s in epoch %d", other, n.disk, s.view.Epoch)
+	if other := w.primaryDisks[a.view.Epoch]; other != "" && other != n.disk {
+		w.recordViolation("OnePrimaryPerEpoch", "disks %s and %s in epoch %d", other, n.disk, a.view.Epoch)
 	}
-	w.leaders[s.view.Epoch] = n.disk
-	if s.view.inTransition() && w.disabledGuard != "PriorLetGoAtOnce" {
+	w.primaryDisks[a.view.Epoch] = n.disk
+	if a.view.inTransition() && w.disabledGuard != "PriorLetGoAtOnce" {
 		n.campaign(w)
 	}
 }
--- a/internal/controlstate/plugin.go
+++ b/internal/controlstate/plugin.go
@@ -16,25 +16,25 @@
 			if s.DataDir == "" {
 				return &settings.Error{Key: "data_dir", Reason: "a control node needs a disk"}
 			}
-			ring := kernel.Need[*membership.Memberlist](k)
-			v, err := Open(k, kernel.Need[*rpc.Endpoint](k), Config{
+			memberlist := kernel.Need[*membership.Memberlist](k)
+			replica, err := Open(k, kernel.Need[*rpc.Endpoint](k), Config{
 				Name: s.NodeName, Dir: s.DataDir, Bootstrap: s.Bootstrap,
 				Seeds:             func() []string { return liveSettings.Now().SeedPeers() },
 				Lease:             settings.FromMillis(s.ControlLeaseMs),
 				WitnessTimeout:    settings.FromMillis(s.WitnessTimeoutMs),
 				CatchupTimeout:    kernel.Micros(s.CatchupS) * kernel.Second,
 				FailuresTolerated: int(s.TolerateHosts),
-				ControlNodes:      func() []string { return ring.Peers("control") },
-				Reachable:         ring.Reachable,
-				MembershipChanged: ring.Changed,
+				ControlNodes:      func() []string { return memberlist.Peers("control") },
+				Reachable:         memberlist.Reachable,
+				MembershipChanged: memberlist.Changed,
 			})
 			if err != nil {
 				return err
 			}
-			kernel.Offer(k, v)
-			k.Supervise("controlstate", v.Serve)
-			k.OnShutdown(v.Leave)
-			k.OnExit(v.Close)
+			kernel.Offer(k, replica)
+			k.Supervise("controlstate", replica.Serve)
+			k.OnShutdown(replica.Leave)
+			k.OnExit(replica.Close)
 			return nil
 		},
 	})
--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -96,31 +96,31 @@
 // every write is synced before the next, so a complete record can't follow an incomplete
 // one.
 func validPrefix(raw []byte) (int, error) {
-	at := 0
-	for at < len(raw) {
-		rest, err := readCommand(raw[at:])
+	offset := 0
+	for offset < len(raw) {
+		rest, err := readCommand(raw[offset:])
 		if err != nil {
-			return 0, fmt.Errorf("record at byte %d: %v", at, err)
+			return 0, fmt.Errorf("record at byte %d: %v", offset, err)
 		}
 		if rest == nil {
 			break
 		}
-		at = len(raw) - len(rest)
+		offset = len(raw) - len(rest)
 	}
 	neverWritten := len(raw) <= maxFirstRecord && bytes.IndexByte(raw, 0) >= 0 // power was lost before the first sync
-	if at == 0 && !neverWritten && !strings.HasPrefix(setCommand, string(raw[:min(len(raw), len(setCommand))])) {
+	if offset == 0 && !neverWritten && !strings.HasPrefix(setCommand, string(raw[:min(len(raw), len(setCommand))])) {
 		return 0, errors.New("not a control node's store")
 	}
-	for next := at + 1; next < len(raw); next++ {
+	for next := offset + 1; next < len(raw); next++ {
 		i := bytes.Index(raw[next:], []byte(setCommand))
 		if i < 0 {
 			break
 		}
 		if next += i; next < len(raw) {
 			if rest, err := readCommand(raw[next:]); err == nil && rest != nil {
-				return 0, fmt.Errorf("unreadable record at byte %d, but a complete record follows at byte %d", at, next)
+				return 0, fmt.Errorf("unreadable record at byte %d, but a complete record follows at byte %d", offset, next)
 			}
 		}
 	}
-	return at, nil
+	return offset, nil
 }
--- a/internal/controlstate/recovery.go
+++ b/internal/controlstate/recovery.go
@@ -26,7 +26,7 @@
 	for ; ctx.Err() == nil; kernel.Sleep(ctx, 300*kernel.Millisecond) {
 		reg, err := v.rebuildRegister(ctx)
 		if err == nil {
-			v.fetchRegisters(ctx, without(reg.NewTo, v.self.Addr), awaitAll) // record contact with every node that is reachable
+			v.fetchRegisters(ctx, without(reg.WitnessesAtRecovery, v.self.Addr), awaitAll) // record contact with every node that is reachable
 			v.mu.Lock()
 			v.observe(reg.Accepted)
 			v.witness.reg = v.witness.restoredRegister(v.self.Addr, reg)
@@ -47,15 +47,15 @@
 }
 
 // voidPreviousLease handles the case that the primary of the newest view was this control node with
-// the disk that it lost: it notifies one of the backups that nobody holds that lease any more.
+// the disk that it lost: it notifies one of the backups that the lease has no holder any more.
 func (v *Replica) voidPreviousLease(ctx context.Context) {
 	for end := v.k.Clock.Now() + v.lease; v.k.Clock.Now() < end && ctx.Err() == nil; kernel.Sleep(ctx, 50*kernel.Millisecond) {
 		from := without(union(v.cfg.ControlNodes(), v.cfg.Seeds()), v.self.Addr)
 		responses := v.fetchRegisters(ctx, from, awaitAll)
 		var newest View
-		for _, a := range responses {
-			if a.Register.Accepted.Epoch > newest.Epoch {
-				newest = a.Register.Accepted
+		for _, response := range responses {
+			if response.Register.Accepted.Epoch > newest.Epoch {
+				newest = response.Register.Accepted
 			}
 		}
 		if newest.Primary.Addr != v.self.Addr || newest.Primary.same(v.self) {
@@ -111,14 +111,14 @@
 // asked.
 func registerFromPeers(view View, responses map[string]registerResponse) (reg register, newest View, err error) {
 	newest = view
-	for _, a := range responses {
-		reg.Promised = max(reg.Promised, a.Register.Promised)
-		// A node that lost its disk too may still know which witnesses to ask.
-		if a.Register.Accepted.Epoch > newest.Epoch || len(newest.Witnesses) == 0 {
-			newest = a.Register.Accepted
+	for _, response := range responses {
+		reg.Promised = max(reg.Promised, response.Register.Promised)
+		// A node that lost its disk as well may still know which witnesses to ask.
+		if response.Register.Accepted.Epoch > newest.Epoch || len(newest.Witnesses) == 0 {
+			newest = response.Register.Accepted
 		}
 	}
-	intact := func(addr string) bool { a, ok := responses[addr]; return ok && !a.Abstains }
+	intact := func(addr string) bool { response, ok := responses[addr]; return ok && !response.Abstains }
 	switch {
 	case len(newest.Witnesses) == 0:
 		return register{}, newest, errors.New("no control node knows the witnesses")
@@ -127,13 +127,13 @@
 	case !coversPossibleQuorums(view, intact):
 		return register{}, newest, errors.New("too few intact registers answer")
 	}
-	return register{Promised: max(reg.Promised, view.Epoch), Accepted: view, NewTo: view.establishedWitnesses()}, view, nil
+	return register{Promised: max(reg.Promised, view.Epoch), Accepted: view, WitnessesAtRecovery: view.establishedWitnesses()}, view, nil
 }
 
 // coversPossibleQuorums reports whether the intact registers that were read include one of any quorum
 // that may have voted since the view was proposed. Where newcomers voted with the surviving half of
 // the witnesses, every unanimous voter of the previous set must have been read: any quorum without
-// that half would depend on the other half, of which at least one witness is gone.
+// that half would depend on the other half, of which at least one witness is permanently lost.
 func coversPossibleQuorums(view View, read func(addr string) bool) bool {
 	if len(view.Unanimous) == 0 || len(view.Prior) == 0 {
 		return intersectsEveryMajority(view.quorumSets(), read)
--- a/internal/controlstate/revisions.go
+++ b/internal/controlstate/revisions.go
@@ -6,15 +6,15 @@
 // twice as many.
 const minRevisions = 4096
 
-// revisions is a member's record of which entries of its state recently changed, and when.
+// revisions is a member's record of which entries each of the newest changes of its state modified.
 // It is not written to disk: a member rebuilds it from the changes that it reads when it
 // opens its store or receives as a backup. The cost of adding a change does not grow with
 // the number of earlier ones.
 type revisions struct {
-	completeAfter  int64     // all changes after this sequence number are known
+	completeAfter  int64     // all changes after this sequence number are known, except for the gap
 	newest         *revision // most recent known change; older ones are linked by prev
 	count          int       // number of known changes
-	gapFrom, gapTo int64     // except after sequence numbers in [gapFrom, gapTo)
+	gapFrom, gapTo int64     // for a sequence number in [gapFrom, gapTo) the changes after it are not known
 }
 
 // revision is one change of the state: the keys of the entries that it modified or deleted.
--- a/internal/controlstate/revisions_test.go
+++ b/internal/controlstate/revisions_test.go
@@ -9,20 +9,20 @@
 	"testing"
 )
 
-// Whatever states, writes and copies a member has seen, the keys that it lists as changed since
-// a sequence number that it knows cover every difference between the durable state then and
-// now.
+// For any history of writes, copies and changes of the primary, the keys that a member lists as
+// changed since a sequence number that it knows include every key whose durable value differs
+// between then and now.
 func TestRevisionsCoverEveryDifference(t *testing.T) {
 	for seed := range uint64(1500) {
-		rnd := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		randomChange := func() map[string]json.RawMessage {
 			out := map[string]json.RawMessage{}
 			for range 1 {
-				raw := json.RawMessage(strconv.Itoa(rnd.IntN(2)))
-				if rnd.IntN(4) == 0 {
+				raw := json.RawMessage(strconv.Itoa(rng.IntN(2)))
+				if rng.IntN(4) == 0 {
 					raw = json.RawMessage("null")
 				}
-				out[strconv.Itoa(rnd.IntN(3))] = raw
+				out[strconv.Itoa(rng.IntN(3))] = raw
 			}
 			return out
 		}
@@ -30,7 +30,7 @@
 		history := map[int64]map[string]json.RawMessage{1: nil}
 		members := []State{durable, durable, durable}
 		for range 40 {
-			switch primary := rnd.IntN(len(members)); rnd.IntN(4) {
+			switch primary := rng.IntN(len(members)); rng.IntN(4) {
 			case 0:
 				// A change that only one member has written and that is never acknowledged.
 				if members[primary].Epoch == durable.Epoch && members[primary].Seq == durable.Seq {
@@ -45,7 +45,7 @@
 				members[primary].Epoch++
 				durable = members[primary]
 				for i := range members {
-					if i != primary && rnd.IntN(2) == 0 {
+					if i != primary && rng.IntN(2) == 0 {
 						members[i] = State{Epoch: durable.Epoch, Seq: durable.Seq, Entries: durable.Entries}.withHistoryOf(members[i])
 					}
 				}
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlstate/snapshot.go
@@ -67,10 +67,10 @@
 	entries := map[string]json.RawMessage{}
 	for len(raw) > 0 {
 		header, rest, _ := bytes.Cut(raw, []byte("\n"))
-		key, value, _ := bytes.Cut(header, []byte(" "))
-		k, err := strconv.Atoi(string(key))
-		n, verr := strconv.Atoi(string(value))
-		if err != nil || verr != nil || k < 0 || n < -1 || k > len(rest) || n > len(rest)-k {
+		keySize, valueSize, _ := bytes.Cut(header, []byte(" "))
+		k, err := strconv.Atoi(string(keySize))
+		n, valueErr := strconv.Atoi(string(valueSize))
+		if err != nil || valueErr != nil || k < 0 || n < -1 || k > len(rest) || n > len(rest)-k {
 			return nil, errEncoding
 		}
 		entries[string(rest[:k])] = nil
@@ -129,7 +129,7 @@
 type offerResponse struct {
 	Epoch       int64    `json:"epoch"`          // epoch of its current state
 	Seq         int64    `json:"seq"`            // sequence number of the state that a difference may be based on
-	Sum         string   `json:"sum"`            // digest of that state
+	Digest      string   `json:"sum"`            // digest of that state
 	LastChanged []string `json:"last,omitempty"` // keys of the entries in its last change, which may be unacknowledged
 	Next        int      `json:"next"`           // index of the next chunk of the offered snapshot
 }
@@ -158,24 +158,24 @@
 }
 
 // addChunk adds a chunk to the snapshot and reports whether the snapshot is complete.
-func (in *snapshotReceiver) addChunk(p chunk, now kernel.Micros) (complete bool, err error) {
-	if p.Count < 1 || p.Index < 0 || p.Index >= p.Count || len(p.Data) > chunkBytes || crc32.ChecksumIEEE(p.Data) != p.Checksum {
+func (in *snapshotReceiver) addChunk(c chunk, now kernel.Micros) (complete bool, err error) {
+	if c.Count < 1 || c.Index < 0 || c.Index >= c.Count || len(c.Data) > chunkBytes || crc32.ChecksumIEEE(c.Data) != c.Checksum {
 		return false, errChunk
 	}
-	if in.id != p.snapshotID || in.count != p.Count {
+	if in.id != c.snapshotID || in.count != c.Count {
 		unfinished := in.next < in.count && now-in.lastChunkAt < transferIdleTimeout
-		newer := p.Epoch > in.id.Epoch || p.Epoch == in.id.Epoch && (p.Seq > in.id.Seq || in.id.Stage && !p.Stage)
-		if p.Index != 0 || unfinished && !newer {
+		newer := c.Epoch > in.id.Epoch || c.Epoch == in.id.Epoch && (c.Seq > in.id.Seq || in.id.Stage && !c.Stage)
+		if c.Index != 0 || unfinished && !newer {
 			return false, errTransfer
 		}
-		in.id, in.count, in.next, in.data = p.snapshotID, p.Count, 0, nil
+		in.id, in.count, in.next, in.data = c.snapshotID, c.Count, 0, nil
 	}
 	in.lastChunkAt = now
 	switch {
-	case p.Index > in.next:
+	case c.Index > in.next:
 		return false, errTransfer
-	case p.Index == in.next:
-		in.data = append(in.data, p.Data...)
+	case c.Index == in.next:
+		in.data = append(in.data, c.Data...)
 		in.next++
 	}
 	return in.next == in.count, nil
@@ -186,7 +186,7 @@
 // assemble returns the entries of the snapshot's state, built from the chunks and, for a
 // difference, from its base: the staged state or this control node's current one.
 func (in *snapshotReceiver) assemble(own State) (map[string]json.RawMessage, error) {
-	parts, err := decodeEntries(in.data)
+	received, err := decodeEntries(in.data)
 	if err != nil {
 		return nil, err
 	}
@@ -194,7 +194,7 @@
 		if digest(in.data) != in.id.Digest {
 			return nil, errDigestMismatch
 		}
-		return parts, nil
+		return received, nil
 	}
 	for _, base := range []State{in.staged, own} {
 		if base.Seq != in.id.Since {
@@ -204,7 +204,7 @@
 		if entries == nil {
 			entries = map[string]json.RawMessage{}
 		}
-		applyChanges(entries, parts)
+		applyChanges(entries, received)
 		if digest(encodeEntries(entries)) == in.id.Digest {
 			return entries, nil
 		}
@@ -212,12 +212,12 @@
 	return nil, errDigestMismatch
 }
 
-// onOffer tells a sender which state this control node has and which chunk of the offered
-// snapshot it expects next.
+// onOffer handles the offer of a snapshot: it returns which state this control node has and which
+// chunk of the offered snapshot it expects next.
 func (v *Replica) onOffer(ctx context.Context, id snapshotID) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
-	in := &v.intake
+	in := &v.receiver
 	if err := in.gate.Acquire(ctx); err != nil {
 		return nil, err
 	}
@@ -225,25 +225,25 @@
 	v.mu.Lock()
 	own := v.state
 	v.mu.Unlock()
-	a := offerResponse{Epoch: own.Epoch}
+	response := offerResponse{Epoch: own.Epoch}
 	if in.id == id {
-		a.Next = in.next
+		response.Next = in.next
 	}
 	if in.staged.Epoch > own.Epoch {
-		a.Seq, a.Sum = in.staged.Seq, in.stagedDigest
+		response.Seq, response.Digest = in.staged.Seq, in.stagedDigest
 	} else {
-		a.Seq, a.Sum, a.LastChanged = own.Seq, digest(encodeEntries(own.Entries)), own.ChangedSince(own.Seq-1)
+		response.Seq, response.Digest, response.LastChanged = own.Seq, digest(encodeEntries(own.Entries)), own.ChangedSince(own.Seq-1)
 	}
-	return a, nil
+	return response, nil
 }
 
 // onCopy receives a chunk of a state from a candidate, or from a primary that needs another
 // backup. The state is installed and acknowledged only once it is complete and on disk; a
 // state whose epoch is not above that of this control node's current one is rejected.
-func (v *Replica) onCopy(ctx context.Context, p chunk) (any, error) {
+func (v *Replica) onCopy(ctx context.Context, c chunk) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
-	in := &v.intake
+	in := &v.receiver
 	if err := in.gate.Acquire(ctx); err != nil {
 		return nil, err
 	}
@@ -251,16 +251,16 @@
 	v.mu.Lock()
 	own := v.state
 	v.mu.Unlock()
-	if a := (copyResponse{Next: p.Count}); p.snapshotID == in.lastInstalled && p.Stage {
-		return a, nil // the previous response was lost
-	} else if p.snapshotID == in.lastInstalled && own.Epoch == p.Epoch {
-		a.Member = v.self
-		return a, nil
+	if response := (copyResponse{Next: c.Count}); c.snapshotID == in.lastInstalled && c.Stage {
+		return response, nil // the previous response was lost
+	} else if c.snapshotID == in.lastInstalled && own.Epoch == c.Epoch {
+		response.Member = v.self
+		return response, nil
 	}
-	if v.rejectsEpoch(p.Epoch) {
+	if v.rejectsEpoch(c.Epoch) {
 		return nil, v.countRejection(errStaleEpoch)
 	}
-	complete, err := in.addChunk(p, v.k.Clock.Now())
+	complete, err := in.addChunk(c, v.k.Clock.Now())
 	if err != nil {
 		return nil, v.countRejection(err)
 	}
@@ -270,13 +270,13 @@
 	if err := v.installSnapshot(ctx, own); err != nil {
 		return nil, v.countRejection(err)
 	}
-	a := copyResponse{Next: in.count}
+	response := copyResponse{Next: in.count}
 	if !in.id.Stage {
-		a.Member = v.self
+		response.Member = v.self
 	}
 	in.lastInstalled = in.id
 	in.reset()
-	return a, nil
+	return response, nil
 }
 
 // rejectsEpoch reports whether a state of that epoch must not replace this control node's
@@ -290,7 +290,7 @@
 // installSnapshot stages a complete snapshot, or makes it the current state, on disk and in
 // memory.
 func (v *Replica) installSnapshot(ctx context.Context, own State) error {
-	in := &v.intake
+	in := &v.receiver
 	entries, err := in.assemble(own)
 	if err != nil {
 		in.reset()
--- a/internal/controlstate/snapshot_send.go
+++ b/internal/controlstate/snapshot_send.go
@@ -22,15 +22,15 @@
 }
 
 func newSnapshot(state State) *snapshot {
-	whole := encodeEntries(state.Entries)
-	return &snapshot{state, whole, digest(whole)}
+	encoded := encodeEntries(state.Entries)
+	return &snapshot{state, encoded, digest(encoded)}
 }
 
 // difference returns the encoded difference from the state that a control node reports to
-// have; nil if that is not known. The last change of that state may be unacknowledged, so
-// the entries of that change are always included.
+// have, or nil if the changes since that state are not known. The last change of that state
+// may be unacknowledged, so the entries of that change are always included.
 func (s *snapshot) difference(have offerResponse) []byte {
-	if have.Sum == s.digest {
+	if have.Digest == s.digest {
 		return []byte{}
 	}
 	since := have.Seq - 1
@@ -50,7 +50,7 @@
 var errTooLarge = errors.New("state too large to copy while a view is being formed")
 
 // sendSnapshot sends a snapshot to a control node: as a difference from the state that the
-// control node has, if that one is known here, and whole otherwise.
+// receiver has, if the changes since that state are known here, and as a whole otherwise.
 func (v *Replica) sendSnapshot(ctx context.Context, addr string, s *snapshot, stage bool) (Member, error) {
 	id := snapshotID{Epoch: s.state.Epoch, Seq: s.state.Seq, Digest: s.digest, Stage: stage}
 	if len(s.encoded) <= chunkBytes {
@@ -85,28 +85,28 @@
 
 // sendChunks sends the chunks one after another. After a failed call it asks the receiver
 // which chunk it expects next.
-func (v *Replica) sendChunks(ctx context.Context, addr string, id snapshotID, data []byte, size int) (Member, error) {
+func (v *Replica) sendChunks(ctx context.Context, addr string, id snapshotID, data []byte, stateSize int) (Member, error) {
 	count := max(1, (len(data)+chunkBytes-1)/chunkBytes)
 	for next, failed := 0, 0; ; {
 		part := data[next*chunkBytes : min(len(data), (next+1)*chunkBytes)]
-		p := chunk{id, next, count, crc32.ChecksumIEEE(part), part}
-		wait, start := chunkTimeout, v.k.Clock.Now()
+		c := chunk{id, next, count, crc32.ChecksumIEEE(part), part}
+		timeout, start := chunkTimeout, v.k.Clock.Now()
 		if count == 1 {
-			wait = callTimeout
+			timeout = callTimeout
 		}
 		if next == count-1 {
-			wait += kernel.Micros(size) / minDiskRate // the receiver writes the state to its disk
+			timeout += kernel.Micros(stateSize) / minDiskRate // the receiver writes the state to its disk
 		}
-		var a copyResponse
-		err := v.endpoint.Call(ctx, addr, "controlstate.copy", p, &a, wait)
+		var response copyResponse
+		err := v.endpoint.Call(ctx, addr, "controlstate.copy", c, &response, timeout)
 		v.k.Counters.Add("controlstate.copied_bytes", int64(len(part)))
 		switch {
 		case errors.As(err, new(*rpc.Refused)):
 			return Member{}, err
-		case err == nil && (a.Member.Disk != "" || id.Stage && a.Next == count):
-			return a.Member, nil
-		case err == nil && a.Next == next+1 && a.Next < count:
-			next, failed = a.Next, 0
+		case err == nil && (response.Member.Disk != "" || id.Stage && response.Next == count):
+			return response.Member, nil
+		case err == nil && response.Next == next+1 && response.Next < count:
+			next, failed = response.Next, 0
 			if id.Stage {
 				// Leaves room on the link for other calls.
 				kernel.Sleep(ctx, (v.k.Clock.Now()-start)/4)
@@ -125,12 +125,12 @@
 
 // backupCandidates lists the control nodes that a copy is offered to, in order of preference;
 // if the state was staged, those that have it come first.
-func (v *Replica) backupCandidates(last View, answered func(addr string) bool) []string {
-	alive := v.cfg.ControlNodes()
+func (v *Replica) backupCandidates(last View, responded func(addr string) bool) []string {
+	controlNodes := v.cfg.ControlNodes()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.k.Clock.Now()
-	order := v.members.backupCandidates(last, alive, answered, now)
+	order := v.policy.backupCandidates(last, controlNodes, responded, now)
 	if now < v.stagedUntil {
 		rank := func(addr string) int {
 			if slices.Contains(v.stagedOn, addr) {
@@ -144,8 +144,9 @@
 }
 
 // copyToBackups copies the whole state to as many control nodes as there are failures to
-// tolerate, and to one at least. Control nodes that do not respond count as failed already:
-// if too few others are left, those are enough, but not if more responded a moment ago.
+// tolerate, and to at least one. Control nodes that do not respond count as failed already, so
+// fewer copies suffice if no more nodes are left, but not if more nodes have just promised the
+// epoch.
 func (v *Replica) copyToBackups(ctx context.Context, state State, last View, disks map[string]string) ([]Member, error) {
 	recipients := v.sendToFirst(ctx, newSnapshot(state), v.backupCandidates(last, hasKey(disks)), false)
 	backups := make([]Member, 0, len(recipients))
@@ -154,7 +155,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(backups) == 0 || !v.members.enoughCopies(backupAddrs(View{Backups: backups}), slices.Collect(maps.Keys(disks)), hasKey(disks), v.k.Clock.Now()) {
+	if len(backups) == 0 || !v.policy.enoughCopies(backupAddrs(View{Backups: backups}), slices.Collect(maps.Keys(disks)), hasKey(disks), v.k.Clock.Now()) {
 		v.stagedUntil = 0 // the staged copies were not sufficient
 		return nil, errors.New("too few control nodes accepted the copy")
 	}
@@ -170,7 +171,7 @@
 // sendToFirst sends a snapshot to the control nodes in the given order until as many as there
 // should be backups have accepted it.
 func (v *Replica) sendToFirst(ctx context.Context, s *snapshot, order []string, stage bool) (recipients []snapshotRecipient) {
-	want := v.members.backupCount()
+	want := v.policy.backupCount()
 	for len(order) > 0 && len(recipients) < want && ctx.Err() == nil {
 		n := min(want-len(recipients), len(order))
 		accepted := make([]*snapshotRecipient, n)
@@ -198,21 +199,21 @@
 	return recipients
 }
 
-// recordCopyResult records whether a control node accepted a copy. One that failed to is
-// ranked after the others for a while.
+// recordCopyResult records whether a control node accepted a copy. A node that did not is
+// ranked after the others for excludeFor.
 func (v *Replica) recordCopyResult(addr string, stage bool, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
 	case err == nil && !stage:
-		v.members.copySucceeded(addr)
+		v.policy.copySucceeded(addr)
 	case err != nil && !errors.Is(err, errTooLarge):
-		v.members.copyFailed(addr, v.k.Clock.Now())
+		v.policy.copyFailed(addr, v.k.Clock.Now())
 	}
 }
 
-// readyForView reports whether a view can be formed without copying much while it is being formed.
-// If not, the state is first copied to the future backups: meanwhile the lease is still
+// readyForView reports whether a view can be formed without copying a large state meanwhile. If
+// not, the state is first staged on the future backups: while that goes on, the lease is still
 // renewed, reads and changes continue, and no witness has promised the next epoch.
 func (v *Replica) readyForView() bool {
 	v.mu.Lock()
--- a/internal/controlstate/snapshot_test.go
+++ b/internal/controlstate/snapshot_test.go
@@ -18,7 +18,7 @@
 func newReceiver(t *testing.T) *Replica {
 	return &Replica{
 		k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), store: open(t, t.TempDir()),
-		self: Member{"a", "a:1", "disk-a"}, stateGate: kernel.NewGate(), intake: snapshotReceiver{gate: kernel.NewGate()},
+		self: Member{"a", "a:1", "disk-a"}, stateGate: kernel.NewGate(), receiver: snapshotReceiver{gate: kernel.NewGate()},
 	}
 }
 
@@ -46,23 +46,23 @@
 func TestSnapshotIsInstalledWholeOrNotAtAll(t *testing.T) {
 	v := newReceiver(t)
 	send := func(c chunk) (copyResponse, error) {
-		a, err := v.onCopy(context.Background(), c)
+		response, err := v.onCopy(context.Background(), c)
 		if err != nil {
 			return copyResponse{}, err
 		}
-		return a.(copyResponse), nil
+		return response.(copyResponse), nil
 	}
 	state := largeState(5, 40)
 	s := newSnapshot(state)
 	id := snapshotID{Epoch: 5, Seq: 40, Digest: s.digest}
 	all := splitChunks(id, s.encoded)
-	with := func(c chunk, f func(*chunk)) chunk { f(&c); return c }
+	modified := func(c chunk, f func(*chunk)) chunk { f(&c); return c }
 	olderChunks := splitChunks(snapshotID{Epoch: 5, Seq: 39, Digest: "older"}, s.encoded)
 	newer := newSnapshot(largeState(6, 41))
 	newerChunks := splitChunks(snapshotID{Epoch: 6, Seq: 41, Digest: newer.digest}, newer.encoded)
 	last := len(all) - 1
 	for i, step := range []struct {
-		what string
+		name string
 		c    chunk
 		next int
 		err  error
@@ -71,18 +71,18 @@
 		{"the first", all[0], 1, nil},
 		{"the first again", all[0], 1, nil},
 		{"a skipped chunk", all[2], 0, errTransfer},
-		{"a flipped bit", with(all[1], func(c *chunk) { c.Checksum++ }), 0, errChunk},
-		{"an index beyond the last", with(all[1], func(c *chunk) { c.Index = c.Count }), 0, errChunk},
-		{"a chunk of another epoch", with(all[1], func(c *chunk) { c.Epoch = 4 }), 0, errTransfer},
-		{"another number of chunks", with(all[1], func(c *chunk) { c.Count++ }), 0, errTransfer},
+		{"a flipped bit", modified(all[1], func(c *chunk) { c.Checksum++ }), 0, errChunk},
+		{"an index beyond the last", modified(all[1], func(c *chunk) { c.Index = c.Count }), 0, errChunk},
+		{"a chunk of another epoch", modified(all[1], func(c *chunk) { c.Epoch = 4 }), 0, errTransfer},
+		{"another number of chunks", modified(all[1], func(c *chunk) { c.Count++ }), 0, errTransfer},
 		{"the first of an older transfer", olderChunks[0], 0, errTransfer},
 		{"the second", all[1], 2, nil},
 		{"the first of a newer transfer", newerChunks[0], 1, nil},
 		{"the third of the replaced transfer", all[2], 0, errTransfer},
-		{"the replaced transfer, from the first", all[0], 0, errTransfer},
+		{"the first of the replaced transfer", all[0], 0, errTransfer},
 	} {
-		if a, err := send(step.c); !errors.Is(err, step.err) || a.Next != step.next || a.Member.Disk != "" {
-			t.Errorf("step %d, %s: %+v %v", i, step.what, a, err)
+		if response, err := send(step.c); !errors.Is(err, step.err) || response.Next != step.next || response.Member.Disk != "" {
+			t.Errorf("step %d, %s: %+v %v", i, step.name, response, err)
 		}
 	}
 	if n := v.k.Counters.Snapshot()["controlstate.chunk_refused"]; n != 9 {
@@ -92,13 +92,13 @@
 		t.Error("an unfinished snapshot is installed")
 	}
 	for i, c := range newerChunks[1:] {
-		a, err := send(c)
-		if err != nil || a.Next != i+2 || (a.Member.Disk != "") != (i+1 == last) {
-			t.Errorf("chunk %d: %+v %v", i+1, a, err)
+		response, err := send(c)
+		if err != nil || response.Next != i+2 || (response.Member.Disk != "") != (i+1 == last) {
+			t.Errorf("chunk %d: %+v %v", i+1, response, err)
 		}
 	}
-	if a, err := send(newerChunks[last]); err != nil || a.Member != v.self {
-		t.Errorf("the last again: %+v %v", a, err)
+	if response, err := send(newerChunks[last]); err != nil || response.Member != v.self {
+		t.Errorf("the last again: %+v %v", response, err)
 	}
 	if _, err := send(all[0]); !errors.Is(err, errStaleEpoch) {
 		t.Errorf("a snapshot of an older epoch: %v", err)
@@ -114,15 +114,15 @@
 	}
 }
 
-// A difference leads to the sender's state even if the receiver's last change was never
-// acknowledged. If the receiver does not know what that change was, the digest reveals the
-// mismatch.
+// A difference yields the sender's state even if the receiver's last change was never
+// acknowledged. If the receiver does not know which entries that change modified, the digest
+// reveals the mismatch.
 func TestDifferenceYieldsSendersState(t *testing.T) {
 	for _, c := range []struct {
-		what  string
-		lost  map[string]json.RawMessage // the receiver's last change, which the sender never saw
-		knows bool                       // the receiver knows which entries it changed
-		fits  bool                       // the difference leads to the sender's state
+		name    string
+		lost    map[string]json.RawMessage // the receiver's last change, which the sender never saw
+		knows   bool                       // the receiver knows which entries it changed
+		matches bool                       // the difference yields the sender's state
 	}{
 		{"none", nil, true, true},
 		{"of an entry that the sender changed as well", map[string]json.RawMessage{"key 1": json.RawMessage(`"lost"`)}, false, true},
@@ -144,22 +144,22 @@
 		sender.Epoch = 6
 		s := newSnapshot(sender)
 		id := snapshotID{Epoch: 6, Seq: sender.Seq, Digest: s.digest}
-		o, err := v.onOffer(context.Background(), id)
+		offer, err := v.onOffer(context.Background(), id)
 		if err != nil {
 			t.Fatal(err)
 		}
-		have := o.(offerResponse)
+		have := offer.(offerResponse)
 		id.Since = have.Seq
 		diff := s.difference(have)
 		if len(diff) > 300 {
-			t.Errorf("%s: %d bytes are sent", c.what, len(diff))
+			t.Errorf("%s: %d bytes are sent", c.name, len(diff))
 		}
-		a, err := v.onCopy(context.Background(), splitChunks(id, diff)[0])
-		if c.fits && (err != nil || a.(copyResponse).Member != v.self || !maps.EqualFunc(v.state.Entries, sender.Entries, equalJSON)) {
-			t.Errorf("%s: %+v %v", c.what, a, err)
+		response, err := v.onCopy(context.Background(), splitChunks(id, diff)[0])
+		if c.matches && (err != nil || response.(copyResponse).Member != v.self || !maps.EqualFunc(v.state.Entries, sender.Entries, equalJSON)) {
+			t.Errorf("%s: %+v %v", c.name, response, err)
 		}
-		if !c.fits && (!errors.Is(err, errDigestMismatch) || v.state.Epoch != 5) {
-			t.Errorf("%s: %+v %v", c.what, a, err)
+		if !c.matches && (!errors.Is(err, errDigestMismatch) || v.state.Epoch != 5) {
+			t.Errorf("%s: %+v %v", c.name, response, err)
 		}
 	}
 }
--- a/internal/controlstate/stall_test.go
+++ b/internal/controlstate/stall_test.go
@@ -11,7 +11,7 @@
 )
 
 // A stalled disk blocks neither leases nor votes nor reads: a primary with such a disk hands
-// over even if there is nothing to write, a backup with one is replaced, and each takes part
+// over even if there is nothing to write, a backup with one is replaced, and each participates
 // again once its disk responds.
 func TestStalledDisks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -25,7 +25,7 @@
 		}
 		primary := func() (found int) {
 			for z := 1; z <= 4; z++ {
-				if _, left := replica(z).Lease(); left > 0 {
+				if _, remaining := replica(z).Lease(); remaining > 0 {
 					found = z
 				}
 			}
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -27,12 +27,12 @@
 
 // With returns the state after one more change.
 func (s State) With(changes map[string]json.RawMessage) State {
-	n := State{Epoch: s.Epoch, Seq: s.Seq + 1, Entries: maps.Clone(s.Entries), revisions: s.revisions.withChange(keysOf(changes), s.Seq+1)}
-	if n.Entries == nil {
-		n.Entries = map[string]json.RawMessage{}
+	next := State{Epoch: s.Epoch, Seq: s.Seq + 1, Entries: maps.Clone(s.Entries), revisions: s.revisions.withChange(keysOf(changes), s.Seq+1)}
+	if next.Entries == nil {
+		next.Entries = map[string]json.RawMessage{}
 	}
-	applyChanges(n.Entries, changes)
-	return n
+	applyChanges(next.Entries, changes)
+	return next
 }
 
 // keysOf returns the keys of the entries, in no particular order.
--- a/internal/controlstate/store.go
+++ b/internal/controlstate/store.go
@@ -71,7 +71,7 @@
 	file            *os.File // for syncing: buntdb does not report the result of its own syncs
 	sync            kernel.Sync
 	size            int64 // of the file, in bytes
-	compactedSize   int64 // size after the last compaction, or what it would have been at opening
+	compactedSize   int64 // size after the last compaction; an estimate of it after opening
 	needsCompaction bool  // a sync failed: only a compacted file is known to be intact
 	closed          bool
 }
@@ -106,7 +106,8 @@
 			return nil, fmt.Errorf("controlstate: %w", err)
 		}
 	}
-	// A compaction that was interrupted by a loss of power or the end of the process.
+	// Remove the file of a compaction that was interrupted by a loss of power or the end of the
+	// process.
 	if err := os.Remove(s.path + rewriteSuffix); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("controlstate: %w", err)
 	}
@@ -127,15 +128,15 @@
 
 // loadDiskID reads the identity of the disk, or generates one for a new store.
 func (s *Store) loadDiskID() error {
-	var d diskRecord
-	found, err := s.Load(diskKey, &d)
+	var record diskRecord
+	found, err := s.Load(diskKey, &record)
 	switch {
-	case errors.As(err, new(*json.UnmarshalTypeError)) || found && d.Format != storeFormat:
+	case errors.As(err, new(*json.UnmarshalTypeError)) || found && record.Format != storeFormat:
 		return fmt.Errorf("%w: %s; this version reads format %d", ErrFormat, s.path, storeFormat)
 	case err != nil:
 		return fmt.Errorf("%w (%s)", err, s.path)
 	case found:
-		s.Disk = d.ID
+		s.Disk = record.ID
 		s.compactedSize, err = s.liveSize()
 		return err
 	}
@@ -353,30 +354,30 @@
 // compact writes the live records to a new file, synced record by record, and renames it
 // over the old one. The caller holds the lock.
 func (s *Store) compact() error {
-	d, records, err := s.liveRecords()
+	disk, records, err := s.liveRecords()
 	if err != nil {
 		return err
 	}
-	next := s.path + rewriteSuffix
-	if err := os.Remove(next); err != nil && !errors.Is(err, os.ErrNotExist) {
+	nextPath := s.path + rewriteSuffix
+	if err := os.Remove(nextPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("controlstate: %w", err)
 	}
-	n := newStore(next, s.sync)
-	n.compactedSize = math.MaxInt64 / compactFactor
-	if err := n.open(next); err != nil {
+	nextStore := newStore(nextPath, s.sync)
+	nextStore.compactedSize = math.MaxInt64 / compactFactor
+	if err := nextStore.open(nextPath); err != nil {
 		return err
 	}
-	err = n.writeRecord(diskKey, d)
+	err = nextStore.writeRecord(diskKey, disk)
 	for key, text := range records {
 		if err == nil {
-			err = n.writeRecord(key, text)
+			err = nextStore.writeRecord(key, text)
 		}
 	}
-	if err = errors.Join(err, n.Close()); err != nil {
-		os.Remove(next) // frees the space on a full disk
+	if err = errors.Join(err, nextStore.Close()); err != nil {
+		os.Remove(nextPath) // frees the space on a full disk
 		return err
 	}
-	if err := os.Rename(next, s.path); err != nil {
+	if err := os.Rename(nextPath, s.path); err != nil {
 		return fmt.Errorf("controlstate: %w", err)
 	}
 	if err := syncDir(filepath.Dir(s.path), s.sync); err != nil {
@@ -390,7 +391,7 @@
 	}
 	oldFile.Close()
 	old.Close()
-	s.size, s.compactedSize, s.needsCompaction = n.size, n.size, false
+	s.size, s.compactedSize, s.needsCompaction = nextStore.size, nextStore.size, false
 	return nil
 }
 
--- a/internal/controlstate/succession.go
+++ b/internal/controlstate/succession.go
@@ -7,10 +7,10 @@
 
 // halfSurvives reports whether, of each set of witnesses, either a majority voted, or exactly half
 // where the set has twice as many witnesses as failures are tolerated, and the others of that set
-// did not respond. Those may never return. A witness that refused because it has promised a later
+// did not respond: those may never return. A witness that refused because it has promised a later
 // epoch counts as alive: it will vote when asked again. A witness that waits for a lease to expire
-// may be lost before it does; that lease has expired if the surviving ones say so, since at least
-// one of them granted it too.
+// may be lost before it votes. That lease has expired if the surviving witnesses report so, since
+// at least one of them granted it too.
 func (m *memberPolicy) halfSurvives(known View, responses map[string]promiseResponse) bool {
 	if len(known.Unanimous) > 0 && len(known.Prior) == 0 {
 		return false
@@ -31,14 +31,14 @@
 	return len(set) == 2*m.tolerated && len(votersOf(set, voted)) == m.tolerated
 }
 
-// succession returns the view in which newcomers vote together with the surviving half of the
+// newcomerView returns the view in which newcomers vote together with the surviving half of the
 // witnesses; false if they may not. Newcomers are control nodes that joined with empty disks after
-// that set was formed. As many newcomers as failures are tolerated suffice: as long as they are not
-// among its witnesses, there can be no more of them than witnesses were lost, so they can't vote
-// with both halves of a set that was merely partitioned. Fewer suffice where one of the
-// unresponsive half is permanently gone, since that half can then not form a view at all. Every
+// that set of witnesses was formed. As many newcomers as failures are tolerated suffice: as long as
+// they are not witnesses, there can be no more newcomers than witnesses were lost, so newcomers
+// can't vote with both halves of a set that was merely partitioned. Fewer suffice where one of the
+// unresponsive half is permanently lost, since that half can then not form a view at all. Every
 // node that votes for the view has to accept it.
-func (m *memberPolicy) succession(known, view View, responses map[string]promiseResponse, unreachable []string) (View, bool) {
+func (m *memberPolicy) newcomerView(known, view View, responses map[string]promiseResponse, unreachable []string) (View, bool) {
 	granted := grantedBy(responses)
 	if !m.halfSurvives(known, responses) {
 		return view, false
@@ -72,17 +72,17 @@
 }
 
 // nonVotersOf returns the elements of a set that have not voted: those that may be reachable before
-// the unreachable ones, and within each group those heard from most recently first.
+// the unreachable ones, and within each group those that granted a renewal most recently first.
 func (m *memberPolicy) nonVotersOf(set []string, voted func(addr string) bool, unreachable []string) []string {
 	nonVoters := slices.DeleteFunc(slices.Clone(set), voted)
-	slices.SortStableFunc(nonVoters, func(a, b string) int { return cmp.Compare(m.lastHeard[b], m.lastHeard[a]) })
+	slices.SortStableFunc(nonVoters, func(a, b string) int { return cmp.Compare(m.lastGranted[b], m.lastGranted[a]) })
 	return append(difference(nonVoters, unreachable), intersection(nonVoters, unreachable)...)
 }
 
 // suspects returns the unresponsive witnesses for which it must be established whether they are
-// permanently gone: too few newcomers vote with the other half of their set, and at least one
-// newcomer has never had contact with them. It therefore joined after they were lost, and not
-// while the set was merely partitioned.
+// permanently lost: too few newcomers vote with the other half of their set, and at least one
+// newcomer has never had contact with them. That newcomer therefore joined after they were lost,
+// and not while the set was merely partitioned.
 func (m *memberPolicy) suspects(known View, responses map[string]promiseResponse) (suspects []string) {
 	granted := grantedBy(responses)
 	for _, set := range known.witnessSets() {
@@ -101,9 +101,9 @@
 // formed. During a change of the set, a node that is new to the previous set and not in the next
 // one is new to both.
 func newcomersTo(known View, set []string, responses map[string]promiseResponse) (newcomers []string) {
-	for addr, a := range responses {
-		isNew := slices.ContainsFunc(known.witnessSets(), func(to []string) bool { return slices.Equal(a.NewTo, to) })
-		if a.Granted && isNew && !slices.Contains(set, addr) {
+	for addr, response := range responses {
+		isNew := slices.ContainsFunc(known.witnessSets(), func(witnesses []string) bool { return slices.Equal(response.WitnessesAtRecovery, witnesses) })
+		if response.Granted && isNew && !slices.Contains(set, addr) {
 			newcomers = append(newcomers, addr)
 		}
 	}
--- a/internal/controlstate/term.go
+++ b/internal/controlstate/term.go
@@ -17,6 +17,7 @@
 	return v.leaseRemaining()
 }
 
+// leaseRemaining is Lease for callers that hold v.mu.
 func (v *Replica) leaseRemaining() (epoch int64, remaining kernel.Micros) {
 	now := v.k.Clock.Now()
 	if !v.holdsLease(now) {
@@ -30,9 +31,9 @@
 // process only while that term is valid. It is not enough that this control node is primary now:
 // while the process was frozen it may have lost the term and won another.
 type Term struct {
-	v     *Replica
-	began int64 // epoch of the first view of the term
-	ctx   context.Context
+	replica    *Replica
+	firstEpoch int64 // epoch of the first view of the term
+	ctx        context.Context
 }
 
 // Term returns the current term, or ErrNotPrimary if this control node does not hold the lease.
@@ -56,9 +57,9 @@
 
 // beginTerm starts a term. The caller holds v.mu.
 func (v *Replica) beginTerm(epoch int64) {
-	v.term = &Term{v: v, began: epoch}
+	v.term = &Term{replica: v, firstEpoch: epoch}
 	v.term.ctx, v.cancelTerm = context.WithCancel(context.WithValue(context.Background(), termKey{}, v.term))
-	v.members.primarySince = v.k.Clock.Now()
+	v.policy.primarySince = v.k.Clock.Now()
 }
 
 // Context returns a context that is cancelled when the term ends, at the latest before the next
@@ -66,19 +67,19 @@
 func (t *Term) Context() context.Context { return t.ctx }
 
 // FirstEpoch returns the epoch in which the term began, which identifies the term.
-func (t *Term) FirstEpoch() int64 { return t.began }
+func (t *Term) FirstEpoch() int64 { return t.firstEpoch }
 
 // Lease returns the epoch and the remaining time of the lease, or zeros if the term has ended.
 func (t *Term) Lease() (epoch int64, remaining kernel.Micros) {
 	if t == nil {
 		return 0, 0
 	}
-	t.v.mu.Lock()
-	defer t.v.mu.Unlock()
-	if t.v.term != t {
+	t.replica.mu.Lock()
+	defer t.replica.mu.Unlock()
+	if t.replica.term != t {
 		return 0, 0
 	}
-	return t.v.leaseRemaining()
+	return t.replica.leaseRemaining()
 }
 
 // Valid reports whether the term is current and its lease has not expired.
@@ -95,7 +96,7 @@
 	if !v.active {
 		return View{}, false
 	}
-	v.active, v.members.primarySince = false, 0
+	v.active, v.policy.primarySince = false, 0
 	v.cancelTerm()
 	v.k.Log.Info("stepped down as primary", "epoch", v.newestView.Epoch, "why", reason)
 	v.nextCampaignAt = v.k.Clock.Now() + v.lease
--- a/internal/controlstate/view.go
+++ b/internal/controlstate/view.go
@@ -11,7 +11,7 @@
 }
 
 // same reports whether both are the same control node with the same known disk.
-func (m Member) same(o Member) bool { return m.Addr == o.Addr && m.Disk == o.Disk && m.Disk != "" }
+func (m Member) same(n Member) bool { return m.Addr == n.Addr && m.Disk == n.Disk && m.Disk != "" }
 
 // View is the configuration of an epoch: the members that store the control state and the
 // witnesses that vote.
@@ -20,12 +20,12 @@
 	Primary   Member   `json:"primary"`
 	Backups   []Member `json:"backups"`
 	Witnesses []string `json:"witnesses"` // internal addresses
-	// Prior is the previous set of witnesses while the set is being changed. As long as it is
-	// present, a majority of it must agree too.
+	// Prior is the previous set of witnesses while the set is being changed. If it is not empty,
+	// a majority of it must agree as well.
 	Prior []string `json:"prior,omitempty"`
-	// Unanimous lists control nodes of which every one must agree as long as they are present,
-	// in place of a majority of Prior: the surviving half of the previous witnesses and the
-	// newcomers that voted with it (see succession).
+	// Unanimous lists the surviving half of the previous witnesses and the newcomers that voted
+	// with it (see memberPolicy.newcomerView). If it is not empty, each of them must agree, in
+	// place of a majority of Prior.
 	Unanimous []string `json:"unanimous,omitempty"`
 }
 
@@ -33,7 +33,7 @@
 func (v View) Has(m Member) bool { return m.same(v.Primary) || slices.ContainsFunc(v.Backups, m.same) }
 
 // sameAs reports whether both views have the same epoch and primary.
-func (v View) sameAs(o View) bool { return v.Epoch == o.Epoch && v.Primary == o.Primary }
+func (v View) sameAs(other View) bool { return v.Epoch == other.Epoch && v.Primary == other.Primary }
 
 // quorumSets returns the sets of witnesses of which a majority each is required.
 func (v View) quorumSets() [][]string {
@@ -57,7 +57,7 @@
 }
 
 // establishedWitnesses returns the witnesses whose majority is decisive until the view is
-// superseded: during a change that may not complete, the previous ones.
+// superseded: the previous ones while the set is being changed, since that change may fail.
 func (v View) establishedWitnesses() []string {
 	if len(v.Prior) > 0 {
 		return v.Prior
--- a/internal/controlstate/witness.go
+++ b/internal/controlstate/witness.go
@@ -11,11 +11,12 @@
 type register struct {
 	Promised int64 `json:"promised"`
 	Accepted View  `json:"accepted"`
-	// NewTo is the set of witnesses at the time when this control node started with an empty disk
-	// and read the rest of its register from others. It is kept as long as that set lasts.
-	NewTo []string `json:"new_to,omitempty"`
-	// NeverContacted lists those of NewTo with which this control node has had no contact since it
-	// started with an empty disk.
+	// WitnessesAtRecovery is the set of witnesses at the time when this control node started with
+	// an empty disk and recovered its register from others. It is kept until a view with another
+	// set of witnesses takes effect; until then this control node is a newcomer to the set.
+	WitnessesAtRecovery []string `json:"new_to,omitempty"`
+	// NeverContacted lists those of WitnessesAtRecovery with which this control node has had no
+	// contact since it started with an empty disk.
 	NeverContacted []string `json:"unmet,omitempty"`
 }
 
@@ -24,14 +25,14 @@
 // epoch no longer accepts an earlier view; so an earlier view that too few have accepted does not
 // bind the candidate.
 func highestBindingView(epoch int64, responses map[string]promiseResponse) (highest View) {
-	for _, a := range responses {
-		v := a.Accepted
+	for _, response := range responses {
+		view := response.Accepted
 		mayAccept := func(addr string) bool {
-			o, ok := responses[addr]
-			return !ok || !o.Granted || o.Accepted.Epoch >= v.Epoch || v.Epoch > epoch
+			other, ok := responses[addr]
+			return !ok || !other.Granted || other.Accepted.Epoch >= view.Epoch || view.Epoch > epoch
 		}
-		if v.Epoch > highest.Epoch && majorityOfEach(v.quorumSets(), mayAccept) {
-			highest = v
+		if view.Epoch > highest.Epoch && majorityOfEach(view.quorumSets(), mayAccept) {
+			highest = view
 		}
 	}
 	return highest
@@ -41,22 +42,22 @@
 	Epoch int64  `json:"epoch"`
 	From  Member `json:"from"`
 	// VoidedEpoch is the epoch of a view whose primary's address is now served by another
-	// incarnation with an empty disk, so that nobody holds the lease of that view.
+	// incarnation with an empty disk, so that the lease of that view has no holder any more.
 	VoidedEpoch int64 `json:"void,omitempty"`
 }
 
 type promiseResponse struct {
-	Granted        bool          `json:"granted"`
-	Promised       int64         `json:"promised"`
-	Accepted       View          `json:"accepted"`
-	Disk           string        `json:"disk"`
-	LeaseRemaining kernel.Micros `json:"wait_us,omitempty"` // remaining time of a lease that this witness granted
-	NewTo          []string      `json:"new_to,omitempty"`
-	NeverContacted []string      `json:"unmet,omitempty"`
+	Granted             bool          `json:"granted"`
+	Promised            int64         `json:"promised"`
+	Accepted            View          `json:"accepted"`
+	Disk                string        `json:"disk"`
+	LeaseRemaining      kernel.Micros `json:"wait_us,omitempty"` // remaining time of a lease that this witness granted
+	WitnessesAtRecovery []string      `json:"new_to,omitempty"`
+	NeverContacted      []string      `json:"unmet,omitempty"`
 }
 
 // refused reports whether the epoch was refused because of a promise to another candidate.
-func (a promiseResponse) refused() bool { return !a.Granted && a.Promised > 0 && a.LeaseRemaining == 0 }
+func (r promiseResponse) refused() bool { return !r.Granted && r.Promised > 0 && r.LeaseRemaining == 0 }
 
 // acceptRequest names the disk on which the witness promised: an acceptance depends on that promise,
 // and a witness that lost it with its disk must not vote again.
@@ -108,73 +109,73 @@
 // promise handles a candidate's request to promise an epoch. It is not granted while a lease of
 // another primary is unexpired. The holder of that lease may get another epoch: it does not compete
 // with its own restart or its own next view.
-func (e *witness) promise(now kernel.Micros, request promiseRequest) (promiseResponse, error) {
-	e.noteContact(request.From.Addr)
-	response := promiseResponse{Promised: e.reg.Promised, Accepted: e.reg.Accepted, NewTo: e.reg.NewTo, NeverContacted: e.reg.NeverContacted}
-	if e.abstains {
+func (w *witness) promise(now kernel.Micros, request promiseRequest) (promiseResponse, error) {
+	w.noteContact(request.From.Addr)
+	response := promiseResponse{Promised: w.reg.Promised, Accepted: w.reg.Accepted, WitnessesAtRecovery: w.reg.WitnessesAtRecovery, NeverContacted: w.reg.NeverContacted}
+	if w.abstains {
 		return response, errAbstains
 	}
-	leaseDoesNotBind := request.From.same(e.reg.Accepted.Primary) || request.VoidedEpoch > 0 && request.VoidedEpoch == e.reg.Accepted.Epoch
-	if until := max(e.leaseUntil, e.priorLeaseUntil); now < until && !leaseDoesNotBind {
+	leaseDoesNotBind := request.From.same(w.reg.Accepted.Primary) || request.VoidedEpoch > 0 && request.VoidedEpoch == w.reg.Accepted.Epoch
+	if until := max(w.leaseUntil, w.priorLeaseUntil); now < until && !leaseDoesNotBind {
 		response.LeaseRemaining = until - now
 		return response, nil
 	}
-	if request.Epoch < e.reg.Promised || request.Epoch == e.reg.Promised && !request.From.same(e.promisedTo) {
+	if request.Epoch < w.reg.Promised || request.Epoch == w.reg.Promised && !request.From.same(w.promisedTo) {
 		return response, nil
 	}
-	e.reg.Promised, e.promisedTo = request.Epoch, request.From
+	w.reg.Promised, w.promisedTo = request.Epoch, request.From
 	response.Granted, response.Promised = true, request.Epoch
 	return response, nil
 }
 
 // noteContact records contact with control nodes.
-func (e *witness) noteContact(addrs ...string) {
-	e.contacted = union(e.contacted, addrs)
-	e.reg.NeverContacted = difference(e.reg.NeverContacted, e.contacted)
+func (w *witness) noteContact(addrs ...string) {
+	w.contacted = union(w.contacted, addrs)
+	w.reg.NeverContacted = difference(w.reg.NeverContacted, w.contacted)
 }
 
-// restoredRegister completes a register that was read from others for this control node to keep.
-func (e *witness) restoredRegister(self string, reg register) register {
-	reg.NeverContacted = difference(without(reg.NewTo, self), e.contacted)
+// restoredRegister completes the register that this control node adopts from others.
+func (w *witness) restoredRegister(self string, reg register) register {
+	reg.NeverContacted = difference(without(reg.WitnessesAtRecovery, self), w.contacted)
 	return reg
 }
 
 // accept handles the request to accept a view, and grants its primary the lease.
-func (e *witness) accept(now kernel.Micros, v View) (renewResponse, error) {
-	if e.abstains {
+func (w *witness) accept(now kernel.Micros, view View) (renewResponse, error) {
+	if w.abstains {
 		return renewResponse{Abstains: true}, nil
 	}
-	if v.Epoch < e.reg.Promised || v.Epoch <= e.reg.Accepted.Epoch {
-		return renewResponse{Promised: e.reg.Promised}, nil
+	if view.Epoch < w.reg.Promised || view.Epoch <= w.reg.Accepted.Epoch {
+		return renewResponse{Promised: w.reg.Promised}, nil
 	}
-	e.noteContact(v.Primary.Addr)
-	newTo, neverContacted := e.reg.NewTo, e.reg.NeverContacted
-	if !v.inTransition() && !slices.Equal(v.Witnesses, newTo) {
-		newTo, neverContacted = nil, nil // a view in transition may never take effect
+	w.noteContact(view.Primary.Addr)
+	witnessesAtRecovery, neverContacted := w.reg.WitnessesAtRecovery, w.reg.NeverContacted
+	if !view.inTransition() && !slices.Equal(view.Witnesses, witnessesAtRecovery) {
+		witnessesAtRecovery, neverContacted = nil, nil // a view in transition may never take effect
 	}
-	e.reg = register{Promised: v.Epoch, Accepted: v, NewTo: newTo, NeverContacted: neverContacted}
-	e.leaseUntil = now + e.lease
-	return renewResponse{Granted: true, Promised: v.Epoch}, nil
+	w.reg = register{Promised: view.Epoch, Accepted: view, WitnessesAtRecovery: witnessesAtRecovery, NeverContacted: neverContacted}
+	w.leaseUntil = now + w.lease
+	return renewResponse{Granted: true, Promised: view.Epoch}, nil
 }
 
 // renew extends the lease of the accepted view; a view whose acceptance this witness missed is
 // accepted now. It reports whether the register changed and has to be saved.
-func (e *witness) renew(now kernel.Micros, v View) (response renewResponse, changed bool) {
-	e.noteContact(v.Primary.Addr)
-	if e.abstains || v.Epoch < e.reg.Promised || v.Epoch > e.reg.Accepted.Epoch {
-		response, _ = e.accept(now, v)
+func (w *witness) renew(now kernel.Micros, view View) (response renewResponse, changed bool) {
+	w.noteContact(view.Primary.Addr)
+	if w.abstains || view.Epoch < w.reg.Promised || view.Epoch > w.reg.Accepted.Epoch {
+		response, _ = w.accept(now, view)
 		return response, response.Granted
 	}
-	if !v.sameAs(e.reg.Accepted) {
-		return renewResponse{Promised: e.reg.Promised}, false
+	if !view.sameAs(w.reg.Accepted) {
+		return renewResponse{Promised: w.reg.Promised}, false
 	}
-	e.leaseUntil = max(e.leaseUntil, now+e.lease)
-	return renewResponse{Granted: true, Promised: v.Epoch}, false
+	w.leaseUntil = max(w.leaseUntil, now+w.lease)
+	return renewResponse{Granted: true, Promised: view.Epoch}, false
 }
 
 // release ends the lease of the accepted view, if it is of that epoch.
-func (e *witness) release(epoch int64) {
-	if e.reg.Accepted.Epoch == epoch {
-		e.leaseUntil, e.priorLeaseUntil = 0, 0
+func (w *witness) release(epoch int64) {
+	if w.reg.Accepted.Epoch == epoch {
+		w.leaseUntil, w.priorLeaseUntil = 0, 0
 	}
 }
--- a/internal/controlstate/write.go
+++ b/internal/controlstate/write.go
@@ -31,7 +31,7 @@
 	v.mu.Unlock()
 	if err := v.writeGate.Acquire(ctx); err != nil {
 		v.mu.Lock()
-		v.queue = slices.DeleteFunc(v.queue, func(o *pendingUpdate) bool { return o == u })
+		v.queue = slices.DeleteFunc(v.queue, func(other *pendingUpdate) bool { return other == u })
 		v.mu.Unlock()
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
@@ -83,11 +83,11 @@
 	if len(changes) == 0 {
 		return nil
 	}
-	local := make(chan error, 1)
+	localWrite := make(chan error, 1)
 	c := Change{view.Epoch, next.Seq, changes}
-	go func() { local <- v.writeStateToDisk(ctx, func() error { return v.store.Append(c) }) }()
+	go func() { localWrite <- v.writeStateToDisk(ctx, func() error { return v.store.Append(c) }) }()
 	replicated := v.replicateToBackups(ctx, view, c)
-	if err := awaitLocalWrite(local); err != nil {
+	if err := awaitLocalWrite(localWrite); err != nil {
 		v.k.Counters.Add("controlstate.save_failed", 1)
 		go v.handOver("local disk failed")
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
@@ -115,12 +115,12 @@
 	case !v.holdsLease(now):
 		return State{}, View{}, ErrNotPrimary
 	case v.state.Epoch != v.newestView.Epoch:
-		// It campaigned for another epoch without success; the state on disk already
-		// belongs to that epoch.
+		// This control node campaigned for another epoch without success; the state on disk
+		// already belongs to that epoch.
 		return State{}, View{}, errBackupsFailed
-	case !v.members.enoughBackups(v.newestView, now):
+	case !v.policy.enoughBackups(v.newestView, now):
 		return State{}, View{}, errBackupsFailed
-	case !v.members.witnessesSuffice(v.newestView, now):
+	case !v.policy.witnessesSuffice(v.newestView, now):
 		v.k.Counters.Add("controlstate.too_few_witnesses", 1)
 		return State{}, View{}, fmt.Errorf("%w: the witnesses can't bear the losses yet", ErrUnavailable)
 	}
@@ -151,11 +151,11 @@
 }
 
 // awaitLocalWrite waits for the write to the local disk, for diskTimeout at most.
-func awaitLocalWrite(local <-chan error) error {
+func awaitLocalWrite(localWrite <-chan error) error {
 	t := time.NewTimer(diskTimeout.Duration())
 	defer t.Stop()
 	select {
-	case err := <-local:
+	case err := <-localWrite:
 		return err
 	case <-t.C:
 		return errStalled
@@ -186,6 +186,6 @@
 
 // excludeBackup excludes a backup for a while, so that it is replaced.
 func (v *Replica) excludeBackup(addr string) {
-	v.members.exclude(addr, v.k.Clock.Now())
+	v.policy.exclude(addr, v.k.Clock.Now())
 	v.wakeUp()
 }
