--- a/internal/history/answers.go
+++ b/internal/history/answers.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// settled is how long after a trouble of its own a node may yet lack answers.
-const settled = time.Second
+// answerRecovery is how long after a fault of its own a node may still leave statements
+// unanswered or answer them late.
+const answerRecovery = time.Second
 
-// excused tells whether a node itself was struck without warning in a span, or its links
-// to clients: whatever else fails, it owes its clients an answer.
-func (c *check) excused(node string, from, to time.Duration) bool {
-	return slices.ContainsFunc(c.excuses, func(d Trouble) bool {
-		own := d.Everywhere || d.Node == node && !d.Elsewhere
-		return own && !d.Planned && d.At <= to && d.Till+settled >= from
+// ownFault reports whether, in a time span, a fault without warning hit the node's own process
+// or its connections to clients. Whatever else fails, a node must answer its clients.
+func (c *trafficCheck) ownFault(node string, from, to time.Duration) bool {
+	return slices.ContainsFunc(c.faults, func(f Trouble) bool {
+		own := f.Everywhere || f.Node == node && !f.Elsewhere
+		return own && !f.Planned && f.At <= to && f.Till+answerRecovery >= from
 	})
 }
 
-// lostAnswers: every statement has an answer, unless its node was struck itself. That is
-// more than the rules ask, which hold nobody to it where anything else fails.
-func (c *check) lostAnswers() {
-	for _, s := range c.t.statements {
-		asked := max(s.Sent, s.Last)
-		if s.Code != Unanswered || s.Done-asked <= c.b.Slack {
+// checkUnanswered checks that every statement has an answer, unless its node itself had a fault.
+// The system's rules are weaker: they require no answer while any fault is present.
+func (c *trafficCheck) checkUnanswered() {
+	for _, s := range c.traffic.statements {
+		sent := max(s.Sent, s.Last)
+		if s.Code != Unanswered || s.Done-sent <= c.bounds.Slack {
 			continue
 		}
-		if !c.excused(s.Pooler, asked, s.Done) {
-			c.broke(Lost, s.Done, "%s at %s, sent at %.3f s, has no answer", s.ID, s.Pooler, asked.Seconds())
+		if !c.ownFault(s.Pooler, sent, s.Done) {
+			c.addBreach(Lost, s.Done, "%s at %s, sent at %.3f s, has no answer", s.ID, s.Pooler, sent.Seconds())
 		}
 	}
 }
 
-// lateAnswers: every statement is answered by its deadline and a little more, unless its
-// node was struck itself.
-func (c *check) lateAnswers() {
-	for _, s := range c.t.statements {
-		asked := max(s.Sent, s.Last)
-		late := s.Done - asked - s.Within - c.b.Answer
-		if s.Within > 0 && s.Code != Unanswered && late > 0 && !c.excused(s.Pooler, asked, s.Done) {
-			c.broke(Config, s.Done, "%s at %s is answered %d ms after its deadline", s.ID, s.Pooler, (late + c.b.Answer).Milliseconds())
+// checkLateAnswers checks that no statement is answered more than Bounds.DeadlineGrace after its
+// deadline, unless its node itself had a fault.
+func (c *trafficCheck) checkLateAnswers() {
+	for _, s := range c.traffic.statements {
+		sent := max(s.Sent, s.Last)
+		late := s.Done - sent - s.Within - c.bounds.Answer
+		if s.Within > 0 && s.Code != Unanswered && late > 0 && !c.ownFault(s.Pooler, sent, s.Done) {
+			c.addBreach(RuleConfig, s.Done, "%s at %s is answered %d ms after its deadline", s.ID, s.Pooler, (late + c.bounds.Answer).Milliseconds())
 		}
 	}
 }
--- a/internal/history/forward.go
+++ b/internal/history/forward.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// forward: within one life of its process a node never goes back to an older
-// configuration, whatever happens around it. Each probe must be explained by a version
-// that is no older than one that explains the probe before it.
-func (c *check) forward(orders *Orders) {
-	all := orders.inForce()
-	probes := slices.Clone(c.t.probes)
+// checkConfigOrder checks that an incarnation of a node's process never returns to an older
+// configuration, whatever faults there are: each probe must be consistent with a version that is
+// no older than the earliest one possible for the probe before it.
+func (c *trafficCheck) checkConfigOrder(orders *Orders) {
+	all := orders.committedVersions()
+	probes := slices.Clone(c.traffic.probes)
 	slices.SortStableFunc(probes, func(a, b Probe) int { return cmp.Compare(a.Sent, b.Sent) })
-	type life struct {
+	type incarnation struct {
 		node   string
 		number int
 	}
-	oldest := map[life]int{} // version by its place
+	oldest := map[incarnation]int{} // index into all of the oldest version that it may have
 	for _, p := range probes {
-		of := life{p.Pooler, c.livesBefore(p)}
-		at, known := all.explains(p, oldest[of])
+		process := incarnation{p.Pooler, c.incarnationsBefore(p)}
+		index, known := all.firstConsistent(p, oldest[process])
 		if !known {
 			continue
 		}
-		if at < 0 {
-			c.broke(Config, p.Done, "%s goes back: it was at version %d and %s %s", p.Pooler, all[oldest[of]].rev,
+		if index < 0 {
+			c.addBreach(RuleConfig, p.Done, "%s goes back: it was at version %d and %s %s", p.Pooler, all[oldest[process]].rev,
 				map[bool]string{true: "serves", false: "does not serve"}[p.Served], p.Route)
 			continue
 		}
-		oldest[of] = at
+		oldest[process] = index
 	}
 }
 
-// livesBefore counts the lives of a node's process that have ended, or may have, when a
-// probe was done.
-func (c *check) livesBefore(p Probe) (n int) {
-	for _, d := range c.excuses {
-		ends := d.Kind != "freeze" && d.Kind != settingsChange && !d.Elsewhere
-		if ends && (d.Everywhere || d.Node == p.Pooler) && d.At <= p.Done {
+// incarnationsBefore numbers the incarnation of a node's process that a probe met. Each fault
+// that ends the process counts once it has begun, and again once it is over: probes during the
+// fault may meet either incarnation and are compared neither with earlier nor with later ones.
+func (c *trafficCheck) incarnationsBefore(p Probe) (n int) {
+	for _, f := range c.faults {
+		endsProcess := f.Kind != "freeze" && f.Kind != settingsChange && !f.Elsewhere
+		if endsProcess && (f.Everywhere || f.Node == p.Pooler) && f.At <= p.Done {
 			n++
-			if d.Till <= p.Sent {
+			if f.Till <= p.Sent {
 				n++
 			}
 		}
@@ -47,9 +48,10 @@
 	return n
 }
 
-// explains returns the place of the first version from one on that explains a probe, -1
-// if there is none; known is false if that can't be told.
-func (v versions) explains(p Probe, from int) (at int, known bool) {
+// firstConsistent returns the index of the first version, starting at from, that is consistent
+// with the result of a probe, or -1 if there is none. known is false if there are no versions, or
+// if the routes of one that must be compared are unknown.
+func (v versions) firstConsistent(p Probe, from int) (index int, known bool) {
 	for i := from; i < len(v); i++ {
 		if v[i].sent > p.Done {
 			break
@@ -57,7 +59,7 @@
 		if v[i].routes == nil {
 			return 0, false
 		}
-		if _, has := v[i].routes[p.Route]; has == p.Served {
+		if _, present := v[i].routes[p.Route]; present == p.Served {
 			return i, true
 		}
 	}
--- a/internal/history/orders.go
+++ b/internal/history/orders.go
@@ -1,6 +1,6 @@
-// Package history keeps what clients, operators, databases and the platform saw,
-// and checks it against the rules that users rest on. It knows nothing of how the
-// system works, and must not: what it checks is written apart from it.
+// Package history records what clients, operators, databases and the platform observed, and
+// checks it against the guarantees that the system gives its users. It must not depend on the
+// implementation: the rules are written independently of the code that they check.
 package history
 
 import (
@@ -13,46 +13,48 @@
 	"time"
 )
 
-// Order is a change of the configuration as an operator sends it: the routes
-// of a whole configuration, or those that it adds, by name with their
-// deadlines. One route, mark, is in every order, with another deadline in each.
+// Order is a configuration change that an operator sends: either all routes of a new
+// configuration or, for an update, the routes to add or change. Routes maps their names to their
+// deadlines in milliseconds. Every order contains the route markRoute, whose deadline is unique
+// to the order.
 type Order struct {
-	Update  bool             `json:"update,omitempty"`
-	Base    int64            `json:"base"`
+	Update  bool             `json:"update,omitempty"` // adds to the version Base instead of replacing it
+	Base    int64            `json:"base"`             // the version that it is based on
 	Rev     int64            `json:"rev"`
 	Routes  map[string]int64 `json:"routes"`
-	Invalid string           `json:"invalid,omitempty"` // what is wrong with it, "" if nothing
+	Invalid string           `json:"invalid,omitempty"` // the kind of error in it, "" if it is valid
 }
 
-// mark is the name of the route by which an order is known.
-const mark = "mark"
+// markRoute is the name of the route whose deadline identifies an order in a configuration.
+const markRoute = "mark"
 
-// What may be wrong with an order.
+// Kinds of invalid orders.
 const (
-	UnknownService = "unknown_service"
-	CutShort       = "cut_short"
-	NoDeadline     = "no_deadline"
-	SamePlace      = "same_place"
+	UnknownService = "unknown_service" // a route to a service that does not exist
+	Truncated      = "cut_short"       // a JSON document whose last quarter is missing
+	NoDeadline     = "no_deadline"     // a route with a deadline of 0
+	DuplicateRoute = "same_place"      // two routes with the same host and path prefix
 )
 
-// Faults are all of them.
-var Faults = []string{UnknownService, CutShort, NoDeadline, SamePlace}
+// InvalidKinds lists the kinds of invalid orders.
+var Faults = []string{UnknownService, Truncated, NoDeadline, DuplicateRoute}
 
-// Frame is what every order of a history has besides its own routes.
+// Template is the part of a configuration that all orders of a history share.
 type Frame struct {
-	Service string // of the orders' routes
-	Type    string // of the orders' routes; primary if ""
+	Service string // the service of the orders' routes
+	Type    string // the type of the orders' routes; "" means primary
 	Routes  []FrameRoute
-	Others  []string // more services
+	Others  []string // services in addition to Service
 }
 
-// FrameRoute is a route that is in every configuration.
+// TemplateRoute is a route that is in every configuration.
 type FrameRoute struct{ Host, Prefix, Type, Service string }
 
+// wireRoute, wireService, wireOrder and wireUpsert are an order as the control API accepts it.
 type wireRoute struct {
 	Name       string `json:"name"`
 	Host       string `json:"host"`
-	Prefix     string `json:"path_prefix"`
+	PathPrefix string `json:"path_prefix"`
 	Type       string `json:"type"`
 	Service    string `json:"svc"`
 	DeadlineMs int64  `json:"deadline_ms"`
@@ -78,102 +80,106 @@
 	Routes []wireRoute `json:"routes"`
 }
 
+// Settings of the routes and services of every configuration.
 const (
-	frameDeadlineMs = 2000
-	frameTargetMs   = 250
-	frameStaleMs    = 1500
-	frameTries      = 2
-	frameMaxConns   = 90
+	templateDeadlineMs = 2000
+	templateTargetMs   = 250
+	templateStaleMs    = 1500
+	templateTries      = 2
+	templateMaxConns   = 90
 )
 
-// Body is the order as it is sent.
+// Body returns the order as the JSON document that is sent to the control API, with what the
+// template adds unless the order is an update.
 func (o Order) Body(f Frame) []byte {
 	var routes []wireRoute
 	for _, name := range slices.Sorted(maps.Keys(o.Routes)) {
-		routes = append(routes, wireRoute{Name: name, Host: name, Prefix: "/", Type: cmp.Or(f.Type, "primary"), Service: f.Service, DeadlineMs: o.Routes[name]})
+		routes = append(routes, wireRoute{Name: name, Host: name, PathPrefix: "/", Type: cmp.Or(f.Type, "primary"), Service: f.Service, DeadlineMs: o.Routes[name]})
 	}
 	switch o.Invalid {
 	case UnknownService:
 		routes[0].Service = "nowhere"
 	case NoDeadline:
 		routes[0].DeadlineMs = 0
-	case SamePlace:
-		again := routes[0]
-		again.Name += "-again"
-		routes = append(routes, again)
+	case DuplicateRoute:
+		duplicate := routes[0]
+		duplicate.Name += "-again"
+		routes = append(routes, duplicate)
 	}
 	content := wireOrder{Rev: o.Rev, Upsert: &wireUpsert{routes}}
 	if !o.Update {
-		content = wireOrder{Rev: o.Rev, Routes: append(routes, f.routes()...), Services: f.services()}
+		content = wireOrder{Rev: o.Rev, Routes: append(routes, f.wireRoutes()...), Services: f.wireServices()}
 	}
 	raw, err := json.Marshal(content)
 	if err != nil {
-		panic(err) // such a value can always be written
+		panic(err) // unreachable: every value of this type can be encoded
 	}
-	if o.Invalid == CutShort {
+	if o.Invalid == Truncated {
 		raw = raw[:len(raw)-len(raw)/4]
 	}
 	return raw
 }
 
-func (f Frame) routes() (out []wireRoute) {
+func (f Frame) wireRoutes() (out []wireRoute) {
 	for _, r := range f.Routes {
 		out = append(out, wireRoute{
-			Name: "frame-" + r.Host + r.Prefix, Host: r.Host, Prefix: cmp.Or(r.Prefix, "/"), Type: r.Type, Service: r.Service,
-			DeadlineMs: frameDeadlineMs, TargetMs: frameTargetMs, Tries: frameTries, StaleMs: frameStaleMs,
+			Name: "frame-" + r.Host + r.Prefix, Host: r.Host, PathPrefix: cmp.Or(r.Prefix, "/"), Type: r.Type, Service: r.Service,
+			DeadlineMs: templateDeadlineMs, TargetMs: templateTargetMs, Tries: templateTries, StaleMs: templateStaleMs,
 		})
 	}
 	return out
 }
 
-func (f Frame) services() (out []wireService) {
+func (f Frame) wireServices() (out []wireService) {
 	for _, name := range append([]string{f.Service}, f.Others...) {
-		out = append(out, wireService{name, frameMaxConns, 1})
+		out = append(out, wireService{name, templateMaxConns, 1})
 	}
 	return out
 }
 
-// Answer is what a call with an order got: 200, a refusal, or nothing clear. Asked
-// and Came count the history's moments.
+// Answer is the response to a call that sent an order: status 200, a refusal, or another code if
+// the outcome is unknown. SentSeq and DoneSeq are the logical times of call and response.
 type Answer struct {
-	Order int           `json:"order"`
-	Asked int           `json:"asked"`
-	Came  int           `json:"came"`
-	Code  int           `json:"code"`
-	Sent  time.Duration `json:"sent_ns"`
-	Done  time.Duration `json:"done_ns"`
+	Order   int           `json:"order"`
+	SentSeq int           `json:"asked"`
+	DoneSeq int           `json:"came"`
+	Code    int           `json:"code"`
+	Sent    time.Duration `json:"sent_ns"`
+	Done    time.Duration `json:"done_ns"`
 }
 
-// Reading is a configuration that was read back.
+// Reading is a configuration that was read back. SentSeq and DoneSeq are the logical times of
+// call and response.
 type Reading struct {
-	Asked  int              `json:"asked"`
-	Came   int              `json:"came"`
-	Rev    int64            `json:"rev"`
-	Routes map[string]int64 `json:"routes"`
-	Done   time.Duration    `json:"done_ns"`
+	SentSeq int              `json:"asked"`
+	DoneSeq int              `json:"came"`
+	Rev     int64            `json:"rev"`
+	Routes  map[string]int64 `json:"routes"`
+	Done    time.Duration    `json:"done_ns"`
 }
 
-// Orders is what operators did and saw, in the order of an own count.
+// Orders records the orders that operators sent, their answers and the configurations read back,
+// ordered by a logical clock.
 type Orders struct {
-	began time.Time
+	start time.Time
 
 	mu       sync.Mutex
-	count    int
+	lastSeq  int // the logical clock
 	orders   []Order
 	answers  []Answer
 	readings []Reading
 }
 
 // NewOrders returns a history without orders.
-func NewOrders() *Orders { return &Orders{began: time.Now()} }
+func NewOrders() *Orders { return &Orders{start: time.Now()} }
 
-// Moment is when something began.
+// Timestamp is the logical and the physical time at which an operation started.
 type Moment struct {
-	count int
-	at    time.Duration
+	seq int
+	at  time.Duration // since the start of the history
 }
 
-// Tick returns the next moment.
+// Tick advances the logical clock and returns the current time.
 func (h *Orders) Tick() Moment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -181,16 +187,16 @@
 }
 
 func (h *Orders) tick() Moment {
-	h.count++
-	return Moment{h.count, time.Since(h.began)}
+	h.lastSeq++
+	return Moment{h.lastSeq, time.Since(h.start)}
 }
 
-// Add notes an order that is about to be sent and returns its number.
+// Add records an order that is about to be sent and returns its number.
 func (h *Orders) Add(o Order) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	o.Routes = maps.Clone(o.Routes)
-	o.Routes[mark] = int64(len(h.orders)) + 1
+	o.Routes[markRoute] = int64(len(h.orders)) + 1
 	h.orders = append(h.orders, o)
 	return len(h.orders) - 1
 }
@@ -202,14 +208,14 @@
 	return h.orders[n]
 }
 
-// All returns the orders by their numbers.
+// All returns all orders, indexed by number.
 func (h *Orders) All() []Order {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.orders)
 }
 
-// Acknowledged lists the orders that were.
+// Acknowledged returns the numbers of the acknowledged orders, by first acknowledgement.
 func (h *Orders) Acknowledged() (numbers []int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -221,40 +227,40 @@
 	return numbers
 }
 
-// Answers returns the answers so far.
+// Answers returns the answers recorded so far.
 func (h *Orders) Answers() []Answer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.answers)
 }
 
-// Readings returns what was read back so far.
+// Readings returns the readings recorded so far.
 func (h *Orders) Readings() []Reading {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.readings)
 }
 
-// Answered notes the answer to an order that was asked then.
-func (h *Orders) Answered(n int, asked Moment, code int) {
+// AddAnswer records the answer, received now, to order n, sent at the given time.
+func (h *Orders) Answered(n int, sent Moment, code int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.tick()
-	h.answers = append(h.answers, Answer{n, asked.count, now.count, code, asked.at, now.at})
+	h.answers = append(h.answers, Answer{n, sent.seq, now.seq, code, sent.at, now.at})
 }
 
-// Read notes what was read back.
-func (h *Orders) Read(asked Moment, rev int64, routes map[string]int64) {
+// AddReading records a configuration, received now, that a call sent at the given time read back.
+func (h *Orders) Read(sent Moment, rev int64, routes map[string]int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.tick()
-	h.readings = append(h.readings, Reading{asked.count, now.count, rev, routes, now.at})
+	h.readings = append(h.readings, Reading{sent.seq, now.seq, rev, routes, now.at})
 }
 
-// Breach is a rule that a history breaks.
+// Breach is a violation of a rule in a history.
 type Breach struct {
 	Rule string        `json:"rule"`
-	At   time.Duration `json:"at_ns"` // when it showed
+	At   time.Duration `json:"at_ns"` // when it became visible
 	Text string        `json:"text"`
 }
 
@@ -262,67 +268,69 @@
 	return fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Text)
 }
 
-// Rules.
+// Rules that histories are checked against.
 const (
-	Config  = "CONFIG"
-	Lost    = "LOST"
-	StaleIs = "STALE"
-	Drain   = "DRAIN"
-	Route   = "ROUTE"
-	One     = "ONE"
+	RuleConfig = "CONFIG" // configurations are kept and applied in order and in time, with their deadlines
+	Lost       = "LOST"   // acknowledged writes are kept, and statements are answered
+	RuleStale  = "STALE"  // reads are no older than their route allows
+	RuleDrain  = "DRAIN"  // no request starts at a database long after its draining was acknowledged
+	RuleRoute  = "ROUTE"  // a request runs only at a database of its route's service
+	One        = "ONE"    // a term of a service has at most one primary
 )
 
-// Breaches lists what the rules do not allow. The last reading is taken for the
-// end.
+// Breaches checks the history and returns the violations. It takes the last reading as the final
+// configuration.
 func (h *Orders) Breaches() (out []Breach) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := chain{h: h, made: map[int64]int{}}
-	c.collect()
-	c.checkChain()
+	c := orderCheck{history: h, committed: map[int64]int{}}
+	c.collectCommitted()
+	c.checkBases()
 	c.checkRefusals()
 	c.checkReadings()
-	return c.out
+	return c.breaches
 }
 
-// chain is the versions that were in force, as far as they were seen.
-type chain struct {
-	h    *Orders
-	made map[int64]int // order by version: it was acknowledged or read back
-	out  []Breach
+// orderCheck is a check of an order history.
+type orderCheck struct {
+	history   *Orders
+	committed map[int64]int // number of the order by version; acknowledged or read back
+	breaches  []Breach
 }
 
-func (c *chain) broke(at time.Duration, format string, args ...any) {
-	c.out = append(c.out, Breach{Config, at, fmt.Sprintf(format, args...)})
+func (c *orderCheck) addBreach(at time.Duration, format string, args ...any) {
+	c.breaches = append(c.breaches, Breach{RuleConfig, at, fmt.Sprintf(format, args...)})
 }
 
-// in notes that a version was in force.
-func (c *chain) in(at time.Duration, rev int64, n int) {
-	if was, there := c.made[rev]; there && was != n {
-		c.broke(at, "version %d was made by order %d and by %d", rev, was, n)
+// addCommitted records that order n put a version in force.
+func (c *orderCheck) addCommitted(at time.Duration, rev int64, n int) {
+	if previous, found := c.committed[rev]; found && previous != n {
+		c.addBreach(at, "version %d was made by order %d and by %d", rev, previous, n)
 	}
-	c.made[rev] = n
+	c.committed[rev] = n
 }
 
-func (c *chain) collect() {
-	for _, a := range c.h.answers {
+// collectCommitted collects the versions that were acknowledged or read back. A version that is
+// read back must match an order.
+func (c *orderCheck) collectCommitted() {
+	for _, a := range c.history.answers {
 		if a.Code == 200 {
-			c.in(a.Done, c.h.orders[a.Order].Rev, a.Order)
+			c.addCommitted(a.Done, c.history.orders[a.Order].Rev, a.Order)
 		}
 	}
-	for _, r := range c.h.readings {
-		n := int(r.Routes[mark]) - 1
-		if n < 0 || n >= len(c.h.orders) || c.h.orders[n].Rev != r.Rev {
-			c.broke(r.Done, "version %d is read back, and no order was like that", r.Rev)
+	for _, r := range c.history.readings {
+		n := int(r.Routes[markRoute]) - 1
+		if n < 0 || n >= len(c.history.orders) || c.history.orders[n].Rev != r.Rev {
+			c.addBreach(r.Done, "version %d is read back, and no order was like that", r.Rev)
 			continue
 		}
-		c.in(r.Done, r.Rev, n)
+		c.addCommitted(r.Done, r.Rev, n)
 	}
 }
 
-// acked is when an order was acknowledged first, 0 if it never was.
-func (c *chain) acked(n int) time.Duration {
-	for _, a := range c.h.answers {
+// ackTime returns when an order was first acknowledged, or 0 if it never was.
+func (c *orderCheck) ackTime(n int) time.Duration {
+	for _, a := range c.history.answers {
 		if a.Order == n && a.Code == 200 {
 			return a.Done
 		}
@@ -330,72 +338,78 @@
 	return 0
 }
 
-func (c *chain) checkChain() {
+// checkBases checks that each version in force is valid and not based on a version older than
+// its predecessor.
+func (c *orderCheck) checkBases() {
 	last := int64(0)
-	for _, rev := range slices.Sorted(maps.Keys(c.made)) {
-		n := c.made[rev]
-		o := c.h.orders[n]
+	for _, rev := range slices.Sorted(maps.Keys(c.committed)) {
+		n := c.committed[rev]
+		o := c.history.orders[n]
 		if o.Base < last {
-			c.broke(c.acked(n), "versions %d and %d are both in force on top of %d", last, rev, o.Base)
+			c.addBreach(c.ackTime(n), "versions %d and %d are both in force on top of %d", last, rev, o.Base)
 		}
 		if o.Invalid != "" || o.Rev <= o.Base {
-			c.broke(c.acked(n), "order %d is invalid and in force", n)
+			c.addBreach(c.ackTime(n), "order %d is invalid and in force", n)
 		}
 		last = rev
 	}
 }
 
-func (c *chain) checkRefusals() {
-	end := int64(0)
-	if n := len(c.h.readings); n > 0 {
-		end = c.h.readings[n-1].Rev
+// checkRefusals checks that a refused order is not in force, and that a valid one is refused only
+// with status 412 and only if its base was no longer the newest version.
+func (c *orderCheck) checkRefusals() {
+	final := int64(0)
+	if n := len(c.history.readings); n > 0 {
+		final = c.history.readings[n-1].Rev
 	}
-	for _, a := range c.h.answers {
-		o := c.h.orders[a.Order]
-		switch n, there := c.made[o.Rev]; {
+	for _, a := range c.history.answers {
+		o := c.history.orders[a.Order]
+		switch n, found := c.committed[o.Rev]; {
 		case a.Code < 400 || a.Code >= 500:
-		case there && n == a.Order:
-			c.broke(a.Done, "order %d was refused with %d and is in force", a.Order, a.Code)
+		case found && n == a.Order:
+			c.addBreach(a.Done, "order %d was refused with %d and is in force", a.Order, a.Code)
 		case a.Code != 412 && o.Invalid == "":
-			c.broke(a.Done, "order %d is valid and was refused with %d", a.Order, a.Code)
-		case o.Invalid == "" && end <= o.Base:
-			c.broke(a.Done, "order %d was refused with %d, and nothing took its base", a.Order, a.Code)
+			c.addBreach(a.Done, "order %d is valid and was refused with %d", a.Order, a.Code)
+		case o.Invalid == "" && final <= o.Base:
+			c.addBreach(a.Done, "order %d was refused with %d, and nothing took its base", a.Order, a.Code)
 		}
 	}
 }
 
-func (c *chain) checkReadings() {
-	for _, r := range c.h.readings {
-		for _, a := range c.h.answers {
-			if a.Code == 200 && a.Came < r.Asked && c.h.orders[a.Order].Rev > r.Rev {
-				c.broke(r.Done, "version %d is read back after %d was acknowledged", r.Rev, c.h.orders[a.Order].Rev)
+// checkReadings checks that no reading is older than a version that was acknowledged or read
+// back before the call, and that it shows the routes that its order results in.
+func (c *orderCheck) checkReadings() {
+	for _, r := range c.history.readings {
+		for _, a := range c.history.answers {
+			if a.Code == 200 && a.DoneSeq < r.SentSeq && c.history.orders[a.Order].Rev > r.Rev {
+				c.addBreach(r.Done, "version %d is read back after %d was acknowledged", r.Rev, c.history.orders[a.Order].Rev)
 			}
 		}
-		for _, other := range c.h.readings {
-			if other.Came < r.Asked && other.Rev > r.Rev {
-				c.broke(r.Done, "version %d is read back after %d was", r.Rev, other.Rev)
+		for _, other := range c.history.readings {
+			if other.DoneSeq < r.SentSeq && other.Rev > r.Rev {
+				c.addBreach(r.Done, "version %d is read back after %d was", r.Rev, other.Rev)
 			}
 		}
-		if n, there := c.made[r.Rev]; there {
-			if want := c.content(n); want != nil && !maps.Equal(want, r.Routes) {
-				c.broke(r.Done, "version %d is read back as %v, and order %d makes %v", r.Rev, r.Routes, n, want)
+		if n, found := c.committed[r.Rev]; found {
+			if want := c.resultingRoutes(n); want != nil && !maps.Equal(want, r.Routes) {
+				c.addBreach(r.Done, "version %d is read back as %v, and order %d makes %v", r.Rev, r.Routes, n, want)
 			}
 		}
 	}
 }
 
-// content is what an order that is in force makes; nil if it is not known what
-// it builds on.
-func (c *chain) content(n int) map[string]int64 {
-	o := c.h.orders[n]
+// resultingRoutes returns the routes of the configuration that a committed order results in, or
+// nil if its base is unknown.
+func (c *orderCheck) resultingRoutes(n int) map[string]int64 {
+	o := c.history.orders[n]
 	if !o.Update {
 		return o.Routes
 	}
-	under, there := c.made[o.Base]
-	if !there || o.Base >= o.Rev {
+	base, found := c.committed[o.Base]
+	if !found || o.Base >= o.Rev {
 		return nil
 	}
-	routes := maps.Clone(c.content(under))
+	routes := maps.Clone(c.resultingRoutes(base))
 	if routes != nil {
 		maps.Copy(routes, o.Routes)
 	}
--- a/internal/history/traffic.go
+++ b/internal/history/traffic.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// Statement is what a client asked, and what came of it.
+// Statement is a statement or request of a client, and its result.
 type Statement struct {
 	Pooler  string        `json:"pooler"`
 	Route   string        `json:"route"`
-	Service string        `json:"svc"` // to which the route leads, in every configuration
+	Service string        `json:"svc"` // the service of the route, which is the same in every configuration
 	ID      string        `json:"id"`
 	Write   bool          `json:"write,omitempty"`
 	Thing   string        `json:"thing"`
-	Value   int           `json:"value"`             // written, or read: a thing is counted up by one writer
-	MayLag  time.Duration `json:"may_lag,omitempty"` // how old a state a read may see
-	Within  time.Duration `json:"within,omitempty"`  // the deadline of its route; 0 if that is not checked
+	Value   int           `json:"value"`             // the value written or read; each key has one writer, which writes increasing values
+	MayLag  time.Duration `json:"may_lag,omitempty"` // how stale a read may be
+	Within  time.Duration `json:"within,omitempty"`  // the deadline of its route; 0 if it is not checked
 	Sent    time.Duration `json:"sent"`
-	// Last is when the last message of it was sent, where that is later: its COMMIT.
+	// LastSent is when its last message was sent, if it has several: that of a transaction is COMMIT.
 	Last time.Duration `json:"last,omitempty"`
 	Done time.Duration `json:"done"`
-	Code string        `json:"code,omitempty"` // of the error, "" for success
+	Code string        `json:"code,omitempty"` // the error code, "" for success
 }
 
-// Unanswered is the code of a statement whose connection ended without an answer.
+// Unanswered is the code of a statement whose connection was closed before an answer arrived.
 const Unanswered = "cut"
 
-// Run is a statement that a database ran.
+// Run is the execution of a statement or request at a database.
 type Run struct {
 	Service  string        `json:"svc"`
 	Database string        `json:"database"`
 	ID       string        `json:"id"`
-	Begins   bool          `json:"begins,omitempty"` // outside a transaction, or first in one
+	Begins   bool          `json:"begins,omitempty"` // it is outside a transaction, or the first in one
 	At       time.Duration `json:"at"`
 }
 
-// Drains is a database whose leaving was acknowledged.
+// Drain is the draining of a database, at the time of its acknowledgement.
 type Drains struct {
 	Service  string        `json:"svc"`
 	Database string        `json:"database"`
 	At       time.Duration `json:"at"`
 }
 
-// Promotion is a database that became the primary of a term, with the ids of the
-// writes that its log held. The last one of a service, at the end, has no term: it
-// tells what its primary holds then.
+// Promotion is the promotion of a database to the primary of a term, with the ids of the writes
+// in its log. At the end of a history, each service has one without a term, which records the
+// final log of its primary.
 type Promotion struct {
 	Service  string        `json:"svc"`
 	Database string        `json:"database"`
@@ -55,285 +55,289 @@
 	At       time.Duration `json:"at"`
 }
 
-// Trouble is what was done to a node, or to a database.
+// Fault is a fault injected into a node or a database.
 type Trouble struct {
 	Kind    string `json:"kind"`
 	Node    string `json:"node"`
-	Control bool   `json:"control,omitempty"` // a control node's process was struck
-	Planned bool   `json:"planned,omitempty"` // it was told, and could prepare
-	// Elsewhere: neither the node's own process was struck nor its links to clients, but
-	// what it depends on.
+	Control bool   `json:"control,omitempty"` // it affects control nodes
+	Planned bool   `json:"planned,omitempty"` // it was announced to the process, which could prepare
+	// DependencyOnly is set if the fault affects only what the node depends on, and neither its own
+	// process nor its connections to clients.
 	Elsewhere bool `json:"elsewhere,omitempty"`
-	// Everywhere: every node was struck.
+	// AllNodes is set if the fault affects every node.
 	Everywhere bool `json:"everywhere,omitempty"`
-	// Calm: it excuses nothing, and is only told of.
+	// RecordOnly is set if the fault is reported but relaxes no check.
 	Calm bool          `json:"calm,omitempty"`
 	At   time.Duration `json:"at"`
 	Till time.Duration `json:"till"`
 }
 
-// Probe is a session that a client opened on a route of the operators.
+// Probe is an attempt of a client to use one of the routes that operators change.
 type Probe struct {
 	Pooler string        `json:"pooler"`
 	Route  string        `json:"route"`
-	Served bool          `json:"served,omitempty"` // else it was told that there is no such route
+	Served bool          `json:"served,omitempty"` // otherwise the answer was that there is no such route
 	Sent   time.Duration `json:"sent"`
 	Done   time.Duration `json:"done"`
 }
 
-// Bounds are the spans that the rules allow.
+// Bounds are the time bounds of the rules.
 type Bounds struct {
-	Drain   time.Duration // a database may be sent requests after its leaving was acknowledged
-	Apply   time.Duration // until a configuration is in force
-	Contact time.Duration // after a trouble in which a node is held to nothing
-	Slack   time.Duration // after which a request that was read is owed an answer
-	Answer  time.Duration // after its deadline, by which a request is answered
+	Drain   time.Duration // how long requests may start at a database after its draining was acknowledged
+	Apply   time.Duration // how long a node may take to apply a new configuration
+	Contact time.Duration // how long after a fault a node's configuration is not checked
+	Slack   time.Duration // a request whose connection is closed within this time may not have been read and needs no answer
+	Answer  time.Duration // how long after its deadline a request may be answered
 }
 
-// Traffic is what clients and databases saw.
+// Traffic records what clients and databases observed, and the faults injected meanwhile. Times
+// are relative to its start.
 type Traffic struct {
-	began time.Time
+	start time.Time
 
 	mu         sync.Mutex
 	statements []Statement
 	runs       []Run
 	drains     []Drains
 	promotions []Promotion
-	troubles   []Trouble
+	faults     []Trouble
 	probes     []Probe
 }
 
-// NewTraffic returns an empty one, beside the orders.
-func NewTraffic(orders *Orders) *Traffic { return &Traffic{began: orders.began} }
+// NewTraffic returns an empty record with the same start time as the orders.
+func NewTraffic(orders *Orders) *Traffic { return &Traffic{start: orders.start} }
 
-// Now is the time since the beginning.
-func (t *Traffic) Now() time.Duration { return time.Since(t.began) }
+// Now returns the time since the start.
+func (t *Traffic) Now() time.Duration { return time.Since(t.start) }
 
-// Since is that of an earlier moment.
-func (t *Traffic) Since(at time.Time) time.Duration { return at.Sub(t.began) }
+// Offset returns the time from the start to the given time.
+func (t *Traffic) Since(at time.Time) time.Duration { return at.Sub(t.start) }
 
-// Asked notes a statement.
+// AddStatement records a statement.
 func (t *Traffic) Asked(s Statement) { t.add(func() { t.statements = append(t.statements, s) }) }
 
-// Ran notes a run.
+// AddRun records a run.
 func (t *Traffic) Ran(r Run) { t.add(func() { t.runs = append(t.runs, r) }) }
 
-// Draining notes a database that leaves.
+// AddDrain records an acknowledged draining.
 func (t *Traffic) Draining(d Drains) { t.add(func() { t.drains = append(t.drains, d) }) }
 
-// Promoted notes a promotion.
+// AddPromotion records a promotion.
 func (t *Traffic) Promoted(p Promotion) { t.add(func() { t.promotions = append(t.promotions, p) }) }
 
-// lasting is until when a trouble lasts whose end is not known yet.
-const lasting = 24 * time.Hour
+// openEnded stands for the end of a fault that has not ended yet. It is later than any run ends.
+const openEnded = 24 * time.Hour
 
-// Begin notes a trouble that goes on, and returns its number.
-func (t *Traffic) Begin(d Trouble) (number int) {
-	d.Till = lasting
+// BeginFault records the start of a fault and returns its number.
+func (t *Traffic) Begin(f Trouble) (number int) {
+	f.Till = openEnded
 	t.add(func() {
-		number = len(t.troubles)
-		t.troubles = append(t.troubles, d)
+		number = len(t.faults)
+		t.faults = append(t.faults, f)
 	})
 	return number
 }
 
-// End notes the end of a trouble.
+// EndFault records the end of a fault.
 func (t *Traffic) End(number int) {
 	now := t.Now()
-	t.add(func() { t.troubles[number].Till = now })
+	t.add(func() { t.faults[number].Till = now })
 }
 
-// Probed notes a probe.
+// AddProbe records a probe.
 func (t *Traffic) Probed(p Probe) { t.add(func() { t.probes = append(t.probes, p) }) }
 
-func (t *Traffic) add(f func()) {
+// add calls record with t.mu held.
+func (t *Traffic) add(record func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f()
+	record()
 }
 
-// Statements returns the statements so far.
+// Statements returns the statements recorded so far.
 func (t *Traffic) Statements() []Statement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.statements)
 }
 
-// Troubles returns the troubles so far.
+// Faults returns the faults recorded so far.
 func (t *Traffic) Troubles() []Trouble {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Clone(t.troubles)
+	return slices.Clone(t.faults)
 }
 
-// Breaches lists what the rules do not allow, the first one first. The orders tell
-// which routes there were.
+// Breaches checks the traffic and returns the violations in order of time. The orders determine
+// which routes existed when.
 func (t *Traffic) Breaches(orders *Orders, b Bounds) []Breach {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := newCheck(t, b)
-	c.lostCommits()
-	c.lostAnswers()
-	c.lateAnswers()
-	c.stale()
-	c.drain()
-	c.route()
-	c.one()
-	c.probes(orders)
-	c.forward(orders)
-	slices.SortStableFunc(c.out, func(a, b Breach) int { return int(a.At - b.At) })
-	return c.out
+	c := newTrafficCheck(t, b)
+	c.checkLostWrites()
+	c.checkUnanswered()
+	c.checkLateAnswers()
+	c.checkStaleReads()
+	c.checkDrains()
+	c.checkRouting()
+	c.checkSinglePrimary()
+	c.checkProbes(orders)
+	c.checkConfigOrder(orders)
+	slices.SortStableFunc(c.breaches, func(a, b Breach) int { return int(a.At - b.At) })
+	return c.breaches
 }
 
-// Judged is how many of the probes are held to the configuration in force: nothing else
-// that may delay it was going on.
-func (t *Traffic) Judged(b Bounds) (judged, all int) {
+// CheckedProbes returns how many probes are checked against the configuration in force, and how
+// many there are. Probes near a fault that may delay the configuration are not checked.
+func (t *Traffic) Judged(b Bounds) (checked, all int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := newCheck(t, b)
+	c := newTrafficCheck(t, b)
 	for _, p := range t.probes {
 		if !c.disturbed(p) {
-			judged++
+			checked++
 		}
 	}
-	return judged, len(t.probes)
+	return checked, len(t.probes)
 }
 
-// check goes through one history.
-type check struct {
-	t       *Traffic
-	b       Bounds
-	excuses []Trouble // the troubles that are not calm
-	out     []Breach
+// trafficCheck is one check of a traffic history.
+type trafficCheck struct {
+	traffic  *Traffic
+	bounds   Bounds
+	faults   []Trouble // without those that are RecordOnly
+	breaches []Breach
 }
 
-func newCheck(t *Traffic, b Bounds) *check {
-	excuses := slices.DeleteFunc(slices.Clone(t.troubles), func(d Trouble) bool { return d.Calm })
-	return &check{t: t, b: b, excuses: excuses}
+func newTrafficCheck(t *Traffic, b Bounds) *trafficCheck {
+	faults := slices.DeleteFunc(slices.Clone(t.faults), func(f Trouble) bool { return f.Calm })
+	return &trafficCheck{traffic: t, bounds: b, faults: faults}
 }
 
-func (c *check) broke(rule string, at time.Duration, format string, args ...any) {
-	c.out = append(c.out, Breach{rule, at, fmt.Sprintf(format, args...)})
+func (c *trafficCheck) addBreach(rule string, at time.Duration, format string, args ...any) {
+	c.breaches = append(c.breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// lostCommits: whoever is promoted, and the primary at the end, holds every write
-// that a client was told of before.
-func (c *check) lostCommits() {
-	for _, p := range c.t.promotions {
-		held := make(map[string]bool, len(p.Holds))
+// checkLostWrites checks that a promoted database, and the primary at the end, has every write
+// that was acknowledged to a client before.
+func (c *trafficCheck) checkLostWrites() {
+	for _, p := range c.traffic.promotions {
+		logged := make(map[string]bool, len(p.Holds))
 		for _, id := range p.Holds {
-			held[id] = true
+			logged[id] = true
 		}
-		for _, s := range c.t.statements {
-			if s.Write && s.Code == "" && s.Service == p.Service && s.Done < p.At && !held[s.ID] {
-				c.broke(Lost, p.At, "%s lacks %s, acknowledged at %.3f s", p.Database, s.ID, s.Done.Seconds())
+		for _, s := range c.traffic.statements {
+			if s.Write && s.Code == "" && s.Service == p.Service && s.Done < p.At && !logged[s.ID] {
+				c.addBreach(Lost, p.At, "%s lacks %s, acknowledged at %.3f s", p.Database, s.ID, s.Done.Seconds())
 			}
 		}
 	}
 }
 
-// troubled tells whether a trouble lasted, or had ended for less than contact, in a
-// span.
-func (c *check) troubled(from, to time.Duration, which func(Trouble) bool) bool {
-	return slices.ContainsFunc(c.excuses, func(d Trouble) bool {
-		return which(d) && d.At <= to && d.Till+c.b.Contact >= from
+// faultDuring reports whether a matching fault was present in a time span, or had ended less than
+// Bounds.Recovery before it.
+func (c *trafficCheck) faultDuring(from, to time.Duration, matches func(Trouble) bool) bool {
+	return slices.ContainsFunc(c.faults, func(f Trouble) bool {
+		return matches(f) && f.At <= to && f.Till+c.bounds.Contact >= from
 	})
 }
 
-// stale: a read sees every write of which a client had been told by then, or by
-// as long before as it may lag.
-func (c *check) stale() {
+// checkStaleReads checks that a read sees every write that was acknowledged more than its
+// permitted lag before it was sent.
+func (c *trafficCheck) checkStaleReads() {
 	writes := map[string][]Statement{}
-	for _, s := range c.t.statements {
+	for _, s := range c.traffic.statements {
 		if s.Write && s.Code == "" {
 			writes[s.Thing] = append(writes[s.Thing], s)
 		}
 	}
-	for _, s := range c.t.statements {
+	for _, s := range c.traffic.statements {
 		if s.Write || s.Code != "" {
 			continue
 		}
 		for _, w := range writes[s.Thing] {
 			if w.Done < s.Sent-s.MayLag && w.Value > s.Value {
-				c.broke(StaleIs, s.Done, "%s read %d of %s, %d was acknowledged at %.3f s", s.ID, s.Value, s.Thing, w.Value, w.Done.Seconds())
+				c.addBreach(RuleStale, s.Done, "%s read %d of %s, %d was acknowledged at %.3f s", s.ID, s.Value, s.Thing, w.Value, w.Done.Seconds())
 				break
 			}
 		}
 	}
 }
 
-// drain: nothing begins at a database too long after its leaving was acknowledged.
-func (c *check) drain() {
-	left := map[string]time.Duration{}
-	for _, d := range c.t.drains {
-		if at, known := left[d.Database]; !known || d.At < at {
-			left[d.Database] = d.At
+// checkDrains checks that no statement or transaction begins at a database more than Bounds.Drain
+// after its draining was acknowledged.
+func (c *trafficCheck) checkDrains() {
+	drained := map[string]time.Duration{} // time of the first acknowledgement by database
+	for _, d := range c.traffic.drains {
+		if at, known := drained[d.Database]; !known || d.At < at {
+			drained[d.Database] = d.At
 		}
 	}
-	for _, r := range c.t.runs {
-		if at, leaves := left[r.Database]; leaves && r.Begins && r.At-at > c.b.Drain {
-			c.broke(Drain, r.At, "%s begins at %s %v after its leaving was acknowledged", r.ID, r.Database, r.At-at)
+	for _, r := range c.traffic.runs {
+		if at, draining := drained[r.Database]; draining && r.Begins && r.At-at > c.bounds.Drain {
+			c.addBreach(RuleDrain, r.At, "%s begins at %s %v after its leaving was acknowledged", r.ID, r.Database, r.At-at)
 		}
 	}
 }
 
-// route: a database runs only what a client asked on a route to its service.
-func (c *check) route() {
-	asked := make(map[string]string, len(c.t.statements))
-	for _, s := range c.t.statements {
-		asked[s.ID] = s.Service
+// checkRouting checks that a database runs only statements that a client sent on a route to the
+// database's service.
+func (c *trafficCheck) checkRouting() {
+	services := make(map[string]string, len(c.traffic.statements)) // by statement id
+	for _, s := range c.traffic.statements {
+		services[s.ID] = s.Service
 	}
-	for _, r := range c.t.runs {
-		if service, known := asked[r.ID]; known && service != r.Service {
-			c.broke(Route, r.At, "%s, asked of %s, runs at %s of %s", r.ID, service, r.Database, r.Service)
+	for _, r := range c.traffic.runs {
+		if service, known := services[r.ID]; known && service != r.Service {
+			c.addBreach(RuleRoute, r.At, "%s, asked of %s, runs at %s of %s", r.ID, service, r.Database, r.Service)
 		}
 	}
 }
 
-// one: a term of a service has one primary.
-func (c *check) one() {
+// checkSinglePrimary checks that a term of a service has at most one primary.
+func (c *trafficCheck) checkSinglePrimary() {
 	type term struct {
 		service string
 		number  int64
 	}
-	leads := map[term]string{}
-	for _, p := range c.t.promotions {
+	primaries := map[term]string{}
+	for _, p := range c.traffic.promotions {
 		if p.Term == 0 {
 			continue
 		}
-		at := term{p.Service, p.Term}
-		if was, led := leads[at]; led && was != p.Database {
-			c.broke(One, p.At, "%s and %s both lead %s in term %d", was, p.Database, p.Service, p.Term)
+		current := term{p.Service, p.Term}
+		if other, found := primaries[current]; found && other != p.Database {
+			c.addBreach(One, p.At, "%s and %s both lead %s in term %d", other, p.Database, p.Service, p.Term)
 		}
-		leads[at] = p.Database
+		primaries[current] = p.Database
 	}
 }
 
-// disturbed tells whether a probe met a trouble of its node or of the control nodes. A
-// change of settings is none.
-func (c *check) disturbed(p Probe) bool {
-	return c.troubled(p.Sent, p.Done, func(d Trouble) bool {
-		return d.Kind != settingsChange && (d.Control || d.Node == p.Pooler)
+// disturbed reports whether a fault of the probed node or of the control nodes may have affected
+// a probe. A change of settings does not count as a fault.
+func (c *trafficCheck) disturbed(p Probe) bool {
+	return c.faultDuring(p.Sent, p.Done, func(f Trouble) bool {
+		return f.Kind != settingsChange && (f.Control || f.Node == p.Pooler)
 	})
 }
 
-// settingsChange is the kind of trouble that changes a node's settings.
+// settingsChange is the kind of fault that changes a node's settings (SIGHUP).
 const settingsChange = "hup"
 
-// probes: once a configuration has been in force for long enough, an undisturbed
-// pooler serves its routes and no others.
-func (c *check) probes(orders *Orders) {
-	versions := orders.inForce()
-	for _, p := range c.t.probes {
+// checkProbes checks that a proxy without disturbance serves the routes of the configuration in
+// force, and no others, once it has been in force for Bounds.Apply.
+func (c *trafficCheck) checkProbes(orders *Orders) {
+	versions := orders.committedVersions()
+	for _, p := range c.traffic.probes {
 		if c.disturbed(p) {
 			continue
 		}
-		in, out := versions.around(p.Route, p.Sent-c.b.Apply, p.Done)
-		if p.Served && !in && out {
-			c.broke(Config, p.Done, "%s serves %s, which was dropped", p.Pooler, p.Route)
+		present, absent := versions.routePresence(p.Route, p.Sent-c.bounds.Apply, p.Done)
+		if p.Served && !present && absent {
+			c.addBreach(RuleConfig, p.Done, "%s serves %s, which was dropped", p.Pooler, p.Route)
 		}
-		if !p.Served && in && !out {
-			c.broke(Config, p.Done, "%s does not serve %s, which was added", p.Pooler, p.Route)
+		if !p.Served && present && !absent {
+			c.addBreach(RuleConfig, p.Done, "%s does not serve %s, which was added", p.Pooler, p.Route)
 		}
 	}
 }
--- a/internal/history/versions.go
+++ b/internal/history/versions.go
@@ -9,23 +9,24 @@
 // version is a configuration that was in force.
 type version struct {
 	rev    int64
-	routes map[string]int64 // nil if it is not known what it holds
-	sent   time.Duration    // when its order was sent first
-	acked  time.Duration    // when that was acknowledged first; never if it is below 0
+	routes map[string]int64 // deadlines by route; nil if unknown
+	sent   time.Duration    // when its order was first sent
+	acked  time.Duration    // when its order was first acknowledged; negative if it never was
 }
 
-// versions are in the order of their numbers.
+// versions are sorted by revision.
 type versions []version
 
-// inForce lists the versions that were in force, as far as they were seen.
-func (h *Orders) inForce() (out versions) {
+// committedVersions returns the versions that are known to have been in force, because their
+// order was acknowledged or they were read back.
+func (h *Orders) committedVersions() (out versions) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := chain{h: h, made: map[int64]int{}}
-	c.collect()
-	for _, rev := range slices.Sorted(maps.Keys(c.made)) {
-		n := c.made[rev]
-		v := version{rev: rev, routes: c.content(n), sent: -1, acked: -1}
+	c := orderCheck{history: h, committed: map[int64]int{}}
+	c.collectCommitted()
+	for _, rev := range slices.Sorted(maps.Keys(c.committed)) {
+		n := c.committed[rev]
+		v := version{rev: rev, routes: c.resultingRoutes(n), sent: -1, acked: -1}
 		for _, a := range h.answers {
 			if a.Order != n {
 				continue
@@ -42,10 +43,10 @@
 	return out
 }
 
-// around tells whether any version that may have been in force in a span has the
-// route, and whether any lacks it. The newest one that was acknowledged before the
-// span is surely in force at its beginning; later ones may be once they were sent.
-func (v versions) around(route string, from, to time.Duration) (in, out bool) {
+// routePresence reports whether any version that may have been in force in a time span has the
+// route, and whether any lacks it. The newest version acknowledged before the span is certainly
+// in force at its start; a later one may be in force as soon as its order is sent.
+func (v versions) routePresence(route string, from, to time.Duration) (present, absent bool) {
 	first := -1
 	for i := range v {
 		if v[i].acked >= 0 && v[i].acked < from {
@@ -53,7 +54,7 @@
 		}
 	}
 	if first < 0 {
-		return true, true // nothing is sure yet
+		return true, true // no version is certain to be in force yet
 	}
 	for i := first; i < len(v); i++ {
 		if v[i].sent > to {
@@ -63,10 +64,10 @@
 			return true, true
 		}
 		if _, has := v[i].routes[route]; has {
-			in = true
+			present = true
 		} else {
-			out = true
+			absent = true
 		}
 	}
-	return in, out
+	return present, absent
 }
