--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// conn is one end of a connection.
+// conn is one end of a simulated TCP connection. Its mutex is locked before that of the network.
 type conn struct {
-	n             *Net
+	network       *Net
 	local, remote string
 	peer          *conn
-	silence       time.Duration
-
-	mu         sync.Mutex
-	wake       *sync.Cond
-	in         []byte
-	eof        bool
-	err        error // the connection broke
-	closed     bool
-	deadline   time.Time
-	timer      *time.Timer
-	writeBy    time.Time
-	writeTimer *time.Timer
-	next       time.Time // when the next piece sent may arrive at the earliest
+	peerTimeout   time.Duration
+
+	mu          sync.Mutex
+	cond        *sync.Cond
+	received    []byte
+	eof         bool
+	err         error // why the connection failed, if it did
+	closed      bool
+	readUntil   time.Time // the read deadline; zero means none
+	readTimer   *time.Timer
+	writeUntil  time.Time // the write deadline; zero means none
+	writeTimer  *time.Timer
+	lastArrival time.Time // when the last segment sent arrives; later ones arrive after it
 }
 
 func (c *conn) Read(b []byte) (int, error) {
@@ -37,18 +37,18 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case !c.deadline.IsZero() && !time.Now().Before(c.deadline):
+		case !c.readUntil.IsZero() && !time.Now().Before(c.readUntil):
 			return 0, os.ErrDeadlineExceeded
-		case len(c.in) > 0:
-			k := copy(b, c.in)
-			c.in = c.in[k:]
-			return k, nil
+		case len(c.received) > 0:
+			n := copy(b, c.received)
+			c.received = c.received[n:]
+			return n, nil
 		case c.err != nil:
 			return 0, c.err
 		case c.eof:
 			return 0, io.EOF
 		}
-		c.wake.Wait()
+		c.cond.Wait()
 	}
 }
 
@@ -61,88 +61,94 @@
 			return 0, net.ErrClosed
 		case c.err != nil:
 			return 0, c.err
-		case c.writesLate():
+		case c.writeExpired():
 			return 0, os.ErrDeadlineExceeded
-		case !c.n.takesNothing(c.remote):
+		case !c.network.receiveBlocked(c.remote):
 			c.send(append([]byte(nil), b...), false)
 			return len(b), nil
 		}
-		c.wake.Wait()
+		c.cond.Wait()
 	}
 }
 
-// send has a piece, or the end, arrive in order; a lost one is sent again.
+// send schedules the arrival of a segment, or of the end of the stream, after those sent before.
+// Each loss delays it by a retransmission timeout of 200 ms. The caller holds c.mu.
 func (c *conn) send(b []byte, eof bool) {
-	c.n.mu.Lock()
-	c.n.count(c.remote, len(b))
-	at := c.n.leaves(c.local, c.remote, len(b)).Add(c.n.delay)
-	for c.local != c.remote && c.n.rng.Float64() < c.n.loss {
+	c.network.mu.Lock()
+	c.network.countSent(c.remote, len(b))
+	at := c.network.sendTime(c.local, c.remote, len(b)).Add(c.network.delay)
+	for c.local != c.remote && c.network.rng.Float64() < c.network.loss {
 		at = at.Add(200 * time.Millisecond)
 	}
-	c.n.mu.Unlock()
-	if !at.After(c.next) {
-		at = c.next.Add(1)
+	c.network.mu.Unlock()
+	if !at.After(c.lastArrival) {
+		at = c.lastArrival.Add(1)
 	}
-	c.next = at
-	time.AfterFunc(time.Until(at), func() { c.arrive(b, eof, time.Now()) })
+	c.lastArrival = at
+	time.AfterFunc(time.Until(at), func() { c.deliver(b, eof, time.Now()) })
 }
 
-func (c *conn) arrive(b []byte, eof bool, sent time.Time) {
-	c.n.mu.Lock()
-	open := c.n.open(c.local, c.remote)
-	c.n.mu.Unlock()
-	if !open {
-		if c.silence > 0 && time.Since(sent) >= c.silence {
-			c.breakWith(syscall.ETIMEDOUT)
+// deliver hands a segment to the peer. While the hosts can't reach each other, it retries every
+// 50 ms, and the connection fails once the segment is older than peerTimeout. Without such a
+// timeout the retries go on, or up to 10 s if this end is closed. Data for a closed peer resets
+// the connection.
+func (c *conn) deliver(b []byte, eof bool, sent time.Time) {
+	c.network.mu.Lock()
+	reachable := c.network.reachable(c.local, c.remote)
+	c.network.mu.Unlock()
+	if !reachable {
+		if c.peerTimeout > 0 && time.Since(sent) >= c.peerTimeout {
+			c.fail(syscall.ETIMEDOUT)
 			return
 		}
 		c.mu.Lock()
-		gone := c.err != nil || c.closed && c.silence == 0 && time.Since(sent) > 10*time.Second
+		abandoned := c.err != nil || c.closed && c.peerTimeout == 0 && time.Since(sent) > 10*time.Second
 		c.mu.Unlock()
-		if !gone {
-			time.AfterFunc(50*time.Millisecond, func() { c.arrive(b, eof, sent) })
+		if !abandoned {
+			time.AfterFunc(50*time.Millisecond, func() { c.deliver(b, eof, sent) })
 		}
 		return
 	}
-	p := c.peer
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
+	peer := c.peer
+	peer.mu.Lock()
+	defer peer.mu.Unlock()
+	if peer.closed {
 		if !eof {
-			time.AfterFunc(c.n.delay, func() { c.breakWith(syscall.ECONNRESET) })
+			time.AfterFunc(c.network.delay, func() { c.fail(syscall.ECONNRESET) })
 		}
 		return
 	}
-	if p.err != nil {
+	if peer.err != nil {
 		return
 	}
-	p.in = append(p.in, b...)
-	p.eof = p.eof || eof
-	p.wake.Broadcast()
+	peer.received = append(peer.received, b...)
+	peer.eof = peer.eof || eof
+	peer.cond.Broadcast()
 }
 
-func (c *conn) breakWith(err error) {
+// fail makes reads and writes return the error, unless the connection has already failed.
+func (c *conn) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err == nil {
 		c.err = err
 	}
-	c.wake.Broadcast()
+	c.cond.Broadcast()
 }
 
-// writesLate tells whether the time limit of writes is over. As on a real socket it holds
-// until another is set, whatever could be written. The caller holds the lock.
-func (c *conn) writesLate() bool { return !c.writeBy.IsZero() && !time.Now().Before(c.writeBy) }
+// writeExpired reports whether the write deadline has passed. As with a real socket, writes then
+// fail until another deadline is set, even if there is room for the data. The caller holds c.mu.
+func (c *conn) writeExpired() bool { return !c.writeUntil.IsZero() && !time.Now().Before(c.writeUntil) }
 
 // TryWrite implements kernel.TryWriter.
 func (c *conn) TryWrite(b []byte) (int, error) {
 	c.mu.Lock()
-	late := c.writesLate()
+	expired := c.writeExpired()
 	c.mu.Unlock()
-	if late {
+	if expired {
 		return 0, os.ErrDeadlineExceeded
 	}
-	if c.n.takesNothing(c.remote) {
+	if c.network.receiveBlocked(c.remote) {
 		return 0, nil
 	}
 	return c.Write(b)
@@ -155,40 +161,41 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	for _, timer := range []*time.Timer{c.timer, c.writeTimer} {
+	for _, timer := range []*time.Timer{c.readTimer, c.writeTimer} {
 		if timer != nil {
 			timer.Stop()
 		}
 	}
 	c.send(nil, true)
-	c.wake.Broadcast()
-	c.n.mu.Lock()
-	delete(c.n.conns, c)
-	c.n.mu.Unlock()
+	c.cond.Broadcast()
+	c.network.mu.Lock()
+	delete(c.network.conns, c)
+	c.network.mu.Unlock()
 	return nil
 }
 
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
-	c.timer = c.wakeAt(c.timer, t)
+	c.readUntil = t
+	c.readTimer = c.scheduleWakeup(c.readTimer, t)
 	return nil
 }
 
-// SetWriteDeadline bounds the writes to a host that takes nothing.
+// SetWriteDeadline implements net.Conn. The deadline takes effect on writes to a host that
+// receives nothing (Net.SetReceiveBlocked).
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.writeBy = t
-	c.writeTimer = c.wakeAt(c.writeTimer, t)
+	c.writeUntil = t
+	c.writeTimer = c.scheduleWakeup(c.writeTimer, t)
 	return nil
 }
 
-// wakeAt has whoever waits look again now and at that time, in place of the time
-// that the timer stands for.
-func (c *conn) wakeAt(timer *time.Timer, t time.Time) *time.Timer {
-	c.wake.Broadcast()
+// scheduleWakeup wakes the waiting readers and writers, which check their conditions again, now
+// and at time t. It stops the timer of the previous deadline and returns the new one.
+func (c *conn) scheduleWakeup(timer *time.Timer, t time.Time) *time.Timer {
+	c.cond.Broadcast()
 	if timer != nil {
 		timer.Stop()
 	}
@@ -198,7 +205,7 @@
 	return time.AfterFunc(max(0, time.Until(t)), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.wake.Broadcast()
+		c.cond.Broadcast()
 	})
 }
 
--- a/internal/simulation/group.go
+++ b/internal/simulation/group.go
@@ -8,7 +8,7 @@
 	"indigowalk/internal/standin"
 )
 
-// Group is a service's databases in a world.
+// Group is a service of replicated databases in a world.
 type Group struct {
 	*standin.Group
 	w *World
@@ -20,10 +20,10 @@
 // Session is a client's session at a pooler.
 type Session = standin.Session
 
-// Load is a workload that checks what clients are promised.
+// Load is a workload that checks the guarantees given to clients.
 type Load = standin.Load
 
-// Group adds a service with a primary and two replicas.
+// AddGroup adds a service with a primary and two replicas, one in each of the first three zones.
 func (w *World) Group(service string) *Group {
 	g := &Group{standin.NewGroup(environment{w}, service), w}
 	w.Groups[service] = g
@@ -33,16 +33,16 @@
 	return g
 }
 
-// clients is the host of a zone's clients.
+// clients returns the host of a zone's clients.
 func (w *World) clients(zone int) *Host { return w.Net.Host(fmt.Sprintf("10.250.%d.2", zone)) }
 
-// Login opens a session at a zone's pooler; if that fails the code says how.
+// Login opens a session at a zone's pooler; if that fails, it returns the error code.
 func (w *World) Login(zone int, database string) (*Session, string) {
 	return standin.Login(w.clients(zone), ip(zone)+":8784", database)
 }
 
-// NewLoad starts writers and readers of the group at the poolers of these zones,
-// of all if none are named.
+// StartLoad starts writers and readers of the group at the poolers of the given zones, or of all
+// zones if none are given.
 func (w *World) NewLoad(g *Group, seed uint64, zones ...int) *Load {
 	if len(zones) == 0 {
 		for z := range w.Zones {
@@ -56,18 +56,18 @@
 	return standin.NewLoad(g.Group, seed, poolers, nil)
 }
 
-// environment is the world as stand-ins see it.
-type environment struct{ w *World }
+// environment implements standin.Environment for a world.
+type environment struct{ world *World }
 
-func (e environment) Network(ip string) kernel.Network { return e.w.Net.Host(ip) }
-func (e environment) Controls() []string               { return e.w.ControlAddrs() }
-func (e environment) Silence(ip string, silent bool)   { e.w.Net.Dark(ip, silent) }
-func (e environment) Reset(ip string)                  { e.w.Net.Reset(ip) }
+func (e environment) Network(ip string) kernel.Network { return e.world.Net.Host(ip) }
+func (e environment) Controls() []string               { return e.world.ControlAddrs() }
+func (e environment) Silence(ip string, silent bool)   { e.world.Net.Dark(ip, silent) }
+func (e environment) Reset(ip string)                  { e.world.Net.Reset(ip) }
 
 func (e environment) ReachedPeer(net.Conn) bool { return true }
 
 func (e environment) Reaches(from, to string) bool {
-	e.w.Net.mu.Lock()
-	defer e.w.Net.mu.Unlock()
-	return e.w.Net.open(from, to)
+	e.world.Net.mu.Lock()
+	defer e.world.Net.mu.Unlock()
+	return e.world.Net.reachable(from, to)
 }
--- a/internal/simulation/net.go
+++ b/internal/simulation/net.go
@@ -1,7 +1,7 @@
-// Package simulation is a simulated world for tests: hosts on one network with
-// delay, loss, duplication and cuts, databases and a platform that follow
-// their published protocol, and whole clusters of indigowalk's own processes,
-// all inside one test process on the test's clock.
+// Package simulation runs whole deployments inside one test process, on the test's clock: the
+// system's own processes, and stand-ins for databases, clients and the platform that follow the
+// published protocol. The hosts are connected by a simulated network with delay, loss,
+// duplication, partitions and other faults.
 package simulation
 
 import (
@@ -18,208 +18,212 @@
 	"indigowalk/internal/kernel"
 )
 
-// Net is the network between hosts, by IP address.
+// Net is a simulated network. Its hosts are identified by their IP addresses.
 type Net struct {
-	mu        sync.Mutex
-	rng       *rand.Rand
-	delay     time.Duration
-	loss      float64 // of packets between different hosts
-	dup       float64 // of datagrams
-	dark      map[string]bool
-	full      map[string]bool // hosts that take no more bytes
-	cuts      map[[2]string]bool
-	listeners map[string]*listener
-	packets   map[string]*packetConn
-	conns     map[*conn]bool
-	port      int
-	bytes     map[string]int // sent to each host
-	datagrams map[string]int
-	rate      int // bytes a second that a host can send over its connections; 0 for no bound
-	busy      map[string]time.Time
+	mu          sync.Mutex
+	rng         *rand.Rand
+	delay       time.Duration
+	loss        float64 // share of packets that are lost
+	duplication float64 // share of datagrams that are duplicated
+	silent      map[string]bool
+	blocked     map[string]bool    // hosts that receive no more bytes
+	partitions  map[[2]string]bool // pairs of separated hosts, in both orders
+	listeners   map[string]*listener
+	packetConns map[string]*packetConn
+	conns       map[*conn]bool
+	lastPort    int
+	bytes       map[string]int       // sent to each host
+	datagrams   map[string]int       // sent to each host
+	bandwidth   int                  // bytes per second that a host can send over its connections; 0 means unlimited
+	busyUntil   map[string]time.Time // when each host will have sent what it sent so far
 }
 
-// NewNet returns a network with half a millisecond of delay.
+// NewNet returns a network with a delay of 0.5 ms and no faults. The seed determines what is lost,
+// duplicated and reordered.
 func NewNet(seed uint64) *Net {
 	return &Net{
 		rng: rand.New(rand.NewPCG(seed, 1)), delay: 500 * time.Microsecond,
-		dark: map[string]bool{}, full: map[string]bool{}, cuts: map[[2]string]bool{},
-		listeners: map[string]*listener{}, packets: map[string]*packetConn{}, conns: map[*conn]bool{}, port: 40000,
-		bytes: map[string]int{}, datagrams: map[string]int{}, busy: map[string]time.Time{},
+		silent: map[string]bool{}, blocked: map[string]bool{}, partitions: map[[2]string]bool{},
+		listeners: map[string]*listener{}, packetConns: map[string]*packetConn{}, conns: map[*conn]bool{}, lastPort: 40000,
+		bytes: map[string]int{}, datagrams: map[string]int{}, busyUntil: map[string]time.Time{},
 	}
 }
 
-// Sent returns the bytes and datagrams sent to a host so far.
+// SentTo returns how many bytes and datagrams have been sent to a host so far.
 func (n *Net) Sent(ip string) (bytes, datagrams int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytes[ip], n.datagrams[ip]
 }
 
-// count notes what is sent to an address. The caller holds the lock.
-func (n *Net) count(to string, size int) {
+// countSent counts the bytes sent to the host of an address. The caller holds n.mu.
+func (n *Net) countSent(to string, size int) {
 	host, _, _ := net.SplitHostPort(to)
 	n.bytes[host] += size
 }
 
-// Lossy sets the share of packets lost and of datagrams doubled.
-func (n *Net) Lossy(loss, dup float64) {
+// SetLoss sets the shares of packets that are lost and of datagrams that are duplicated.
+func (n *Net) Lossy(loss, duplication float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.dup = loss, dup
+	n.loss, n.duplication = loss, duplication
 }
 
-// Rate bounds what each host can send over its connections, in bytes a second.
-func (n *Net) Rate(rate int) {
+// SetBandwidth limits what each host can send over its connections, in bytes per second.
+func (n *Net) Rate(bandwidth int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rate = rate
+	n.bandwidth = bandwidth
 }
 
-// leaves is when that much has left a host. The caller holds the lock.
-func (n *Net) leaves(from, to string, size int) time.Time {
+// sendTime returns when a host has sent the given number of bytes to another, and reserves the
+// bandwidth for them. Traffic within a host is not limited. The caller holds n.mu.
+func (n *Net) sendTime(from, to string, size int) time.Time {
 	now := time.Now()
-	a, _, _ := net.SplitHostPort(from)
-	b, _, _ := net.SplitHostPort(to)
-	if n.rate == 0 || a == b {
+	sender, _, _ := net.SplitHostPort(from)
+	receiver, _, _ := net.SplitHostPort(to)
+	if n.bandwidth == 0 || sender == receiver {
 		return now
 	}
-	if n.busy[a].Before(now) {
-		n.busy[a] = now
+	if n.busyUntil[sender].Before(now) {
+		n.busyUntil[sender] = now
 	}
-	n.busy[a] = n.busy[a].Add(time.Duration(size) * time.Second / time.Duration(n.rate))
-	return n.busy[a]
+	n.busyUntil[sender] = n.busyUntil[sender].Add(time.Duration(size) * time.Second / time.Duration(n.bandwidth))
+	return n.busyUntil[sender]
 }
 
-// Dark makes a host silent, or heard again.
-func (n *Net) Dark(ip string, dark bool) {
+// SetSilent disconnects a host from the network, without any error at its peers, or connects it
+// again.
+func (n *Net) Dark(ip string, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dark[ip] = dark
+	n.silent[ip] = silent
 }
 
-// Full has a host take no more bytes on any connection, as one does whose
-// processes do not read, or take them again.
-func (n *Net) Full(ip string, full bool) {
+// SetReceiveBlocked makes a host receive no more bytes on any connection, as one whose processes
+// do not read, or receive them again.
+func (n *Net) Full(ip string, blocked bool) {
 	n.mu.Lock()
-	n.full[ip] = full
+	n.blocked[ip] = blocked
 	conns := slices.Collect(maps.Keys(n.conns))
 	n.mu.Unlock()
 	for _, c := range conns {
 		c.mu.Lock()
-		c.wake.Broadcast()
+		c.cond.Broadcast()
 		c.mu.Unlock()
 	}
 }
 
-// takesNothing tells whether the host of an address is full.
-func (n *Net) takesNothing(addr string) bool {
+// receiveBlocked reports whether SetReceiveBlocked is in effect for the host of an address.
+func (n *Net) receiveBlocked(addr string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	host, _, _ := net.SplitHostPort(addr)
-	return n.full[host]
+	return n.blocked[host]
 }
 
-// Cut keeps two hosts from each other, or joins them again.
-func (n *Net) Cut(a, b string, cut bool) {
+// SetPartitioned separates two hosts from each other, or reconnects them.
+func (n *Net) Cut(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{a, b}], n.cuts[[2]string{b, a}] = cut, cut
+	n.partitions[[2]string{a, b}], n.partitions[[2]string{b, a}] = partitioned, partitioned
 }
 
-// Heal ends every cut and all loss.
+// Heal ends all partitions, silence, loss and duplication.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cuts)
-	clear(n.dark)
-	n.loss, n.dup = 0, 0
+	clear(n.partitions)
+	clear(n.silent)
+	n.loss, n.duplication = 0, 0
 }
 
-// Reset ends all sockets of a host's process at the given ports (all if none
-// are given), as its death would.
+// CloseSockets closes all sockets of a host at the given ports (all if none are given), as happens
+// when a process is killed.
 func (n *Net) Reset(ip string, ports ...string) {
-	mine := of(ip, ports)
+	matches := matchAddress(ip, ports)
 	n.mu.Lock()
-	var ends []io.Closer
+	var sockets []io.Closer
 	for a, l := range n.listeners {
-		if mine(a) {
-			ends = append(ends, l)
+		if matches(a) {
+			sockets = append(sockets, l)
 		}
 	}
-	for a, p := range n.packets {
-		if mine(a) {
-			ends = append(ends, p)
+	for a, p := range n.packetConns {
+		if matches(a) {
+			sockets = append(sockets, p)
 		}
 	}
 	for c := range n.conns {
-		if mine(c.local) {
-			ends = append(ends, c)
+		if matches(c.local) {
+			sockets = append(sockets, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, e := range ends {
-		e.Close()
+	for _, s := range sockets {
+		s.Close()
 	}
 }
 
-// Break resets the connections that a host has at the given ports (all if none are
-// given), its own as well as those made to it. What is on its way is lost; whoever
-// listens goes on.
+// ResetConnections resets a host's connections at the given ports (all if none are given), those
+// it opened and those it accepted. Data in transit is lost; listeners stay open.
 func (n *Net) Break(ip string, ports ...string) {
-	mine := of(ip, ports)
+	matches := matchAddress(ip, ports)
 	n.mu.Lock()
 	var broken []*conn
 	for c := range n.conns {
-		if mine(c.local) {
+		if matches(c.local) {
 			broken = append(broken, c, c.peer)
 		}
 	}
 	n.mu.Unlock()
 	for _, c := range broken {
-		c.breakWith(syscall.ECONNRESET)
+		c.fail(syscall.ECONNRESET)
 	}
 }
 
-// of picks the addresses of a host, at the given ports if there are any.
-func of(ip string, ports []string) func(addr string) bool {
+// matchAddress returns a function that reports whether an address belongs to a host and, if ports
+// are given, has one of them.
+func matchAddress(ip string, ports []string) func(addr string) bool {
 	return func(addr string) bool {
 		host, port, _ := net.SplitHostPort(addr)
 		return host == ip && (len(ports) == 0 || slices.Contains(ports, port))
 	}
 }
 
-func (n *Net) open(a, b string) bool {
-	ha, _, _ := net.SplitHostPort(a)
-	hb, _, _ := net.SplitHostPort(b)
-	return !n.dark[ha] && !n.dark[hb] && !n.cuts[[2]string{ha, hb}]
+// reachable reports whether packets pass between two addresses. The caller holds n.mu.
+func (n *Net) reachable(from, to string) bool {
+	sender, _, _ := net.SplitHostPort(from)
+	receiver, _, _ := net.SplitHostPort(to)
+	return !n.silent[sender] && !n.silent[receiver] && !n.partitions[[2]string{sender, receiver}]
 }
 
-// Host is one host's side of the network.
+// Host is the network as seen from one host. It implements kernel.Network.
 type Host struct {
-	n  *Net
-	IP string
+	network *Net
+	IP      string
 }
 
-// Host returns the network as the host sees it.
+// Host returns the network as seen from the host with the given IP address.
 func (n *Net) Host(ip string) *Host { return &Host{n, ip} }
 
 type listener struct {
-	n      *Net
-	addr   string
-	queue  chan *conn
-	closed chan struct{}
-	once   sync.Once
+	network *Net
+	addr    string
+	queue   chan *conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 // Listen implements kernel.Network.
 func (h *Host) Listen(addr string) (net.Listener, error) {
-	h.n.mu.Lock()
-	defer h.n.mu.Unlock()
-	if h.n.listeners[addr] != nil {
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	if h.network.listeners[addr] != nil {
 		return nil, &net.OpError{Op: "listen", Err: syscall.EADDRINUSE}
 	}
-	l := &listener{n: h.n, addr: addr, queue: make(chan *conn, 1024), closed: make(chan struct{})}
-	h.n.listeners[addr] = l
+	l := &listener{network: h.network, addr: addr, queue: make(chan *conn, 1024), closed: make(chan struct{})}
+	h.network.listeners[addr] = l
 	return l, nil
 }
 
@@ -235,10 +239,10 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.n.mu.Lock()
-		defer l.n.mu.Unlock()
-		if l.n.listeners[l.addr] == l {
-			delete(l.n.listeners, l.addr)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		if l.network.listeners[l.addr] == l {
+			delete(l.network.listeners, l.addr)
 		}
 	})
 	return nil
@@ -252,33 +256,34 @@
 
 func (a address) String() string { return string(a) }
 
-// Dial implements kernel.Network.
-func (h *Host) Dial(ctx context.Context, addr string, silence kernel.Micros) (net.Conn, error) {
-	n := h.n
+// Dial implements kernel.Network. It tries again every second while the host can't be reached or
+// the packet is lost.
+func (h *Host) Dial(ctx context.Context, addr string, peerTimeout kernel.Micros) (net.Conn, error) {
+	n := h.network
 	fail := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Addr: address(addr), Err: err}
 	}
 	for {
 		n.mu.Lock()
-		n.port++
-		local := net.JoinHostPort(h.IP, itoa(n.port))
-		open, l, lost := n.open(local, addr), n.listeners[addr], n.rng.Float64() < n.loss
+		n.lastPort++
+		local := net.JoinHostPort(h.IP, itoa(n.lastPort))
+		reachable, l, lost := n.reachable(local, addr), n.listeners[addr], n.rng.Float64() < n.loss
 		n.mu.Unlock()
 		switch {
-		case open && l == nil:
+		case reachable && l == nil:
 			return fail(syscall.ECONNREFUSED)
-		case open && !lost:
-			a := &conn{n: n, local: local, remote: addr, silence: silence.Duration()}
-			b := &conn{n: n, local: addr, remote: local}
-			a.wake, b.wake = sync.NewCond(&a.mu), sync.NewCond(&b.mu)
-			a.peer, b.peer = b, a
+		case reachable && !lost:
+			client := &conn{network: n, local: local, remote: addr, peerTimeout: peerTimeout.Duration()}
+			server := &conn{network: n, local: addr, remote: local}
+			client.cond, server.cond = sync.NewCond(&client.mu), sync.NewCond(&server.mu)
+			client.peer, server.peer = server, client
 			n.mu.Lock()
-			n.conns[a], n.conns[b] = true, true
+			n.conns[client], n.conns[server] = true, true
 			n.mu.Unlock()
 			time.Sleep(2 * n.delay)
 			select {
-			case l.queue <- b:
-				return a, nil
+			case l.queue <- server:
+				return client, nil
 			case <-l.closed:
 				return fail(syscall.ECONNREFUSED)
 			}
@@ -293,6 +298,7 @@
 	}
 }
 
+// itoa formats a positive number of up to eight digits.
 func itoa(n int) string {
 	var b [8]byte
 	i := len(b)
--- a/internal/simulation/service.go
+++ b/internal/simulation/service.go
@@ -7,14 +7,14 @@
 	"indigowalk/internal/standin"
 )
 
-// Service is a group of databases that answer requests, each alike, in a world.
+// Service is a group of equivalent databases in a world that serve HTTP requests.
 type Service struct {
 	*standin.Service
-	w *World
+	world *World
 }
 
-// Worker is one database of a Service, Answer what a client of a gateway was told, and
-// Requests a load of requests.
+// Worker is one database of a Service, Answer the response to a client of a gateway, Requests a
+// workload of requests, and Fault a way in which a worker misbehaves.
 type (
 	Worker   = standin.Worker
 	Answer   = standin.Answer
@@ -22,7 +22,7 @@
 	Fault    = standin.Fault
 )
 
-// Faults of workers.
+// Faults that can be injected into workers; package standin describes them.
 const (
 	Well      = standin.Well
 	Mute      = standin.Mute
@@ -38,31 +38,31 @@
 	Stalls    = standin.Stalls
 )
 
-// requestHost is the address of the gateways' clients.
+// requestHost is the IP address of the gateways' clients.
 const requestHost = "10.251.0.1"
 
-// Service adds a service of so many databases in each zone.
-func (w *World) Service(name string, each int) *Service {
+// AddService adds a service with the given number of databases in each zone.
+func (w *World) Service(name string, perZone int) *Service {
 	s := &Service{standin.NewService(environment{w}, name), w}
 	w.Services[name] = s
 	for z := 1; z <= w.Zones; z++ {
-		for i := range each {
+		for i := range perZone {
 			s.Add(fmt.Sprintf("%s-%d-%d", name, z, i), fmt.Sprintf("10.%d.%d.%d", z, 100+len(w.Services), i+1), fmt.Sprintf("z%d", z))
 		}
 	}
 	return s
 }
 
-// Ask sends one request to a zone's gateway; safe ones may run more than once.
+// Send sends one request to a zone's gateway. A safe request may run more than once.
 func (s *Service) Ask(zone int, id string, safe bool, body string) Answer {
-	return s.Service.Ask(s.w.Net.Host(requestHost), ip(zone)+":8784", id, safe, body)
+	return s.Service.Ask(s.world.Net.Host(requestHost), ip(zone)+":8784", id, safe, body)
 }
 
-// Load starts clients in every zone, which send safe and unsafe requests.
+// StartRequests starts clients in every zone, which send safe and unsafe requests.
 func (s *Service) Load(clients int, pause time.Duration) *Requests {
 	var entries []standin.Entry
-	for z := 1; z <= s.w.Zones; z++ {
-		entries = append(entries, standin.Entry{Number: z, Address: standin.At(ip(z) + ":8784"), Network: s.w.Net.Host(requestHost)})
+	for z := 1; z <= s.world.Zones; z++ {
+		entries = append(entries, standin.Entry{Number: z, Address: standin.At(ip(z) + ":8784"), Network: s.world.Net.Host(requestHost)})
 	}
 	return s.Service.Load(entries, clients, pause, nil)
 }
--- a/internal/simulation/standin_test.go
+++ b/internal/simulation/standin_test.go
@@ -14,8 +14,9 @@
 	"indigowalk/internal/standin"
 )
 
-// put writes at a database itself, under an id, and passes its answer on.
-func put(t *testing.T, w *World, d *Database, service, id string) <-chan *lineprotocol.Answer {
+// writeDirectly sends a write with an id straight to a database, without a pooler. The returned
+// channel delivers the answer; it is closed without one if the write fails.
+func writeDirectly(t *testing.T, w *World, d *Database, service, id string) <-chan *lineprotocol.Answer {
 	t.Helper()
 	dialer := &dbconn.Dialer{Net: w.Net.Host("10.251.0.1"), ClientName: "who", ConnectTimeout: kernel.Second}
 	c, err := dialer.Open(context.Background(), discovery.Database{ID: d.ID, Address: d.Addr, Service: service}, kernel.Second)
@@ -36,38 +37,39 @@
 	return answer
 }
 
-// A stand-in's commit that waits for a replica while its database loses the lead is not
-// promised away: another commit may have taken it to a replica meanwhile. Which of the two
-// looks first is a matter of milliseconds, so several are tried.
-func TestStandinPromisesNothingOnceAWriteIsInItsLog(t *testing.T) {
-	for later := range 6 {
+// A database that is demoted while a commit waits for a synchronous replica must not answer it
+// with a code that guarantees that the write is not committed: the replication of a later commit
+// may have copied it to a replica meanwhile. Which of the two waiting commits checks first depends
+// on milliseconds, so the test tries several intervals between the writes.
+func TestStandinMakesNoPromiseForLoggedWrite(t *testing.T) {
+	for delayMs := range 6 {
 		synctest.Test(t, func(t *testing.T) {
 			w := NewWorld(t, 1, 3)
 			defer w.Close()
 			g := w.Group("ledger")
-			lead := g.Primary()
+			primary := g.Primary()
 			g.DB(1).SetReplicationStopped(true)
 			g.DB(2).SetReplicationStopped(true)
-			first := put(t, w, lead, "ledger", "a.1")
-			time.Sleep(100*time.Millisecond + time.Duration(later)*time.Millisecond)
-			second := put(t, w, lead, "ledger", "b.1")
+			first := writeDirectly(t, w, primary, "ledger", "a.1")
+			time.Sleep(100*time.Millisecond + time.Duration(delayMs)*time.Millisecond)
+			second := writeDirectly(t, w, primary, "ledger", "b.1")
 			time.Sleep(100 * time.Millisecond)
 			g.DB(1).SetReplicationStopped(false)
 			if a := <-second; a == nil || a.Code != "" {
-				t.Fatalf("the second write: %v", a)
+				t.Fatalf("the second write was not acknowledged: %v", a)
 			}
-			lead.Control("STEPDOWN", "9")
+			primary.Control("STEPDOWN", "9")
 			a := <-first
 			if a != nil && standin.Promises(a.Code) && slices.Contains(g.DB(1).Holds(), "a.1") {
-				t.Errorf("%d ms later: the first write is answered %s, and a replica holds it", later, a.Code)
+				t.Errorf("second write delayed by %d ms: the first write was answered with %s although a replica has it", delayMs, a.Code)
 			}
 		})
 	}
 }
 
-// A stand-in's primary that went while it was deaf, and is deaf no more before it is back,
-// comes back as a replica if another leads by then.
-func TestStandinReturnsAsAReplica(t *testing.T) {
+// A primary that crashes while its replication is stopped, and restarts after another database
+// was promoted, must become a replica, although its replication works again before the restart.
+func TestStandinRestartsAsReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 3)
 		defer w.Close()
@@ -79,8 +81,8 @@
 		time.Sleep(time.Second)
 		old.SetReplicationStopped(false)
 		old.Return("ledger-1b")
-		if lead := g.DB(1); old.Role() != "replica" || g.Primary() != lead {
-			t.Errorf("the old primary is back as a %s, and %v leads", old.Role(), g.Primary().ID)
+		if promoted := g.DB(1); old.Role() != "replica" || g.Primary() != promoted {
+			t.Errorf("the old primary restarted as %s, and the primary is %v", old.Role(), g.Primary().ID)
 		}
 	})
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -20,7 +20,7 @@
 	"indigowalk/internal/kernel"
 	"indigowalk/internal/settings"
 
-	// The parts that a cluster is made of register themselves.
+	// The components of a deployment register themselves.
 	_ "indigowalk/internal/controlapi"
 	_ "indigowalk/internal/controlstate"
 	_ "indigowalk/internal/dbconn"
@@ -38,7 +38,7 @@
 	"indigowalk/internal/standin"
 )
 
-// TB is what the world needs of a test.
+// TB is the part of testing.TB that a World needs.
 type TB interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -47,27 +47,27 @@
 	Logf(format string, args ...any)
 }
 
-// World is a deployment in one process.
+// World is a simulated deployment with its databases, platform and network.
 type World struct {
 	T            TB
 	Net          *Net
-	Zones        int
+	Zones        int // numbered from 1
 	Groups       map[string]*Group
 	Services     map[string]*Service
-	Deploy       string // kind of deployment; a pooler's if ""
+	Deploy       string // settings key deploy; "" means pooler
 	dir          string
 	procs        map[string]*Process
 	platform     *standin.Platform
-	Poll         int       // tune.poll_ms
-	Losses       int       // tolerate.hosts
+	PollMs       int       // settings key tune.poll_ms
+	Losses       int       // settings key tolerate.hosts
 	MaxConns     int       // max_conns of the services
-	ControlNodes int       // zones with a control node, the first ones; all if 0
-	Seeds        []string  // of processes started from now on; the first zones' if nil
-	Settings     string    // more lines for processes that are started from now on
-	Logged       io.Writer // what processes log is written there too, if it is not nil
+	ControlNodes int       // how many zones, from the first, have a control node; 0 means all
+	Seeds        []string  // seeds of processes started from now on; nil means the first three control nodes
+	Settings     string    // additional settings of processes started from now on, as lines
+	Logged       io.Writer // receives what processes log, unless it is nil
 }
 
-// Process is one daemon.
+// Process is a control node, pooler or gateway of the deployment.
 type Process struct {
 	w      *World
 	Name   string
@@ -79,27 +79,28 @@
 	dir    string
 }
 
-// platformIP is where the platform stands.
+// platformIP is the IP address of the platform.
 const platformIP = "10.200.0.1"
 
-// NewWorld returns a world with a disk machine in each zone, where a control node
-// and a pooler run, and a platform.
+// NewWorld returns a world with a platform and one machine in each zone, on which a control node
+// and a proxy run once they are started. A process keeps its data directory when it restarts.
 func NewWorld(t TB, seed uint64, zones int) *World {
 	w := &World{
 		T: t, Net: NewNet(seed), Zones: zones, Groups: map[string]*Group{}, Services: map[string]*Service{}, dir: t.TempDir(),
-		procs: map[string]*Process{}, Poll: 600, Losses: 1, MaxConns: 90,
+		procs: map[string]*Process{}, PollMs: 600, Losses: 1, MaxConns: 90,
 	}
-	w.platform = &standin.Platform{Promote: w.promote}
-	ln, err := w.Net.Host(platformIP).Listen(platformIP + ":8783")
+	w.platform = &standin.Platform{Promote: w.promoteDatabase}
+	listener, err := w.Net.Host(platformIP).Listen(platformIP + ":8783")
 	if err != nil {
 		t.Fatalf("platform: %v", err)
 	}
-	go http.Serve(ln, w.platform)
+	go http.Serve(listener, w.platform)
 	return w
 }
 
-// promote is what the platform does.
-func (w *World) promote(service, id string) int {
+// promoteDatabase carries out a call to the platform: it promotes a database of a group and returns
+// the HTTP status.
+func (w *World) promoteDatabase(service, id string) int {
 	g := w.Groups[service]
 	if g == nil {
 		return http.StatusBadRequest
@@ -107,45 +108,47 @@
 	return g.PromoteTo(id)
 }
 
-// Refuse has the platform answer the next calls with these codes; 0 leaves a
-// call unanswered.
+// RefusePlatformCalls makes the platform respond to the next calls with these statuses instead of
+// carrying them out; 0 leaves a call without a response.
 func (w *World) Refuse(codes ...int) { w.platform.Refuse(codes...) }
 
-// Calls is how often the platform was called.
+// PlatformCalls returns how many calls the platform has received.
 func (w *World) Calls() int { return w.platform.Calls() }
 
+// ip returns the IP address of a zone's machine.
 func ip(zone int) string { return fmt.Sprintf("10.%d.%d.1", 1+(zone-1)%200, (zone-1)/200) }
 
-// ControlAddrs lists the control nodes' control addresses.
+// ControlAddrs returns the control addresses of the control nodes.
 func (w *World) ControlAddrs() []string {
-	var out []string
+	var addrs []string
 	for z := 1; z <= w.Zones; z++ {
 		if w.ControlNodes == 0 || z <= w.ControlNodes {
-			out = append(out, ip(z)+":8782")
+			addrs = append(addrs, ip(z)+":8782")
 		}
 	}
-	return out
+	return addrs
 }
 
-// Boot starts every control node and pooler for the first time.
+// Boot starts every control node and proxy for the first time.
 func (w *World) Boot() {
 	for z := 1; z <= w.Zones; z++ {
 		if w.ControlNodes == 0 || z <= w.ControlNodes {
 			w.Start("control", z, true)
 		}
-		w.Start(w.Carrier(), z, true)
+		w.Start(w.ProxyRole(), z, true)
 	}
 }
 
-// Carrier is the role that carries the traffic.
-func (w *World) Carrier() string {
+// ProxyRole returns the role of the processes that serve clients, pooler or gateway.
+func (w *World) ProxyRole() string {
 	if w.Deploy == settings.DeployAPI {
 		return "gateway"
 	}
 	return "pooler"
 }
 
-// Start starts a process of a zone's machine.
+// Start starts a process on a zone's machine. bootstrap is set when the deployment starts for the
+// first time.
 func (w *World) Start(role string, zone int, bootstrap bool) *Process {
 	name := fmt.Sprintf("%s-%d", role, zone)
 	p := &Process{w: w, Name: name, Role: role, IP: ip(zone), done: make(chan struct{}), dir: filepath.Join(w.dir, name)}
@@ -168,13 +171,14 @@
 tolerate.hosts=%[9]d
 deploy=%[10]s
 tune.metrics_port=0
-%[11]s`, name, p.IP, zone, seeds, bootstrap, p.dir, platformIP, w.Poll, w.Losses, cmp.Or(w.Deploy, "pooler"), w.Settings)
+%[11]s`, name, p.IP, zone, seeds, bootstrap, p.dir, platformIP, w.PollMs, w.Losses, cmp.Or(w.Deploy, "pooler"), w.Settings)
 	s, err := settings.Parse([]byte(text))
 	if err != nil {
 		w.T.Fatalf("settings: %v", err)
 	}
-	k := kernel.NewKernel(role, w.Net.Host(p.IP), slog.New(slog.NewTextHandler(logTo{w, name}, nil)))
-	// What a killed process wrote is there; power is not lost in this world.
+	k := kernel.NewKernel(role, w.Net.Host(p.IP), slog.New(slog.NewTextHandler(processLog{w, name}, nil)))
+	// There is no need to sync files: what a killed process wrote persists, and power failures are
+	// not simulated.
 	k.Sync = func(*os.File) error { return nil }
 	k.Invariants.OnViolation(func(v invariant.Violation) { w.T.Errorf("%s: %v", name, v) })
 	kernel.Offer(k, settings.NewLive(s))
@@ -193,27 +197,28 @@
 	return p
 }
 
-type logTo struct {
-	w    *World
-	name string
+// processLog receives the log of the process with the given name.
+type processLog struct {
+	world *World
+	name  string
 }
 
-func (l logTo) Write(b []byte) (int, error) {
-	if l.w.Logged != nil {
-		l.w.Logged.Write(b)
+func (l processLog) Write(b []byte) (int, error) {
+	if l.world.Logged != nil {
+		l.world.Logged.Write(b)
 	}
 	if os.Getenv("SIMULATION_LOG") != "" {
-		l.w.T.Logf("%s %s", l.name, bytes.TrimSpace(b))
+		l.world.T.Logf("%s %s", l.name, bytes.TrimSpace(b))
 	}
 	return len(b), nil
 }
 
-// Process returns a running process by role and zone.
+// Process returns the running process with a role in a zone, or nil if there is none.
 func (w *World) Process(role string, zone int) *Process {
 	return w.procs[fmt.Sprintf("%s-%d", role, zone)]
 }
 
-// Kill ends the process without notice.
+// Kill ends the process abruptly, as SIGKILL does.
 func (p *Process) Kill() {
 	ports := []string{"7441", "8784", "8785"}
 	if p.Role == "control" {
@@ -225,32 +230,33 @@
 	delete(p.w.procs, p.Name)
 }
 
-// Term ends the process in order.
+// Terminate shuts the process down gracefully, as SIGTERM does.
 func (p *Process) Term() {
-	ctx, done := context.WithTimeout(context.Background(), 6*time.Second)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
+	defer cancel()
 	p.Kernel.Shutdown(ctx)
 	p.Kill()
 }
 
-// Isolate cuts a zone's machine off from those of other zones, all if none are
-// named, and from nothing else, or joins it to them again.
-func (w *World) Isolate(zone int, cut bool, from ...int) {
+// Isolate separates a zone's machine from those of the given other zones (all if none are given),
+// or reconnects it to them. Databases, clients and the platform stay reachable.
+func (w *World) Isolate(zone int, isolated bool, from ...int) {
 	for z := 1; z <= w.Zones; z++ {
 		if z != zone && (len(from) == 0 || slices.Contains(from, z)) {
-			w.Net.Cut(ip(zone), ip(z), cut)
+			w.Net.Cut(ip(zone), ip(z), isolated)
 		}
 	}
 }
 
-// Wipe empties the process's disk.
+// Wipe deletes the process's data directory.
 func (p *Process) Wipe() {
 	if err := os.RemoveAll(p.dir); err != nil {
 		p.w.T.Fatalf("wipe: %v", err)
 	}
 }
 
-// Close ends everything, and lets what lingers run out.
+// Close stops all databases and processes, waits two minutes for pending timers and connections
+// to end, and reports the violations that the stand-ins have recorded.
 func (w *World) Close() {
 	w.Net.Heal()
 	for _, g := range w.Groups {
@@ -267,22 +273,23 @@
 	w.Net.Reset(platformIP)
 	time.Sleep(2 * time.Minute)
 	for _, g := range w.Groups {
-		for _, b := range g.Broken() {
-			w.T.Errorf("%s: %s", g.Service, b)
+		for _, violation := range g.Broken() {
+			w.T.Errorf("%s: %s", g.Service, violation)
 		}
 	}
 	for _, s := range w.Services {
-		for _, b := range s.Broken() {
-			w.T.Errorf("%s: %s", s.Name, b)
+		for _, violation := range s.Broken() {
+			w.T.Errorf("%s: %s", s.Name, violation)
 		}
 	}
-	for _, b := range w.platform.Broken() {
-		w.T.Errorf("platform: %s", b)
+	for _, violation := range w.platform.Broken() {
+		w.T.Errorf("platform: %s", violation)
 	}
 }
 
-// Configuration is a configuration with one route of each type for each
-// service: p.SERVICE, b.SERVICE and n.SERVICE.
+// Configuration returns a configuration as JSON. Each group has a route of each type: primary,
+// bounded and nearest, with the hosts p.SERVICE, b.SERVICE and n.SERVICE. Each HTTP service has
+// the host SERVICE.example, with idempotent requests under /safe/ and mutating ones under /unsafe/.
 func (w *World) Configuration(rev int64) []byte {
 	var routes, services []map[string]any
 	for name := range w.Groups {
@@ -309,39 +316,40 @@
 	return raw
 }
 
-// Call makes one call of a host to a control address, and follows 307 twice.
+// Call makes one HTTP call from a host to a control address, as standin.Call does.
 func (w *World) Call(from *Host, method, addr, path string, header map[string]string, body []byte) (int, []byte) {
 	return standin.Call(from, method, addr, path, header, body)
 }
 
-// Replace sends a configuration once, to one control node.
+// Replace sends a configuration once, to one control node, and returns the HTTP status.
 func (w *World) Replace(zone int, base int64, body []byte) int {
 	code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(zone)+":8782", "/Conf.Replace",
 		map[string]string{"X-Indigowalk-Base-Version": strconv.FormatInt(base, 10)}, body)
 	return code
 }
 
-// Fetch reads the configuration's version back; 0 if nobody answers.
+// Fetch returns the version of the configuration, read from the first control node that answers,
+// or 0 if none does.
 func (w *World) Fetch() int64 {
-	for _, a := range w.ControlAddrs() {
-		code, raw := w.Call(w.Net.Host("10.250.0.1"), "GET", a, "/Conf.Fetch", nil, nil)
-		var c struct {
+	for _, addr := range w.ControlAddrs() {
+		code, raw := w.Call(w.Net.Host("10.250.0.1"), "GET", addr, "/Conf.Fetch", nil, nil)
+		var config struct {
 			Rev int64 `json:"rev"`
 		}
-		if code == 200 && json.Unmarshal(raw, &c) == nil {
-			return c.Rev
+		if code == 200 && json.Unmarshal(raw, &config) == nil {
+			return config.Rev
 		}
 	}
 	return 0
 }
 
-// Configure sends the first configuration until it is taken and waits until
-// every pooler is ready.
+// Configure sends the first configuration until it is accepted and waits until every proxy is
+// ready.
 func (w *World) Configure() {
 	w.T.Helper()
 	body := w.Configuration(1)
-	w.Until("a configuration is taken", 10*time.Second, func() bool { return w.Replace(1, 0, body) == 200 })
-	w.Until("every pooler is ready", 10*time.Second, func() bool {
+	w.Until("the configuration is accepted", 10*time.Second, func() bool { return w.Replace(1, 0, body) == 200 })
+	w.Until("every proxy is ready", 10*time.Second, func() bool {
 		for z := 1; z <= w.Zones; z++ {
 			if code, _ := w.Call(w.Net.Host("10.250.0.1"), "GET", ip(z)+":8785", "/readyz", nil, nil); code != 200 {
 				return false
@@ -349,16 +357,17 @@
 		}
 		return true
 	})
-	time.Sleep(2 * time.Second) // for leads and first leases
+	time.Sleep(2 * time.Second) // until primaries are known and the first leases are granted
 }
 
-// Until waits for a condition.
-func (w *World) Until(what string, limit time.Duration, ok func() bool) time.Duration {
+// WaitUntil polls a condition until it holds, and returns how long that took. The test fails if
+// it does not hold within the limit.
+func (w *World) Until(what string, limit time.Duration, holds func() bool) time.Duration {
 	w.T.Helper()
 	start := time.Now()
-	for !ok() {
+	for !holds() {
 		if time.Since(start) > limit {
-			w.T.Fatalf("not within %v: %s", limit, what)
+			w.T.Fatalf("condition does not hold within %v: %s", limit, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
