--- a/internal/history/orders.go
+++ b/internal/history/orders.go
@@ -80,7 +80,7 @@
 	Routes []wireRoute `json:"routes"`
 }
 
-// Settings of the routes and services of every configuration.
+// Settings of the routes and services that the template adds.
 const (
 	templateDeadlineMs = 2000
 	templateTargetMs   = 250
@@ -91,10 +91,10 @@
 
 // Body returns the order as the JSON document that is sent to the control API, with what the
 // template adds unless the order is an update.
-func (o Order) Body(f Frame) []byte {
+func (o Order) Body(t Frame) []byte {
 	var routes []wireRoute
 	for _, name := range slices.Sorted(maps.Keys(o.Routes)) {
-		routes = append(routes, wireRoute{Name: name, Host: name, PathPrefix: "/", Type: cmp.Or(f.Type, "primary"), Service: f.Service, DeadlineMs: o.Routes[name]})
+		routes = append(routes, wireRoute{Name: name, Host: name, PathPrefix: "/", Type: cmp.Or(t.Type, "primary"), Service: t.Service, DeadlineMs: o.Routes[name]})
 	}
 	switch o.Invalid {
 	case UnknownService:
@@ -108,7 +108,7 @@
 	}
 	content := wireOrder{Rev: o.Rev, Upsert: &wireUpsert{routes}}
 	if !o.Update {
-		content = wireOrder{Rev: o.Rev, Routes: append(routes, f.wireRoutes()...), Services: f.wireServices()}
+		content = wireOrder{Rev: o.Rev, Routes: append(routes, t.wireRoutes()...), Services: t.wireServices()}
 	}
 	raw, err := json.Marshal(content)
 	if err != nil {
@@ -120,8 +120,8 @@
 	return raw
 }
 
-func (f Frame) wireRoutes() (out []wireRoute) {
-	for _, r := range f.Routes {
+func (t Frame) wireRoutes() (out []wireRoute) {
+	for _, r := range t.Routes {
 		out = append(out, wireRoute{
 			Name: "frame-" + r.Host + r.Prefix, Host: r.Host, PathPrefix: cmp.Or(r.Prefix, "/"), Type: r.Type, Service: r.Service,
 			DeadlineMs: templateDeadlineMs, TargetMs: templateTargetMs, Tries: templateTries, StaleMs: templateStaleMs,
@@ -130,8 +130,8 @@
 	return out
 }
 
-func (f Frame) wireServices() (out []wireService) {
-	for _, name := range append([]string{f.Service}, f.Others...) {
+func (t Frame) wireServices() (out []wireService) {
+	for _, name := range append([]string{t.Service}, t.Others...) {
 		out = append(out, wireService{name, templateMaxConns, 1})
 	}
 	return out
--- a/internal/history/traffic.go
+++ b/internal/history/traffic.go
@@ -86,7 +86,7 @@
 	Drain   time.Duration // how long requests may start at a database after its draining was acknowledged
 	Apply   time.Duration // how long a node may take to apply a new configuration
 	Contact time.Duration // how long after a fault a node's configuration is not checked
-	Slack   time.Duration // how soon after it was sent a connection may close without an answer, as if it was not read
+	Slack   time.Duration // how soon after a request its connection may close without an answer; it may not have been read
 	Answer  time.Duration // how long after its deadline a request may be answered
 }
 
--- a/internal/simulation/net.go
+++ b/internal/simulation/net.go
@@ -76,8 +76,8 @@
 	n.bandwidth = bandwidth
 }
 
-// sendTime returns when a host has sent the given number of bytes to another, and reserves the
-// bandwidth for them. Traffic within a host is not limited. The caller holds n.mu.
+// sendTime returns when a host will have sent the given number of bytes to another, and reserves
+// the bandwidth for them. Traffic within a host is not limited. The caller holds n.mu.
 func (n *Net) sendTime(from, to string, size int) time.Time {
 	now := time.Now()
 	sender, _, _ := net.SplitHostPort(from)
