--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -14,18 +14,18 @@
 	"indigowalk/internal/standin"
 )
 
-// post makes one call at one control node.
+// postToControl makes one POST call to a zone's control node and returns the status.
 func (w *World) post(zone int, path string, header map[string]string, body []byte) int {
 	code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(zone)+":8782", path, header, body)
 	return code
 }
 
-// LEFT-STAYS: a database that has left stays away, though a late beat of it
-// comes to a control node that has led for a moment only; its leaving sent again, and
-// that of one that nobody knows, are acknowledged and change nothing.
-func TestLeftStays(t *testing.T) {
+// A deregistered database is not registered again by a delayed heartbeat, even at a control node
+// that has only just become primary. Deregistering it again, or deregistering an unknown database,
+// is acknowledged and changes nothing.
+func TestDeregisteredDatabaseStaysDeregistered(t *testing.T) {
 	core(t, 4, 1, func(w *World, g *Group) {
-		d := g.DB(2)
+		database := g.DB(2)
 		g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 		time.Sleep(2 * time.Second)
 		entry := func(id string) string {
@@ -35,140 +35,141 @@
 			}
 			return string(raw)
 		}
-		beat := fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z3","slots":7,"status":"up","call_seq":1}`, d.Addr)
-		leave := func(zone int, id string) int { return w.post(zone, "/Servers.Deregister/"+id, nil, nil) }
-		d.Drain()
+		heartbeat := fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z3","slots":7,"status":"up","call_seq":1}`, database.Addr)
+		deregister := func(zone int, id string) int { return w.post(zone, "/Servers.Deregister/"+id, nil, nil) }
+		database.Drain()
 		time.Sleep(2 * time.Second)
-		d.Crash(false)
-		if code := leave(1, d.ID); code != 200 {
-			t.Fatalf("its leaving: %d", code)
+		database.Crash(false)
+		if code := deregister(1, database.ID); code != 200 {
+			t.Fatalf("deregistration: status %d, want 200", code)
 		}
-		w.Until("it is forgotten", 10*time.Second, func() bool { return entry(d.ID) == "" })
-		if code := leave(2, "never-heard"); code != 200 {
-			t.Errorf("the leaving of one that nobody knows: %d", code)
+		w.Until("the database is removed", 10*time.Second, func() bool { return entry(database.ID) == "" })
+		if code := deregister(2, "unknown"); code != 200 {
+			t.Errorf("deregistration of an unknown database: status %d, want 200", code)
 		}
-		z := controlPrimary(w)
-		w.Process("control", z).Kill()
-		w.Until("another primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 })
-		for _, id := range []string{d.ID, "never-heard"} {
-			if code := w.post(controlPrimary(w), "/Servers.Heartbeat/"+id, nil, beat); code != 200 || entry(id) != "" {
-				t.Errorf("a late beat of %s: %d, and it is listed as %s", id, code, entry(id))
+		oldPrimary := controlPrimary(w)
+		w.Process("control", oldPrimary).Kill()
+		w.Until("another control node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 })
+		for _, id := range []string{database.ID, "unknown"} {
+			if code := w.post(controlPrimary(w), "/Servers.Heartbeat/"+id, nil, heartbeat); code != 200 || entry(id) != "" {
+				t.Errorf("delayed heartbeat of %s: status %d, want 200; its entry is %q, want none", id, code, entry(id))
 			}
 			for other := 1; other <= 4; other++ {
-				if other == z {
+				if other == oldPrimary {
 					continue
 				}
-				w.Until("its leaving is acknowledged again", 3*time.Second, func() bool {
-					code := leave(other, id)
+				w.Until("the repeated deregistration is acknowledged", 3*time.Second, func() bool {
+					code := deregister(other, id)
 					if code >= 400 && code < 500 {
-						t.Errorf("its leaving again, at %d: %d", other, code)
+						t.Errorf("repeated deregistration at control node %d: status %d", other, code)
 					}
 					return code == 200
 				})
 			}
 		}
-		w.Start("control", z, false)
+		w.Start("control", oldPrimary, false)
 	})
 }
 
-// LEFT-STAYS: a database that crashed and returned under a new id is not displaced by a late
-// beat of a life before, however many lives ago, at the control node that heard them
-// all nor at another; nor is one of another service at that address.
-func TestLateBeatOfAnEarlierLife(t *testing.T) {
+// A database that crashed and returned under a new ID is not displaced by a delayed heartbeat of
+// any earlier incarnation, neither at the control node that received all of them nor at another.
+// The same holds for a database of another service at that address.
+func TestDelayedHeartbeatOfEarlierIncarnation(t *testing.T) {
 	core(t, 4, 1, func(w *World, g *Group) {
-		d, first := g.DB(2), g.DB(2).ID
-		late := func(id string) {
+		database, firstID := g.DB(2), g.DB(2).ID
+		sendDelayed := func(id string) {
 			t.Helper()
-			beat := fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z3","slots":6,"status":"up","call_seq":1}`, d.Addr)
-			if code := w.post(controlPrimary(w), "/Servers.Heartbeat/"+id, nil, beat); code >= 400 && code < 500 {
-				t.Errorf("a late beat of %s: %d", id, code)
+			heartbeat := fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z3","slots":6,"status":"up","call_seq":1}`, database.Addr)
+			if code := w.post(controlPrimary(w), "/Servers.Heartbeat/"+id, nil, heartbeat); code >= 400 && code < 500 {
+				t.Errorf("delayed heartbeat of %s: status %d", id, code)
 			}
 		}
-		listed := func() (out []string) {
+		listedIDs := func() (ids []string) {
 			state, err := w.Process("control", controlPrimary(w)).replica().Durable()
 			if err != nil {
 				t.Fatal(err)
 			}
 			for key, raw := range state.Entries {
-				if strings.HasPrefix(key, "database/") && strings.Contains(string(raw), d.Addr) && !strings.Contains(string(raw), `"gone":true`) {
-					out = append(out, strings.TrimPrefix(key, "database/"))
+				if strings.HasPrefix(key, "database/") && strings.Contains(string(raw), database.Addr) && !strings.Contains(string(raw), `"gone":true`) {
+					ids = append(ids, strings.TrimPrefix(key, "database/"))
 				}
 			}
-			return out
+			return ids
 		}
-		expect := func(id string) {
+		expectListed := func(id string) {
 			t.Helper()
-			w.Until("the newest life is listed", 5*time.Second, func() bool { return len(listed()) > 0 })
-			if got := listed(); len(got) != 1 || got[0] != id {
-				t.Errorf("listed at its address: %v, want %s", got, id)
+			w.Until("a database is listed at the address", 5*time.Second, func() bool { return len(listedIDs()) > 0 })
+			if got := listedIDs(); len(got) != 1 || got[0] != id {
+				t.Errorf("databases listed at the address: %v, want %s alone", got, id)
 			}
 		}
 		for _, id := range []string{"second", "third"} {
-			d.Crash(false)
+			database.Crash(false)
 			time.Sleep(time.Second)
-			d.Return(id)
+			database.Return(id)
 			time.Sleep(5 * time.Second)
 		}
-		late(first)
-		expect("third")
+		sendDelayed(firstID)
+		expectListed("third")
 		w.Process("control", controlPrimary(w)).Kill()
-		w.Until("another primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 })
-		late(first)
-		late("second")
-		expect("third")
-		d.Crash(false)
-		other := fmt.Appendf(nil, `{"svc":"lookup","address":%q,"zone":"z3","slots":7,"status":"up","call_seq":9}`, d.Addr)
-		w.Until("another's beat is taken", 3*time.Second, func() bool {
-			return w.post(controlPrimary(w), "/Servers.Heartbeat/other", nil, other) == 200
+		w.Until("another control node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 })
+		sendDelayed(firstID)
+		sendDelayed("second")
+		expectListed("third")
+		database.Crash(false)
+		otherService := fmt.Appendf(nil, `{"svc":"lookup","address":%q,"zone":"z3","slots":7,"status":"up","call_seq":9}`, database.Addr)
+		w.Until("the heartbeat of another service's database is acknowledged", 3*time.Second, func() bool {
+			return w.post(controlPrimary(w), "/Servers.Heartbeat/other", nil, otherService) == 200
 		})
-		late("third")
-		expect("other")
+		sendDelayed("third")
+		expectListed("other")
 	})
 }
 
-// What a call with an order gets that is not as the page has it, or has no
-// primary that could take it.
-func TestCallsWithOrders(t *testing.T) {
+// Checks the status of Conf.Replace calls that are malformed, based on an outdated version,
+// concurrent or repeated, and of calls while no control node can act as primary.
+func TestConfigurationReplaceCalls(t *testing.T) {
 	core(t, 4, 1, func(w *World, g *Group) {
-		base := func(text string) map[string]string { return map[string]string{"X-Indigowalk-Base-Version": text} }
-		z := controlPrimary(w)
-		counted := func(name string) int64 { return w.Process("control", z).Kernel.Counters.Snapshot()[name] }
+		baseVersion := func(text string) map[string]string { return map[string]string{"X-Indigowalk-Base-Version": text} }
+		primaryZone := controlPrimary(w)
+		counter := func(name string) int64 { return w.Process("control", primaryZone).Kernel.Counters.Snapshot()[name] }
 		for _, c := range []struct {
-			what   string
+			name   string
 			header map[string]string
 			body   []byte
 			want   int
 		}{
 			{"no version", nil, w.Configuration(3), 400},
-			{"no number", base("one"), w.Configuration(3), 400},
-			{"below the first", base("-1"), w.Configuration(3), 400},
-			{"blanks around it", base(" 1 "), w.Configuration(2), 200},
-			{"too large", base("2"), append(w.Configuration(3), make([]byte, routeconfig.MaxBody)...), 413},
-			{"cut off", base("2"), w.Configuration(3)[:99], 400},
-			{"9000 routes", base("2"), many(3, 9000), 200},
-			{"9000 routes again", base("2"), many(3, 9000), 200},
-			{"one on the version before", base("2"), w.Configuration(3), 412},
+			{"version is not a number", baseVersion("one"), w.Configuration(3), 400},
+			{"negative version", baseVersion("-1"), w.Configuration(3), 400},
+			{"spaces around the version", baseVersion(" 1 "), w.Configuration(2), 200},
+			{"body too large", baseVersion("2"), append(w.Configuration(3), make([]byte, routeconfig.MaxBody)...), 413},
+			{"truncated body", baseVersion("2"), w.Configuration(3)[:99], 400},
+			{"9000 routes", baseVersion("2"), configurationWithRoutes(3, 9000), 200},
+			{"9000 routes, sent again", baseVersion("2"), configurationWithRoutes(3, 9000), 200},
+			{"based on an outdated version", baseVersion("2"), w.Configuration(3), 412},
 		} {
-			if code := w.post(z, "/Conf.Replace", c.header, c.body); code != c.want {
-				t.Errorf("%s: %d, want %d", c.what, code, c.want)
+			if code := w.post(primaryZone, "/Conf.Replace", c.header, c.body); code != c.want {
+				t.Errorf("%s: status %d, want %d", c.name, code, c.want)
 			}
 		}
 
-		// A body that never comes says nothing of the order.
-		conn, err := w.Net.Host("10.250.0.1").Dial(context.Background(), ip(z)+":8782", 0)
+		// A body that never arrives is answered with 408, which leaves open whether the change is
+		// valid.
+		conn, err := w.Net.Host("10.250.0.1").Dial(context.Background(), ip(primaryZone)+":8782", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(conn, "POST /Conf.Replace HTTP/1.1\r\nHost: x\r\nX-Indigowalk-Base-Version: 2\r\nContent-Length: 999\r\n\r\n{\"rev\":3,")
-		if text := all(conn); !strings.HasPrefix(text, "HTTP/1.1 408") {
-			t.Errorf("a body that stops: %q", text)
+		if text := readAll(conn); !strings.HasPrefix(text, "HTTP/1.1 408") {
+			t.Errorf("a body that stalls was answered with %q, want 408", text)
 		}
 
-		// Eight operators at once under one number, then one order eight times.
-		at := func(body func(i int) []byte) map[int]int {
+		// Eight concurrent changes based on one version, then one change sent eight times.
+		replaceConcurrently := func(body func(i int) []byte) map[int]int {
 			codes, got := make(chan int), map[int]int{}
 			for i := range 8 {
-				go func() { codes <- w.post(1+i%4, "/Conf.Replace", base("3"), body(i)) }()
+				go func() { codes <- w.post(1+i%4, "/Conf.Replace", baseVersion("3"), body(i)) }()
 			}
 			for range 8 {
 				got[<-codes]++
@@ -176,70 +177,70 @@
 			return got
 		}
 		for name, want := range map[string]int64{"controlapi.answered_400": 4, "controlapi.answered_408": 1, "controlapi.answered_412": 1, "controlapi.answered_413": 1} {
-			if got := counted(name); got != want {
-				t.Errorf("counted %d of %s, want %d", got, name, want)
+			if got := counter(name); got != want {
+				t.Errorf("counter is %d for %s, want %d", got, name, want)
 			}
 		}
-		taken, lost, again := counted("routeconfig.taken"), counted("routeconfig.lost_race"), counted("routeconfig.taken_before")
-		if got := at(func(i int) []byte { return many(4, 3+i) }); got[200] != 1 || got[412] != 7 {
-			t.Errorf("eight orders under one number: %v", got)
+		taken, lostRace, takenBefore := counter("routeconfig.taken"), counter("routeconfig.lost_race"), counter("routeconfig.taken_before")
+		if got := replaceConcurrently(func(i int) []byte { return configurationWithRoutes(4, 3+i) }); got[200] != 1 || got[412] != 7 {
+			t.Errorf("eight changes based on one version: counts by status are %v, want one 200 and seven 412", got)
 		}
 		routes := 0
 		for i := range 8 {
-			if w.post(z, "/Conf.Replace", base("3"), many(4, 3+i)) == 200 {
+			if w.post(primaryZone, "/Conf.Replace", baseVersion("3"), configurationWithRoutes(4, 3+i)) == 200 {
 				routes = 3 + i
 			}
 		}
-		if got := at(func(int) []byte { return many(4, routes) }); got[200] != 8 {
-			t.Errorf("one order eight times: %v", got)
+		if got := replaceConcurrently(func(int) []byte { return configurationWithRoutes(4, routes) }); got[200] != 8 {
+			t.Errorf("one change sent eight times: counts by status are %v, want eight 200", got)
 		}
-		if taken, lost, again = counted("routeconfig.taken")-taken, counted("routeconfig.lost_race")-lost, counted("routeconfig.taken_before")-again; taken != 1 || lost != 14 || again != 9 {
-			t.Errorf("counted %d taken, %d lost, %d taken before", taken, lost, again)
+		if taken, lostRace, takenBefore = counter("routeconfig.taken")-taken, counter("routeconfig.lost_race")-lostRace, counter("routeconfig.taken_before")-takenBefore; taken != 1 || lostRace != 14 || takenBefore != 9 {
+			t.Errorf("counted %d changes taken, %d that lost the race and %d taken before, want 1, 14 and 9", taken, lostRace, takenBefore)
 		}
 
-		// Without the others the primary itself takes nothing and refuses nothing;
-		// it may send the caller on.
-		here := func(path string, header map[string]string, body []byte) int {
-			code, _ := standin.CallFollowing(w.Net.Host("10.250.0.1"), 0, "POST", ip(z)+":8782", path, header, body)
+		// While it is partitioned from the other control nodes, the primary neither accepts nor
+		// rejects a change; it may redirect the caller.
+		postWithoutRedirects := func(path string, header map[string]string, body []byte) int {
+			code, _ := standin.CallFollowing(w.Net.Host("10.250.0.1"), 0, "POST", ip(primaryZone)+":8782", path, header, body)
 			return code
 		}
 		for other := 1; other <= 4; other++ {
-			if other != z {
-				w.Net.Cut(ip(z), ip(other), true)
+			if other != primaryZone {
+				w.Net.Cut(ip(primaryZone), ip(other), true)
 			}
 		}
 		for range 3 {
-			if code := here("/Conf.Replace", base("4"), many(5, 3)); code != 503 && code != 0 && code != 307 {
-				t.Errorf("while cut off: %d", code)
+			if code := postWithoutRedirects("/Conf.Replace", baseVersion("4"), configurationWithRoutes(5, 3)); code != 503 && code != 0 && code != 307 {
+				t.Errorf("a change at the partitioned primary: status %d", code)
 			}
-			if code := here("/Servers.Deregister/nobody", nil, nil); code != 503 && code != 0 && code != 307 {
-				t.Errorf("a leaving while cut off: %d", code)
+			if code := postWithoutRedirects("/Servers.Deregister/unknown", nil, nil); code != 503 && code != 0 && code != 307 {
+				t.Errorf("a deregistration at the partitioned primary: status %d", code)
 			}
 		}
 		w.Net.Heal()
-		w.Until("it is taken", 5*time.Second, func() bool {
-			code := w.post(z, "/Conf.Replace", base("4"), many(5, 3))
+		w.Until("the change is acknowledged after the partition", 5*time.Second, func() bool {
+			code := w.post(primaryZone, "/Conf.Replace", baseVersion("4"), configurationWithRoutes(5, 3))
 			if code >= 400 && code < 500 {
-				t.Errorf("after the cut: %d", code)
+				t.Errorf("a change after the partition: status %d", code)
 			}
 			return code == 200
 		})
 	})
 }
 
-// many is a configuration of so many routes.
-func many(rev int64, routes int) []byte {
-	o := history.Order{Rev: rev, Routes: map[string]int64{}}
+// configurationWithRoutes returns a configuration with the given number of routes.
+func configurationWithRoutes(rev int64, routes int) []byte {
+	order := history.Order{Rev: rev, Routes: map[string]int64{}}
 	for i := range routes {
-		o.Routes[fmt.Sprintf("route-%05d.example", i)] = 2000
+		order.Routes[fmt.Sprintf("route-%05d.example", i)] = 2000
 	}
-	return o.Body(ledgerFrame)
+	return order.Body(ledgerFrame)
 }
 
-// all reads what a connection brings in fifteen seconds.
-func all(c net.Conn) string {
-	defer c.Close()
-	c.SetReadDeadline(time.Now().Add(15 * time.Second))
-	raw, _ := io.ReadAll(c)
+// readAll reads from a connection until its end, for 15 s at most, and closes it.
+func readAll(conn net.Conn) string {
+	defer conn.Close()
+	conn.SetReadDeadline(time.Now().Add(15 * time.Second))
+	raw, _ := io.ReadAll(conn)
 	return string(raw)
 }
--- a/internal/simulation/carriers_test.go
+++ b/internal/simulation/carriers_test.go
@@ -9,8 +9,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// registered lists the carriers that the control state names.
-func registered(t *testing.T, w *World) (names []string) {
+// registeredProxies returns the names of the proxies in the control state.
+func registeredProxies(t *testing.T, w *World) (names []string) {
 	t.Helper()
 	for z := 1; z <= w.Zones; z++ {
 		state, err := kernel.Need[*controlstate.Replica](w.Process("control", z).Kernel).Durable()
@@ -24,30 +24,30 @@
 		}
 		return names
 	}
-	t.Fatal("no primary")
+	t.Fatal("no control node is primary")
 	return nil
 }
 
-// A carrier that is gone for good is forgotten, so that the control state does not grow
-// with every machine that there ever was, and no move of a lead waits for it after a
-// take-over; one that was only away registers again before it is granted a lease.
-func TestCarriersThatAreGoneAreForgotten(t *testing.T) {
+// A proxy that has left for good is removed, so that the control state does not grow with every
+// machine that ever existed and no failover waits for it after another control node has become
+// primary. A proxy that was only unreachable registers again before it is granted a lease.
+func TestDepartedProxiesAreRemoved(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		for range 3 {
 			w.Start("pooler", 5, false)
-			w.Until("it registers", 5*time.Second, func() bool { return len(registered(t, w)) == 5 })
+			w.Until("the new pooler registers", 5*time.Second, func() bool { return len(registeredProxies(t, w)) == 5 })
 			w.Process("pooler", 5).Kill()
-			w.Until("it is forgotten", 2*time.Minute, func() bool { return len(registered(t, w)) == 4 })
+			w.Until("the killed pooler is removed", 2*time.Minute, func() bool { return len(registeredProxies(t, w)) == 4 })
 		}
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			w.Isolate(4, true)
 			time.Sleep(90 * time.Second)
-			if n := len(registered(t, w)); n != 3 {
-				t.Errorf("%d carriers are registered while one of four is cut off for long", n)
+			if n := len(registeredProxies(t, w)); n != 3 {
+				t.Errorf("%d proxies are registered after one of four was isolated for 90 s, want 3", n)
 			}
 			w.Isolate(4, false)
-			w.Until("it registers anew", 5*time.Second, func() bool { return len(registered(t, w)) == 4 })
-			w.Until("it serves", 5*time.Second, func() bool {
+			w.Until("the isolated pooler registers again", 5*time.Second, func() bool { return len(registeredProxies(t, w)) == 4 })
+			w.Until("the isolated pooler serves a write", 5*time.Second, func() bool {
 				s, _ := w.Login(4, "p.ledger")
 				if s == nil {
 					return false
@@ -57,8 +57,8 @@
 				return a.Code == ""
 			})
 		})
-		if l.Served < 300 {
-			t.Errorf("served %d writes", l.Served)
+		if load.Served < 300 {
+			t.Errorf("%d writes served, want at least 300", load.Served)
 		}
 	})
 }
--- a/internal/simulation/catchup_test.go
+++ b/internal/simulation/catchup_test.go
@@ -12,8 +12,9 @@
 	"indigowalk/internal/controlstate"
 )
 
-// members returns the zones whose control nodes keep the control state.
-func members(w *World) (zones []int) {
+// memberZones returns the zones whose control nodes are members of the current view, that is, its
+// primary and backups.
+func memberZones(w *World) (zones []int) {
 	z := controlPrimary(w)
 	if z == 0 {
 		return nil
@@ -27,12 +28,12 @@
 	return zones
 }
 
-// other returns the zone of a running control node that is none of those.
-func other(w *World, zones ...int) int {
+// otherControlZone returns the first zone with a running control node that is not excluded, or 0.
+func otherControlZone(w *World, excluded ...int) int {
 next:
 	for z := 1; z <= w.Zones; z++ {
-		for _, not := range zones {
-			if z == not {
+		for _, excludedZone := range excluded {
+			if z == excludedZone {
 				continue next
 			}
 		}
@@ -43,27 +44,27 @@
 	return 0
 }
 
-// change sets entries at the primary, and reports whether that was acknowledged.
-func change(w *World, entries map[string]string) bool {
+// updateState sets entries at the control primary and reports whether that was acknowledged.
+func updateState(w *World, entries map[string]string) bool {
 	z := controlPrimary(w)
 	if z == 0 {
 		return false
 	}
 	return w.Process("control", z).replica().Update(context.Background(), func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
-		out := map[string]json.RawMessage{}
+		update := map[string]json.RawMessage{}
 		for key, text := range entries {
 			raw, err := json.Marshal(text)
 			if err != nil {
 				return nil, err
 			}
-			out[key] = raw
+			update[key] = raw
 		}
-		return out, nil
+		return update, nil
 	}) == nil
 }
 
-// durable returns the state at the primary.
-func durable(w *World) controlstate.State {
+// durableState returns the durable state of the control primary, or an empty state if it has none.
+func durableState(w *World) controlstate.State {
 	if z := controlPrimary(w); z != 0 {
 		if s, err := w.Process("control", z).replica().Durable(); err == nil {
 			return s
@@ -72,10 +73,10 @@
 	return controlstate.State{}
 }
 
-// A state of 5 MB, with single entries far above a chunk, travels over links of
-// 25 Mbit/s, which takes longer than a lease: the primary keeps its lease and serves reads while it is brought
-// to another backup, and a backup that takes over does so in time.
-func TestLargeStateTravelsWhileTheLeaseRuns(t *testing.T) {
+// Transferring a state of 5 MB, with single entries far larger than a chunk, over links of
+// 25 Mbit/s takes longer than a lease. The primary must keep its lease and serve reads while the
+// state is transferred to another backup, and a backup must become primary in time.
+func TestLargeStateTransferKeepsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
 		defer w.Close()
@@ -83,45 +84,45 @@
 		w.Boot()
 		w.Configure()
 		w.Net.Rate(25_000_000 / 8)
-		big := strings.Repeat("x", 1<<19)
+		largeValue := strings.Repeat("x", 1<<19)
 		for i := range 10 {
-			w.Until("a large entry is taken", 3*time.Second, func() bool { return change(w, map[string]string{fmt.Sprint("large/", i): big}) })
+			w.Until("a large entry is acknowledged", 3*time.Second, func() bool { return updateState(w, map[string]string{fmt.Sprint("large/", i): largeValue}) })
 		}
-		p := controlPrimary(w)
-		backup := members(w)[0] + members(w)[1] - p
+		primaryZone := controlPrimary(w)
+		backupZone := memberZones(w)[0] + memberZones(w)[1] - primaryZone
 
-		w.Process("control", backup).Kill()
-		took := w.Until("another backup", 10*time.Second, func() bool {
-			if controlPrimary(w) != p || len(durable(w).Entries) == 0 {
+		w.Process("control", backupZone).Kill()
+		took := w.Until("another backup joins the view", 10*time.Second, func() bool {
+			if controlPrimary(w) != primaryZone || len(durableState(w).Entries) == 0 {
 				t.Fatal("the primary lost its lease")
 			}
-			return len(members(w)) == 2
+			return len(memberZones(w)) == 2
 		})
-		t.Logf("another backup after %v", took)
-		w.Until("a change is taken", time.Second, func() bool { return change(w, map[string]string{"small": "1"}) })
-		w.Start("control", backup, false)
+		t.Logf("another backup joined the view after %v", took)
+		w.Until("a change is acknowledged", time.Second, func() bool { return updateState(w, map[string]string{"small": "1"}) })
+		w.Start("control", backupZone, false)
 		time.Sleep(3 * time.Second)
 
-		w.Process("control", p).Kill()
-		took = w.Until("the backup leads", 10*time.Second, func() bool { return controlPrimary(w) != 0 })
-		t.Logf("taken over after %v", took)
-		w.Until("a change is taken", 3*time.Second, func() bool { return change(w, map[string]string{"small": "2"}) })
-		if s := durable(w); len(s.Entries["large/9"]) != len(big)+2 || string(s.Entries["small"]) != `"2"` {
-			t.Errorf("%d entries after the take-over", len(s.Entries))
+		w.Process("control", primaryZone).Kill()
+		took = w.Until("a backup becomes primary", 10*time.Second, func() bool { return controlPrimary(w) != 0 })
+		t.Logf("a backup became primary after %v", took)
+		w.Until("a change is acknowledged", 3*time.Second, func() bool { return updateState(w, map[string]string{"small": "2"}) })
+		if s := durableState(w); len(s.Entries["large/9"]) != len(largeValue)+2 || string(s.Entries["small"]) != `"2"` {
+			t.Errorf("the new primary lacks acknowledged entries; it has %d", len(s.Entries))
 		}
 	})
 }
 
-// A control node that was away for some changes is needed again as a backup, while
-// others change the state all the time: it is sent little more than what
-// changed, it has that within a second, and with its old state it never leads.
-func TestMemberCatchesUp(t *testing.T) {
+// A control node that missed some changes is needed again as a backup while further changes are
+// made. It must be sent little more than what has changed, be a backup again within 3.5 s, and never
+// become primary with its outdated state.
+func TestBackupCatchesUpIncrementally(t *testing.T) {
 	const entries, size = 1000, 300 // 300 KB
 	for _, c := range []struct {
-		away    int
-		storm   bool
-		primary bool // the primary is lost meanwhile
-		bytes   int  // that it is sent at most
+		missedChanges     int
+		concurrentChanges bool
+		losePrimary       bool // kill the primary when the node restarts, else the other backup
+		maxBytes          int  // limit of the bytes sent to the node
 	}{
 		{10, false, false, 20_000},
 		{10, true, true, 30_000},
@@ -137,68 +138,68 @@
 				w.Boot()
 				w.Configure()
 				w.Net.Rate(100_000_000 / 8)
-				text := strings.Repeat("x", size)
-				all := map[string]string{}
+				value := strings.Repeat("x", size)
+				initial := map[string]string{}
 				for i := range entries {
-					all[fmt.Sprint("entry/", i)] = text
+					initial[fmt.Sprint("entry/", i)] = value
 				}
-				w.Until("the entries are taken", time.Second, func() bool { return change(w, all) })
-				w.Until("a change is taken", time.Second, func() bool { return change(w, map[string]string{"entry/0": text}) })
-				p := controlPrimary(w)
-				away := members(w)[0] + members(w)[1] - p
-				w.Process("control", away).Kill()
-				w.Until("another backup", 5*time.Second, func() bool { return len(members(w)) == 2 })
-				last := 0
-				next := func() bool {
-					last++
-					return change(w, map[string]string{fmt.Sprint("entry/", last%entries): text + fmt.Sprint(last)})
+				w.Until("the entries are acknowledged", time.Second, func() bool { return updateState(w, initial) })
+				w.Until("a change is acknowledged", time.Second, func() bool { return updateState(w, map[string]string{"entry/0": value}) })
+				primaryZone := controlPrimary(w)
+				awayZone := memberZones(w)[0] + memberZones(w)[1] - primaryZone
+				w.Process("control", awayZone).Kill()
+				w.Until("another backup joins the view", 5*time.Second, func() bool { return len(memberZones(w)) == 2 })
+				changes := 0
+				makeChange := func() bool {
+					changes++
+					return updateState(w, map[string]string{fmt.Sprint("entry/", changes%entries): value + fmt.Sprint(changes)})
 				}
-				for range c.away {
-					if !next() {
-						t.Fatal("a change is refused in a calm time")
+				for range c.missedChanges {
+					if !makeChange() {
+						t.Fatal("a change was not acknowledged without faults")
 					}
 				}
 				stop := make(chan struct{})
 				stopped := make(chan struct{})
 				go func() {
 					defer close(stopped)
-					for c.storm {
+					for c.concurrentChanges {
 						select {
 						case <-stop:
 							return
 						case <-time.After(5 * time.Millisecond):
-							next()
+							makeChange()
 						}
 					}
 				}()
-				before, _ := w.Net.Sent(ip(away))
-				w.Start("control", away, false)
-				lost := other(w, away, p)
-				if c.primary {
-					lost, p = p, lost
+				before, _ := w.Net.Sent(ip(awayZone))
+				w.Start("control", awayZone, false)
+				lostZone := otherControlZone(w, awayZone, primaryZone)
+				if c.losePrimary {
+					lostZone, primaryZone = primaryZone, lostZone
 				}
-				w.Process("control", lost).Kill()
-				took := w.Until("it is a backup again", 5*time.Second, func() bool {
-					if controlPrimary(w) == away {
-						t.Fatal("it leads with old state")
+				w.Process("control", lostZone).Kill()
+				took := w.Until("the restarted node is a backup again", 5*time.Second, func() bool {
+					if controlPrimary(w) == awayZone {
+						t.Fatal("the restarted node became primary with outdated state")
 					}
-					return len(members(w)) == 2
+					return len(memberZones(w)) == 2
 				})
-				sent, _ := w.Net.Sent(ip(away))
-				t.Logf("%d bytes, backup again after %v", sent-before, took)
-				if sent-before > c.bytes || took > 3500*time.Millisecond {
-					t.Errorf("%d bytes, backup again after %v", sent-before, took)
+				sent, _ := w.Net.Sent(ip(awayZone))
+				t.Logf("the restarted node was sent %d bytes and was a backup again after %v", sent-before, took)
+				if sent-before > c.maxBytes || took > 3500*time.Millisecond {
+					t.Errorf("the restarted node was sent %d bytes and was a backup again after %v", sent-before, took)
 				}
 				close(stop)
 				<-stopped
-				w.Start("control", lost, false)
-				time.Sleep(3 * time.Second) // until its register may vote again
-				w.Until("a change is taken", time.Second, next)
-				want := durable(w)
-				w.Process("control", p).Kill()
-				w.Until("it leads", 5*time.Second, func() bool { return controlPrimary(w) == away })
-				if got, err := w.Process("control", away).replica().Read(fmt.Sprint("entry/", last%entries)); err != nil || string(got) != string(want.Entries[fmt.Sprint("entry/", last%entries)]) {
-					t.Errorf("it leads with %.40s, %v", got, err)
+				w.Start("control", lostZone, false)
+				time.Sleep(3 * time.Second) // until its witness may vote again
+				w.Until("a change is acknowledged", time.Second, makeChange)
+				want := durableState(w)
+				w.Process("control", primaryZone).Kill()
+				w.Until("the restarted node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) == awayZone })
+				if got, err := w.Process("control", awayZone).replica().Read(fmt.Sprint("entry/", changes%entries)); err != nil || string(got) != string(want.Entries[fmt.Sprint("entry/", changes%entries)]) {
+					t.Errorf("the new primary lacks the last change; it reads %.40s, %v", got, err)
 				}
 			})
 		})
--- a/internal/simulation/clients_test.go
+++ b/internal/simulation/clients_test.go
@@ -12,105 +12,107 @@
 	"indigowalk/internal/standin"
 )
 
-// lent is how many connections to databases requests hold at a zone's gateway.
-func lent(w *World, zone int) (n int) {
+// connectionsInUse returns the number of database connections that requests at a zone's gateway have
+// checked out of the pool.
+func connectionsInUse(w *World, zone int) (n int) {
 	for _, c := range kernel.Need[connpool.Counts](w.Process("gateway", zone).Kernel)() {
 		n += c[0] - c[1]
 	}
 	return n
 }
 
-// held is how many requests a zone's gateway is working on.
-func held(w *World, zone int) int64 {
+// openRequests returns the number of requests in progress at a zone's gateway.
+func openRequests(w *World, zone int) int64 {
 	return w.Process("gateway", zone).Kernel.Counters.Snapshot()["gateway.requests_open"]
 }
 
-// connections is how many clients have one to a zone's gateway.
-func connections(w *World, zone int) int64 {
+// clientConnections returns the number of open client connections at a zone's gateway.
+func clientConnections(w *World, zone int) int64 {
 	return w.Process("gateway", zone).Kernel.Counters.Snapshot()["gateway.connections_open"]
 }
 
-// send opens a connection of a client to the first zone's gateway and sends a request.
-func send(t *testing.T, w *World, s *Service, host, method, path string) net.Conn {
+// sendRequest opens a client connection to the first zone's gateway, sends a request and returns the
+// connection without reading the response.
+func sendRequest(t *testing.T, w *World, s *Service, host, method, path string) net.Conn {
 	t.Helper()
-	c, err := w.Net.Host(host).Dial(context.Background(), ip(1)+":8784", 0)
+	conn, err := w.Net.Host(host).Dial(context.Background(), ip(1)+":8784", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	id := "r" + path
 	s.Expect(id, method+" "+path+" ", method == "GET")
-	if _, err := fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: %s.example\r\nX-Indigowalk-Request-Id: %s\r\n\r\n", method, path, s.Name, id); err != nil {
+	if _, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s.example\r\nX-Indigowalk-Request-Id: %s\r\n\r\n", method, path, s.Name, id); err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return conn
 }
 
-// What a client no longer waits for ends at its database, if it may be repeated; what may
-// not runs on, and its connection is free by the deadline.
-func TestClientsThatLeave(t *testing.T) {
+// When a client disconnects, an idempotent request is cancelled at its database. A request that must
+// not be repeated runs on, and its database connection is released by the deadline.
+func TestClientDisconnects(t *testing.T) {
 	for method, path := range map[string]string{"GET": "/safe/a", "POST": "/unsafe/b"} {
 		t.Run(method, func(t *testing.T) {
 			serveRequests(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
 					d.InjectFault(Mute)
 				}
-				c := send(t, w, s, requestHost, method, path)
+				conn := sendRequest(t, w, s, requestHost, method, path)
 				time.Sleep(100 * time.Millisecond)
-				if lent(w, 1) != 1 {
-					t.Fatalf("%d connections are lent", lent(w, 1))
+				if connectionsInUse(w, 1) != 1 {
+					t.Fatalf("%d database connections are in use during the request, want 1", connectionsInUse(w, 1))
 				}
-				c.Close()
+				conn.Close()
 				time.Sleep(400 * time.Millisecond)
-				if n, want := lent(w, 1), map[string]int{"GET": 0, "POST": 1}[method]; n != want {
-					t.Errorf("%d connections are lent after the client has gone, want %d", n, want)
+				if n, want := connectionsInUse(w, 1), map[string]int{"GET": 0, "POST": 1}[method]; n != want {
+					t.Errorf("%d database connections are in use after the client has disconnected, want %d", n, want)
 				}
 				time.Sleep(2 * time.Second)
-				if lent(w, 1) != 0 || held(w, 1) != 0 {
-					t.Errorf("after the deadline %d connections are lent, %d requests held", lent(w, 1), held(w, 1))
+				if connectionsInUse(w, 1) != 0 || openRequests(w, 1) != 0 {
+					t.Errorf("after the deadline %d database connections are in use and %d requests open, want none", connectionsInUse(w, 1), openRequests(w, 1))
 				}
 			})
 		})
 	}
 }
 
-// A client that takes nothing, and a database that stops in the middle of a long answer,
-// hold neither the request nor the database's connection for longer than the route allows.
-func TestAnswersThatAreNotTaken(t *testing.T) {
-	const deaf = "10.251.0.9"
+// Neither a client that does not read its response nor a database that stalls in the middle of a long
+// response keeps the request open or the database connection in use beyond the route's deadline.
+func TestStalledResponses(t *testing.T) {
+	const stalledClient = "10.251.0.9"
 	for name, c := range map[string]struct {
-		fault Fault
-		deaf  bool // the client takes nothing
+		fault        Fault
+		clientStalls bool // the client does not read
 	}{
-		"a short answer not taken":  {Well, true},
-		"a long answer not taken":   {Long, true},
-		"a long answer that stalls": {Stalls, false},
+		"client does not read a short response": {Well, true},
+		"client does not read a long response":  {Long, true},
+		"database stalls in a long response":    {Stalls, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			serveRequests(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
 					d.InjectFault(c.fault)
 				}
-				conn := send(t, w, s, deaf, "GET", "/safe/a")
+				conn := sendRequest(t, w, s, stalledClient, "GET", "/safe/a")
 				defer conn.Close()
-				w.Net.Full(deaf, c.deaf)
+				w.Net.Full(stalledClient, c.clientStalls)
 				time.Sleep(2600 * time.Millisecond)
-				if lent(w, 1) != 0 || held(w, 1) != 0 {
-					t.Errorf("half a second after the deadline %d connections are lent, %d requests held", lent(w, 1), held(w, 1))
+				if connectionsInUse(w, 1) != 0 || openRequests(w, 1) != 0 {
+					t.Errorf("600 ms after the deadline %d database connections are in use and %d requests open, want none", connectionsInUse(w, 1), openRequests(w, 1))
 				}
 				time.Sleep(5 * time.Second)
-				if n := connections(w, 1); c.deaf && n > 0 {
-					t.Errorf("%d connections of clients are open, which take nothing", n)
+				if n := clientConnections(w, 1); c.clientStalls && n > 0 {
+					t.Errorf("%d connections of clients that do not read are still open", n)
 				}
-				w.Net.Full(deaf, false)
+				w.Net.Full(stalledClient, false)
 				time.Sleep(time.Minute)
 			})
 		})
 	}
 }
 
-// A request that is refused has its answer at once, whether its body has come or not, and
-// one whose body never comes holds nothing.
-func TestRefusalsDoNotWaitForBodies(t *testing.T) {
+// A rejected request is answered immediately, whether or not its body has arrived, and does not stay
+// open if the body never arrives.
+func TestErrorResponsesDoNotWaitForBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		line, id string
 		status   int
@@ -128,10 +130,10 @@
 				began := time.Now()
 				a := standin.Raw(conn, fmt.Appendf(nil, "%s HTTP/1.1\r\nHost: intake.example\r\nX-Indigowalk-Request-Id: %s\r\nContent-Length: 100\r\n\r\nhalf", c.line, c.id))
 				if took := time.Since(began); a.Status != c.status || took > 200*time.Millisecond {
-					t.Errorf("answered %d after %v, want %d at once", a.Status, took, c.status)
+					t.Errorf("status %d after %v, want %d within 200 ms", a.Status, took, c.status)
 				}
-				if held(w, 1) != 0 {
-					t.Errorf("%d requests are held", held(w, 1))
+				if openRequests(w, 1) != 0 {
+					t.Errorf("%d requests are still open, want none", openRequests(w, 1))
 				}
 			})
 		})
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -13,9 +13,9 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// play runs a scenario on a booted and configured cluster of four zones with
-// one service.
-func play(t *testing.T, f func(w *World, g *Group)) {
+// withCluster boots and configures a cluster of four zones with one service and runs a
+// scenario on it.
+func play(t *testing.T, scenario func(w *World, g *Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
@@ -23,93 +23,94 @@
 		g := w.Group("ledger")
 		w.Boot()
 		w.Configure()
-		f(w, g)
+		scenario(w, g)
 	})
 }
 
-// under runs f under load and returns the load.
+// withLoad calls f while clients read and write, and returns their load after it has stopped.
+// The load runs for 3 s before f and for 5 s after it.
 func under(w *World, g *Group, f func()) *Load {
-	l := w.NewLoad(g, 7)
+	load := w.NewLoad(g, 7)
 	time.Sleep(3 * time.Second)
 	f()
 	time.Sleep(5 * time.Second)
-	l.Stop()
-	return l
+	load.Stop()
+	return load
 }
 
-// served fails unless the load got much done and writes never stopped longer
-// than the limit.
+// checkServed fails the test unless at least 300 writes were served and no gap between two served
+// writes exceeded the limit.
 func served(t TB, l *Load, limit time.Duration) {
 	t.Helper()
 	if l.Served < 300 || l.Slowest > limit {
-		t.Errorf("served %d writes (%d refused, %d unsure), the longest gap %v", l.Served, l.Refused, l.Unsure, l.Slowest)
+		t.Errorf("%d writes served, want at least 300 (%d refused, %d with unknown outcome); longest gap %v", l.Served, l.Refused, l.Unsure, l.Slowest)
 	}
 }
 
-func TestQuietDay(t *testing.T) {
+func TestNoErrorsWithoutFaults(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {})
-		served(t, l, 500*time.Millisecond)
-		if l.Refused+l.Unsure > 0 {
-			t.Errorf("%d refused, %d unsure", l.Refused, l.Unsure)
+		load := under(w, g, func() {})
+		served(t, load, 500*time.Millisecond)
+		if load.Refused+load.Unsure > 0 {
+			t.Errorf("without faults %d writes were refused and %d had an unknown outcome", load.Refused, load.Unsure)
 		}
 	})
 }
 
-func TestDarkPrimary(t *testing.T) {
+func TestFailoverFromUnresponsivePrimary(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		old := g.Primary()
-		l := under(w, g, func() {
-			old.Crash(true)
+		oldPrimary := g.Primary()
+		load := under(w, g, func() {
+			oldPrimary.Crash(true)
 			time.Sleep(5 * time.Second)
-			old.Return("ledger-1b")
+			oldPrimary.Return("ledger-1b")
 		})
-		served(t, l, 3*time.Second)
-		if lead := g.Primary(); lead == old || lead == nil {
-			t.Error("nobody took over")
+		served(t, load, 3*time.Second)
+		if newPrimary := g.Primary(); newPrimary == oldPrimary || newPrimary == nil {
+			t.Error("no other database was promoted")
 		}
 	})
 }
 
-func TestDeafReplicaIsNotPromoted(t *testing.T) {
+// A replica that has stopped receiving writes must not be promoted when the primary fails.
+func TestLaggingReplicaIsNotPromoted(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.DB(1).SetReplicationStopped(true)
 			time.Sleep(2 * time.Second)
 			g.Primary().Crash(false)
 		})
-		served(t, l, 3*time.Second)
+		served(t, load, 3*time.Second)
 		if g.Primary() != g.DB(2) {
-			t.Error("the replica that had received everything does not lead")
+			t.Error("the replica that had received every write was not promoted")
 		}
 	})
 }
 
-// One replica alone may lack what the other holds: no promotion until the
-// other is back, or the primary is.
-func TestNoPromotionFromOneReplica(t *testing.T) {
+// A single reachable replica may lack commits that the other one has received, so neither is
+// promoted until the other replica or the primary is back.
+func TestNoPromotionWithOneReplica(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.DB(1).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(2).Crash(false)
 			g.Primary().Crash(false)
 			time.Sleep(4 * time.Second)
 			if g.Primary() != nil {
-				t.Error("a replica was promoted that lacks commits")
+				t.Error("a replica that lacks commits was promoted")
 			}
 			g.DB(2).Return("ledger-3b")
-			w.Until("a lead", 5*time.Second, func() bool { return g.Primary() != nil })
+			w.Until("a database is promoted", 5*time.Second, func() bool { return g.Primary() != nil })
 		})
-		served(t, l, 9*time.Second)
+		served(t, load, 9*time.Second)
 	})
 }
 
-// A database that returns under a new id must not be waited for under its old
-// one.
-func TestReturnedIdDoesNotBlockNextMove(t *testing.T) {
+// After a database has returned under a new ID, a failover must not wait for its old ID.
+func TestReturnUnderNewIDDoesNotBlockFailover(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			first := g.Primary()
 			first.Crash(true)
 			time.Sleep(4 * time.Second)
@@ -117,107 +118,110 @@
 			time.Sleep(3 * time.Second)
 			second := g.Primary()
 			second.Crash(true)
-			w.Until("the next lead", 4*time.Second, func() bool { l := g.Primary(); return l != nil && l != second })
+			w.Until("another database is promoted", 4*time.Second, func() bool { p := g.Primary(); return p != nil && p != second })
 		})
-		served(t, l, 3*time.Second)
+		served(t, load, 3*time.Second)
 	})
 }
 
-func TestPrimaryReturnsBeforeAnyoneCanFollow(t *testing.T) {
+// The primary and one replica fail, so the other replica cannot be promoted; the primary then
+// returns under a new ID and resumes its role.
+func TestPrimaryReturnsBeforeFailover(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.DB(2).Crash(true)
-			lead := g.Primary()
-			lead.Crash(false)
+			primary := g.Primary()
+			primary.Crash(false)
 			time.Sleep(3 * time.Second)
-			lead.Return("ledger-1b")
+			primary.Return("ledger-1b")
 		})
-		served(t, l, 6*time.Second)
+		served(t, load, 6*time.Second)
 	})
 }
 
-func TestReleaseOfPrimary(t *testing.T) {
+func TestPlannedFailoverOnDrain(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		old := g.Primary()
-		l := under(w, g, func() {
+		oldPrimary := g.Primary()
+		load := under(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 			time.Sleep(2 * time.Second)
-			old.Drain()
+			oldPrimary.Drain()
 			time.Sleep(4 * time.Second)
 		})
-		served(t, l, 1200*time.Millisecond)
-		if g.Primary() == old {
-			t.Error("the draining database still leads")
+		served(t, load, 1200*time.Millisecond)
+		if g.Primary() == oldPrimary {
+			t.Error("the draining database is still the primary")
 		}
-		if l.Unsure > 0 {
-			t.Errorf("%d unsure answers in a planned move", l.Unsure)
+		if load.Unsure > 0 {
+			t.Errorf("%d writes with unknown outcome during a planned failover", load.Unsure)
 		}
 	})
 }
 
-// A replica that drains and ends must not be waited for when the lead fails
-// just then.
-func TestLeadFailsWhileOneReplicaEnds(t *testing.T) {
+// When the primary fails at the same moment as a draining replica stops, the failover must not
+// wait for that replica.
+func TestPrimaryFailsWhileReplicaDrains(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 			time.Sleep(2 * time.Second)
 			g.DB(2).Drain()
 			time.Sleep(3 * time.Second)
-			lead := g.Primary()
-			lead.Crash(true)
+			oldPrimary := g.Primary()
+			oldPrimary.Crash(true)
 			g.DB(2).Crash(false)
-			w.Until("the next lead", 4*time.Second, func() bool { l := g.Primary(); return l != nil && l != lead })
+			w.Until("another database is promoted", 4*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
 		})
-		served(t, l, 3*time.Second)
+		served(t, load, 3*time.Second)
 	})
 }
 
 func TestControlPrimaryLostWithItsDisk(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
-			z := controlPrimary(w)
-			w.Process("control", z).Kill()
-			w.Until("another control node leads", 4*time.Second, func() bool { return controlPrimary(w) != 0 })
-			w.Until("a change is taken", 4*time.Second, func() bool { return w.Replace(1+z%4, 1, w.Configuration(3)) == 200 })
-			p := &Process{w: w, dir: w.dir + "/control node-" + strconv.Itoa(z)}
-			p.Wipe()
-			w.Start("control", z, false)
+		load := under(w, g, func() {
+			lostZone := controlPrimary(w)
+			w.Process("control", lostZone).Kill()
+			w.Until("another control node becomes primary", 4*time.Second, func() bool { return controlPrimary(w) != 0 })
+			w.Until("a change is acknowledged", 4*time.Second, func() bool { return w.Replace(1+lostZone%4, 1, w.Configuration(3)) == 200 })
+			process := &Process{w: w, dir: w.dir + "/control node-" + strconv.Itoa(lostZone)}
+			process.Wipe()
+			w.Start("control", lostZone, false)
 			time.Sleep(4 * time.Second)
 		})
-		served(t, l, 2500*time.Millisecond)
+		served(t, load, 2500*time.Millisecond)
 		if rev := w.Fetch(); rev != 3 {
 			t.Errorf("read back version %d, want 3", rev)
 		}
 	})
 }
 
-// The poolers' read leases outlast the silence of the control node that grants them.
-func TestPoolersOutlastADarkControlPrimary(t *testing.T) {
+// The poolers' read leases must not expire before another control node takes over from an
+// unresponsive control primary.
+func TestPoolersServeWithoutControlPrimary(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		z := controlPrimary(w)
-		if z == 1 {
-			g.DB(0).Drain() // so that the lead is not lost with the machine's zone
+		primaryZone := controlPrimary(w)
+		if primaryZone == 1 {
+			g.DB(0).Drain() // so that the zone that becomes unresponsive does not hold the database primary
 			time.Sleep(3 * time.Second)
 		}
-		l := under(w, g, func() {
-			w.Net.Dark(ip(z), true)
+		load := under(w, g, func() {
+			w.Net.Dark(ip(primaryZone), true)
 			time.Sleep(5 * time.Second)
-			w.Net.Dark(ip(z), false)
+			w.Net.Dark(ip(primaryZone), false)
 		})
-		served(t, l, 600*time.Millisecond)
+		served(t, load, 600*time.Millisecond)
 	})
 }
 
-// controlPrimary returns the zone of the control node that leads, after checking that
-// there is at most one per epoch.
+// controlPrimary returns the zone of the control node that holds the primary's lease, or 0 if none
+// does, and fails the test if two hold one.
 func controlPrimary(w *World) int {
 	found := 0
 	for z := 1; z <= w.Zones; z++ {
 		if p := w.Process("control", z); p != nil {
-			if _, left := kernel.Need[*controlstate.Replica](p.Kernel).Lease(); left > 0 {
+			if _, remaining := kernel.Need[*controlstate.Replica](p.Kernel).Lease(); remaining > 0 {
 				if found != 0 {
-					w.T.Errorf("control nodes %d and %d both hold a lease", found, z)
+					w.T.Errorf("control nodes %d and %d both hold the primary's lease", found, z)
 				}
 				found = z
 			}
@@ -226,30 +230,30 @@
 	return found
 }
 
-func TestControlNodesRestartOneAfterAnother(t *testing.T) {
+func TestRollingRestartOfControlNodes(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		rev := int64(1)
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			for z := 1; z <= 4; z++ {
 				w.Process("control", z).Term()
-				w.Until("a lead in order", 1500*time.Millisecond, func() bool { return controlPrimary(w) != 0 })
+				w.Until("a control node is primary after a graceful shutdown", 1500*time.Millisecond, func() bool { return controlPrimary(w) != 0 })
 				w.Start("control", z, false)
-				w.Until("a change is taken", 3*time.Second, func() bool { return w.Replace(z, rev, w.Configuration(rev+2)) == 200 })
+				w.Until("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(z, rev, w.Configuration(rev+2)) == 200 })
 				rev += 2
 				time.Sleep(time.Second)
 			}
 		})
-		served(t, l, 2*time.Second)
+		served(t, load, 2*time.Second)
 		if got := w.Fetch(); got != rev {
 			t.Errorf("read back version %d, want %d", got, rev)
 		}
 	})
 }
 
-func TestPowerLostEverywhereAfterAnAcknowledgement(t *testing.T) {
+func TestAcknowledgedChangeSurvivesKillOfAllControlNodes(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		if code := w.Replace(2, 1, w.Configuration(9)); code != 200 {
-			t.Fatalf("answered %d", code)
+			t.Fatalf("the change was answered with status %d, want 200", code)
 		}
 		for z := 1; z <= 4; z++ {
 			w.Process("control", z).Kill()
@@ -261,55 +265,55 @@
 	})
 }
 
-func TestTwoOperatorsRace(t *testing.T) {
+func TestConcurrentReplacesOfOneVersion(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		a, b := w.Configuration(5), w.Configuration(6)
+		first, second := w.Configuration(5), w.Configuration(6)
 		codes := make(chan int, 2)
-		go func() { codes <- w.Replace(1, 1, a) }()
-		go func() { codes <- w.Replace(3, 1, b) }()
-		x, y := <-codes, <-codes
-		if x+y != 200+412 {
-			t.Errorf("answered %d and %d, want one 200 and one 412", x, y)
+		go func() { codes <- w.Replace(1, 1, first) }()
+		go func() { codes <- w.Replace(3, 1, second) }()
+		code1, code2 := <-codes, <-codes
+		if code1+code2 != 200+412 {
+			t.Errorf("statuses %d and %d, want one 200 and one 412", code1, code2)
 		}
-		winner := a
+		accepted := first
 		if w.Fetch() == 6 {
-			winner = b
+			accepted = second
 		}
-		if code := w.Replace(4, 1, winner); code != 200 {
-			t.Errorf("sent again unchanged: %d", code)
+		if code := w.Replace(4, 1, accepted); code != 200 {
+			t.Errorf("the accepted configuration sent again: status %d, want 200", code)
 		}
 		if code := w.Replace(2, 6, []byte(`{"rev":9,"routes":[{"name":"x"`)); code != 400 {
-			t.Errorf("cut short: %d", code)
+			t.Errorf("a truncated configuration: status %d, want 400", code)
 		}
 	})
 }
 
-// A pooler that can't reach the control nodes must stop serving as at a primary when
-// its lease ends, and must not hold a promotion up for longer.
-func TestPoolerCutFromControlNodes(t *testing.T) {
+// A pooler that cannot reach the control nodes must stop serving reads at the primary when its
+// lease ends, and must not delay a promotion beyond that.
+func TestPoolerPartitionedFromControlNodes(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		s, _ := w.Login(4, "p.ledger")
+		session, _ := w.Login(4, "p.ledger")
 		for z := 1; z <= 3; z++ {
 			w.Net.Cut(ip(4), ip(z), true)
 		}
 		w.Process("control", 4).Kill()
 		time.Sleep(3 * time.Second)
-		if a, _ := s.Query("FETCH t1"); a.Code != lineprotocol.Retry {
-			t.Errorf("a read at the primary without a lease: %q", a.Code)
+		if a, _ := session.Query("FETCH t1"); a.Code != lineprotocol.Retry {
+			t.Errorf("a read at the primary without a lease was answered with %q", a.Code)
 		}
-		s.Close()
-		lead := g.Primary()
-		lead.Crash(false)
-		z, _ := w.Login(1, "p.ledger")
-		w.Until("the other poolers are served", 6*time.Second, func() bool {
-			a, _ := z.Query("PUT t1 1")
+		session.Close()
+		oldPrimary := g.Primary()
+		oldPrimary.Crash(false)
+		otherSession, _ := w.Login(1, "p.ledger")
+		w.Until("another pooler serves a write", 6*time.Second, func() bool {
+			a, _ := otherSession.Query("PUT t1 1")
 			return a.Code == ""
 		})
-		z.Close()
+		otherSession.Close()
 	})
 }
 
-func TestPoolerLeavesInOrder(t *testing.T) {
+func TestPoolerGracefulShutdown(t *testing.T) {
 	play(t, func(w *World, g *Group) {
 		idle, _ := w.Login(1, "p.ledger")
 		open, _ := w.Login(1, "p.ledger")
@@ -320,23 +324,23 @@
 		go func() { w.Process("pooler", 1).Term(); close(done) }()
 		time.Sleep(100 * time.Millisecond)
 		if code, _ := w.Call(w.Net.Host("10.250.0.1"), "GET", ip(1)+":8785", "/readyz", nil, nil); code != 503 {
-			t.Errorf("ready while leaving: %d", code)
+			t.Errorf("readiness during shutdown: status %d, want 503", code)
 		}
 		if a := idle.Answer(); a.Code != "cut" {
-			t.Errorf("the idle session got %v", a)
+			t.Errorf("the idle session was not closed; it got %v", a)
 		}
 		if a, _ := open.Query("COMMIT"); a.Code != "" {
-			t.Errorf("a transaction within half the grace: %s", a.Code)
+			t.Errorf("a transaction that commits within half the grace period got %s", a.Code)
 		}
 		<-done
 		if took := time.Since(start); took > 6*time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("the shutdown took %v, want 6 s at most", took)
 		}
 	})
 }
 
-// TestChaos mixes lossy links, cuts and crashes from a seed; CHAOS_SEED plays
-// one again.
+// TestChaos injects packet loss, partitions and crashes in an order derived from a seed. Set
+// CHAOS_SEED to reproduce one run.
 func TestChaos(t *testing.T) {
 	seeds := []uint64{3, 11, 42}
 	if s, err := strconv.ParseUint(os.Getenv("CHAOS_SEED"), 10, 64); err == nil {
@@ -345,14 +349,14 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			play(t, func(w *World, g *Group) {
-				r := w.Net.rng
+				rng := w.Net.rng
 				w.Net.Lossy(0.03, 0.05)
-				l := under(w, g, func() {
+				load := under(w, g, func() {
 					for round := range 6 {
 						for range seed {
-							r.Uint64()
+							rng.Uint64()
 						}
-						switch z := 1 + r.IntN(4); r.IntN(4) {
+						switch z := 1 + rng.IntN(4); rng.IntN(4) {
 						case 0:
 							if p := w.Process("control", z); p != nil {
 								p.Kill()
@@ -361,7 +365,7 @@
 							}
 						case 1:
 							if d := g.Primary(); d != nil {
-								d.Crash(r.IntN(2) == 0)
+								d.Crash(rng.IntN(2) == 0)
 								time.Sleep(3 * time.Second)
 								d.Return(fmt.Sprint(d.Addr, "-", round))
 							}
@@ -379,7 +383,7 @@
 						time.Sleep(4 * time.Second)
 					}
 				})
-				served(t, l, 10*time.Second)
+				served(t, load, 10*time.Second)
 			})
 		})
 	}
--- a/internal/simulation/cutoff_test.go
+++ b/internal/simulation/cutoff_test.go
@@ -18,11 +18,11 @@
 	"indigowalk/internal/tools"
 )
 
-// cutFromCore runs a scenario on a cluster of six zones, four with a control node,
-// under a little load, with one machine of the core cut off from the others of the core
-// while f runs, and from nothing else. It returns the longest time for which no
-// write was served there.
-func cutFromCore(t *testing.T, leads bool, f func(w *World, g *Group, cut int)) (longest time.Duration) {
+// withControlNodeIsolated runs a scenario under light load on a cluster of six zones, four of them
+// with a control node. During the scenario one control node's machine, the control primary's if
+// primary is set, is partitioned from the machines of the other control nodes, but from no others. It
+// returns the longest time between two writes served at that machine's pooler.
+func withControlNodeIsolated(t *testing.T, primary bool, scenario func(w *World, g *Group, isolated int)) (longestGap time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 6)
@@ -31,88 +31,86 @@
 		g := w.Group("ledger")
 		w.Boot()
 		w.Configure()
-		cut := controlPrimary(w)
-		if !leads {
-			cut = 1 + cut%4
+		isolated := controlPrimary(w)
+		if !primary {
+			isolated = 1 + isolated%4
 		}
-		l := w.NewLoad(g, 7, cut, 6)
+		load := w.NewLoad(g, 7, isolated, 6)
 		time.Sleep(2 * time.Second)
-		w.Isolate(cut, true, 1, 2, 3, 4)
-		f(w, g, cut)
-		w.Isolate(cut, false, 1, 2, 3, 4)
+		w.Isolate(isolated, true, 1, 2, 3, 4)
+		scenario(w, g, isolated)
+		w.Isolate(isolated, false, 1, 2, 3, 4)
 		time.Sleep(3 * time.Second)
-		l.Stop()
-		longest = l.LongestGap(cut)
+		load.Stop()
+		longestGap = load.LongestGap(isolated)
 	})
-	return longest
+	return longestGap
 }
 
-// CutOffCarrierIsHelped: a carrier that reaches no control node but the one beside
-// it, cut off as well, has its polls passed on by a peer. Its clients are served
-// on, it hears of a new configuration and of a new lead, and a move of a lead
-// does not wait for its lease.
-func TestCutOffCarrierIsHelped(t *testing.T) {
-	for _, leads := range []bool{false, true} {
-		span := 20 * time.Second
-		if leads {
-			span = 10 * time.Second
+// A proxy that reaches only the control node on its own machine, which is partitioned as well, has
+// its polls relayed by a peer. Its clients are still served, it receives a new configuration and the
+// new primary of a service, and a failover does not wait for its lease to expire.
+func TestPollsAreRelayedForPartitionedProxy(t *testing.T) {
+	for _, primary := range []bool{false, true} {
+		duration := 20 * time.Second
+		if primary {
+			duration = 10 * time.Second
 		}
-		longest := cutFromCore(t, leads, func(w *World, g *Group, cut int) {
-			end := time.Now().Add(span)
+		longestGap := withControlNodeIsolated(t, primary, func(w *World, g *Group, isolated int) {
+			end := time.Now().Add(duration)
 			time.Sleep(4 * time.Second)
-			subscriber := kernel.Need[*distribution.Subscriber](w.Process("pooler", cut).Kernel)
-			rev := func() int64 { _, _, rev, _ := subscriber.Version(); return rev }
-			w.Until("a change is taken", 2*time.Second, func() bool { return w.Replace(1+cut%4, 1, w.Configuration(2)) == 200 })
-			if took := w.Until("the change is known there", 3*time.Second, func() bool { return rev() == 2 }); took > time.Second {
-				t.Errorf("a change was known after %v", took)
+			subscriber := kernel.Need[*distribution.Subscriber](w.Process("pooler", isolated).Kernel)
+			version := func() int64 { _, _, rev, _ := subscriber.Version(); return rev }
+			w.Until("a change is acknowledged", 2*time.Second, func() bool { return w.Replace(1+isolated%4, 1, w.Configuration(2)) == 200 })
+			if took := w.Until("the isolated pooler receives the change", 3*time.Second, func() bool { return version() == 2 }); took > time.Second {
+				t.Errorf("the isolated pooler received a change after %v, want 1 s at most", took)
 			}
 			time.Sleep(2 * time.Second)
-			lead := g.Primary()
-			lead.Crash(false)
-			if took := w.Until("the next lead", 5*time.Second, func() bool { l := g.Primary(); return l != nil && l != lead }); took > 2*time.Second {
-				t.Errorf("a lead moved after %v", took)
+			oldPrimary := g.Primary()
+			oldPrimary.Crash(false)
+			if took := w.Until("another database is promoted", 5*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary }); took > 2*time.Second {
+				t.Errorf("the failover took %v, want 2 s at most", took)
 			}
 			time.Sleep(time.Until(end))
 			if _, _, _, left := subscriber.Version(); left <= 0 {
-				t.Error("no lease")
+				t.Error("the isolated pooler has no lease")
 			}
 		})
-		t.Logf("primary cut off %v: no write was served at the machine for %v at most", leads, longest)
-		if longest > 2500*time.Millisecond {
-			t.Errorf("primary cut off %v: no write was served at the machine for %v", leads, longest)
+		t.Logf("control primary isolated: %v; longest gap between writes at the isolated machine: %v", primary, longestGap)
+		if longestGap > 2500*time.Millisecond {
+			t.Errorf("control primary isolated: %v; no write was served at the isolated machine for %v, want 2.5 s at most", primary, longestGap)
 		}
 	}
 }
 
-// PassedOnOnce: of three carriers the second reaches the control node through the
-// first only, and the third the second only. The second has a lease, measured from
-// before it asked; the third has none, since what was passed on once is not passed
-// on again, and it asks in moderation.
-func TestPassedOnOnce(t *testing.T) {
+// Of three proxies the second reaches the control node only through the first, and the third reaches
+// only the second. The second has a lease, measured from before it sent the poll. The third has none,
+// since a relayed poll is not relayed again, and it must not retry too often.
+func TestPollIsRelayedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const late, lease = 200 * time.Millisecond, 2500 * kernel.Millisecond
-		n := NewNet(1)
+		const delay, lease = 200 * time.Millisecond, 2500 * kernel.Millisecond
+		network := NewNet(1)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		endpoint := func(host, addr string) (*kernel.Kernel, *rpc.Endpoint) {
-			k := kernel.NewKernel("pooler", n.Host(host), slog.New(slog.DiscardHandler))
+		newEndpoint := func(host, addr string) (*kernel.Kernel, *rpc.Endpoint) {
+			k := kernel.NewKernel("pooler", network.Host(host), slog.New(slog.DiscardHandler))
 			return k, rpc.NewEndpoint(k, addr)
 		}
-		_, controlNode := endpoint("10.0.0.9", "10.0.0.9:7440")
+		_, controlNode := newEndpoint("10.0.0.9", "10.0.0.9:7440")
 		controlNode.Handle("distribution.poll", func(context.Context, json.RawMessage) (any, error) {
-			time.Sleep(late)
+			time.Sleep(delay)
 			return map[string]any{"epoch": 1, "seq": 1, "lease_us": lease}, nil
 		})
 		go controlNode.Serve(ctx)
 		hosts := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-		n.Cut(hosts[1], "10.0.0.9", true)
-		n.Cut(hosts[2], "10.0.0.9", true)
-		n.Cut(hosts[2], hosts[0], true)
+		network.Cut(hosts[1], "10.0.0.9", true)
+		network.Cut(hosts[2], "10.0.0.9", true)
+		network.Cut(hosts[2], hosts[0], true)
 		subscribers, kernels := make([]*distribution.Subscriber, 3), make([]*kernel.Kernel, 3)
 		for i, host := range hosts {
-			k, b := endpoint(host, host+":7441")
+			k, endpoint := newEndpoint(host, host+":7441")
 			peers := slices.DeleteFunc([]string{"10.0.0.1:7441", "10.0.0.2:7441", "10.0.0.3:7441"}, func(a string) bool { return a == host+":7441" })
-			subscribers[i], kernels[i] = distribution.NewSubscriber(k, b, distribution.SubscriberConfig{
+			subscribers[i], kernels[i] = distribution.NewSubscriber(k, endpoint, distribution.SubscriberConfig{
 				ProxyName: host, Lease: lease, PollWait: func() kernel.Micros { return 600 * kernel.Millisecond },
 				ControlNodes:  func() []string { return []string{"10.0.0.9:7440"} },
 				Peers:         func() []string { return peers },
@@ -120,107 +118,108 @@
 				OnDatabases:   func(map[string]discovery.Database) {},
 				Bounds:        func() distribution.Bounds { return distribution.Bounds{} },
 			}), k
-			go b.Serve(ctx)
+			go endpoint.Serve(ctx)
 			go subscribers[i].Serve(ctx)
 		}
 		time.Sleep(4 * time.Second)
-		most := kernel.Micros(0)
+		maxRemaining := kernel.Micros(0)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			_, _, _, left := subscribers[1].Version()
-			if most = max(most, left); left <= 0 {
-				t.Fatal("the second has no lease")
+			if maxRemaining = max(maxRemaining, left); left <= 0 {
+				t.Fatal("the second proxy has no lease")
 			}
 			if _, _, _, left := subscribers[2].Version(); left > 0 {
-				t.Fatal("a poll was passed on twice")
+				t.Fatal("the third proxy has a lease: a poll was relayed twice")
 			}
 		}
-		if most > lease-kernel.Micros(late.Microseconds()) {
-			t.Errorf("a lease ran for %d us after its answer", most)
+		if maxRemaining > lease-kernel.Micros(delay.Microseconds()) {
+			t.Errorf("a lease had %d us left after its response, so it was not measured from before the poll", maxRemaining)
 		}
-		asked, refused := kernels[0].Counters.Snapshot(), kernels[2].Counters.Snapshot()
-		if asked["distribution.passed_on"] == 0 || asked["distribution.relayed"] != 0 || refused["distribution.relay_failed"] > 14*12 {
-			t.Errorf("the first: %v, the third: %v", asked, refused)
+		firstCounters, thirdCounters := kernels[0].Counters.Snapshot(), kernels[2].Counters.Snapshot()
+		if firstCounters["distribution.passed_on"] == 0 || firstCounters["distribution.relayed"] != 0 || thirdCounters["distribution.relay_failed"] > 14*12 {
+			t.Errorf("counters of the first proxy: %v, of the third: %v", firstCounters, thirdCounters)
 		}
 		cancel()
 		for _, host := range append(hosts, "10.0.0.9") {
-			n.Reset(host)
+			network.Reset(host)
 		}
 		time.Sleep(20 * time.Second)
 	})
 }
 
-// MemberThatHearsNothingSendsOn: a member of the core that is cut off sends
-// callers on to one that knows more, not to a primary that it only once knew: to
-// wait for a silent one costs them a second each time.
-func TestMemberThatHearsNothingSendsOn(t *testing.T) {
-	for _, silent := range []bool{false, true} { // the primary; else the primary is the one that is cut off
+// A partitioned control node redirects callers to a node with newer knowledge, not to the last primary
+// that it knew: waiting for an unresponsive primary would cost callers a second each time.
+func TestPartitionedControlNodeRedirects(t *testing.T) {
+	// Either the primary itself is partitioned from the other control nodes, or the primary is
+	// unresponsive and a control node outside the view is partitioned from the others.
+	for _, primaryUnresponsive := range []bool{false, true} {
 		core(t, 5, 2, func(w *World, g *Group) {
-			p := controlPrimary(w)
-			view, _ := w.Process("control", p).replica().Primary()
-			cut := p
-			if silent {
-				w.Net.Dark(ip(p), true)
+			primaryZone := controlPrimary(w)
+			view, _ := w.Process("control", primaryZone).replica().Primary()
+			isolated := primaryZone
+			if primaryUnresponsive {
+				w.Net.Dark(ip(primaryZone), true)
 				for z := 1; z <= 5; z++ {
-					if z != p && !view.Has(w.Process("control", z).replica().Self()) {
-						cut = z
+					if z != primaryZone && !view.Has(w.Process("control", z).replica().Self()) {
+						isolated = z
 					}
 				}
 			}
-			w.Isolate(cut, true)
+			w.Isolate(isolated, true)
 			start := time.Now()
-			var worst, later time.Duration
+			var worstEarly, worstLater time.Duration
 			for rev := int64(2); time.Since(start) < 20*time.Second; rev++ {
 				early := time.Since(start) < 4*time.Second
-				took := w.Until("an order is taken", 5*time.Second, func() bool { return w.Replace(cut, rev-1, w.Configuration(rev)) == 200 })
+				took := w.Until("a change is acknowledged", 5*time.Second, func() bool { return w.Replace(isolated, rev-1, w.Configuration(rev)) == 200 })
 				if early {
-					worst = max(worst, took)
+					worstEarly = max(worstEarly, took)
 				} else {
-					later = max(later, took)
+					worstLater = max(worstLater, took)
 				}
 				time.Sleep(500 * time.Millisecond)
 			}
-			if worst > 3500*time.Millisecond || later > 100*time.Millisecond {
-				t.Errorf("silent primary %v: an order took %v while another primary was found, %v later", silent, worst, later)
+			if worstEarly > 3500*time.Millisecond || worstLater > 100*time.Millisecond {
+				t.Errorf("unresponsive primary %v: a change took %v during the change of primary, want 3.5 s at most, and %v afterwards, want 100 ms at most", primaryUnresponsive, worstEarly, worstLater)
 			}
-			t.Logf("silent primary %v: an order took %v at worst while another primary was found, %v later", silent, worst, later)
+			t.Logf("unresponsive primary %v: a change took at most %v during the change of primary and %v afterwards", primaryUnresponsive, worstEarly, worstLater)
 		})
 	}
 }
 
-// UnsureIsNotCurrent: what a control node tells that does not lead is not shown as
-// the current state, nor planned on.
-func TestUnsureIsNotCurrent(t *testing.T) {
+// Reports of control nodes that are not primary are not shown as the current state, and no plan is
+// based on them.
+func TestReportsWithoutPrimaryAreNotCurrent(t *testing.T) {
 	core(t, 4, 1, func(w *World, g *Group) {
-		cut := controlPrimary(w)
+		isolated := controlPrimary(w)
 		host, addr := w.Net.Host("10.250.0.9"), func(z int) string { return ip(z) + ":7440" }
-		before := tools.CollectReports(context.Background(), host, []string{addr(cut)}, false)
-		w.Isolate(cut, true)
+		before := tools.CollectReports(context.Background(), host, []string{addr(isolated)}, false)
+		w.Isolate(isolated, true)
 		time.Sleep(4 * time.Second)
-		says := func(sys *tools.System) string {
+		render := func(system *tools.System) string {
 			var text strings.Builder
-			sys.Print(&text, false, "")
+			system.Print(&text, false, "")
 			return text.String()
 		}
-		alone := tools.CollectReports(context.Background(), host, []string{addr(cut)}, false)
-		name := fmt.Sprintf("control-%d", cut)
-		if text := says(alone); !strings.Contains(text, "not current, no primary among those asked; the last that "+name+" heard of is epoch") ||
+		isolatedOnly := tools.CollectReports(context.Background(), host, []string{addr(isolated)}, false)
+		name := fmt.Sprintf("control-%d", isolated)
+		if text := render(isolatedOnly); !strings.Contains(text, "not current, no primary among those asked; the last that "+name+" heard of is epoch") ||
 			!strings.Contains(text, "hears no primary") || strings.Contains(text, "configuration: version") {
-			t.Errorf("the one that is cut off says:\n%s", text)
+			t.Errorf("the report of the isolated control node does not say that it is not current:\n%s", text)
 		}
-		if _, err := alone.MakePlan("restart", "", nil); err == nil {
-			t.Error("planned on what a member says that does not lead")
+		if _, err := isolatedOnly.MakePlan("restart", "", nil); err == nil {
+			t.Error("a plan was based on the report of a control node that is not primary")
 		}
-		all := tools.CollectReports(context.Background(), host, []string{addr(1), addr(2), addr(3), addr(4)}, false)
-		if p := all.Primary(); p == nil || p.Node == name || strings.Contains(says(all), "not current") || !strings.Contains(says(all), name+" in") {
-			t.Errorf("all say:\n%s", says(all))
+		everyNode := tools.CollectReports(context.Background(), host, []string{addr(1), addr(2), addr(3), addr(4)}, false)
+		if p := everyNode.Primary(); p == nil || p.Node == name || strings.Contains(render(everyNode), "not current") || !strings.Contains(render(everyNode), name+" in") {
+			t.Errorf("the reports of all control nodes are not shown as current:\n%s", render(everyNode))
 		}
-		// What was asked before the cut, beside what others have heard since.
-		mixed := &tools.System{Reports: append(before.Reports, tools.CollectReports(context.Background(), host, []string{addr(1 + cut%4)}, false).Reports...)}
+		// A report from before the partition, combined with a newer one of another control node.
+		mixed := &tools.System{Reports: append(before.Reports, tools.CollectReports(context.Background(), host, []string{addr(1 + isolated%4)}, false).Reports...)}
 		mixed.Reports[1].LeaseUs = 0
 		plan, err := mixed.MakePlan("restart", "", nil)
-		if !strings.Contains(says(mixed), "not current: control-") || err != nil || len(plan.Warnings) != 1 {
-			t.Errorf("mixed, %v, %v:\n%s", plan, err, says(mixed))
+		if !strings.Contains(render(mixed), "not current: control-") || err != nil || len(plan.Warnings) != 1 {
+			t.Errorf("a report from before the partition is not shown as outdated: plan %v, error %v:\n%s", plan, err, render(mixed))
 		}
 	})
 }
--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// NothingPastItsDrain: a replica that leaves alone holds the newest commits when
-// the lead crashes, and is promoted when its time is nearly over. It may hand on
-// its log; no statement of a client begins there once the time is over, however
-// long it goes on running, and clients are served again once another leads.
-func TestNothingPastItsDrain(t *testing.T) {
+// A draining replica is the only one with the newest commits when the primary crashes, and is promoted
+// shortly before its drain time ends. It may still replicate its log, but no client statement begins
+// there after the drain time, however long it keeps running. Clients are served again once another
+// database is promoted.
+func TestNoStatementsAfterDrainTime(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
+		load := under(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(1).Leave(20*time.Second, true)
 			time.Sleep(5 * time.Second)
-			lead := g.Primary()
-			lead.Crash(true)
-			if g.next(lead, 2*time.Second) != g.DB(1) {
-				t.Error("the replica that holds everything does not lead")
+			oldPrimary := g.Primary()
+			oldPrimary.Crash(true)
+			if g.next(oldPrimary, 2*time.Second) != g.DB(1) {
+				t.Error("the replica with the newest commits was not promoted")
 			}
-			time.Sleep(4 * time.Second) // it leads, and no one follows yet
+			time.Sleep(4 * time.Second) // it is the primary, and no other replica can be promoted yet
 			if g.Primary() != g.DB(1) {
-				t.Error("the lead left before anyone could follow")
+				t.Error("the draining primary was replaced before another replica could be promoted")
 			}
 			g.DB(2).SetReplicationStopped(false)
 			g.next(g.DB(1), 2*time.Second)
 		})
-		served(t, l, 8*time.Second)
+		served(t, load, 8*time.Second)
 	})
 }
--- a/internal/simulation/full_test.go
+++ b/internal/simulation/full_test.go
@@ -8,30 +8,31 @@
 	"indigowalk/internal/kernel"
 )
 
-// taken tells whether every pooler has the version of the configuration.
+// poolersHaveVersion reports whether every pooler has this version of the configuration, or a newer
+// one.
 func (w *World) taken(rev int64) bool {
 	for z := 1; z <= w.Zones; z++ {
 		subscriber := kernel.Need[*distribution.Subscriber](w.Process("pooler", z).Kernel)
-		if _, _, has, _ := subscriber.Version(); has < rev {
+		if _, _, version, _ := subscriber.Version(); version < rev {
 			return false
 		}
 	}
 	return true
 }
 
-// NewsInTime: a primary that takes no bytes holds up those who send to it, and
-// nothing else: poolers take a new configuration, and their other work goes on.
-func TestAPrimaryThatTakesNothing(t *testing.T) {
+// A primary that reads no bytes from its connections delays only the clients that send to it. Poolers
+// still receive a new configuration in time and continue their other work.
+func TestStalledPrimaryDoesNotBlockConfiguration(t *testing.T) {
 	play(t, func(w *World, g *Group) {
-		l := under(w, g, func() {
-			lead := g.Primary()
-			w.Net.Full(lead.IP, true)
+		load := under(w, g, func() {
+			primary := g.Primary()
+			w.Net.Full(primary.IP, true)
 			time.Sleep(500 * time.Millisecond)
 			changed(w, 1, 7)
-			w.Until("all poolers have it", time.Second, func() bool { return w.taken(7) })
+			w.Until("every pooler has the new configuration", time.Second, func() bool { return w.taken(7) })
 			time.Sleep(2 * time.Second)
-			w.Net.Full(lead.IP, false)
+			w.Net.Full(primary.IP, false)
 		})
-		served(t, l, 6*time.Second)
+		served(t, load, 6*time.Second)
 	})
 }
