--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -47,15 +47,15 @@
 		if code := deregister(2, "unknown"); code != 200 {
 			t.Errorf("deregistration of an unknown database: status %d, want 200", code)
 		}
-		oldPrimary := controlPrimary(w)
-		w.Process("control", oldPrimary).Kill()
+		oldPrimaryZone := controlPrimary(w)
+		w.Process("control", oldPrimaryZone).Kill()
 		w.Until("another control node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 })
 		for _, id := range []string{database.ID, "unknown"} {
 			if code := w.post(controlPrimary(w), "/Servers.Heartbeat/"+id, nil, heartbeat); code != 200 || entry(id) != "" {
 				t.Errorf("delayed heartbeat of %s: status %d, want 200; its entry is %q, want none", id, code, entry(id))
 			}
 			for other := 1; other <= 4; other++ {
-				if other == oldPrimary {
+				if other == oldPrimaryZone {
 					continue
 				}
 				w.Until("the repeated deregistration is acknowledged", 3*time.Second, func() bool {
@@ -67,7 +67,7 @@
 				})
 			}
 		}
-		w.Start("control", oldPrimary, false)
+		w.Start("control", oldPrimaryZone, false)
 	})
 }
 
@@ -154,8 +154,8 @@
 			}
 		}
 
-		// A body that never arrives is answered with 408, which leaves open whether the change is
-		// valid.
+		// A body that never arrives is answered with 408, which does not say whether the change is
+		// accepted or rejected.
 		conn, err := w.Net.Host("10.250.0.1").Dial(context.Background(), ip(primaryZone)+":8782", 0)
 		if err != nil {
 			t.Fatal(err)
