--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -52,7 +52,7 @@
 		w.Until("another control node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 })
 		for _, id := range []string{database.ID, "unknown"} {
 			if code := w.post(controlPrimary(w), "/Servers.Heartbeat/"+id, nil, heartbeat); code != 200 || entry(id) != "" {
-				t.Errorf("delayed heartbeat of %s: status %d, want 200; its entry is %q, want none", id, code, entry(id))
+				t.Errorf("delayed heartbeat of %s: status %d, want 200; its entry is %s, want none", id, code, entry(id))
 			}
 			for other := 1; other <= 4; other++ {
 				if other == oldPrimaryZone {
