--- a/internal/distribution/commits.go
+++ b/internal/distribution/commits.go
@@ -12,11 +12,11 @@
 // this proxy acknowledged to clients and, while a control node queries them, those of the
 // commits that any proxy had acknowledged by the time of the query.
 type commitTracker struct {
-	acked     positions      // upper bound for the commits that this process acknowledged, by service
-	certain   positions      // lower bound for the newest of those commits, by service
-	query     *positionQuery // from the last poll response, nil if it had none
-	queriedAt kernel.Micros  // when that response arrived; only statements sent later count
-	observed  positions      // newest positions in primaries' responses since then
+	upperBounds positions      // upper bound for the commits that this process acknowledged, by service
+	lowerBounds positions      // lower bound for the newest of those commits, by service
+	query       *positionQuery // from the last poll response, nil if it had none
+	queriedAt   kernel.Micros  // when that response arrived; only statements sent later count
+	observed    positions      // newest positions in primaries' responses since then
 }
 
 // PrimarySnapshot is the state of a service's primary at the time a statement was begun there.
@@ -28,24 +28,24 @@
 // unbounded is a position that covers every possible commit.
 var unbounded = lineprotocol.Position{Term: math.MaxInt64, Number: math.MaxInt64}
 
-// record records a commit that is acknowledged to a client. The commit was begun at the mark;
-// position is the one in the primary's response, if known.
+// record records a commit that is acknowledged to a client. begun is the state of the primary
+// when the commit was begun; position is the one in the primary's response, if known.
 func (c *commitTracker) record(service string, begun PrimarySnapshot, position lineprotocol.Position, known bool) {
-	if bound := lowerBound(begun, position, known); c.certain[service].Less(bound) {
-		c.certain.set(service, bound)
+	if bound := lowerBound(begun, position, known); c.lowerBounds[service].Less(bound) {
+		c.lowerBounds.set(service, bound)
 	}
 	if !known {
 		position = unbounded
 	}
-	if c.acked[service].Less(position) {
-		c.acked.set(service, position)
+	if c.upperBounds[service].Less(position) {
+		c.upperBounds.set(service, position)
 	}
 }
 
-// lowerBound returns a lower bound for the position of a commit that was begun at a mark. The
-// commit follows everything that had been acknowledged before, and the response carries the term
-// in which it was made. The number in the response is no lower bound: it may be that of a later
-// commit that no replica has received yet.
+// lowerBound returns a lower bound for the position of a commit; begun is the state of the
+// primary when it was begun. The commit follows every commit that had been acknowledged by then,
+// and the response carries the term in which it was made. The number in the response is no lower
+// bound: it may be that of a later commit that no replica has received yet.
 func lowerBound(begun PrimarySnapshot, response lineprotocol.Position, known bool) (bound lineprotocol.Position) {
 	if begun.Acknowledged != unbounded {
 		bound = begun.Acknowledged.Next()
@@ -115,29 +115,29 @@
 // database is still primary in the term in which the commit was begun, the lease is valid, and
 // this proxy has not reported the primary as released. Once every proxy has released the old
 // primary, or its lease has expired, no further commit of that primary is acknowledged to
-// anyone, even if replicas that wake up later still receive it.
-func (c *Subscriber) Acknowledge(service, id string, begun PrimarySnapshot, position string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	leader := c.leaders[service]
-	if leader.ID != id || leader.Term != begun.Term || leader.FailoverInProgress && c.released[service] >= leader.FailoverID || c.k.Clock.Now()+leaseMargin >= c.leaseEnd {
+// any client, even if replicas that resume later still receive it.
+func (s *Subscriber) Acknowledge(service, id string, begun PrimarySnapshot, position string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	leader := s.leaders[service]
+	if leader.ID != id || leader.Term != begun.Term || leader.FailoverInProgress && s.released[service] >= leader.FailoverID || s.k.Clock.Now()+leaseMargin >= s.leaseEnd {
 		return false
 	}
 	responsePosition, known := lineprotocol.ParsePosition(position)
-	c.commits.record(service, begun, responsePosition, known)
+	s.commits.record(service, begun, responsePosition, known)
 	return true
 }
 
 // Observe records the position in a primary's response to a statement that was sent at the given
 // time, under the lease.
-func (c *Subscriber) Observe(service string, sent kernel.Micros, position lineprotocol.Position) {
-	c.mu.RLock()
-	queried := c.commits.query != nil
-	c.mu.RUnlock()
+func (s *Subscriber) Observe(service string, sent kernel.Micros, position lineprotocol.Position) {
+	s.mu.RLock()
+	queried := s.commits.query != nil
+	s.mu.RUnlock()
 	if !queried {
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.commits.observe(service, sent, position)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.commits.observe(service, sent, position)
 }
--- a/internal/distribution/observations.go
+++ b/internal/distribution/observations.go
@@ -13,8 +13,9 @@
 type Observation [3]int
 
 // observations aggregates what all proxies observe of each database, and publishes the relative
-// cost of a request to each database, in usual responses. The aggregate lives in memory only:
-// another primary starts afresh, and the costs that proxies received decay there.
+// cost of a request to each database, as a multiple of the usual response time. The aggregate is
+// kept in memory only: a new primary starts without observations, and the costs that proxies
+// have received decay at the proxies.
 type observations struct {
 	clock kernel.Clock
 
@@ -61,21 +62,21 @@
 }
 
 // add adds the observations of one proxy.
-func (t *observations) add(reported map[string]Observation) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.clock.Now()
+func (o *observations) add(reported map[string]Observation) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.clock.Now()
 	for id, observed := range reported {
 		if observed[0] < 0 || observed[1] < 0 || observed[2] < 0 {
 			continue
 		}
-		stats := t.byDatabase[id]
+		stats := o.byDatabase[id]
 		if stats == nil {
-			if len(t.byDatabase) >= maxObservedDatabases {
+			if len(o.byDatabase) >= maxObservedDatabases {
 				continue
 			}
 			stats = &databaseStats{latency: 1, latencyAt: now, failureRateAt: now, published: 100}
-			t.byDatabase[id] = stats
+			o.byDatabase[id] = stats
 		}
 		if observed[0] > 0 {
 			stats.latency = decay(stats.latency, 1, now-stats.latencyAt, latencyDecay)
@@ -91,38 +92,38 @@
 }
 
 // since returns the costs that changed after seq, and the newest seq.
-func (t *observations) since(seq int64) (costs map[string]int, newest int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if now := t.clock.Now(); now >= t.nextPublish {
-		t.nextPublish = now + publishInterval
-		for _, stats := range t.byDatabase {
+func (o *observations) since(seq int64) (costs map[string]int, newest int64) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if now := o.clock.Now(); now >= o.nextPublish {
+		o.nextPublish = now + publishInterval
+		for _, stats := range o.byDatabase {
 			cost := 100 * (decay(stats.latency, 1, now-stats.latencyAt, latencyDecay) + failureCost*decay(stats.failureRate, 0, now-stats.failureRateAt, failureDecay))
 			if math.Abs(cost-float64(stats.published)) > publishThreshold*float64(stats.published) {
-				t.seq++
-				stats.published, stats.publishedSeq = int(cost), t.seq
+				o.seq++
+				stats.published, stats.publishedSeq = int(cost), o.seq
 			}
 		}
 	}
-	if seq >= t.seq {
-		return nil, t.seq
+	if seq >= o.seq {
+		return nil, o.seq
 	}
 	costs = map[string]int{}
-	for id, stats := range t.byDatabase {
+	for id, stats := range o.byDatabase {
 		if stats.publishedSeq > seq {
 			costs[id] = stats.published
 		}
 	}
-	return costs, t.seq
+	return costs, o.seq
 }
 
 // retain removes the databases that no longer exist.
-func (t *observations) retain(exists func(id string) bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for id := range t.byDatabase {
+func (o *observations) retain(exists func(id string) bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for id := range o.byDatabase {
 		if !exists(id) {
-			delete(t.byDatabase, id)
+			delete(o.byDatabase, id)
 		}
 	}
 }
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -21,9 +21,9 @@
 		Name: "distribution-publisher", Rank: 70, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
 			live := kernel.Need[*settings.Live](k)
-			health := kernel.Need[*health.Monitor](k)
+			monitor := kernel.Need[*health.Monitor](k)
 			NewPublisher(k, kernel.Need[*rpc.Endpoint](k), kernel.Need[*controlstate.Replica](k),
-				kernel.Need[*failover.Readers](k), settings.FromMillis(live.Now().ReaderLeaseMs), longPollTimeout(live), health.HandleNotice, live.Now().NetMbps)
+				kernel.Need[*failover.Readers](k), settings.FromMillis(live.Now().ReaderLeaseMs), longPollTimeout(live), monitor.HandleNotice, live.Now().NetMbps)
 			return nil
 		},
 	})
@@ -31,12 +31,12 @@
 		Name: "distribution-subscriber", Rank: 70, Roles: []string{"pooler", "gateway", "hollow"},
 		Build: func(k *kernel.Kernel) error {
 			live := kernel.Need[*settings.Live](k)
-			ring := kernel.Need[*membership.Memberlist](k)
+			members := kernel.Need[*membership.Memberlist](k)
 			cfg := SubscriberConfig{
 				ProxyName: live.Now().NodeName,
 				PollWait:  longPollTimeout(live),
 				ControlNodes: func() []string {
-					known := ring.Peers("control")
+					known := members.Peers("control")
 					for _, address := range live.Now().SeedPeers() {
 						if !slices.Contains(known, address) {
 							known = append(known, address)
@@ -44,14 +44,14 @@
 					}
 					return known
 				},
-				Peers:         func() []string { return ring.Peers(k.Role) },
+				Peers:         func() []string { return members.Peers(k.Role) },
 				Lease:         settings.FromMillis(live.Now().ReaderLeaseMs),
 				DownDatabases: kernel.Need[*health.Monitor](k).Down,
 				OnDatabases:   kernel.Need[connpool.Updater](k),
 				OnPosition:    func(string, kernel.Micros, lineprotocol.Position) {},
 				Bounds: func() Bounds {
 					now := live.Now()
-					bounds := Bounds{Drain: settings.FromMillis(now.DrainMs), Contact: settings.FromMillis(now.ContactMs)}
+					bounds := Bounds{Drain: settings.FromMillis(now.DrainMs), StartupGrace: settings.FromMillis(now.ContactMs)}
 					if now.RevokeGlobal {
 						bounds.Revoke = settings.FromMillis(now.RevokeMs)
 					}
@@ -69,7 +69,7 @@
 			subscriber := NewSubscriber(k, kernel.Need[*rpc.Endpoint](k), cfg)
 			kernel.Offer(k, subscriber)
 			kernel.Offer(k, connpool.Share(func(service string) int {
-				return subscriber.connectionShare(service, 1+len(ring.Peers(k.Role)))
+				return subscriber.connectionShare(service, 1+len(members.Peers(k.Role)))
 			}))
 			k.Supervise("distribution", subscriber.Serve)
 			return nil
@@ -78,14 +78,14 @@
 }
 
 // registerMetrics exports the configuration revision and the remaining lease as metrics.
-func (c *Subscriber) registerMetrics(counters *kernel.Counters) {
+func (s *Subscriber) registerMetrics(counters *kernel.Counters) {
 	counters.Observable("distribution.revision", func() int64 {
-		_, _, revision, _ := c.Version()
+		_, _, revision, _ := s.Version()
 		return revision
 	})
 	counters.Observable("distribution.lease_left_ms", func() int64 {
-		_, _, _, left := c.Version()
-		return left.Millis()
+		_, _, _, leaseLeft := s.Version()
+		return leaseLeft.Millis()
 	})
 }
 
@@ -95,8 +95,8 @@
 		return nil
 	}
 	out := make(map[string]Observation, len(stats))
-	for id, seen := range stats {
-		out[id] = Observation{seen.Responses, int(100 * seen.RelativeLatency), seen.Failures}
+	for id, observed := range stats {
+		out[id] = Observation{observed.Responses, int(100 * observed.RelativeLatency), observed.Failures}
 	}
 	return out
 }
@@ -113,19 +113,20 @@
 // unlimitedShare is the share of one proxy where max_conns is 0, that is, unlimited.
 const unlimitedShare = 64
 
-// connectionShare divides max_conns of a service's databases among the live proxies. It counts
-// the members known to this proxy or, if they are more, the proxies that polled the control node
-// recently: a proxy that has just started, or is cut off, knows few members.
-func (c *Subscriber) connectionShare(service string, proxies int) int {
-	c.mu.RLock()
-	config := c.config
-	proxies = max(proxies, c.proxies)
-	c.mu.RUnlock()
+// connectionShare returns this proxy's share of the connections to each database of a service,
+// whose max_conns is divided among the live proxies. These are the members that this proxy knows
+// or, if they are more, the proxies that polled the control node recently: a proxy that has just
+// started, or is cut off, knows few members.
+func (s *Subscriber) connectionShare(service string, proxies int) int {
+	s.mu.RLock()
+	config := s.config
+	proxies = max(proxies, s.proxyCount)
+	s.mu.RUnlock()
 	if config == nil {
 		return 1
 	}
-	if s := config.Service(service); s != nil {
-		return ConnectionShare(s.MaxConns, proxies)
+	if svc := config.Service(service); svc != nil {
+		return ConnectionShare(svc.MaxConns, proxies)
 	}
 	return unlimitedShare
 }
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -35,15 +35,15 @@
 	Released map[string]int64 `json:"left,omitempty"`
 	// Acked is, for each released service, an upper bound for the commits that were acknowledged
 	// to clients.
-	Acked positions `json:"acked,omitempty"`
+	AckedUpperBounds positions `json:"acked,omitempty"`
 	// Certain is, for each of them, a lower bound for the newest of these commits.
-	Certain   positions       `json:"certain,omitempty"`
-	Positions *positionReport `json:"saw,omitempty"` // nil if nothing was observed for the current query
+	AckedLowerBounds positions       `json:"certain,omitempty"`
+	Positions        *positionReport `json:"saw,omitempty"` // nil if nothing was observed for the current query
 	// QueryChecksum is the checksum of the services in the current position query.
 	QueryChecksum uint32 `json:"looks,omitempty"`
 	// Down lists the databases that the proxy considers down.
 	Down []string `json:"down,omitempty"`
-	// Immediate says that the proxy's lease can't wait for the next change.
+	// Immediate requests a response at once: the proxy's lease may expire before the next change.
 	Immediate    bool                   `json:"now,omitempty"`
 	Observations map[string]Observation `json:"seen,omitempty"` // what requests to databases showed
 	// CostTerm is the term of the costs that the proxy received last, CostSeq their newest
@@ -59,11 +59,12 @@
 	// NewestIncarnation is a later incarnation of the proxy, if this one is refused.
 	NewestIncarnation int64 `json:"newest,omitempty"`
 	Epoch             int64 `json:"epoch,omitempty"`
-	// Seq is the sequence number of the state that the proxy has with this response.
+	// Seq is the sequence number of the state that the proxy has once it has applied this
+	// response.
 	Seq   int64         `json:"seq,omitempty"`
 	Lease kernel.Micros `json:"lease_us,omitempty"`
-	// RetryAfter is the time until the proxy's slot for a large update: it is to poll again
-	// then.
+	// RetryAfter is the time until the proxy's slot for a large update; the proxy is to poll
+	// again then.
 	RetryAfter kernel.Micros  `json:"later_us,omitempty"`
 	Proxies    int            `json:"poolers,omitempty"` // number of proxies that polled recently
 	CostTerm   int64          `json:"term,omitempty"`    // of the costs
@@ -86,20 +87,20 @@
 }
 
 // checksum identifies the services in polls; 0 for none.
-func (l *positionQuery) checksum() uint32 {
-	if l == nil || len(l.Services) == 0 {
+func (q *positionQuery) checksum() uint32 {
+	if q == nil || len(q.Services) == 0 {
 		return 0
 	}
-	return crc32.ChecksumIEEE([]byte(strings.Join(l.Services, "\n")))
+	return crc32.ChecksumIEEE([]byte(strings.Join(q.Services, "\n")))
 }
 
-// omitKnownServices leaves out the services if they are those of the query that the proxy has,
-// identified by their checksum.
-func (l *positionQuery) omitKnownServices(known uint32) *positionQuery {
-	if known == 0 || l.checksum() != known {
-		return l
+// omitKnownServices returns the query without its services if they are those of the query that
+// the proxy has, which known is the checksum of.
+func (q *positionQuery) omitKnownServices(known uint32) *positionQuery {
+	if known == 0 || q.checksum() != known {
+		return q
 	}
-	return &positionQuery{Term: l.Term, Stamp: l.Stamp, Unchanged: true}
+	return &positionQuery{Term: q.Term, Stamp: q.Stamp, Unchanged: true}
 }
 
 // positionReport answers the positionQuery with the same term and stamp.
@@ -179,111 +180,111 @@
 
 // reserve returns how long the proxy has to wait before an update of the given size in bytes may
 // be sent to it. A wait longer than maxInlineWait is remembered as the proxy's reservation.
-func (t *transferPacer) reserve(proxy string, now kernel.Micros, size int) kernel.Micros {
-	if t.rate == 0 || size < pacedUpdateSize {
+func (p *transferPacer) reserve(proxy string, now kernel.Micros, size int) kernel.Micros {
+	if p.rate == 0 || size < pacedUpdateSize {
 		return 0
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	maps.DeleteFunc(t.reservations, func(_ string, at kernel.Micros) bool { return now-at > reservationTTL })
-	if at, reserved := t.reservations[proxy]; reserved {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	maps.DeleteFunc(p.reservations, func(_ string, at kernel.Micros) bool { return now-at > reservationTTL })
+	if at, reserved := p.reservations[proxy]; reserved {
 		if at <= now {
-			delete(t.reservations, proxy)
+			delete(p.reservations, proxy)
 		}
 		return max(0, at-now)
 	}
-	at := max(now, t.nextFree)
-	t.nextFree = at + kernel.Micros(float64(size)/t.rate)
+	at := max(now, p.nextFree)
+	p.nextFree = at + kernel.Micros(float64(size)/p.rate)
 	if at-now > maxInlineWait {
-		if t.reservations == nil {
-			t.reservations = map[string]kernel.Micros{}
+		if p.reservations == nil {
+			p.reservations = map[string]kernel.Micros{}
 		}
-		t.reservations[proxy] = at
+		p.reservations[proxy] = at
 	}
 	return at - now
 }
 
 // forTerm returns the update log and the observations of a term.
-func (o *Publisher) forTerm(term int64) (*updateLog, *observations) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.log == nil || o.log.term != term {
-		o.log, o.observations = newUpdateLog(term), newObservations(o.k.Clock)
+func (p *Publisher) forTerm(term int64) (*updateLog, *observations) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.log == nil || p.log.term != term {
+		p.log, p.observations = newUpdateLog(term), newObservations(p.k.Clock)
 	}
-	return o.log, o.observations
+	return p.log, p.observations
 }
 
 // NewPublisher returns a publisher that serves polls through the endpoint. mbps is the bandwidth
 // of the link in Mbit/s, 0 if it is not known.
-func NewPublisher(k *kernel.Kernel, endpoint *rpc.Endpoint, replica *controlstate.Replica, readers *failover.Readers, lease kernel.Micros, pollTimeout func() kernel.Micros, reportDown func(proxy, id string), mbps float64) *Publisher {
-	o := &Publisher{k: k, replica: replica, readers: readers, lease: lease, pollTimeout: pollTimeout, reportDown: reportDown}
-	o.pacer.rate = linkShare * mbps / 8
-	rpc.HandleTyped(endpoint, pollOp, o.handlePoll)
-	return o
+func NewPublisher(k *kernel.Kernel, endpoint *rpc.Endpoint, replica *controlstate.Replica, readers *failover.Readers, lease kernel.Micros, pollTimeout func() kernel.Micros, reportDown func(proxy, id string), linkMbps float64) *Publisher {
+	p := &Publisher{k: k, replica: replica, readers: readers, lease: lease, pollTimeout: pollTimeout, reportDown: reportDown}
+	p.pacer.rate = linkShare * linkMbps / 8
+	rpc.HandleTyped(endpoint, pollOp, p.handlePoll)
+	return p
 }
 
-func (o *Publisher) handlePoll(ctx context.Context, request pollRequest) (any, error) {
+func (p *Publisher) handlePoll(ctx context.Context, request pollRequest) (any, error) {
 	if request.Proxy == "" || request.Incarnation == 0 {
-		o.k.Counters.Add("distribution.malformed", 1)
+		p.k.Counters.Add("distribution.malformed", 1)
 		return nil, errors.New("malformed")
 	}
-	term, primary := o.awaitTerm(ctx)
+	term, primary := p.awaitTerm(ctx)
 	if term == nil {
 		return pollReply{Primary: primary}, nil
 	}
-	if err := o.register(ctx, request, term); err != nil {
+	if err := p.register(ctx, request, term); err != nil {
 		return nil, err
 	}
-	if newest, ok := o.recordReport(request); !ok {
+	if newest, ok := p.recordReport(request); !ok {
 		return pollReply{NewestIncarnation: newest}, nil
 	}
-	return o.awaitUpdate(ctx, request, term)
+	return p.awaitUpdate(ctx, request, term)
 }
 
 // recordReport records what a poll reports. If the poll is refused, newest is a later
 // incarnation of the proxy.
-func (o *Publisher) recordReport(request pollRequest) (newest int64, ok bool) {
-	report := failover.Report{Left: request.Released, AckedUpperBound: request.Acked, AckedLowerBound: request.Certain}
-	if newest, ok := o.readers.RecordReport(request.Proxy, request.Incarnation, report, o.k.Clock.Now()); !ok {
-		o.k.Counters.Add("distribution.old_life", 1)
+func (p *Publisher) recordReport(request pollRequest) (newest int64, ok bool) {
+	report := failover.Report{Left: request.Released, AckedUpperBound: request.AckedUpperBounds, AckedLowerBound: request.AckedLowerBounds}
+	if newest, ok := p.readers.RecordReport(request.Proxy, request.Incarnation, report, p.k.Clock.Now()); !ok {
+		p.k.Counters.Add("distribution.old_life", 1)
 		return newest, false
 	}
 	if request.Positions != nil {
-		o.readers.RecordObservation(failover.Observation{Term: request.Positions.Term, Stamp: request.Positions.Stamp, At: request.Positions.Positions})
+		p.readers.RecordObservation(failover.Observation{Term: request.Positions.Term, Stamp: request.Positions.Stamp, At: request.Positions.Positions})
 	}
 	for _, id := range request.Down {
-		o.reportDown(request.Proxy, id)
+		p.reportDown(request.Proxy, id)
 	}
 	return 0, true
 }
 
 // awaitUpdate responds to a poll once there is an update for it, or after a timeout without one.
-func (o *Publisher) awaitUpdate(ctx context.Context, request pollRequest, term *controlstate.Term) (any, error) {
-	timeout := time.NewTimer(o.pollTimeout().Duration())
+func (p *Publisher) awaitUpdate(ctx context.Context, request pollRequest, term *controlstate.Term) (any, error) {
+	timeout := time.NewTimer(p.pollTimeout().Duration())
 	defer timeout.Stop()
 	for admitted := false; ; {
-		changed := o.replica.Changed()
-		state, err := o.replica.Durable()
+		changed := p.replica.Changed()
+		state, err := p.replica.Durable()
 		if err != nil || !term.Valid() {
 			return pollReply{}, nil
 		}
-		log, aggregate := o.forTerm(term.FirstEpoch())
+		log, aggregate := p.forTerm(term.FirstEpoch())
 		if request.Observations != nil {
 			aggregate.add(request.Observations)
 			request.Observations = nil
 		}
 		encoded, urgent, err := log.since(state, request.Seq)
 		if err != nil {
-			o.k.Counters.Add("distribution.unreadable", 1)
+			p.k.Counters.Add("distribution.unreadable", 1)
 			return nil, err
 		}
 		if encoded != nil {
 			aggregate.retain(log.hasDatabase)
 		}
 		if encoded != nil && !admitted {
-			wait := o.pacer.reserve(request.Proxy, o.k.Clock.Now(), len(encoded))
+			wait := p.pacer.reserve(request.Proxy, p.k.Clock.Now(), len(encoded))
 			if wait > maxInlineWait {
-				o.k.Counters.Add("distribution.later", 1)
+				p.k.Counters.Add("distribution.later", 1)
 				return pollReply{RetryAfter: wait}, nil
 			}
 			admitted = true
@@ -307,12 +308,12 @@
 			kernel.Sleep(ctx, batchDelay)
 			continue
 		}
-		return o.respond(request, state, encoded, aggregate, term)
+		return p.respond(request, state, encoded, aggregate, term)
 	}
 }
 
 // proxyCountWindow is how long a proxy that no longer polls is counted: its connections may
-// still be open, and it may come back.
+// still be open, and it may resume polling.
 const proxyCountWindow = 20 * kernel.Second
 
 // batchDelay is how long a change that is not urgent is held back to be sent together with
@@ -321,37 +322,37 @@
 
 // register enters the proxy's incarnation in the control state before it is granted a lease, and
 // initializes the lease bookkeeping of the term if this is the term's first poll.
-func (o *Publisher) register(ctx context.Context, request pollRequest, term *controlstate.Term) error {
-	state, err := o.replica.Durable()
+func (p *Publisher) register(ctx context.Context, request pollRequest, term *controlstate.Term) error {
+	state, err := p.replica.Durable()
 	if err != nil {
 		return err
 	}
-	if !o.readers.InTerm(term.FirstEpoch()) {
+	if !p.readers.InTerm(term.FirstEpoch()) {
 		proxies, err := failover.Registered(state.Entries)
 		if err != nil {
 			return err
 		}
-		o.readers.BeginTerm(term.FirstEpoch(), proxies, o.k.Clock.Now(), o.lease)
+		p.readers.BeginTerm(term.FirstEpoch(), proxies, p.k.Clock.Now(), p.lease)
 	}
 	if failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
 		return nil
 	}
-	return o.replica.Update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+	return p.replica.Update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		return failover.Register(request.Proxy, request.Incarnation), nil
 	})
 }
 
 // awaitTerm returns the current term if this control node is the primary, otherwise the
 // primary's address. If no primary is known it waits for one.
-func (o *Publisher) awaitTerm(ctx context.Context) (term *controlstate.Term, primary string) {
-	ctx, cancel := context.WithTimeout(ctx, o.pollTimeout().Duration())
+func (p *Publisher) awaitTerm(ctx context.Context) (term *controlstate.Term, primary string) {
+	ctx, cancel := context.WithTimeout(ctx, p.pollTimeout().Duration())
 	defer cancel()
 	for {
-		changed := o.replica.Changed()
-		if term, err := o.replica.Term(); err == nil {
+		changed := p.replica.Changed()
+		if term, err := p.replica.Term(); err == nil {
 			return term, ""
 		}
-		if addr, known := o.replica.KnownPrimary(); known {
+		if addr, known := p.replica.KnownPrimary(); known {
 			return nil, addr
 		}
 		select {
@@ -363,29 +364,29 @@
 }
 
 // respond grants the lease and returns the response to a poll.
-func (o *Publisher) respond(request pollRequest, state controlstate.State, encoded json.RawMessage, aggregate *observations, term *controlstate.Term) (any, error) {
+func (p *Publisher) respond(request pollRequest, state controlstate.State, encoded json.RawMessage, aggregate *observations, term *controlstate.Term) (any, error) {
 	// Only a registered proxy is granted a lease, and it may have been removed since its poll
 	// arrived. The lease is recorded before it is granted, and only in the term in which the
 	// state was read.
 	if !failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
 		return nil, errors.New("proxy is no longer registered")
 	}
-	if !o.readers.Grant(request.Proxy, request.Incarnation, o.k.Clock.Now()+o.lease) {
+	if !p.readers.Grant(request.Proxy, request.Incarnation, p.k.Clock.Now()+p.lease) {
 		return nil, errors.New("a later incarnation of this proxy is known")
 	}
 	if !term.Valid() {
-		o.k.Counters.Add("distribution.term_ended", 1)
+		p.k.Counters.Add("distribution.term_ended", 1)
 		return pollReply{}, nil
 	}
-	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: o.lease, Proxies: o.readers.CountLeases(o.k.Clock.Now() - proxyCountWindow)}
+	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: p.lease, Proxies: p.readers.CountLeases(p.k.Clock.Now() - proxyCountWindow)}
 	if request.CostTerm != term.FirstEpoch() {
 		request.CostSeq = 0
 	}
 	if response.Costs, response.CostSeq = aggregate.since(request.CostSeq); response.CostSeq > 0 {
 		response.CostTerm = term.FirstEpoch()
 	}
-	now := o.k.Clock.Now()
-	if services := o.readers.ServicesToObserve(request.Proxy, now); len(services) > 0 {
+	now := p.k.Clock.Now()
+	if services := p.readers.ServicesToObserve(request.Proxy, now); len(services) > 0 {
 		response.Query = (&positionQuery{Term: term.FirstEpoch(), Stamp: now, Services: services}).omitKnownServices(request.QueryChecksum)
 	}
 	raw, err := json.Marshal(response)
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -24,9 +24,9 @@
 	// relayPeriod is how long a proxy polls through peers before it tries a control node itself
 	// again.
 	relayPeriod = kernel.Second
-	// maxRelayPeers bounds how many peers a proxy tries during one cut, and with it the
-	// connections that this leaves behind; peersPerRound bounds those tried between two polls of
-	// its own.
+	// maxRelayPeers bounds how many peers a proxy tries while it is cut off, and thereby how
+	// many connections to them it leaves open; peersPerRound bounds how many it tries between
+	// two polls that it sends to a control node itself.
 	maxRelayPeers = 12
 	peersPerRound = 3
 	// maxConcurrentRelays bounds the polls that a proxy relays at a time.
@@ -35,44 +35,45 @@
 
 var errNoContact = errors.New("distribution: no recent contact with the control state's primary")
 
-// relayPeers are the peers that a proxy tries during one cut, in rotation.
+// relayPeers are the peers that a proxy tries in rotation while it is cut off.
 type relayPeers struct {
 	peers []string
 	next  int
 	used  bool // whether a peer has relayed a poll
 }
 
-// needsRelay reports whether to poll through a peer. Where control nodes respond that they know
-// no primary, a peer most likely knows none either, so peers are tried later then.
-func (c *Subscriber) needsRelay(unanswered int) bool {
-	c.mu.RLock()
-	defer c.mu.RUnlock()
-	elapsed := c.k.Clock.Now() - c.contactSentAt
-	return c.cfg.Peers != nil && (unanswered >= 2 && elapsed > c.cfg.Lease/2 || unanswered >= 1 && elapsed > 2*c.cfg.Lease)
+// needsRelay reports whether to poll through a peer. If control nodes respond that they know no
+// primary, a peer most likely has no contact with one either, so peers are then tried only after
+// a longer time.
+func (s *Subscriber) needsRelay(unanswered int) bool {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	elapsed := s.k.Clock.Now() - s.contactSentAt
+	return s.cfg.Peers != nil && (unanswered >= 2 && elapsed > s.cfg.Lease/2 || unanswered >= 1 && elapsed > 2*s.cfg.Lease)
 }
 
 // pollThroughPeers polls through peers for a while. It reports whether a peer relayed a poll.
-func (c *Subscriber) pollThroughPeers(ctx context.Context, r *relayPeers) (relayed bool) {
+func (s *Subscriber) pollThroughPeers(ctx context.Context, r *relayPeers) (relayed bool) {
 	if r.peers == nil {
-		all := c.cfg.Peers()
+		all := s.cfg.Peers()
 		for _, i := range rand.Perm(len(all))[:min(len(all), maxRelayPeers)] {
 			r.peers = append(r.peers, all[i])
 		}
 	}
-	end := c.k.Clock.Now() + relayPeriod
-	for failed := 0; failed < min(peersPerRound, len(r.peers)) && c.k.Clock.Now() < end && ctx.Err() == nil; {
+	end := s.k.Clock.Now() + relayPeriod
+	for failed := 0; failed < min(peersPerRound, len(r.peers)) && s.k.Clock.Now() < end && ctx.Err() == nil; {
 		peer := r.peers[r.next%len(r.peers)]
-		next, err := c.poll(ctx, peer, relayOp, false)
+		next, err := s.poll(ctx, peer, relayOp, false)
 		if err != nil || next != peer {
-			c.k.Counters.Add("distribution.relay_failed", 1)
+			s.k.Counters.Add("distribution.relay_failed", 1)
 			r.next++
 			failed++
 			continue
 		}
-		c.k.Counters.Add("distribution.relayed", 1)
+		s.k.Counters.Add("distribution.relayed", 1)
 		if relayed = true; !r.used {
 			r.used = true
-			c.k.Log.Warn("no control node responds; polling through a peer", "peer", peer)
+			s.k.Log.Warn("no control node responds; polling through a peer", "peer", peer)
 		}
 	}
 	return relayed
@@ -81,21 +82,21 @@
 // handleRelay forwards a peer's poll to the control state's primary. It refuses unless this
 // proxy itself is in contact with the primary. A relayed poll goes to a control node, never to
 // another peer, so it is relayed only once.
-func (c *Subscriber) handleRelay(ctx context.Context, poll json.RawMessage) (any, error) {
-	c.mu.RLock()
-	controlNode, elapsed := c.controlNode, c.k.Clock.Now()-c.contactAnsweredAt
-	c.mu.RUnlock()
-	if controlNode == "" || elapsed > c.pollTimeout() {
+func (s *Subscriber) handleRelay(ctx context.Context, poll json.RawMessage) (any, error) {
+	s.mu.RLock()
+	controlNode, elapsed := s.controlNode, s.k.Clock.Now()-s.contactAnsweredAt
+	s.mu.RUnlock()
+	if controlNode == "" || elapsed > s.pollTimeout() {
 		return nil, errNoContact
 	}
-	if c.relaying.Add(1) > maxConcurrentRelays {
-		c.relaying.Add(-1)
+	if s.relaying.Add(1) > maxConcurrentRelays {
+		s.relaying.Add(-1)
 		return nil, errNoContact
 	}
-	defer c.relaying.Add(-1)
-	c.k.Counters.Add("distribution.passed_on", 1)
+	defer s.relaying.Add(-1)
+	s.k.Counters.Add("distribution.passed_on", 1)
 	var response json.RawMessage
-	if err := c.endpoint.Call(ctx, controlNode, pollOp, poll, &response, c.pollTimeout()); err != nil {
+	if err := s.endpoint.Call(ctx, controlNode, pollOp, poll, &response, s.pollTimeout()); err != nil {
 		return nil, err
 	}
 	return response, nil
--- a/internal/distribution/updatelog.go
+++ b/internal/distribution/updatelog.go
@@ -75,7 +75,7 @@
 	term        int64 // that of the control state's primary
 	state       controlstate.State
 	loaded      bool  // whether there is a state
-	firstSeq    int64 // configuration changes after this seq are known one by one
+	firstSeq    int64 // each configuration change after this seq is known individually
 	newestSeq   int64 // seq of the newest known change that is published to proxies
 	config      routeconfig.History
 	rev         int64
@@ -99,75 +99,75 @@
 
 // since returns the encoded update for a proxy that has the state of seq, nil if it lacks
 // nothing. An urgent update must not be held back to be sent together with others.
-func (e *updateLog) since(state controlstate.State, seq int64) (raw json.RawMessage, urgent bool, err error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if err := e.advance(state); err != nil {
+func (l *updateLog) since(state controlstate.State, seq int64) (raw json.RawMessage, urgent bool, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if err := l.advance(state); err != nil {
 		return nil, false, err
 	}
 	missing := update{Full: !state.KnowsChangesSince(seq)}
-	if seq >= state.Seq || !missing.Full && seq >= e.newestSeq {
+	if seq >= state.Seq || !missing.Full && seq >= l.newestSeq {
 		return nil, false, nil
 	}
-	if missing.Full && e.encodedFull != nil {
-		return e.encodedFull, true, nil
+	if missing.Full && l.encodedFull != nil {
+		return l.encodedFull, true, nil
 	}
 	if missing.Full {
-		missing.Databases, missing.Leaders = e.databases, e.leaders
-		if e.rev > 0 {
-			missing.Config = e.config.Since(0, true)
+		missing.Databases, missing.Leaders = l.databases, l.leaders
+		if l.rev > 0 {
+			missing.Config = l.config.Since(0, true)
 		}
-		if e.encodedFull, err = json.Marshal(missing); err != nil {
+		if l.encodedFull, err = json.Marshal(missing); err != nil {
 			return nil, false, fmt.Errorf("distribution: %w", err)
 		}
-		return e.encodedFull, true, nil
+		return l.encodedFull, true, nil
 	}
 	missing.Databases, missing.Leaders = databaseSet{}, map[string]failover.Leader{}
 	for _, key := range state.ChangedSince(seq) {
 		urgent = urgent || failover.IsKey(key)
-		e.addEntry(&missing, key, seq)
+		l.addEntry(&missing, key, seq)
 	}
-	raw, cached := e.encoded[seq]
+	raw, cached := l.encoded[seq]
 	if cached {
 		return raw, urgent, nil
 	}
 	if raw, err = json.Marshal(missing); err != nil {
 		return nil, false, fmt.Errorf("distribution: %w", err)
 	}
-	e.encoded[seq] = raw
+	l.encoded[seq] = raw
 	return raw, urgent, nil
 }
 
 // hasDatabase reports whether a database is part of the state.
-func (e *updateLog) hasDatabase(id string) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	_, known := e.databases[id]
+func (l *updateLog) hasDatabase(id string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_, known := l.databases[id]
 	return known
 }
 
 // addEntry adds one entry to the update for a proxy that has the state of seq.
-func (e *updateLog) addEntry(missing *update, key string, seq int64) {
-	if key == routeconfig.Key && e.rev > 0 {
-		missing.Config = e.config.Since(seq, seq < e.firstSeq)
+func (l *updateLog) addEntry(missing *update, key string, seq int64) {
+	if key == routeconfig.Key && l.rev > 0 {
+		missing.Config = l.config.Since(seq, seq < l.firstSeq)
 	}
 	if id, ok := strings.CutPrefix(key, discovery.Key("")); ok {
-		if database, known := e.databases[id]; known {
+		if database, known := l.databases[id]; known {
 			missing.Databases[id] = database
 		} else {
 			missing.Removed = append(missing.Removed, id)
 		}
 	}
 	if service, ok := strings.CutPrefix(key, failover.Key("")); ok {
-		if leader, known := e.leaders[service]; known {
+		if leader, known := l.leaders[service]; known {
 			missing.Leaders[service] = leader
 		}
 	}
 }
 
-// advance takes in a newer state.
-func (e *updateLog) advance(state controlstate.State) error {
-	if e.loaded && state.Seq == e.state.Seq {
+// advance applies a newer state.
+func (l *updateLog) advance(state controlstate.State) error {
+	if l.loaded && state.Seq == l.state.Seq {
 		return nil
 	}
 	published := map[string]json.RawMessage{}
@@ -176,7 +176,7 @@
 			published[key] = raw
 		}
 	}
-	listed, err := e.databaseDecoder.Decode(published)
+	listed, err := l.databaseDecoder.Decode(published)
 	if err != nil {
 		return err
 	}
@@ -186,32 +186,32 @@
 			databases[id] = database
 		}
 	}
-	leaders, err := e.leaderDecoder.Decode(published)
+	leaders, err := l.leaderDecoder.Decode(published)
 	if err != nil {
 		return err
 	}
-	if !e.loaded {
-		e.firstSeq = state.Seq
+	if !l.loaded {
+		l.firstSeq = state.Seq
 	}
-	if e.rev == 0 || !bytes.Equal(e.state.Entries[routeconfig.Key], published[routeconfig.Key]) {
+	if l.rev == 0 || !bytes.Equal(l.state.Entries[routeconfig.Key], published[routeconfig.Key]) {
 		_, config, err := routeconfig.Decode(published[routeconfig.Key])
 		if err != nil {
 			return err
 		}
 		if config != nil {
-			e.config.Advance(config, state.Seq)
-			e.rev = config.Rev
+			l.config.Advance(config, state.Seq)
+			l.rev = config.Rev
 		}
 	}
-	changed := !e.loaded
-	for _, key := range state.ChangedSince(e.state.Seq) {
+	changed := !l.loaded
+	for _, key := range state.ChangedSince(l.state.Seq) {
 		if isPublished(key) {
-			e.newestSeq, changed = state.Seq, true
+			l.newestSeq, changed = state.Seq, true
 		}
 	}
 	if changed {
-		e.encoded, e.encodedFull = map[int64]json.RawMessage{}, nil
+		l.encoded, l.encodedFull = map[int64]json.RawMessage{}, nil
 	}
-	e.loaded, e.state, e.databases, e.leaders = true, state, databases, leaders
+	l.loaded, l.state, l.databases, l.leaders = true, state, databases, leaders
 	return nil
 }
--- a/internal/distribution/updatelog_test.go
+++ b/internal/distribution/updatelog_test.go
@@ -12,8 +12,8 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// A proxy is sent what changed since the state it has, and the full state only if the changes
-// since then are no longer known.
+// A proxy is sent the changes since the state that it has, and the full state only if those
+// changes are no longer known.
 func TestUpdateSinceSequence(t *testing.T) {
 	log := newUpdateLog(1)
 	state := controlstate.State{Epoch: 3, Seq: 10}.WithoutRevisions()
@@ -40,44 +40,44 @@
 		id := fmt.Sprint("i-", i)
 		put(discovery.Key(id), fmt.Sprintf(`{"id":%q,"svc":"s%d","address":"10.1.64.%d:8000","zone":"z","slots":7}`, id, i/3, i))
 	}
-	full, all, urgent := since(5)
+	full, fullSize, urgent := since(5)
 	if !full.Full || len(full.Databases) != 90 || !urgent {
 		t.Fatalf("full %v with %d databases, urgent %v", full.Full, len(full.Databases), urgent)
 	}
-	at := state.Seq
-	if _, size, _ := since(at); size != 0 {
-		t.Errorf("an update of %d bytes for a pooler that is up to date", size)
+	seqBefore := state.Seq
+	if _, size, _ := since(seqBefore); size != 0 {
+		t.Errorf("an update of %d bytes for a proxy that is up to date", size)
 	}
 	put("carrier/d1", "17")
-	if _, size, _ := since(at); size != 0 {
-		t.Errorf("an update of %d bytes because another pooler was registered", size)
+	if _, size, _ := since(seqBefore); size != 0 {
+		t.Errorf("an update of %d bytes because another proxy was registered", size)
 	}
 	put(discovery.Key("i-3"), `{"id":"i-3","svc":"s1","draining":true}`)
 	put(discovery.Key("i-4"), "")
-	got, size, urgent := since(at)
+	got, size, urgent := since(seqBefore)
 	if got.Full || len(got.Databases) != 1 || !got.Databases["i-3"].Draining || len(got.Removed) != 1 || urgent {
 		t.Errorf("changes of two databases: %+v, urgent %v", got, urgent)
 	}
-	if size > all/20 {
-		t.Errorf("%d bytes for two changes, of %d for everything", size, all)
+	if size > fullSize/20 {
+		t.Errorf("%d bytes for two changes, %d for the full state", size, fullSize)
 	}
 	put(failover.Key("s1"), `{"svc":"s1","id":"i-5","moving":true,"turn":1}`)
 	if got, _, urgent := since(state.Seq - 1); !urgent || !got.Leaders["s1"].FailoverInProgress || len(got.Databases) != 0 {
-		t.Errorf("a failover: %+v, urgent %v", got, urgent)
+		t.Errorf("change of a failover: %+v, urgent %v", got, urgent)
 	}
-	// The first change after a pause as primary must not be mistaken for no change.
-	if got, _, _ := since(at); len(got.Leaders) != 1 || len(got.Databases) != 1 {
-		t.Errorf("all changes since: %+v", got)
+	// The first change after a pause as primary must not be taken for no change.
+	if got, _, _ := since(seqBefore); len(got.Leaders) != 1 || len(got.Databases) != 1 {
+		t.Errorf("update with all changes: %+v", got)
 	}
 }
 
-// A new primary that has followed the changes sends a proxy what it lacks, not the full state:
-// hundreds of proxies find the new primary at the same time.
+// A new primary that has followed the changes sends a proxy only the changes that it lacks, not
+// the full state: hundreds of proxies find the new primary at the same time.
 func TestUpdateFromNewPrimaryIsIncremental(t *testing.T) {
-	conf := func(rev int, hosts ...string) json.RawMessage {
+	entry := func(rev int, hosts ...string) json.RawMessage {
 		var routes []string
-		for _, h := range hosts {
-			routes = append(routes, fmt.Sprintf(`{"name":%[1]q,"host":%[1]q,"path_prefix":"/","type":"bounded","deadline_ms":9,"svc":"s"}`, h))
+		for _, host := range hosts {
+			routes = append(routes, fmt.Sprintf(`{"name":%[1]q,"host":%[1]q,"path_prefix":"/","type":"bounded","deadline_ms":9,"svc":"s"}`, host))
 		}
 		return json.RawMessage(fmt.Sprintf(`{"rev":%d,"body":{"rev":%d,"routes":[%s],"services":[{"name":"s"}]}}`, rev, rev, strings.Join(routes, ",")))
 	}
@@ -86,7 +86,7 @@
 		id := fmt.Sprint("i-", i)
 		state = state.With(map[string]json.RawMessage{discovery.Key(id): json.RawMessage(fmt.Sprintf(`{"id":%q,"svc":"s"}`, id))})
 	}
-	state = state.With(map[string]json.RawMessage{routeconfig.Key: conf(1, "a", "b")})
+	state = state.With(map[string]json.RawMessage{routeconfig.Key: entry(1, "a", "b")})
 	oldSeq := state.Seq
 	old, _, err := newUpdateLog(1).since(state, 0)
 	if err != nil {
@@ -96,7 +96,7 @@
 	if err := json.Unmarshal(old, &first); err != nil {
 		t.Fatal(err)
 	}
-	state = state.With(map[string]json.RawMessage{routeconfig.Key: conf(2, "b", "c")})
+	state = state.With(map[string]json.RawMessage{routeconfig.Key: entry(2, "b", "c")})
 	raw, _, err := newUpdateLog(2).since(state, oldSeq)
 	if err != nil {
 		t.Fatal(err)
@@ -106,12 +106,12 @@
 		t.Fatal(err)
 	}
 	if got.Full || len(got.Databases) != 0 || got.Config == nil {
-		t.Fatalf("%d bytes of %d: %+v", len(raw), len(old), got)
+		t.Fatalf("update of %d bytes, full state of %d: %+v", len(raw), len(old), got)
 	}
 	index := (*routeconfig.Index)(nil).Apply(first.Config).Apply(got.Config)
-	for host, there := range map[string]bool{"a": false, "b": true, "c": true} {
-		if r, _ := index.Find(host); (r != nil) != there {
-			t.Errorf("route %s exists: %v", host, r != nil)
+	for host, want := range map[string]bool{"a": false, "b": true, "c": true} {
+		if route, _ := index.Find(host); (route != nil) != want {
+			t.Errorf("route %s was found: %v", host, route != nil)
 		}
 	}
 }
