--- a/internal/routeconfig/index.go
+++ b/internal/routeconfig/index.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Index is a configuration in the form in which proxies look things up, without the route names,
-// which serve human readers only.
+// Index is a configuration indexed for the lookups of proxies. It lacks the route names, which
+// serve human readers only.
 type Index struct {
 	Rev      int64
 	Limits   Limits
@@ -30,9 +30,9 @@
 	Names []string `json:"names"`
 }
 
-// Delta leads from one configuration to a later one. Most changes touch a few of many routes,
-// and most routes have the same attributes as others, so a delta is far smaller than the
-// configuration.
+// Delta is the difference between a configuration and a later one. Most changes affect few of
+// many routes, and most routes have the same attributes as others, so a delta is far smaller
+// than the configuration.
 type Delta struct {
 	Rev           int64          `json:"rev"`
 	Full          bool           `json:"all,omitempty"`      // the delta holds all routes and services
@@ -90,7 +90,7 @@
 	tenants            tenantHistory
 }
 
-// Advance takes in the configuration of a sequence number.
+// Advance records the configuration as of a sequence number.
 func (h *History) Advance(config *Configuration, seq int64) {
 	if h.config == nil || !slices.Equal(h.config.Services, config.Services) {
 		h.servicesChangedSeq = seq
@@ -115,8 +115,8 @@
 	h.tenants.advance(config.Tenants, seq)
 }
 
-// Since returns the delta for a proxy that has the configuration of seq, and the full
-// configuration if full is set: the proxy has none, or it is not known which.
+// Since returns the delta for a proxy that has the configuration of seq. If full is set, which
+// is for a proxy that has none or an unknown one, the delta holds the full configuration.
 func (h *History) Since(seq int64, full bool) *Delta {
 	delta := &Delta{Rev: h.config.Rev, Full: full, Limits: h.config.Limits}
 	if full || h.servicesChangedSeq > seq {
@@ -162,51 +162,51 @@
 	return out
 }
 
-// Apply returns a new index with the delta applied. x, which may be nil, is not modified.
-func (x *Index) Apply(delta *Delta) *Index {
+// Apply returns a new index with the delta applied. i, which may be nil, is not modified.
+func (i *Index) Apply(delta *Delta) *Index {
 	next := &Index{Rev: delta.Rev, Limits: delta.Limits, services: map[string]*Service{}, routes: map[string]*Route{}, hosts: map[string][]*Route{}}
-	if x != nil {
-		next.tenants = x.tenants
+	if i != nil {
+		next.tenants = i.tenants
 	}
 	next.tenants = next.tenants.apply(delta)
-	if x != nil && !delta.Full {
-		maps.Copy(next.routes, x.routes)
-		maps.Copy(next.services, x.services)
+	if i != nil && !delta.Full {
+		maps.Copy(next.routes, i.routes)
+		maps.Copy(next.services, i.services)
 	}
 	if delta.Services != nil {
 		clear(next.services)
 		for _, group := range delta.Services {
 			for _, name := range group.Names {
-				svc := group.Service
-				svc.Name = name
-				next.services[name] = &svc
+				service := group.Service
+				service.Name = name
+				next.services[name] = &service
 			}
 		}
 	}
 	for _, group := range delta.Routes {
-		for target, keys := range group.Targets {
-			var parsed Route
-			parsed.setTarget(target)
+		for targetText, keys := range group.Targets {
+			var target Route
+			target.setTarget(targetText)
 			for _, key := range keys {
-				r := Route{Manner: group.Manner, Prefix: "/", Service: parsed.Service, Weighted: parsed.Weighted}
+				route := Route{Manner: group.Manner, Prefix: "/", Service: target.Service, Weighted: target.Weighted}
 				if host, prefix, ok := strings.Cut(key, " "); ok {
-					r.Host, r.Prefix = host, prefix
+					route.Host, route.Prefix = host, prefix
 				} else {
-					r.Host = key
+					route.Host = key
 				}
-				next.routes[key] = &r
+				next.routes[key] = &route
 			}
 		}
 	}
 	for _, key := range delta.RemovedRoutes {
 		delete(next.routes, key)
 	}
-	for _, r := range next.routes {
-		next.hosts[r.Host] = append(next.hosts[r.Host], r)
+	for _, route := range next.routes {
+		next.hosts[route.Host] = append(next.hosts[route.Host], route)
 	}
 	for _, list := range next.hosts {
-		// Of two prefixes of the same path, the longer one sorts after the other, so the order is
-		// reversed here.
+		// Of two prefixes of the same path, the longer one sorts last, so the order is reversed
+		// to have it first.
 		slices.SortFunc(list, func(a, b *Route) int { return strings.Compare(b.Prefix, a.Prefix) })
 	}
 	return next
@@ -214,13 +214,13 @@
 
 // Find returns the route and the service of a database name. If several routes have that name,
 // it returns the one whose prefix sorts first.
-func (x *Index) Find(host string) (*Route, *Service) {
-	if x == nil {
+func (i *Index) Find(host string) (*Route, *Service) {
+	if i == nil {
 		return nil, nil
 	}
-	if list := x.hosts[host]; len(list) > 0 {
+	if list := i.hosts[host]; len(list) > 0 {
 		r := list[len(list)-1]
-		if s := x.services[r.Service]; s != nil {
+		if s := i.services[r.Service]; s != nil {
 			return r, s
 		}
 	}
@@ -228,11 +228,11 @@
 }
 
 // Match returns the route of a host and path, the one with the longest matching prefix.
-func (x *Index) Match(host, path string) *Route {
-	if x == nil {
+func (i *Index) Match(host, path string) *Route {
+	if i == nil {
 		return nil
 	}
-	for _, r := range x.hosts[host] {
+	for _, r := range i.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -240,19 +240,19 @@
 	return nil
 }
 
-// PickService picks the service for one request by weight. at is a random number in [0, 1).
-func (r *Route) PickService(at float64) string {
+// PickService picks the service for one request by weight. point is a random number in [0, 1).
+func (r *Route) PickService(point float64) string {
 	sum := 0.0
 	for _, s := range r.Weighted {
 		sum += s.Weight
 	}
-	at *= sum
+	point *= sum
 	picked := r.Service
 	for _, s := range r.Weighted {
 		if s.Weight > 0 {
 			picked = s.Service
 		}
-		if at -= s.Weight; at < 0 {
+		if point -= s.Weight; point < 0 {
 			break
 		}
 	}
@@ -260,9 +260,9 @@
 }
 
 // Service returns a service, nil if it is not known.
-func (x *Index) Service(name string) *Service {
-	if x == nil {
+func (i *Index) Service(name string) *Service {
+	if i == nil {
 		return nil
 	}
-	return x.services[name]
+	return i.services[name]
 }
--- a/internal/routeconfig/invariants_test.go
+++ b/internal/routeconfig/invariants_test.go
@@ -17,20 +17,20 @@
 		record string
 		want   []invariant.Invariant
 	}{
-		"recorded":          {`{"base":3,"rev":5,"sum":"x"}`, nil},
-		"no record":         {"", nil},
-		"another change":    {`{"base":3,"rev":4,"sum":"x"}`, []invariant.Invariant{invariant.ChangeRecorded}},
-		"an unreadable one": {`{"base":`, []invariant.Invariant{invariant.ChangeRecorded}},
+		"matching record":          {`{"base":3,"rev":5,"sum":"x"}`, nil},
+		"no record":                {"", nil},
+		"record of another change": {`{"base":3,"rev":4,"sum":"x"}`, []invariant.Invariant{invariant.ChangeRecorded}},
+		"unreadable record":        {`{"base":`, []invariant.Invariant{invariant.ChangeRecorded}},
 	} {
 		k := kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))
-		r := New(k, nil, 64)
+		registry := New(k, nil, 64)
 		entries := map[string]json.RawMessage{}
 		if c.record != "" {
-			entries[r.ledger.entryKey(1)] = json.RawMessage(c.record)
+			entries[registry.ledger.entryKey(1)] = json.RawMessage(c.record)
 		}
-		r.checkInvariants(entries, stored{Rev: 5, Changes: 2})
+		registry.checkInvariants(entries, stored{Rev: 5, Changes: 2})
 		if got := k.Invariants.Violated(); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: violated invariants: %v", name, got)
 		}
 	}
 }
--- a/internal/routeconfig/ledger.go
+++ b/internal/routeconfig/ledger.go
@@ -11,8 +11,8 @@
 )
 
 // changeID identifies a change of version Base to version Rev. Sum is a digest of the kind of
-// change, both versions and the whole body: changes with equal ids are the same change, sent
-// again by whichever client.
+// change, both versions and the whole body: changes with equal ids are the same change, even if
+// different clients sent them.
 type changeID struct {
 	Base int64  `json:"base"`
 	Rev  int64  `json:"rev"`
@@ -47,10 +47,11 @@
 // was accepted before, a version conflict if it was not and never can be, and an unknown outcome
 // if that can't be determined.
 //
-// The records are followed from the current version backwards, each to its base version. An
-// accepted change that is not met on the way was accepted before the oldest version reached was
-// made, so its base is older than that version, and the version it made is at most that one.
-// This also holds if the ring had a different size before, or did not exist.
+// The records are followed from the current version backwards, each to its base version, down to
+// the oldest version that they reach. An accepted change that is not met on the way made that
+// oldest version or an earlier one, so its base is older than that version, and the version it
+// made is at most that one. This also holds if the ring had a different size before, or did not
+// exist.
 func (l *ledger) resolve(entries map[string]json.RawMessage, current int64, id changeID) error {
 	records, err := l.decoded.Decode(entries)
 	if err != nil {
--- a/internal/routeconfig/ledger_test.go
+++ b/internal/routeconfig/ledger_test.go
@@ -15,48 +15,49 @@
 	"indigowalk/internal/kernel"
 )
 
-// memory is an in-memory control state that counts the bytes that a change writes.
-type memory struct {
-	entries map[string]json.RawMessage
-	written int
+// memoryState is an in-memory control state that counts the bytes that the last change wrote.
+type memoryState struct {
+	entries      map[string]json.RawMessage
+	bytesWritten int
 }
 
-func (m *memory) Read(key string) (json.RawMessage, error) { return m.entries[key], nil }
+func (m *memoryState) Read(key string) (json.RawMessage, error) { return m.entries[key], nil }
 
-func (m *memory) Update(_ context.Context, change controlstate.ChangeFunc) error {
+func (m *memoryState) Update(_ context.Context, change controlstate.ChangeFunc) error {
 	changes, err := change(m.entries)
 	if err != nil {
 		return err
 	}
-	m.written = 0
+	m.bytesWritten = 0
 	for key, raw := range changes {
 		m.entries[key] = raw
-		m.written += len(key) + len(raw)
+		m.bytesWritten += len(key) + len(raw)
 	}
 	return nil
 }
 
-func (m *memory) size() (n int) {
+func (m *memoryState) size() (n int) {
 	for key, raw := range m.entries {
 		n += len(key) + len(raw)
 	}
 	return n
 }
 
-func onMemory(changes int64) (*Registry, *memory) {
-	m := &memory{entries: map[string]json.RawMessage{}}
-	return New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), m, changes), m
+func newTestRegistry(ledgerSize int64) (*Registry, *memoryState) {
+	state := &memoryState{entries: map[string]json.RawMessage{}}
+	return New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), state, ledgerSize), state
 }
 
-func body(rev int64, mark int) []byte {
-	return fmt.Appendf(nil, `{"rev":%d,"routes":[],"services":[{"name":"s","max_conns":%d}]}`, rev, mark)
+func servicesBody(rev int64, maxConns int) []byte {
+	return fmt.Appendf(nil, `{"rev":%d,"routes":[],"services":[{"name":"s","max_conns":%d}]}`, rev, maxConns)
 }
 
-// grow makes changes up to version n, each on top of the one before.
-func grow(t testing.TB, c *Registry, from, n int64) {
+// applyChanges replaces the configuration once for each version after from, up to version to,
+// each time based on the version before.
+func applyChanges(t testing.TB, registry *Registry, from, to int64) {
 	t.Helper()
-	for rev := from + 1; rev <= n; rev++ {
-		if err := c.Replace(t.Context(), rev-1, body(rev, 1)); err != nil {
+	for rev := from + 1; rev <= to; rev++ {
+		if err := registry.Replace(t.Context(), rev-1, servicesBody(rev, 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -65,15 +66,15 @@
 // Neither what a change writes nor the total size of the state grows with the number of earlier
 // changes.
 func TestLedgerBounded(t *testing.T) {
-	c, m := onMemory(512)
-	grow(t, c, 0, 100)
-	first := m.written
-	grow(t, c, 100, 2000)
-	if m.written > first*11/10 {
-		t.Errorf("the 100th change writes %d bytes, the 2000th %d", first, m.written)
+	registry, state := newTestRegistry(512)
+	applyChanges(t, registry, 0, 100)
+	writtenBy100th := state.bytesWritten
+	applyChanges(t, registry, 100, 2000)
+	if state.bytesWritten > writtenBy100th*11/10 {
+		t.Errorf("the 100th change wrote %d bytes, the 2000th %d", writtenBy100th, state.bytesWritten)
 	}
-	if whole := m.size(); whole > 512*80 {
-		t.Errorf("the state holds %d bytes", whole)
+	if size := state.size(); size > 512*80 {
+		t.Errorf("the state has %d bytes after 2000 changes", size)
 	}
 }
 
@@ -81,102 +82,103 @@
 func BenchmarkChange(b *testing.B) {
 	for _, before := range []int64{100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint("after-", before), func(b *testing.B) {
-			c, m := onMemory(512)
-			grow(b, c, 0, before)
+			registry, state := newTestRegistry(512)
+			applyChanges(b, registry, 0, before)
 			rev := before
 			for b.Loop() {
-				if err := c.Replace(b.Context(), rev, body(rev+1, 1)); err != nil {
+				if err := registry.Replace(b.Context(), rev, servicesBody(rev+1, 1)); err != nil {
 					b.Fatal(err)
 				}
 				rev++
 			}
-			b.ReportMetric(float64(m.written), "bytes/change")
-			b.ReportMetric(float64(m.size()), "bytes-in-all")
+			b.ReportMetric(float64(state.bytesWritten), "bytes/change")
+			b.ReportMetric(float64(state.size()), "bytes-in-all")
 		})
 	}
 }
 
-// A change is identified by base, number, kind and whole body. One that was accepted is
-// acknowledged again or its outcome is reported as unknown, whatever came after it; a different
-// change on the same base is refused for as long as the accepted one is known.
+// A change is identified by its base version, new version, kind and whole body. An accepted
+// change that is sent again is acknowledged again or gets an unknown outcome, whatever changes
+// followed; a different change of the same base is refused for as long as the accepted one is on
+// record.
 func TestRepeatedChanges(t *testing.T) {
-	registry, _ := onMemory(4)
-	grow(t, registry, 0, 9) // version 6, based on 5, is the oldest change on record
+	registry, _ := newTestRegistry(4)
+	applyChanges(t, registry, 0, 9) // the changes that made the versions 6 to 9 are on record
 	patch := func(rev int64) []byte {
 		return fmt.Appendf(nil, `{"rev":%d,"upsert":{"services":[{"name":"t"}]}}`, rev)
 	}
-	if err := registry.Update(t.Context(), 9, patch(10)); err != nil {
+	if err := registry.Update(t.Context(), 9, patch(10)); err != nil { // replaces the record of version 6
 		t.Fatal(err)
 	}
-	large := func(rev int64, size int) []byte {
+	largePatch := func(rev int64, size int) []byte {
 		return fmt.Appendf(nil, `{"rev":%d,"upsert":{"services":[{"name":%q}]}}`, rev, strings.Repeat("s", size))
 	}
 	invalid := errors.New("invalid")
 	for _, call := range []struct {
-		what string
-		take func(context.Context, int64, []byte) error
-		base int64
-		body []byte
-		want error
+		name  string
+		apply func(context.Context, int64, []byte) error
+		base  int64
+		body  []byte
+		want  error
 	}{
-		{"the newest", registry.Update, 9, patch(10), nil},
-		{"the newest, spaced otherwise", registry.Update, 9, append([]byte("\n "), patch(10)...), nil},
-		{"the newest as another kind of call", registry.Replace, 9, patch(10), ErrVersionConflict},
-		{"another body under the newest's number", registry.Update, 9, []byte(`{"rev":10}`), ErrVersionConflict},
-		{"another base under the newest's number", registry.Update, 8, patch(10), ErrVersionConflict},
-		{"another number with the newest's body", registry.Update, 9, patch(11), ErrVersionConflict},
-		{"the oldest that is known", registry.Replace, 6, body(7, 1), nil},
-		{"another on the oldest known base", registry.Replace, 6, body(7, 2), ErrVersionConflict},
-		{"a forgotten one", registry.Replace, 4, body(5, 1), ErrOutcomeUnknown},
-		{"one that lost its race for a forgotten base", registry.Replace, 4, body(5, 2), ErrOutcomeUnknown},
-		{"one that made the oldest version reached", registry.Replace, 5, body(6, 1), ErrOutcomeUnknown},
-		{"one on a forgotten base that made no version before that", registry.Replace, 4, body(7, 1), ErrVersionConflict},
-		{"one on a base that is yet to come", registry.Replace, 12, body(13, 1), ErrVersionConflict},
-		{"one that is above the current on an old base", registry.Replace, 3, body(20, 1), ErrVersionConflict},
-		{"one that is not above its base", registry.Replace, 4, body(4, 1), invalid},
-		{"one with a fault on an old base", registry.Update, 8, []byte(`{"rev":9,"upsert":{"services":[{}]}}`), ErrVersionConflict},
-		{"one with a fault on the current base", registry.Update, 10, []byte(`{"rev":11,"upsert":{"services":[{}]}}`), invalid},
-		{"a large one", registry.Update, 10, large(11, MaxBody*2/3), nil},
-		{"one that makes too large a configuration of it", registry.Update, 11, large(12, MaxBody/2), invalid},
+		{"newest change", registry.Update, 9, patch(10), nil},
+		{"newest change with other whitespace", registry.Update, 9, append([]byte("\n "), patch(10)...), nil},
+		{"newest change as another kind of change", registry.Replace, 9, patch(10), ErrVersionConflict},
+		{"newest change with another body", registry.Update, 9, []byte(`{"rev":10}`), ErrVersionConflict},
+		{"newest change with another base", registry.Update, 8, patch(10), ErrVersionConflict},
+		{"newest change with another version", registry.Update, 9, patch(11), ErrVersionConflict},
+		{"oldest change on record", registry.Replace, 6, servicesBody(7, 1), nil},
+		{"another change of the same base", registry.Replace, 6, servicesBody(7, 2), ErrVersionConflict},
+		{"accepted change no longer on record", registry.Replace, 4, servicesBody(5, 1), ErrOutcomeUnknown},
+		{"refused change of a base no longer on record", registry.Replace, 4, servicesBody(5, 2), ErrOutcomeUnknown},
+		{"accepted change that made the oldest version reached", registry.Replace, 5, servicesBody(6, 1), ErrOutcomeUnknown},
+		{"change of a base no longer on record to a version above the oldest reached", registry.Replace, 4, servicesBody(7, 1), ErrVersionConflict},
+		{"base above the current version", registry.Replace, 12, servicesBody(13, 1), ErrVersionConflict},
+		{"old base, new version above the current one", registry.Replace, 3, servicesBody(20, 1), ErrVersionConflict},
+		{"new version not above its base", registry.Replace, 4, servicesBody(4, 1), invalid},
+		{"invalid change of an old base", registry.Update, 8, []byte(`{"rev":9,"upsert":{"services":[{}]}}`), ErrVersionConflict},
+		{"invalid change of the current base", registry.Update, 10, []byte(`{"rev":11,"upsert":{"services":[{}]}}`), invalid},
+		{"large change", registry.Update, 10, largePatch(11, MaxBody*2/3), nil},
+		{"change that makes the configuration too large", registry.Update, 11, largePatch(12, MaxBody/2), invalid},
 	} {
-		err := call.take(t.Context(), call.base, call.body)
+		err := call.apply(t.Context(), call.base, call.body)
 		if errors.As(err, new(*ValidationError)) {
 			err = invalid
 		}
 		if !errors.Is(err, call.want) {
-			t.Errorf("%s: %v, want %v", call.what, err, call.want)
+			t.Errorf("%s: %v, want %v", call.name, err, call.want)
 		}
 	}
 }
 
 // The configuration reads back as it was sent, including fields that this version does not know.
 func TestFetchReturnsSentConfiguration(t *testing.T) {
-	registry, _ := onMemory(64)
-	exact := func(raw []byte) (v map[string]any) {
-		d := json.NewDecoder(bytes.NewReader(raw))
-		d.UseNumber()
-		if err := d.Decode(&v); err != nil {
+	registry, _ := newTestRegistry(64)
+	decode := func(raw []byte) (decoded map[string]any) {
+		decoder := json.NewDecoder(bytes.NewReader(raw))
+		decoder.UseNumber()
+		if err := decoder.Decode(&decoded); err != nil {
 			t.Fatal(err)
 		}
-		return v
+		return decoded
 	}
-	const odd = `"odd":{"n":12345678901234567890123,"f":1.0,"text":"<&> \u2028 \ud83d\ude00 ü","none":null}`
-	sent := []byte(`{ "rev":3, "services":[{"name":"s", ` + odd + `}], ` + odd + ` }`)
-	patched := []byte(`{"rev":5,"services":[{"name":"s",` + odd + `},{"name":"t",` + odd + `}],` + odd + `}`)
+	const unknownField = `"odd":{"n":12345678901234567890123,"f":1.0,"text":"<&> \u2028 \ud83d\ude00 ü","none":null}`
+	sent := []byte(`{ "rev":3, "services":[{"name":"s", ` + unknownField + `}], ` + unknownField + ` }`)
+	patched := []byte(`{"rev":5,"services":[{"name":"s",` + unknownField + `},{"name":"t",` + unknownField + `}],` + unknownField + `}`)
 	for _, call := range []struct {
-		take       func(context.Context, int64, []byte) error
+		apply      func(context.Context, int64, []byte) error
 		base       int64
 		body, want []byte
 	}{
 		{registry.Replace, 0, sent, sent},
-		{registry.Update, 3, []byte(`{"rev":5,"upsert":{"services":[{"name":"t",` + odd + `}]}}`), patched},
+		{registry.Update, 3, []byte(`{"rev":5,"upsert":{"services":[{"name":"t",` + unknownField + `}]}}`), patched},
 	} {
-		if err := call.take(t.Context(), call.base, call.body); err != nil {
+		if err := call.apply(t.Context(), call.base, call.body); err != nil {
 			t.Fatal(err)
 		}
 		got, err := registry.Fetch()
-		if err != nil || !reflect.DeepEqual(exact(got), exact(call.want)) {
-			t.Errorf("%s is read back, not %s (%v)", got, call.want, err)
+		if err != nil || !reflect.DeepEqual(decode(got), decode(call.want)) {
+			t.Errorf("read back %s, want %s (error %v)", got, call.want, err)
 		}
 	}
 }
--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// patch is a change of named items, of any kind that a configuration has.
+// patch is a change of named items of a configuration, by kind of item.
 type patch struct {
 	Rev    int64                        `json:"rev"`
 	Upsert map[string][]json.RawMessage `json:"upsert"`
@@ -28,7 +28,7 @@
 	return p, nil
 }
 
-// itemName returns an item's name. field is the item's place in the body, for the error.
+// itemName returns an item's name. field is the path of the item in the body, for the error.
 func itemName(field string, raw json.RawMessage) (string, error) {
 	var item struct {
 		Name string `json:"name"`
@@ -39,8 +39,8 @@
 	return item.Name, nil
 }
 
-// apply returns the body with the patch applied. What the patch does not name is kept as it was
-// sent, including unknown fields.
+// apply returns the body with the patch applied. All items that the patch does not name are kept
+// as they were sent, and so are unknown fields.
 func (p *patch) apply(body json.RawMessage) (json.RawMessage, error) {
 	sections := map[string]json.RawMessage{}
 	if body != nil {
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -19,7 +19,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// Types of routes: of sessions the first three, of requests the others.
+// Types of routes. The first three are for sessions, the others for requests.
 const (
 	Primary    = "primary"
 	Bounded    = "bounded"
@@ -223,10 +223,10 @@
 	ledger *ledger
 }
 
-// New returns a registry that keeps the configuration in the given control state, with a ledger of that
-// many changes.
-func New(k *kernel.Kernel, state controlState, changes int64) *Registry {
-	return &Registry{k, state, newLedger(changes)}
+// New returns a registry that keeps the configuration in the given control state, with a ledger
+// of the last ledgerSize changes.
+func New(k *kernel.Kernel, state controlState, ledgerSize int64) *Registry {
+	return &Registry{k, state, newLedger(ledgerSize)}
 }
 
 // Decode decodes an entry of the control state into the configuration and its body as sent.
@@ -245,32 +245,32 @@
 	return s.Body, config, nil
 }
 
-// Replace makes a configuration that is based on version base the current one.
-func (c *Registry) Replace(ctx context.Context, base int64, raw []byte) error {
+// Replace makes the configuration in raw the current one, if base is the current version.
+func (r *Registry) Replace(ctx context.Context, base int64, raw []byte) error {
 	config, faults := Parse(raw)
 	if faults != nil {
-		return c.countRefusal(&ValidationError{faults})
+		return r.countRefusal(&ValidationError{faults})
 	}
 	body, err := compact(raw)
 	if err != nil {
-		return c.countRefusal(err)
+		return r.countRefusal(err)
 	}
-	return c.change(ctx, newChangeID("replace", base, config.Rev, body), func(json.RawMessage) (json.RawMessage, error) {
+	return r.change(ctx, newChangeID("replace", base, config.Rev, body), func(json.RawMessage) (json.RawMessage, error) {
 		return body, nil
 	})
 }
 
-// Update changes named items of the configuration of version base.
-func (c *Registry) Update(ctx context.Context, base int64, raw []byte) error {
+// Update applies the patch in raw to the current configuration, if base is the current version.
+func (r *Registry) Update(ctx context.Context, base int64, raw []byte) error {
 	change, err := parsePatch(raw)
 	if err != nil {
-		return c.countRefusal(err)
+		return r.countRefusal(err)
 	}
 	body, err := compact(raw)
 	if err != nil {
-		return c.countRefusal(err)
+		return r.countRefusal(err)
 	}
-	return c.change(ctx, newChangeID("update", base, change.Rev, body), func(current json.RawMessage) (json.RawMessage, error) {
+	return r.change(ctx, newChangeID("update", base, change.Rev, body), func(current json.RawMessage) (json.RawMessage, error) {
 		next, err := change.apply(current)
 		if err != nil {
 			return nil, err
@@ -292,14 +292,14 @@
 }
 
 // change makes the body that next returns the current configuration, if the change is based on
-// the current version. A change that was accepted before is acknowledged again; one
-// for which that is no longer known fails with an unknown outcome.
-func (c *Registry) change(ctx context.Context, id changeID, next func(json.RawMessage) (json.RawMessage, error)) error {
-	if id.Rev <= id.Base { // no version can have been made by such a change
-		return c.countRefusal(&ValidationError{[]Fault{{"rev", fmt.Sprintf("is not higher than %d, on which it builds", id.Base)}}})
+// the current version. A change that was accepted before is acknowledged again. It fails with
+// ErrOutcomeUnknown if it is no longer known whether the change was accepted.
+func (r *Registry) change(ctx context.Context, id changeID, next func(json.RawMessage) (json.RawMessage, error)) error {
+	if id.Rev <= id.Base { // such a change was never accepted
+		return r.countRefusal(&ValidationError{[]Fault{{"rev", fmt.Sprintf("is not higher than %d, on which it builds", id.Base)}}})
 	}
 	var accepted bool
-	err := c.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
+	err := r.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		accepted = false
 		var current stored
 		if raw := entries[Key]; raw != nil {
@@ -307,9 +307,9 @@
 				return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 			}
 		}
-		c.checkInvariants(entries, current)
+		r.checkInvariants(entries, current)
 		if id.Base != current.Rev {
-			return nil, c.ledger.resolve(entries, current.Rev, id)
+			return nil, r.ledger.resolve(entries, current.Rev, id)
 		}
 		body, err := next(current.Body)
 		if err != nil {
@@ -327,53 +327,53 @@
 			return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 		}
 		accepted = true
-		return map[string]json.RawMessage{Key: entry, c.ledger.entryKey(current.Changes): record}, nil
+		return map[string]json.RawMessage{Key: entry, r.ledger.entryKey(current.Changes): record}, nil
 	})
 	switch {
 	case err == nil && accepted:
-		c.k.Counters.Add("routeconfig.taken", 1)
-		c.k.Log.Info("configuration in force", "rev", id.Rev)
+		r.k.Counters.Add("routeconfig.taken", 1)
+		r.k.Log.Info("configuration in force", "rev", id.Rev)
 		return nil
 	case err == nil:
-		c.k.Counters.Add("routeconfig.taken_before", 1)
+		r.k.Counters.Add("routeconfig.taken_before", 1)
 		return nil
 	case errors.Is(err, controlstate.ErrNotPrimary), errors.Is(err, controlstate.ErrUnavailable):
 		err = fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
-	return c.countRefusal(err)
+	return r.countRefusal(err)
 }
 
 // checkInvariants checks that the current configuration was made by the newest recorded change.
-func (c *Registry) checkInvariants(entries map[string]json.RawMessage, current stored) {
-	raw, recorded := entries[c.ledger.entryKey(max(0, current.Changes-1))]
+func (r *Registry) checkInvariants(entries map[string]json.RawMessage, current stored) {
+	raw, recorded := entries[r.ledger.entryKey(max(0, current.Changes-1))]
 	if current.Changes == 0 || !recorded {
 		return // no change yet, or the ledger had a different size
 	}
 	var newest changeID
 	err := json.Unmarshal(raw, &newest)
-	c.k.Invariants.Check(err == nil && newest.Rev == current.Rev, invariant.ChangeRecorded,
+	r.k.Invariants.Check(err == nil && newest.Rev == current.Rev, invariant.ChangeRecorded,
 		"configuration %d is in force, but the newest recorded change made %d (%v)", current.Rev, newest.Rev, err)
 }
 
 // countRefusal counts a change that was not accepted, or whose outcome is unknown, and returns
 // err.
-func (c *Registry) countRefusal(err error) error {
+func (r *Registry) countRefusal(err error) error {
 	switch {
 	case errors.Is(err, ErrVersionConflict):
-		c.k.Counters.Add("routeconfig.lost_race", 1)
+		r.k.Counters.Add("routeconfig.lost_race", 1)
 	case errors.Is(err, ErrOutcomeUnknown):
-		c.k.Counters.Add("routeconfig.forgotten", 1)
+		r.k.Counters.Add("routeconfig.forgotten", 1)
 	case errors.Is(err, ErrUnavailable):
-		c.k.Counters.Add("routeconfig.unavailable", 1)
+		r.k.Counters.Add("routeconfig.unavailable", 1)
 	default:
-		c.k.Counters.Add("routeconfig.invalid", 1)
+		r.k.Counters.Add("routeconfig.invalid", 1)
 	}
 	return err
 }
 
 // Fetch returns the current configuration as it was sent, nil if there is none.
-func (c *Registry) Fetch() (json.RawMessage, error) {
-	entry, err := c.state.Read(Key)
+func (r *Registry) Fetch() (json.RawMessage, error) {
+	entry, err := r.state.Read(Key)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -11,23 +11,23 @@
 	"indigowalk/internal/kernel"
 )
 
-const good = `{"rev":7,"routes":[
+const validConfig = `{"rev":7,"routes":[
 {"name":"a","host":"h1","path_prefix":"/","type":"primary","deadline_ms":1000,"svc":"s","tries":2,"prio":1},
 {"name":"b","host":"h2","path_prefix":"/","type":"bounded","deadline_ms":1000,"svc":"s","tries":2,"prio":2,"stale_ms":1500}],
 "services":[{"name":"s","max_conns":96,"sync_replicas":1}],"limits":{"txn_idle_ms":3000},"new_field":1}`
 
 func TestParse(t *testing.T) {
-	c, faults := Parse([]byte(good))
-	if faults != nil || c.Rev != 7 {
-		t.Fatalf("%+v %v", c, faults)
-	}
-	var h History
-	h.Advance(c, 1)
-	x := (*Index)(nil).Apply(h.Since(0, true))
-	if r, s := x.Find("h2"); r == nil || r.StaleMs != 1500 || s.Name != "s" {
+	config, faults := Parse([]byte(validConfig))
+	if faults != nil || config.Rev != 7 {
+		t.Fatalf("parsed %+v, faults %v", config, faults)
+	}
+	var history History
+	history.Advance(config, 1)
+	index := (*Index)(nil).Apply(history.Since(0, true))
+	if r, s := index.Find("h2"); r == nil || r.StaleMs != 1500 || s.Name != "s" {
 		t.Errorf("h2: %+v %+v", r, s)
 	}
-	if r, _ := x.Find("h3"); r != nil {
+	if r, _ := index.Find("h3"); r != nil {
 		t.Errorf("h3: %+v", r)
 	}
 	for _, c := range []struct{ old, new, field string }{
@@ -41,33 +41,33 @@
 		{`"type":"bounded"`, `"type":"some"`, "routes[1].type"},
 		{`"new_field":1}`, ``, "body"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		conf, faults := Parse([]byte(text))
-		if conf != nil || len(faults) == 0 || faults[0].Field != c.field {
-			t.Errorf("%s: %v, want a fault of %s", c.new, faults, c.field)
+		body := strings.Replace(validConfig, c.old, c.new, 1)
+		parsed, faults := Parse([]byte(body))
+		if parsed != nil || len(faults) == 0 || faults[0].Field != c.field {
+			t.Errorf("%s: faults %v, want the first in %s", c.new, faults, c.field)
 		}
 	}
 }
 
-// The staleness bound can be given as stale_ms or as max_stale_ms.
+// The maximum staleness can be given as stale_ms or as max_stale_ms.
 func TestStalenessFieldAliases(t *testing.T) {
 	for _, name := range []string{"stale_ms", "max_stale_ms"} {
-		c, faults := Parse([]byte(strings.Replace(good, "stale_ms", name, 1)))
+		config, faults := Parse([]byte(strings.Replace(validConfig, "stale_ms", name, 1)))
 		if faults != nil {
 			t.Fatalf("%s: %v", name, faults)
 		}
-		var h History
-		h.Advance(c, 1)
-		raw, err := json.Marshal(h.Since(0, true))
+		var history History
+		history.Advance(config, 1)
+		raw, err := json.Marshal(history.Since(0, true))
 		if err != nil {
 			t.Fatal(err)
 		}
-		step := &Delta{}
-		if err := json.Unmarshal(raw, step); err != nil {
+		delta := &Delta{}
+		if err := json.Unmarshal(raw, delta); err != nil {
 			t.Fatal(err)
 		}
-		if r, _ := (*Index)(nil).Apply(step).Find("h2"); r == nil || r.MaxStaleness() != 1500*kernel.Millisecond {
-			t.Errorf("%s: %+v", name, r)
+		if route, _ := (*Index)(nil).Apply(delta).Find("h2"); route == nil || route.MaxStaleness() != 1500*kernel.Millisecond {
+			t.Errorf("%s: route %+v, want a maximum staleness of 1500 ms", name, route)
 		}
 	}
 }
@@ -75,15 +75,15 @@
 // A proxy that applies delta after delta has the same configuration as one that received it in
 // full, and the delta of a small change to a large configuration is small.
 func TestDeltasMatchFullConfiguration(t *testing.T) {
-	conf := &Configuration{Rev: 1, Services: []Service{{Name: "s", MaxConns: 96}}}
+	config := &Configuration{Rev: 1, Services: []Service{{Name: "s", MaxConns: 96}}}
 	for i := range 1900 {
-		conf.Routes = append(conf.Routes, Route{
+		config.Routes = append(config.Routes, Route{
 			Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host%05d", i), Prefix: "/", Service: "s",
 			Manner: Manner{Type: Bounded, DeadlineMs: 4000, TargetMs: 600, Prio: 2, Tries: 2, StaleMs: 1500},
 		})
 	}
 	var history History
-	history.Advance(conf, 10)
+	history.Advance(config, 10)
 	size := func(v any) int {
 		raw, err := json.Marshal(v)
 		if err != nil {
@@ -91,23 +91,23 @@
 		}
 		return len(raw)
 	}
-	first := history.Since(0, true)
-	if size(first) > size(conf)/8 {
-		t.Errorf("the full delta has %d bytes, the configuration %d", size(first), size(conf))
-	}
-	incremental := (*Index)(nil).Apply(first)
-	change := func(seq int64, f func(c *Configuration)) *Delta {
-		next := *conf
-		next.Rev, next.Routes, next.Services = seq, slices.Clone(conf.Routes), slices.Clone(conf.Services)
-		f(&next)
-		conf = &next
-		history.Advance(conf, seq)
+	fullDelta := history.Since(0, true)
+	if size(fullDelta) > size(config)/8 {
+		t.Errorf("the full delta has %d bytes, the configuration %d", size(fullDelta), size(config))
+	}
+	incremental := (*Index)(nil).Apply(fullDelta)
+	change := func(seq int64, modify func(next *Configuration)) *Delta {
+		next := *config
+		next.Rev, next.Routes, next.Services = seq, slices.Clone(config.Routes), slices.Clone(config.Services)
+		modify(&next)
+		config = &next
+		history.Advance(config, seq)
 		return history.Since(seq-1, false)
 	}
 	for _, delta := range []*Delta{
-		change(11, func(c *Configuration) { c.Routes[7].DeadlineMs = 3000 }),
-		change(12, func(c *Configuration) { c.Routes = c.Routes[:1899]; c.Routes[3].Prefix = "/sub" }),
-		change(13, func(c *Configuration) { c.Services[0].MaxConns = 50; c.Limits.TxnIdleMs = 9 }),
+		change(11, func(next *Configuration) { next.Routes[7].DeadlineMs = 3000 }),
+		change(12, func(next *Configuration) { next.Routes = next.Routes[:1899]; next.Routes[3].Prefix = "/sub" }),
+		change(13, func(next *Configuration) { next.Services[0].MaxConns = 50; next.Limits.TxnIdleMs = 9 }),
 	} {
 		if size(delta) > 400 {
 			t.Errorf("the delta of a small change has %d bytes", size(delta))
@@ -124,23 +124,23 @@
 		}
 	}
 	if r, _ := incremental.Find("host00007"); r.DeadlineMs != 3000 || incremental.Limits.TxnIdleMs != 9 || incremental.Rev != 13 {
-		t.Errorf("%+v, limits %+v, version %d", r, incremental.Limits, incremental.Rev)
+		t.Errorf("after all deltas: route %+v, limits %+v, version %d", r, incremental.Limits, incremental.Rev)
 	}
 }
 
 // The longest matching prefix of a host wins, and services are picked by weight.
-func TestRouteMatchAndServicePick(t *testing.T) {
+func TestRouteMatchAndPickService(t *testing.T) {
 	body := `{"rev":1,"routes":[
 	{"name":"a","host":"h","path_prefix":"/","type":"idempotent","deadline_ms":9,"svc":"s"},
 	{"name":"b","host":"h","path_prefix":"/x/","type":"mutating","deadline_ms":9,"weighted":[{"svc":"s","share":90},{"svc":"t","share":10},{"svc":"s","share":0}]},
 	{"name":"c","host":"h","path_prefix":"/x/y/","type":"mutating","deadline_ms":8,"svc":"t"}],
 	"services":[{"name":"s"},{"name":"t"}]}`
-	c, faults := Parse([]byte(body))
+	config, faults := Parse([]byte(body))
 	if faults != nil {
 		t.Fatal(faults)
 	}
 	var history History
-	history.Advance(c, 1)
+	history.Advance(config, 1)
 	raw, err := json.Marshal(history.Since(0, true))
 	if err != nil {
 		t.Fatal(err)
@@ -151,23 +151,23 @@
 	}
 	index := (*Index)(nil).Apply(&delta)
 	for path, want := range map[string]string{"/": "/", "/xx": "/", "/x/": "/x/", "/x/y": "/x/", "/x/y/z": "/x/y/"} {
-		if r := index.Match("h", path); r == nil || r.Prefix != want {
-			t.Errorf("%s: %+v, want the route of %s", path, r, want)
+		if route := index.Match("h", path); route == nil || route.Prefix != want {
+			t.Errorf("%s: route %+v, want the one with prefix %s", path, route, want)
 		}
 	}
 	if index.Match("other", "/") != nil {
-		t.Error("a route of another host")
+		t.Error("a route matches another host")
 	}
-	r := index.Match("h", "/x/1")
-	for at, want := range map[float64]string{0: "s", 0.899: "s", 0.901: "t", 0.9999999999: "t"} {
-		if got := r.PickService(at); got != want {
-			t.Errorf("at %v: %s, want %s", at, got, want)
+	route := index.Match("h", "/x/1")
+	for point, want := range map[float64]string{0: "s", 0.899: "s", 0.901: "t", 0.9999999999: "t"} {
+		if got := route.PickService(point); got != want {
+			t.Errorf("point %v: picked %s, want %s", point, got, want)
 		}
 	}
-	for old, field := range map[string]string{`"share":90},{"svc":"t","share":10`: "routes[1].weighted", `"svc":"t","share":10`: "routes[1].weighted[1].svc"} {
-		bad := strings.Replace(body, old, map[string]string{"routes[1].weighted": `"share":0},{"svc":"t","share":0`, "routes[1].weighted[1].svc": `"svc":"u","share":10`}[field], 1)
-		if _, faults := Parse([]byte(bad)); len(faults) != 1 || faults[0].Field != field {
-			t.Errorf("%s: %v", field, faults)
+	for oldText, field := range map[string]string{`"share":90},{"svc":"t","share":10`: "routes[1].weighted", `"svc":"t","share":10`: "routes[1].weighted[1].svc"} {
+		invalid := strings.Replace(body, oldText, map[string]string{"routes[1].weighted": `"share":0},{"svc":"t","share":0`, "routes[1].weighted[1].svc": `"svc":"u","share":10`}[field], 1)
+		if _, faults := Parse([]byte(invalid)); len(faults) != 1 || faults[0].Field != field {
+			t.Errorf("invalid %s: faults %v", field, faults)
 		}
 	}
 }
--- a/internal/routeconfig/tenant.go
+++ b/internal/routeconfig/tenant.go
@@ -28,8 +28,8 @@
 	maxRate    = 1e9 // bounds the rate in operations per second, and the burst in operations
 )
 
-// KeyDigest replaces an API key wherever the key itself need not be known: at proxies, in logs
-// and in the output of tools.
+// KeyDigest is the digest of an API key. It is used instead of the key wherever the key itself
+// is not needed: at proxies, in logs and in the output of tools.
 type KeyDigest [16]byte
 
 // DigestOf returns the digest of an API key.
@@ -46,11 +46,11 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *KeyDigest) UnmarshalText(text []byte) error {
-	raw, err := base64.RawStdEncoding.DecodeString(string(text))
-	if err != nil || len(raw) != len(d) {
+	decoded, err := base64.RawStdEncoding.DecodeString(string(text))
+	if err != nil || len(decoded) != len(d) {
 		return fmt.Errorf("routeconfig: no digest of a key")
 	}
-	copy(d[:], raw)
+	copy(d[:], decoded)
 	return nil
 }
 
@@ -70,13 +70,13 @@
 		if t.RatePerS > maxRate || t.Burst > maxRate {
 			faults = append(faults, Fault{field, fmt.Sprintf("has a rate_per_s or burst over %.0f", maxRate)})
 		}
-		for n, key := range t.Keys {
+		for k, key := range t.Keys {
 			owner, known := keys[key]
 			switch {
 			case key == "":
-				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", field, n), "is empty"})
+				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", field, k), "is empty"})
 			case known && owner != i:
-				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", field, n), "is a key of another tenant too"})
+				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", field, k), "is a key of another tenant too"})
 			}
 			keys[key] = i
 		}
@@ -113,8 +113,8 @@
 	return published
 }
 
-func (t PublishedTenant) equal(o PublishedTenant) bool {
-	return t.Name == o.Name && t.TenantTerms == o.TenantTerms && slices.Equal(t.Keys, o.Keys)
+func (t PublishedTenant) equal(other PublishedTenant) bool {
+	return t.Name == other.Name && t.TenantTerms == other.TenantTerms && slices.Equal(t.Keys, other.Keys)
 }
 
 // tenantHistory holds the current tenants and the sequence number of each one's last change.
@@ -123,7 +123,7 @@
 	changedSeq map[string]int64 // seq at which a tenant was last changed or removed, by name
 }
 
-// advance takes in the tenants of a sequence number.
+// advance records the tenants as of a sequence number.
 func (h *tenantHistory) advance(tenants []Tenant, seq int64) {
 	if h.changedSeq == nil {
 		h.changedSeq = map[string]int64{}
@@ -163,20 +163,20 @@
 	return changed, removed
 }
 
-// tenantIndex holds the tenants in the form in which proxies look them up.
+// tenantIndex holds the tenants, indexed for the lookups of proxies.
 type tenantIndex struct {
 	byName map[string]PublishedTenant
 	byKey  map[KeyDigest]*PublishedTenant
 }
 
-// apply returns a new index with the delta applied; x is not modified.
-func (x tenantIndex) apply(delta *Delta) tenantIndex {
+// apply returns a new index with the delta applied; i is not modified.
+func (i tenantIndex) apply(delta *Delta) tenantIndex {
 	if !delta.Full && len(delta.Tenants) == 0 && len(delta.RemovedTenants) == 0 {
-		return x
+		return i
 	}
 	next := tenantIndex{byName: map[string]PublishedTenant{}, byKey: map[KeyDigest]*PublishedTenant{}}
 	if !delta.Full {
-		maps.Copy(next.byName, x.byName)
+		maps.Copy(next.byName, i.byName)
 	}
 	for _, t := range delta.Tenants {
 		next.byName[t.Name] = t
@@ -193,20 +193,20 @@
 }
 
 // HasTenants reports whether clients need an API key.
-func (x *Index) HasTenants() bool { return x != nil && len(x.tenants.byName) > 0 }
+func (i *Index) HasTenants() bool { return i != nil && len(i.tenants.byName) > 0 }
 
 // Tenant returns the tenant that a key belongs to, nil if there is none.
-func (x *Index) Tenant(key KeyDigest) *PublishedTenant {
-	if x == nil {
+func (i *Index) Tenant(key KeyDigest) *PublishedTenant {
+	if i == nil {
 		return nil
 	}
-	return x.tenants.byKey[key]
+	return i.tenants.byKey[key]
 }
 
 // Tenants returns all tenants by name. The map must not be modified.
-func (x *Index) Tenants() map[string]PublishedTenant {
-	if x == nil {
+func (i *Index) Tenants() map[string]PublishedTenant {
+	if i == nil {
 		return nil
 	}
-	return x.tenants.byName
+	return i.tenants.byName
 }
--- a/internal/routeconfig/tenant_test.go
+++ b/internal/routeconfig/tenant_test.go
@@ -9,11 +9,11 @@
 )
 
 // tenantConf returns a configuration with one route and the given tenants, as JSON.
-func tenantConf(tenants string) []byte {
+func configWithTenants(tenants string) []byte {
 	return fmt.Appendf(nil, `{"rev":2,"routes":[{"name":"r","host":"h","path_prefix":"/","type":"primary","svc":"s","deadline_ms":9}],"services":[{"name":"s"}],"tenants":%s}`, tenants)
 }
 
-func TestTenantFaults(t *testing.T) {
+func TestTenantValidation(t *testing.T) {
 	for tenants, want := range map[string]string{
 		`[]`: "",
 		`[{"name":"a","api_keys":["k1","k2"],"rate_per_s":5,"burst":0},{"name":"b","api_keys":[]}]`: "",
@@ -29,17 +29,17 @@
 		`[{"name":"a","rate_per_s":"many"}]`:                                "has the wrong type",
 		"[" + strings.Repeat(`{"name":"a"},`, maxTenants) + `{"name":"a"}]`: "tenants: are over 10000",
 	} {
-		_, faults := Parse(tenantConf(tenants))
+		_, faults := Parse(configWithTenants(tenants))
 		var text []string
 		for _, f := range faults {
 			text = append(text, f.Error())
 		}
 		got := strings.Join(text, "\n")
 		if want == "" && got != "" || !strings.Contains(got, want) {
-			t.Errorf("%.80s: %.200q", tenants, got)
+			t.Errorf("%.80s: faults %.200q", tenants, got)
 		}
 		if strings.Contains(got, "k1") {
-			t.Errorf("an API key is in %q", got)
+			t.Errorf("the faults contain an API key: %q", got)
 		}
 	}
 }
@@ -47,19 +47,19 @@
 // A proxy that applies deltas, some of them late and combined, has the same tenants as one that
 // received the full configuration.
 func TestTenantDeltas(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	var history History
 	var index *Index
 	applied := int64(0)
 	for seq := int64(1); seq < 200; seq++ {
-		c := &Configuration{Rev: seq}
+		config := &Configuration{Rev: seq}
 		for i := range 8 {
-			if r.IntN(3) > 0 {
-				c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i, r.IntN(2))}, TenantTerms: TenantTerms{RatePerS: float64(r.IntN(2))}})
+			if random.IntN(3) > 0 {
+				config.Tenants = append(config.Tenants, Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i, random.IntN(2))}, TenantTerms: TenantTerms{RatePerS: float64(random.IntN(2))}})
 			}
 		}
-		history.Advance(c, seq)
-		if r.IntN(3) > 0 {
+		history.Advance(config, seq)
+		if random.IntN(3) > 0 {
 			continue
 		}
 		raw, err := json.Marshal(history.Since(applied, applied == 0))
@@ -71,10 +71,10 @@
 			t.Fatal(err)
 		}
 		index, applied = index.Apply(&delta), seq
-		if len(index.Tenants()) != len(c.Tenants) {
-			t.Fatalf("at %d: %d tenants, want %d", seq, len(index.Tenants()), len(c.Tenants))
+		if len(index.Tenants()) != len(config.Tenants) {
+			t.Fatalf("at %d: %d tenants, want %d", seq, len(index.Tenants()), len(config.Tenants))
 		}
-		for _, want := range c.Tenants {
+		for _, want := range config.Tenants {
 			got := index.Tenant(DigestOf(want.Keys[0]))
 			if got == nil || got.Name != want.Name || got.TenantTerms != want.TenantTerms || len(got.Keys) != 1 {
 				t.Fatalf("at %d: %+v, want %+v", seq, got, want)
