--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -1,7 +1,7 @@
-// Package controlapi is the control node's HTTP API: databases send their heartbeats here, and
-// the operator the configuration. A control node that is not the control state's primary
-// redirects callers to the primary, or to a member that may know it. A response leaves only in
-// the term of the primary in which it was made.
+// Package controlapi is the control node's HTTP API, to which databases send their heartbeats
+// and the operator the configuration. A control node that is not the control state's primary
+// redirects callers to the primary, or to a member that may know it. A response is sent only
+// within the term of the primary in which it was made.
 package controlapi
 
 import (
@@ -28,7 +28,7 @@
 )
 
 // maxHeartbeat bounds the body of a heartbeat, in bytes.
-const maxHeartbeat = 16 << 10
+const maxHeartbeatBytes = 16 << 10
 
 const (
 	// maxHeaderBytes bounds the header of a request.
@@ -80,24 +80,24 @@
 }
 
 // Serve serves requests until ctx ends.
-func (r *Server) Serve(ctx context.Context) error {
-	listener, err := r.k.Net.Listen(r.addr)
+func (s *Server) Serve(ctx context.Context) error {
+	listener, err := s.k.Net.Listen(s.addr)
 	if err != nil {
 		return fmt.Errorf("controlapi: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /Servers.Heartbeat/{id}", r.onPrimary(r.heartbeat))
-	mux.HandleFunc("POST /Servers.Deregister/{id}", r.onPrimary(r.deregister))
-	mux.HandleFunc("POST /Conf.Replace", r.onPrimary(r.changeConfig(r.config.Replace)))
-	mux.HandleFunc("POST /Conf.Update", r.onPrimary(r.changeConfig(r.config.Update)))
-	mux.HandleFunc("GET /Conf.Fetch", r.onPrimary(r.fetch))
-	server := &http.Server{Handler: r.recordFailures(mux), MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second}
+	mux.HandleFunc("POST /Servers.Heartbeat/{id}", s.onPrimary(s.heartbeat))
+	mux.HandleFunc("POST /Servers.Deregister/{id}", s.onPrimary(s.deregister))
+	mux.HandleFunc("POST /Conf.Replace", s.onPrimary(s.changeConfig(s.config.Replace)))
+	mux.HandleFunc("POST /Conf.Update", s.onPrimary(s.changeConfig(s.config.Update)))
+	mux.HandleFunc("GET /Conf.Fetch", s.onPrimary(s.fetch))
+	httpServer := &http.Server{Handler: s.recordFailures(mux), MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second}
 	closed := make(chan struct{})
 	defer context.AfterFunc(ctx, func() {
 		defer close(closed)
-		r.close(server)
+		s.close(httpServer)
 	})()
-	if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := httpServer.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("controlapi: %w", err)
 	}
 	if ctx.Err() != nil {
@@ -108,39 +108,39 @@
 
 // close shuts the server down once the requests in progress have their responses, or after
 // shutdownGrace: callers retry a change whose connection is closed.
-func (r *Server) close(server *http.Server) {
+func (s *Server) close(httpServer *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 	defer cancel()
-	if err := server.Shutdown(ctx); err != nil {
-		r.k.Counters.Add("controlapi.cut_at_end", 1)
-		server.Close()
+	if err := httpServer.Shutdown(ctx); err != nil {
+		s.k.Counters.Add("controlapi.cut_at_end", 1)
+		httpServer.Close()
 	}
 }
 
 // onPrimary calls the handler if this control node is the control state's primary, and redirects
 // the caller otherwise: the caller may be able to reach a node that this one can't.
-func (r *Server) onPrimary(handler http.HandlerFunc) http.HandlerFunc {
+func (s *Server) onPrimary(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
-		if term, err := r.replica.Term(); err == nil {
-			// The response leaves only in the term in which it was made: a process
+		if term, err := s.replica.Term(); err == nil {
+			// The response is sent only within the term in which it was made: a process
 			// that was frozen in the meantime must not respond for a term that has
 			// ended, even if it has won a later one since.
 			buffered := &bufferedResponse{status: http.StatusOK, header: http.Header{}}
 			handler(buffered, request)
 			if !term.Valid() {
-				r.k.Counters.Add("controlapi.term_ended", 1)
-				r.writeError(w, http.StatusServiceUnavailable, "the term ended meanwhile")
+				s.k.Counters.Add("controlapi.term_ended", 1)
+				s.writeError(w, http.StatusServiceUnavailable, "the term ended meanwhile")
 				return
 			}
-			buffered.flush(w, r.k)
+			buffered.flush(w, s.k)
 			return
 		}
-		primary := r.controlAddress(r.replica.Referral())
+		primary := s.controlAddress(s.replica.Referral())
 		if primary == "" {
-			r.writeError(w, http.StatusServiceUnavailable, "no primary is known now")
+			s.writeError(w, http.StatusServiceUnavailable, "no primary is known now")
 			return
 		}
-		r.k.Counters.Add("controlapi.redirected", 1)
+		s.k.Counters.Add("controlapi.redirected", 1)
 		w.Header().Set("Location", "http://"+primary+request.URL.RequestURI())
 		w.WriteHeader(http.StatusTemporaryRedirect)
 	}
@@ -153,26 +153,26 @@
 	body   bytes.Buffer
 }
 
-func (a *bufferedResponse) Header() http.Header           { return a.header }
-func (a *bufferedResponse) WriteHeader(status int)        { a.status = status }
-func (a *bufferedResponse) Write(raw []byte) (int, error) { return a.body.Write(raw) }
+func (b *bufferedResponse) Header() http.Header           { return b.header }
+func (b *bufferedResponse) WriteHeader(status int)        { b.status = status }
+func (b *bufferedResponse) Write(raw []byte) (int, error) { return b.body.Write(raw) }
 
-func (a *bufferedResponse) flush(w http.ResponseWriter, k *kernel.Kernel) {
-	maps.Copy(w.Header(), a.header)
-	w.WriteHeader(a.status)
-	if _, err := w.Write(a.body.Bytes()); err != nil {
+func (b *bufferedResponse) flush(w http.ResponseWriter, k *kernel.Kernel) {
+	maps.Copy(w.Header(), b.header)
+	w.WriteHeader(b.status)
+	if _, err := w.Write(b.body.Bytes()); err != nil {
 		k.Counters.Add("controlapi.unsent", 1)
 	}
 }
 
 // controlAddress returns the control address of the control node with the given internal
 // address. The control port is the same on all machines.
-func (r *Server) controlAddress(internal string) string {
+func (s *Server) controlAddress(internal string) string {
 	host, _, err := net.SplitHostPort(internal)
 	if err != nil {
 		return ""
 	}
-	_, port, err := net.SplitHostPort(r.addr)
+	_, port, err := net.SplitHostPort(s.addr)
 	if err != nil {
 		return ""
 	}
@@ -185,85 +185,85 @@
 	Fields []string `json:"fields,omitempty"`
 }
 
-func (r *Server) writeError(w http.ResponseWriter, status int, reason string, fields ...string) {
-	r.k.Counters.Add("controlapi.answered_"+strconv.Itoa(status), 1)
+func (s *Server) writeError(w http.ResponseWriter, status int, reason string, fields ...string) {
+	s.k.Counters.Add("controlapi.answered_"+strconv.Itoa(status), 1)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(errorResponse{reason, fields}); err != nil {
-		r.k.Counters.Add("controlapi.unsent", 1)
+		s.k.Counters.Add("controlapi.unsent", 1)
 	}
 }
 
 // readBody reads a body of at most limit bytes and charges it to the memory budget. If it
 // returns false, it has written the error response.
-func (r *Server) readBody(w http.ResponseWriter, request *http.Request, holding *memorybudget.Reservation, limit int64) ([]byte, bool) {
-	raw, err := holding.ReadAll(http.MaxBytesReader(w, request.Body, limit), bodyCopies)
+func (s *Server) readBody(w http.ResponseWriter, request *http.Request, reservation *memorybudget.Reservation, limit int64) ([]byte, bool) {
+	raw, err := reservation.ReadAll(http.MaxBytesReader(w, request.Body, limit), bodyCopies)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, memorybudget.ErrFull):
-		r.k.Counters.Add("controlapi.memory_full", 1)
-		r.writeError(w, http.StatusServiceUnavailable, err.Error())
+		s.k.Counters.Add("controlapi.memory_full", 1)
+		s.writeError(w, http.StatusServiceUnavailable, err.Error())
 		return nil, false
 	case errors.As(err, &tooLarge):
-		r.writeError(w, http.StatusRequestEntityTooLarge, "body over "+strconv.FormatInt(limit, 10)+" bytes")
+		s.writeError(w, http.StatusRequestEntityTooLarge, "body over "+strconv.FormatInt(limit, 10)+" bytes")
 		return nil, false
 	case err != nil:
 		// A body that did not arrive in full says nothing about the change: it may have
 		// been accepted before, so this must not be a status that means rejection.
-		r.k.Counters.Add("controlapi.cut_short", 1)
-		r.writeError(w, http.StatusRequestTimeout, "body: is not there in full", "body")
+		s.k.Counters.Add("controlapi.cut_short", 1)
+		s.writeError(w, http.StatusRequestTimeout, "body: is not there in full", "body")
 		return nil, false
 	}
 	return raw, true
 }
 
-func (r *Server) heartbeat(w http.ResponseWriter, request *http.Request) {
-	holding := r.memory.NewReservation(maxHeartbeat * bodyCopies)
-	defer holding.Release()
-	raw, ok := r.readBody(w, request, holding, maxHeartbeat)
+func (s *Server) heartbeat(w http.ResponseWriter, request *http.Request) {
+	reservation := s.memory.NewReservation(maxHeartbeatBytes * bodyCopies)
+	defer reservation.Release()
+	raw, ok := s.readBody(w, request, reservation, maxHeartbeatBytes)
 	if !ok {
 		return
 	}
-	var beat discovery.Beat
-	if err := json.Unmarshal(raw, &beat); err != nil {
-		r.writeError(w, http.StatusBadRequest, "beat: "+err.Error())
+	var heartbeat discovery.Beat
+	if err := json.Unmarshal(raw, &heartbeat); err != nil {
+		s.writeError(w, http.StatusBadRequest, "beat: "+err.Error())
 		return
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
-	err := r.databases.Heartbeat(ctx, request.PathValue("id"), beat)
+	err := s.databases.Heartbeat(ctx, request.PathValue("id"), heartbeat)
 	switch {
 	case errors.Is(err, discovery.ErrMalformed):
-		r.writeError(w, http.StatusBadRequest, "beat: svc and address are needed")
+		s.writeError(w, http.StatusBadRequest, "beat: svc and address are needed")
 	case err != nil:
-		r.writeError(w, http.StatusServiceUnavailable, err.Error())
+		s.writeError(w, http.StatusServiceUnavailable, err.Error())
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		io.WriteString(w, `{"beat_addr":"`+r.addr+`"}`)
+		io.WriteString(w, `{"beat_addr":"`+s.addr+`"}`)
 	}
 }
 
-func (r *Server) deregister(w http.ResponseWriter, request *http.Request) {
+func (s *Server) deregister(w http.ResponseWriter, request *http.Request) {
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
-	if err := r.databases.Deregister(ctx, request.PathValue("id")); err != nil {
-		r.writeError(w, http.StatusServiceUnavailable, err.Error())
+	if err := s.databases.Deregister(ctx, request.PathValue("id")); err != nil {
+		s.writeError(w, http.StatusServiceUnavailable, err.Error())
 	}
 }
 
-// changeConfig returns the handler for a complete configuration or a change of named items,
-// which it passes to apply.
-func (r *Server) changeConfig(apply func(ctx context.Context, base int64, raw []byte) error) http.HandlerFunc {
+// changeConfig returns the handler for one kind of configuration change, a complete
+// configuration or a change of named items. The handler passes the change to apply.
+func (s *Server) changeConfig(apply func(ctx context.Context, base int64, raw []byte) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
-		holding := r.memory.NewReservation(0)
-		defer holding.Release()
-		raw, ok := r.readBody(w, request, holding, routeconfig.MaxBody)
+		reservation := s.memory.NewReservation(0)
+		defer reservation.Release()
+		raw, ok := s.readBody(w, request, reservation, routeconfig.MaxBody)
 		if !ok {
 			return
 		}
 		base, err := strconv.ParseInt(strings.TrimSpace(request.Header.Get("X-Indigowalk-Base-Version")), 10, 64)
 		if err != nil || base < 0 {
-			r.writeError(w, http.StatusBadRequest, "X-Indigowalk-Base-Version is not a version", "X-Indigowalk-Base-Version")
+			s.writeError(w, http.StatusBadRequest, "X-Indigowalk-Base-Version is not a version", "X-Indigowalk-Base-Version")
 			return
 		}
 		ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
@@ -276,26 +276,26 @@
 			for _, f := range invalid.Faults {
 				fields = append(fields, f.Error())
 			}
-			r.writeError(w, http.StatusBadRequest, "invalid configuration", fields...)
+			s.writeError(w, http.StatusBadRequest, "invalid configuration", fields...)
 		case errors.Is(err, routeconfig.ErrVersionConflict):
-			r.writeError(w, http.StatusPreconditionFailed, err.Error())
+			s.writeError(w, http.StatusPreconditionFailed, err.Error())
 		case err != nil:
-			r.writeError(w, http.StatusServiceUnavailable, err.Error())
+			s.writeError(w, http.StatusServiceUnavailable, err.Error())
 		}
 	}
 }
 
-func (r *Server) fetch(w http.ResponseWriter, _ *http.Request) {
-	body, err := r.config.Fetch()
+func (s *Server) fetch(w http.ResponseWriter, _ *http.Request) {
+	body, err := s.config.Fetch()
 	switch {
 	case err != nil:
-		r.writeError(w, http.StatusServiceUnavailable, err.Error())
+		s.writeError(w, http.StatusServiceUnavailable, err.Error())
 	case body == nil:
-		r.writeError(w, http.StatusNotFound, "no configuration yet")
+		s.writeError(w, http.StatusNotFound, "no configuration yet")
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		if _, err := w.Write(body); err != nil {
-			r.k.Counters.Add("controlapi.unsent", 1)
+			s.k.Counters.Add("controlapi.unsent", 1)
 		}
 	}
 }
--- a/internal/controlapi/export_test.go
+++ b/internal/controlapi/export_test.go
@@ -2,5 +2,5 @@
 
 import "net/http"
 
-// InTerm wraps a handler the way requests to the control address are handled.
-func (r *Server) InTerm(h http.HandlerFunc) http.HandlerFunc { return r.onPrimary(h) }
+// OnPrimary wraps a handler as those of requests to the control address are wrapped.
+func (s *Server) OnPrimary(handler http.HandlerFunc) http.HandlerFunc { return s.onPrimary(handler) }
--- a/internal/controlapi/failures.go
+++ b/internal/controlapi/failures.go
@@ -15,31 +15,31 @@
 	response errorResponse
 }
 
-func (a *responseRecorder) WriteHeader(status int) {
-	a.status = status
-	a.ResponseWriter.WriteHeader(status)
+func (r *responseRecorder) WriteHeader(status int) {
+	r.status = status
+	r.ResponseWriter.WriteHeader(status)
 }
 
-func (a *responseRecorder) Write(raw []byte) (int, error) {
-	if a.status >= http.StatusBadRequest && json.Unmarshal(raw, &a.response) != nil {
-		a.response.Err = "unreadable reason"
+func (r *responseRecorder) Write(raw []byte) (int, error) {
+	if r.status >= http.StatusBadRequest && json.Unmarshal(raw, &r.response) != nil {
+		r.response.Err = "unreadable reason"
 	}
-	return a.ResponseWriter.Write(raw)
+	return r.ResponseWriter.Write(raw)
 }
 
 // recordFailures adds requests that failed to the failure log, with the method and path as the
 // id and the caller as the route.
-func (r *Server) recordFailures(next http.Handler) http.Handler {
+func (s *Server) recordFailures(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		began := r.k.Clock.Now()
+		startedAt := s.k.Clock.Now()
 		recorder := &responseRecorder{ResponseWriter: w, status: http.StatusOK}
 		next.ServeHTTP(recorder, request)
 		if recorder.status < http.StatusBadRequest {
 			return
 		}
-		r.failures.Add(failurelog.Failure{
+		s.failures.Add(failurelog.Failure{
 			ID: request.Method + " " + request.URL.Path, Route: request.RemoteAddr, Response: strconv.Itoa(recorder.status),
-			Cause: failureCause(recorder.status), Duration: r.k.Clock.Now() - began,
+			Cause: failureCause(recorder.status), Duration: s.k.Clock.Now() - startedAt,
 			Attempts: []failurelog.Attempt{{Result: recorder.response.Err}},
 		})
 	})
