--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -17,12 +17,13 @@
 	// leaseMargin is how much earlier than the ledger a proxy ends a lease, to allow for the
 	// delay on the way to a database and for differences in clock rates.
 	leaseMargin = 100 * kernel.Millisecond
-	// Shares of a lease: the period for whose expected use a proxy holds operations; how
-	// long before its end a lease is renewed; and the time without use after which a slice
-	// is returned instead of renewed.
+	// horizonShare is the share of a lease for whose expected use a proxy holds operations.
 	horizonShare = 0.8
-	renewShare   = 0.4
-	idleShare    = 0.5
+	// renewShare is the share of a lease that is left when the lease is renewed.
+	renewShare = 0.4
+	// idleShare is the share of a lease after which an unused slice is returned instead of
+	// renewed.
+	idleShare = 0.5
 	// lowWatermark is the share of the target holding below which more is requested.
 	lowWatermark = 0.5
 	// rateAveraging is the time constant with which the request rate of a tenant is averaged.
@@ -102,8 +103,9 @@
 	return fmt.Sprintf("quota: over the limit, more in %d ms", e.RetryAfter.Millis())
 }
 
-// Admit takes one operation from what is held of a tenant, and waits at most for wait until
-// there is one. It fails only if the quota is used up; the error says when to try again.
+// Admit admits one operation against the slice that is held of a tenant. If none is free, it
+// waits for one, at most for wait. It fails only if the quota is used up; the error says when to
+// try again.
 func (c *Client) Admit(tenant string, limit Limit, wait kernel.Micros) (Admission, error) {
 	if limit.Unlimited() {
 		return Admission{Until: math.MaxInt64}, nil
@@ -137,7 +139,7 @@
 	return a
 }
 
-// tryAdmit takes one operation if there is one, first from the slice of the previous term.
+// tryAdmit admits one operation if one is free, first from the slice of the previous term.
 func (c *Client) tryAdmit(tenant string, a *allotment) (Admission, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,9 +210,9 @@
 // Return records that the operation was not sent, and will not be.
 func (c *Client) Return(a Admission) { c.finish(a, 1) }
 
-// finish ends an admission and adds free to the free operations. If the lease of the
-// admission has ended, nothing of it is held any more.
-func (c *Client) finish(a Admission, free int64) {
+// finish ends an admission and adds returned to the free operations. If the lease of the
+// admission has ended, its operation is not held any more, and nothing is changed.
+func (c *Client) finish(a Admission, returned int64) {
 	if a.allotment == nil {
 		return
 	}
@@ -218,7 +220,7 @@
 	defer c.mu.Unlock()
 	if a.allotment.leaseNumber == a.leaseNumber {
 		a.allotment.admitted--
-		a.allotment.free += free
+		a.allotment.free += returned
 		c.k.Invariants.Check(a.allotment.admitted >= 0, invariant.CountsNonNegative, "%d operations of %s admitted", a.allotment.admitted, a.tenant)
 	}
 }
@@ -234,10 +236,12 @@
 func (a *allotment) held() int64 { return a.free + a.admitted }
 
 // leaseShare returns a share of the duration of a lease.
-func (c *Client) leaseShare(s float64) kernel.Micros { return kernel.Micros(s * float64(c.lease)) }
+func (c *Client) leaseShare(share float64) kernel.Micros {
+	return kernel.Micros(share * float64(c.lease))
+}
 
 // targetHolding returns how many operations to hold for the expected use. It is 0 for a
-// tenant of which less than one operation is expected, since that would be idle mostly.
+// tenant of which less than one operation is expected, since a held one would mostly be idle.
 func (c *Client) targetHolding(a *allotment, now kernel.Micros) int64 {
 	return int64(a.rateAt(now) * float64(c.leaseShare(horizonShare)) / float64(kernel.Second))
 }
@@ -288,8 +292,8 @@
 		if req, needed := c.nextRequest(); needed {
 			requestedAt := c.k.Clock.Now()
 			c.k.Counters.Add("quota.asked", 1)
-			a, err := c.call(ctx, req)
-			c.apply(req, a, err, requestedAt)
+			resp, err := c.call(ctx, req)
+			c.apply(req, resp, err, requestedAt)
 		}
 		timer.Reset(c.untilNextCheck().Duration())
 	}
@@ -405,8 +409,8 @@
 }
 
 // restartIncarnation begins an incarnation later than the newest that the ledger knows: the
-// clock from which incarnation numbers are taken has stepped back since. Whatever an earlier
-// incarnation holds belongs to that one.
+// clock from which incarnation numbers are taken has stepped back since. Slices belong to the
+// incarnation to which they were granted, so those held so far are dropped.
 func (c *Client) restartIncarnation(newest int64) {
 	if newest < c.incarnation {
 		return
@@ -435,7 +439,7 @@
 	PerS float64 `json:"per_s"` // wanted operations per second, averaged
 }
 
-// Usage returns the use of each tenant that was used recently, by tenant.
+// Usage returns the usage of each recently used tenant, by tenant.
 func (c *Client) Usage() map[string]TenantUsage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/quota/client_test.go
+++ b/internal/quota/client_test.go
@@ -14,13 +14,13 @@
 	"indigowalk/internal/kernel"
 )
 
-// fixture is a client with the ledger that it calls directly.
+// fixture is a client that calls its ledger directly.
 type fixture struct {
 	*testing.T
-	client      *Client
-	ledger      *Ledger
-	requests    atomic.Int64
-	unreachable bool
+	client            *Client
+	ledger            *Ledger
+	requests          atomic.Int64
+	ledgerUnreachable bool
 }
 
 // withClient runs a test with a client of a ledger that has been granting for a while.
@@ -28,15 +28,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		f := &fixture{T: t}
-		f.ledger = NewLedger(1, k.Clock.Now(), testLease, strict)
+		f.ledger = NewLedger(1, k.Clock.Now(), testLease, zeroTolerance)
 		f.ledger.SetLimits(k.Clock.Now(), map[string]Limit{"ann": limit, "bob": limit})
 		f.client = NewClient(k, "a", func(_ context.Context, req sliceRequest) (sliceResponse, error) {
 			f.requests.Add(1)
 			time.Sleep(time.Millisecond)
-			if f.unreachable {
+			if f.ledgerUnreachable {
 				return sliceResponse{}, errors.New("unreachable")
 			}
-			return f.ledger.Take(k.Clock.Now(), req)
+			return f.ledger.ProcessRequest(k.Clock.Now(), req)
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
@@ -52,26 +52,26 @@
 
 // spend sends one operation. It returns whether it was admitted, and how long that took.
 func (f *fixture) spend(tenant string, limit Limit) (bool, time.Duration) {
-	began := time.Now()
-	a, err := f.client.Admit(tenant, limit, 100*kernel.Millisecond)
+	start := time.Now()
+	admission, err := f.client.Admit(tenant, limit, 100*kernel.Millisecond)
 	var exhausted *ExhaustedError
 	switch {
 	case err == nil:
-		f.client.Spend(a)
+		f.client.Spend(admission)
 	case !errors.As(err, &exhausted) || exhausted.RetryAfter < minRetryAfter:
 		f.Errorf("refused with %v", err)
 	}
-	return err == nil, time.Since(began)
+	return err == nil, time.Since(start)
 }
 
-// A tenant without a limit causes no requests, a rarely used tenant one per operation, and an
-// often used one far fewer, mostly without waiting.
-func TestRoundTrips(t *testing.T) {
+// A tenant without a limit causes no requests, a rarely used tenant one per operation, and a
+// frequently used tenant far fewer than that, mostly without waiting.
+func TestRequestsPerOperation(t *testing.T) {
 	limit := Limit{PerS: 100, Burst: 100}
 	withClient(t, limit, func(f *fixture) {
 		for range 50 {
 			if ok, took := f.spend("free", Limit{}); !ok || took > 0 {
-				f.Errorf("no limit: %v after %v", ok, took)
+				f.Errorf("tenant without a limit: admitted %v after %v", ok, took)
 			}
 		}
 		if f.requests.Load() != 0 {
@@ -80,7 +80,7 @@
 		for range 20 {
 			time.Sleep(3 * time.Second)
 			if ok, took := f.spend("bob", limit); !ok || took > 5*time.Millisecond {
-				f.Errorf("rarely used: %v after %v", ok, took)
+				f.Errorf("rarely used tenant: admitted %v after %v", ok, took)
 			}
 		}
 		if f.requests.Load() != 20 {
@@ -108,9 +108,9 @@
 	})
 }
 
-// Demand above the limit is refused soon and without a request for each operation; the rest is
-// served, and so are other tenants.
-func TestOverTheLimit(t *testing.T) {
+// Operations above the limit are refused soon and without a request for each; those within it
+// are served, and so are other tenants.
+func TestDemandOverLimit(t *testing.T) {
 	limit := Limit{PerS: 20, Burst: 10}
 	withClient(t, limit, func(f *fixture) {
 		type outcome struct {
@@ -127,18 +127,18 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if ok, took := f.spend("bob", limit); !ok || took > 5*time.Millisecond {
-			f.Errorf("another tenant: served %v after %v", ok, took)
+			f.Errorf("another tenant: admitted %v after %v", ok, took)
 		}
 		served, slowest := 0, time.Duration(0)
 		for range sent {
-			o := <-outcomes
-			slowest = max(slowest, o.took)
-			if o.ok {
+			result := <-outcomes
+			slowest = max(slowest, result.took)
+			if result.ok {
 				served++
 			}
 		}
 		if served < 180 || served > 212 || slowest > 100*time.Millisecond || f.requests.Load() > 400 {
-			f.Errorf("%d of %d served, the slowest after %v, with %d calls", served, sent, slowest, f.requests.Load())
+			f.Errorf("%d of %d operations served, the slowest result after %v, with %d requests", served, sent, slowest, f.requests.Load())
 		}
 	})
 }
@@ -147,7 +147,7 @@
 func TestWaitingIsBounded(t *testing.T) {
 	limit := Limit{PerS: 20, Burst: 10}
 	withClient(t, limit, func(f *fixture) {
-		f.unreachable = true
+		f.ledgerUnreachable = true
 		refusedAtOnce, done := 0, make(chan time.Duration)
 		for range 3 * maxWaiting {
 			go func() {
@@ -161,7 +161,7 @@
 			}
 		}
 		if refusedAtOnce != 2*maxWaiting {
-			f.Errorf("%d of %d operations were refused at once", refusedAtOnce, 3*maxWaiting)
+			f.Errorf("%d of %d operations were refused without waiting", refusedAtOnce, 3*maxWaiting)
 		}
 	})
 }
@@ -175,7 +175,7 @@
 			f.spend("ann", limit)
 			time.Sleep(10 * time.Millisecond)
 		}
-		f.unreachable = true
+		f.ledgerUnreachable = true
 		served := 0
 		for range 100 {
 			if ok, _ := f.spend("ann", limit); ok {
@@ -186,10 +186,10 @@
 		if held := f.client.Usage()["ann"].Held; served < 10 || served > 70 || held != 0 {
 			f.Errorf("%d served while the ledger was unreachable, %d held at the end", served, held)
 		}
-		f.unreachable = false
+		f.ledgerUnreachable = false
 		time.Sleep(2 * unreachablePause.Duration())
 		if ok, took := f.spend("ann", limit); !ok || took > 10*time.Millisecond {
-			f.Errorf("reachable again: served %v after %v", ok, took)
+			f.Errorf("with a reachable ledger again: admitted %v after %v", ok, took)
 		}
 	})
 }
@@ -199,27 +199,27 @@
 func TestAdmissionEndsWithLease(t *testing.T) {
 	limit := Limit{PerS: 1, Burst: 2}
 	withClient(t, limit, func(f *fixture) {
-		a, err := f.client.Admit("ann", limit, 100*kernel.Millisecond)
+		first, err := f.client.Admit("ann", limit, 100*kernel.Millisecond)
 		if err != nil {
 			f.Fatal(err)
 		}
-		if left := a.Until - f.client.k.Clock.Now(); left <= 0 || left > testLease-leaseMargin {
-			f.Errorf("an admission for %d ms", left.Millis())
+		if left := first.Until - f.client.k.Clock.Now(); left <= 0 || left > testLease-leaseMargin {
+			f.Errorf("the admission lasts %d ms", left.Millis())
 		}
-		f.client.Return(a)
+		f.client.Return(first)
 		requests := f.requests.Load()
 		if ok, took := f.spend("ann", limit); !ok || took > 0 || f.requests.Load() != requests {
-			f.Errorf("after an unused admission: served %v after %v", ok, took)
+			f.Errorf("after an unused admission: admitted %v after %v", ok, took)
 		}
-		b, err := f.client.Admit("ann", limit, 100*kernel.Millisecond)
+		second, err := f.client.Admit("ann", limit, 100*kernel.Millisecond)
 		if err != nil {
 			f.Fatal(err)
 		}
 		time.Sleep(testLease.Duration())
-		if now := f.client.k.Clock.Now(); now < b.Until {
+		if now := f.client.k.Clock.Now(); now < second.Until {
 			f.Errorf("an admission lasts longer than its lease")
 		}
-		f.client.Return(b)
+		f.client.Return(second)
 		time.Sleep(testLease.Duration())
 		if held := f.client.Usage()["ann"].Held; held != 0 {
 			f.Errorf("held when idle: %v", held)
@@ -233,22 +233,23 @@
 	limit := Limit{PerS: 100, Burst: 100}
 	withClient(t, limit, func(f *fixture) {
 		f.client.call = func(ctx context.Context, req sliceRequest) (sliceResponse, error) {
-			a, err := f.ledger.Take(f.client.k.Clock.Now(), req)
-			if a.NewestIncarnation > 0 {
+			resp, err := f.ledger.ProcessRequest(f.client.k.Clock.Now(), req)
+			if resp.NewestIncarnation > 0 {
 				err = nil
 			}
-			return a, err
+			return resp, err
 		}
-		if _, err := f.ledger.Take(f.client.k.Clock.Now(), sliceRequest{Proxy: "a", Incarnation: f.client.incarnation + 7, Seq: 9}); err != nil {
+		if _, err := f.ledger.ProcessRequest(f.client.k.Clock.Now(), sliceRequest{Proxy: "a", Incarnation: f.client.incarnation + 7, Seq: 9}); err != nil {
 			f.Fatal(err)
 		}
 		if ok, _ := f.spend("ann", limit); !ok {
-			f.Error("refused")
+			f.Error("the operation was refused")
 		}
 	})
 }
 
-// Thousands of tenants are requested in calls of bounded size, and forgotten when idle.
+// Operations of thousands of tenants are requested in messages of bounded size, and idle tenants
+// are forgotten.
 func TestManyTenants(t *testing.T) {
 	limit := Limit{PerS: 100, Burst: 100}
 	withClient(t, limit, func(f *fixture) {
@@ -266,7 +267,7 @@
 		}
 		for range limits {
 			if !<-done {
-				f.Error("refused")
+				f.Error("an operation was refused")
 			}
 		}
 		if f.requests.Load() < 3000/maxHoldings || f.requests.Load() > 20 {
@@ -274,7 +275,7 @@
 		}
 		time.Sleep(3 * forgetAfter.Duration())
 		if n := len(f.client.allotments); n > 0 {
-			f.Errorf("%d tenants are remembered when idle", n)
+			f.Errorf("%d idle tenants are remembered", n)
 		}
 	})
 }
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -11,59 +11,59 @@
 	"indigowalk/internal/kernel"
 )
 
-// entries is a control state that consists of entries only.
-type entries struct {
+// entriesState is a control state that consists of entries only.
+type entriesState struct {
 	controlState
-	current     map[string]json.RawMessage
+	entries     map[string]json.RawMessage
 	unavailable bool
 }
 
-func (e *entries) Durable() (controlstate.State, error) {
-	if e.unavailable {
+func (s *entriesState) Durable() (controlstate.State, error) {
+	if s.unavailable {
 		return controlstate.State{}, errors.New("no primary")
 	}
-	return controlstate.State{Entries: e.current}, nil
+	return controlstate.State{Entries: s.entries}, nil
 }
 
-func (e *entries) Update(_ context.Context, change controlstate.ChangeFunc) error {
-	changes, err := change(e.current)
-	maps.Copy(e.current, changes)
+func (s *entriesState) Update(_ context.Context, change controlstate.ChangeFunc) error {
+	changes, err := change(s.entries)
+	maps.Copy(s.entries, changes)
 	return err
 }
 
-// A ledger may grant in its first lease unless the previous one did and ended within its own
-// first lease: slices of two terms may be outstanding then.
+// A ledger may grant during its first lease, unless the previous ledger did so too and ended
+// within its own first lease: slices of two terms may be outstanding in that case.
 func TestMayGrantEarly(t *testing.T) {
-	e := &entries{current: map[string]json.RawMessage{}}
-	h := NewLedgerServer(nil, e, kernel.Second, strict)
+	state := &entriesState{entries: map[string]json.RawMessage{}}
+	server := NewLedgerServer(nil, state, kernel.Second, zeroTolerance)
 	for _, step := range []struct {
 		name   string
 		record openingRecord
 		want   bool
 	}{
-		{"after a first lease that has not ended", openingRecord{7, false}, false},
-		{"after one that has ended", openingRecord{7, true}, true},
-		{"of a later term", openingRecord{9, false}, false},
+		{"the first lease of the previous ledger has not ended", openingRecord{7, false}, false},
+		{"the first lease of the previous ledger has ended", openingRecord{7, true}, true},
+		{"the first lease of a ledger of a later term has not ended", openingRecord{9, false}, false},
 	} {
-		if step.record.Term == 7 && !step.record.Completed && !h.mayGrantEarly() {
-			t.Error("before the first ledger: may not grant early")
+		if step.record.Term == 7 && !step.record.Completed && !server.mayGrantEarly() {
+			t.Error("the first ledger of all may not grant early")
 		}
-		if err := h.writeOpening(t.Context(), step.record); err != nil {
+		if err := server.writeOpening(t.Context(), step.record); err != nil {
 			t.Fatal(err)
 		}
-		if got := h.mayGrantEarly(); got != step.want {
-			t.Errorf("%s: %v", step.name, got)
+		if got := server.mayGrantEarly(); got != step.want {
+			t.Errorf("%s: may grant early: %v", step.name, got)
 		}
 	}
-	if err := h.writeOpening(t.Context(), openingRecord{7, true}); err == nil || h.mayGrantEarly() {
-		t.Error("the record of an earlier term replaces that of a later one")
+	if err := server.writeOpening(t.Context(), openingRecord{7, true}); err == nil || server.mayGrantEarly() {
+		t.Error("the record of an earlier term replaced that of a later one")
 	}
-	e.current[openingKey] = json.RawMessage("{")
-	if h.mayGrantEarly() {
-		t.Error("after an unreadable record: may grant early")
+	state.entries[openingKey] = json.RawMessage("{")
+	if server.mayGrantEarly() {
+		t.Error("may grant early with an unreadable record")
 	}
-	e.current = map[string]json.RawMessage{}
-	if e.unavailable = true; h.mayGrantEarly() {
-		t.Error("without a control state: may grant early")
+	state.entries = map[string]json.RawMessage{}
+	if state.unavailable = true; server.mayGrantEarly() {
+		t.Error("may grant early without a control state")
 	}
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -26,8 +26,8 @@
 )
 
 // Ledger keeps, for one term, the stock of each tenant and every slice with its lease. It is
-// not stored on disk: the ledger of the next term assumes that all stock is in slices until
-// one lease has passed. During that time it grants nothing, or what OpeningCapacity allows
+// not stored on disk: until one lease has passed, the ledger of the next term assumes that all
+// stock is in slices. During that time it grants nothing, or what OpeningCapacity allows
 // once GrantEarly was called.
 type Ledger struct {
 	term              int64
@@ -45,13 +45,13 @@
 // requestID identifies the latest request that was accepted from a proxy.
 type requestID struct{ incarnation, seq int64 }
 
-// proxyProcess is one incarnation of a proxy, as the holder of a slice.
-type proxyProcess struct {
+// proxyIncarnation is one incarnation of a proxy, as the holder of a slice.
+type proxyIncarnation struct {
 	proxy       string
 	incarnation int64
 }
 
-// slice is what a holder may have of one tenant's stock.
+// slice is the part of one tenant's stock that a holder may have.
 type slice struct {
 	held    int64 // upper bound of the unused operations
 	expires kernel.Micros
@@ -63,9 +63,9 @@
 	stock         float64
 	refilledAt    kernel.Micros // when stock was last brought up to date
 	outstanding   int64         // operations in slices with unexpired leases
-	slices        map[proxyProcess]*slice
+	slices        map[proxyIncarnation]*slice
 	nextExpiry    kernel.Micros // when the next lease ends
-	lastRequested kernel.Micros // when a proxy last reported a holding of it
+	lastRequested kernel.Micros // when a proxy last reported a holding of this tenant
 }
 
 // NewLedger returns the ledger of a term that begins now.
@@ -121,43 +121,44 @@
 	l.limits = limits
 }
 
-// Take reconciles what a proxy reports of its slices and grants what is available. Slices last
-// for one lease, which the proxy counts from before it sent the request.
-func (l *Ledger) Take(now kernel.Micros, req sliceRequest) (sliceResponse, error) {
+// ProcessRequest reconciles the slices of a proxy with what it reports of them, and grants the
+// operations that are available. Slices last for one lease, which the proxy counts from before
+// it sent the request.
+func (l *Ledger) ProcessRequest(now kernel.Micros, req sliceRequest) (sliceResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	newest, err := l.acceptRequest(req)
 	if err != nil {
 		return sliceResponse{NewestIncarnation: newest}, err
 	}
-	a := sliceResponse{Term: l.term, Lease: l.lease}
+	resp := sliceResponse{Term: l.term, Lease: l.lease}
 	for _, h := range req.Holdings {
-		a.Grants = append(a.Grants, l.processHolding(now, proxyProcess{req.Proxy, req.Incarnation}, h))
+		resp.Grants = append(resp.Grants, l.processHolding(now, proxyIncarnation{req.Proxy, req.Incarnation}, h))
 	}
-	return a, nil
+	return resp, nil
 }
 
 // acceptRequest checks that a request is newer than the last one of its proxy, and records it.
-// newest is the later incarnation of the proxy if the request is from an earlier one.
+// newest is the latest incarnation of the proxy if the request is from an earlier one.
 func (l *Ledger) acceptRequest(req sliceRequest) (newest int64, err error) {
-	s := l.latestRequests[req.Proxy]
+	latest := l.latestRequests[req.Proxy]
 	switch {
-	case req.Proxy == "" || req.Incarnation <= 0 || req.Seq <= 0 || s == nil && len(l.latestRequests) >= maxProxies:
+	case req.Proxy == "" || req.Incarnation <= 0 || req.Seq <= 0 || latest == nil && len(l.latestRequests) >= maxProxies:
 		return 0, ErrMalformed
-	case s == nil:
-		s = &requestID{}
-		l.latestRequests[req.Proxy] = s
-	case req.Incarnation < s.incarnation:
-		return s.incarnation, ErrStale
-	case req.Incarnation == s.incarnation && req.Seq <= s.seq:
+	case latest == nil:
+		latest = &requestID{}
+		l.latestRequests[req.Proxy] = latest
+	case req.Incarnation < latest.incarnation:
+		return latest.incarnation, ErrStale
+	case req.Incarnation == latest.incarnation && req.Seq <= latest.seq:
 		return 0, ErrStale
 	}
-	s.incarnation, s.seq = req.Incarnation, req.Seq
+	latest.incarnation, latest.seq = req.Incarnation, req.Seq
 	return 0, nil
 }
 
 // processHolding reconciles the slice of one tenant and grants more if requested.
-func (l *Ledger) processHolding(now kernel.Micros, owner proxyProcess, h Holding) Grant {
+func (l *Ledger) processHolding(now kernel.Micros, holder proxyIncarnation, h Holding) Grant {
 	limit, known := l.limits[h.Tenant]
 	switch {
 	case !known || h.Returned < 0 || h.Held < 0 || h.Want < 0:
@@ -168,7 +169,7 @@
 	}
 	a := l.account(now, h.Tenant)
 	l.advance(a, now, limit)
-	s, renewed := a.reconcile(owner, h)
+	s, renewed := a.reconcile(holder, h)
 	a.clamp(l.capacity(now, limit))
 	granted := min(h.Want, maxGrant(a.stock))
 	a.grant(s, granted, now+l.lease)
@@ -201,7 +202,7 @@
 func (l *Ledger) account(now kernel.Micros, tenant string) *account {
 	a := l.accounts[tenant]
 	if a == nil {
-		a = &account{refilledAt: l.grantsFrom, slices: map[proxyProcess]*slice{}, nextExpiry: math.MaxInt64}
+		a = &account{refilledAt: l.grantsFrom, slices: map[proxyIncarnation]*slice{}, nextExpiry: math.MaxInt64}
 		l.accounts[tenant] = a
 	}
 	a.lastRequested = now
@@ -240,10 +241,10 @@
 // whether they were or not.
 func (a *account) expireLeases(now kernel.Micros) {
 	a.nextExpiry = math.MaxInt64
-	for owner, s := range a.slices {
+	for holder, s := range a.slices {
 		if s.expires <= now {
 			a.outstanding -= s.held
-			delete(a.slices, owner)
+			delete(a.slices, holder)
 			continue
 		}
 		a.nextExpiry = min(a.nextExpiry, s.expires)
@@ -256,12 +257,12 @@
 }
 
 // reconcile updates a slice to what its holder reports, and returns it. renewed reports that
-// its lease had not ended. What the holder neither keeps nor returns counts as spent.
-func (a *account) reconcile(owner proxyProcess, h Holding) (s *slice, renewed bool) {
-	s = a.slices[owner]
+// its lease had not ended. Operations that the holder neither keeps nor returns count as spent.
+func (a *account) reconcile(holder proxyIncarnation, h Holding) (s *slice, renewed bool) {
+	s = a.slices[holder]
 	if s == nil {
 		s = &slice{}
-		a.slices[owner] = s
+		a.slices[holder] = s
 		return s, false
 	}
 	kept := min(h.Held, s.held)
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -13,34 +13,34 @@
 
 // newOpenLedger returns a ledger that has been granting long enough for its stock to be full.
 func newOpenLedger(limit Limit) (l *Ledger, now kernel.Micros) {
-	l = NewLedger(1, 0, testLease, strict)
+	l = NewLedger(1, 0, testLease, zeroTolerance)
 	l.SetLimits(0, map[string]Limit{"ann": limit, "free": {}})
 	return l, grantStart + 100*kernel.Second
 }
 
-func take(t *testing.T, l *Ledger, now kernel.Micros, req sliceRequest) Grant {
+func requestGrant(t *testing.T, l *Ledger, now kernel.Micros, req sliceRequest) Grant {
 	t.Helper()
-	a, err := l.Take(now, req)
-	if err != nil || len(a.Grants) != 1 {
-		t.Fatalf("%+v: %+v, %v", req, a, err)
+	resp, err := l.ProcessRequest(now, req)
+	if err != nil || len(resp.Grants) != 1 {
+		t.Fatalf("%+v: %+v, %v", req, resp, err)
 	}
-	return a.Grants[0]
+	return resp.Grants[0]
 }
 
 // A proxy cannot return or keep more than it was granted, cannot repeat a request, and is
 // rejected once a later incarnation is known.
-func TestClaims(t *testing.T) {
+func TestInvalidProxyReports(t *testing.T) {
 	l, now := newOpenLedger(Limit{PerS: 1, Burst: 20})
-	if s := take(t, l, now, sliceRequest{"a", 5, 1, []Holding{{Tenant: "ann", Held: 50, Returned: 50, Want: 4}}}); s.Renewed || s.Granted != 4 {
-		t.Errorf("an unknown slice: %+v", s)
+	if grant := requestGrant(t, l, now, sliceRequest{"a", 5, 1, []Holding{{Tenant: "ann", Held: 50, Returned: 50, Want: 4}}}); grant.Renewed || grant.Granted != 4 {
+		t.Errorf("after a report of a slice that was never granted: %+v", grant)
 	}
-	take(t, l, now, sliceRequest{"a", 5, 2, []Holding{{Tenant: "ann", Held: 50, Returned: 50}}})
+	requestGrant(t, l, now, sliceRequest{"a", 5, 2, []Holding{{Tenant: "ann", Held: 50, Returned: 50}}})
 	if a := l.Accounts(now)["ann"]; a.Outstanding != 4 || a.Stock != 16 || a.Holders != 1 {
-		t.Errorf("after claiming to hold more than was granted: %+v", a)
+		t.Errorf("after a report of more held than was granted: %+v", a)
 	}
-	take(t, l, now, sliceRequest{"a", 5, 3, []Holding{{Tenant: "ann", Held: 1, Returned: 50}}})
+	requestGrant(t, l, now, sliceRequest{"a", 5, 3, []Holding{{Tenant: "ann", Held: 1, Returned: 50}}})
 	if a := l.Accounts(now)["ann"]; a.Outstanding != 1 || a.Stock != 19 {
-		t.Errorf("after returning more than was granted: %+v", a)
+		t.Errorf("after a report of more returned than was granted: %+v", a)
 	}
 	for _, c := range []struct {
 		name   string
@@ -51,11 +51,11 @@
 		{"a repeated request", sliceRequest{"a", 5, 3, nil}, ErrStale, 0},
 		{"an earlier request", sliceRequest{"a", 5, 2, nil}, ErrStale, 0},
 		{"an earlier incarnation", sliceRequest{"a", 4, 9, nil}, ErrStale, 5},
-		{"nobody", sliceRequest{"", 4, 9, nil}, ErrMalformed, 0},
+		{"no proxy name", sliceRequest{"", 4, 9, nil}, ErrMalformed, 0},
 		{"no incarnation", sliceRequest{"a", 0, 9, nil}, ErrMalformed, 0},
 		{"no sequence number", sliceRequest{"a", 6, 0, nil}, ErrMalformed, 0},
 	} {
-		if a, err := l.Take(now, c.req); !errors.Is(err, c.want) || a.NewestIncarnation != c.newest {
+		if a, err := l.ProcessRequest(now, c.req); !errors.Is(err, c.want) || a.NewestIncarnation != c.newest {
 			t.Errorf("%s: %+v, %v", c.name, a, err)
 		}
 	}
@@ -65,47 +65,47 @@
 		"negative returned": {Tenant: "ann", Returned: -4, Want: 4},
 		"negative wanted":   {Tenant: "ann", Want: -4},
 	} {
-		if s := take(t, l, now, sliceRequest{name, 1, 1, []Holding{h}}); s.Granted != 0 || s.RetryAfter == 0 {
-			t.Errorf("%s: %+v", name, s)
+		if grant := requestGrant(t, l, now, sliceRequest{name, 1, 1, []Holding{h}}); grant.Granted != 0 || grant.RetryAfter == 0 {
+			t.Errorf("%s: %+v", name, grant)
 		}
 	}
-	if s := take(t, l, now, sliceRequest{"c", 1, 1, []Holding{{Tenant: "free", Want: 7}}}); s.Granted != 7 {
-		t.Errorf("a tenant without a limit: %+v", s)
+	if grant := requestGrant(t, l, now, sliceRequest{"c", 1, 1, []Holding{{Tenant: "free", Want: 7}}}); grant.Granted != 7 {
+		t.Errorf("a tenant without a limit: %+v", grant)
 	}
 	if n := len(l.Accounts(now)); n != 1 {
 		t.Errorf("%d accounts are kept", n)
 	}
 	for i := range 2 * maxProxies {
-		_, _ = l.Take(now, sliceRequest{Proxy: string(rune('A' + i)), Incarnation: 1, Seq: 1})
+		_, _ = l.ProcessRequest(now, sliceRequest{Proxy: string(rune('A' + i)), Incarnation: 1, Seq: 1})
 	}
 	if n := len(l.latestRequests); n != maxProxies {
 		t.Errorf("%d proxies are remembered", n)
 	}
 }
 
-// A proxy that wants everything leaves something for the next one, and each is told when to try
-// again.
-func TestShares(t *testing.T) {
+// A proxy that requests all stock is granted only a share of it, so that some is left for the
+// next proxy. Each is told when to request again.
+func TestGrantLeavesStock(t *testing.T) {
 	l, now := newOpenLedger(Limit{PerS: 10, Burst: 20})
 	left := 20.0
 	for i, want := range []int64{10, 5, 3, 1, 1, 0} {
-		s := take(t, l, now, sliceRequest{string(rune('a' + i)), 1, 1, []Holding{{Tenant: "ann", Want: 1000}}})
-		if s.Granted != want || s.RetryAfter == 0 {
-			t.Errorf("grant %d: %+v", i, s)
+		grant := requestGrant(t, l, now, sliceRequest{string(rune('a' + i)), 1, 1, []Holding{{Tenant: "ann", Want: 1000}}})
+		if grant.Granted != want || grant.RetryAfter == 0 {
+			t.Errorf("grant %d: %+v", i, grant)
 		}
-		left -= float64(s.Granted)
+		left -= float64(grant.Granted)
 	}
-	s := take(t, l, now, sliceRequest{"z", 1, 1, []Holding{{Tenant: "ann", Want: 1}}})
-	if s.Granted != 0 || s.RetryAfter != 100*kernel.Millisecond {
-		t.Errorf("with nothing in stock at 10 a second: %+v", s)
+	grant := requestGrant(t, l, now, sliceRequest{"z", 1, 1, []Holding{{Tenant: "ann", Want: 1}}})
+	if grant.Granted != 0 || grant.RetryAfter != 100*kernel.Millisecond {
+		t.Errorf("with no stock and a rate of 10 per second: %+v", grant)
 	}
 }
 
 // A lower limit applies at once to stock, and to slices once their leases end. A tenant that is
 // removed and added again has no more than before.
-func TestLowerLimit(t *testing.T) {
+func TestLoweredLimit(t *testing.T) {
 	l, now := newOpenLedger(Limit{PerS: 10, Burst: 20})
-	take(t, l, now, sliceRequest{"a", 1, 1, []Holding{{Tenant: "ann", Want: 10}}})
+	requestGrant(t, l, now, sliceRequest{"a", 1, 1, []Holding{{Tenant: "ann", Want: 10}}})
 	l.SetLimits(now, map[string]Limit{"ann": {PerS: 1, Burst: 4}})
 	if a := l.Accounts(now)["ann"]; a.Stock != 0 || a.Outstanding != 10 || a.Capacity != 4 {
 		t.Errorf("under the lower limit: %+v", a)
@@ -117,7 +117,7 @@
 	l.SetLimits(now, map[string]Limit{})
 	l.SetLimits(now+kernel.Second, map[string]Limit{"ann": {PerS: 1, Burst: 4}})
 	if a := l.Accounts(now + kernel.Second)["ann"]; a.Stock > 2 {
-		t.Errorf("after it was removed for a second: %+v", a)
+		t.Errorf("after the tenant was removed for a second: %+v", a)
 	}
 	l.SetLimits(now+kernel.Second, map[string]Limit{})
 	l.SetLimits(now+kernel.Second+testWindow+testLease, map[string]Limit{})
@@ -126,37 +126,38 @@
 	}
 }
 
-// While slices of the previous term may be outstanding, little is granted, and unrequested stock
-// does not grow beyond that.
-func TestOpening(t *testing.T) {
+// While slices of the previous term may be outstanding, only the opening capacity is granted,
+// and stock does not grow beyond it.
+func TestOpeningPeriod(t *testing.T) {
 	limit := Limit{PerS: 1000, Burst: 1000}
 	tolerance := Tolerance{Window: testWindow, Slack: 100}
 	l := NewLedger(2, 0, testLease, tolerance)
 	l.SetLimits(0, map[string]Limit{"ann": limit})
-	all := func(now kernel.Micros) float64 { return l.Accounts(now)["ann"].Stock }
-	if s := take(t, l, 1, sliceRequest{"a", 1, 1, []Holding{{Tenant: "ann", Want: 9}}}); s.Granted != 0 || s.RetryAfter < testLease-2 {
-		t.Errorf("before the ledger grants: %+v", s)
+	stock := func(now kernel.Micros) float64 { return l.Accounts(now)["ann"].Stock }
+	if grant := requestGrant(t, l, 1, sliceRequest{"a", 1, 1, []Holding{{Tenant: "ann", Want: 9}}}); grant.Granted != 0 || grant.RetryAfter < testLease-2 {
+		t.Errorf("before the ledger grants: %+v", grant)
 	}
 	l.GrantEarly(100 * kernel.Millisecond)
-	if got := all(110 * kernel.Millisecond); got != 10 {
-		t.Errorf("10 ms after it began to grant: %v", got)
+	if got := stock(110 * kernel.Millisecond); got != 10 {
+		t.Errorf("stock 10 ms after the ledger began to grant: %v", got)
 	}
-	if got := all(400 * kernel.Millisecond); got != 35 {
-		t.Errorf("while slices of the previous term may be outstanding: %v", got)
+	if got := stock(400 * kernel.Millisecond); got != 35 {
+		t.Errorf("stock while slices of the previous term may be outstanding: %v", got)
 	}
-	if got := all(testLease + 10*kernel.Millisecond); got != 45 {
-		t.Errorf("10 ms after that: %v", got)
+	if got := stock(testLease + 10*kernel.Millisecond); got != 45 {
+		t.Errorf("stock 10 ms after the opening period: %v", got)
 	}
-	if got := all(testLease + 10*kernel.Second); got != 1035 {
-		t.Errorf("long after: %v", got)
+	if got := stock(testLease + 10*kernel.Second); got != 1035 {
+		t.Errorf("stock 10 s after the opening period: %v", got)
 	}
 	l.GrantEarly(testLease + 10*kernel.Second) // too late to have an effect
-	if got := all(testLease + 11*kernel.Second); got != 1035 {
-		t.Errorf("after a late GrantEarly: %v", got)
+	if got := stock(testLease + 11*kernel.Second); got != 1035 {
+		t.Errorf("stock after a late GrantEarly: %v", got)
 	}
 }
 
-// Splitting the tolerance, as the design describes, must cost little capacity.
+// The tolerance is split between the terms as the design describes, and the split costs little
+// capacity.
 func TestCapacity(t *testing.T) {
 	tolerance := Tolerance{Window: 5 * kernel.Second, Excess: 0.1, Slack: 20}
 	for _, c := range []struct {
@@ -167,26 +168,26 @@
 		{Limit{1, 0}, 0.25 + 7, 5*1.1 + 20},
 	} {
 		if got := tolerance.Capacity(c.limit); got != c.capacity {
-			t.Errorf("%+v: capacity %v, not %v", c.limit, got, c.capacity)
+			t.Errorf("%+v: capacity %v, want %v", c.limit, got, c.capacity)
 		}
 		if got := tolerance.MaxOperations(c.limit); got < c.maxOperations-1e-6 || got > c.maxOperations+1e-6 {
-			t.Errorf("%+v: most %v, not %v", c.limit, got, c.maxOperations)
+			t.Errorf("%+v: at most %v operations in a window, want %v", c.limit, got, c.maxOperations)
 		}
 	}
 	for _, limit := range []Limit{{215, 215}, {1, 0}} {
 		if sum := tolerance.Capacity(limit) + tolerance.OpeningCapacity(limit); sum > tolerance.MaxOperations(limit)-tolerance.allowed(limit)+limit.Burst-6 {
-			t.Errorf("%+v: %v for one term and the next together", limit, sum)
+			t.Errorf("%+v: the capacities of a term and the opening of the next are %v together", limit, sum)
 		}
 	}
-	if got := strict.Capacity(Limit{PerS: 0.01}); got != 1 {
-		t.Errorf("a capacity below one operation: %v", got)
+	if got := zeroTolerance.Capacity(Limit{PerS: 0.01}); got != 1 {
+		t.Errorf("the capacity for a rate of 0.01 per second is %v, want 1", got)
 	}
 }
 
-// BenchmarkTake measures a request for one operation of one of 72 tenants, from 91 proxies that
-// each hold slices.
-func BenchmarkTake(b *testing.B) {
-	l := NewLedger(1, 0, testLease, strict)
+// BenchmarkProcessRequest measures a request for one operation of one of 72 tenants, from 91
+// proxies that each hold slices.
+func BenchmarkProcessRequest(b *testing.B) {
+	l := NewLedger(1, 0, testLease, zeroTolerance)
 	limits := map[string]Limit{}
 	var tenants, proxies []string
 	for i := range 72 {
@@ -201,7 +202,7 @@
 	for i := range b.N {
 		now += 10
 		req := sliceRequest{proxies[i%len(proxies)], 1, int64(i + 1), []Holding{{Tenant: tenants[i%len(tenants)], Want: 1}}}
-		if _, err := l.Take(now, req); err != nil {
+		if _, err := l.ProcessRequest(now, req); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -29,11 +29,11 @@
 // Unlimited reports whether the tenant has no limit, so that nothing is counted.
 func (l Limit) Unlimited() bool { return l.PerS <= 0 }
 
-// Tolerance is by how much the operations in a window may exceed the limit.
+// Tolerance bounds by how much the operations in a window may exceed the limit.
 type Tolerance struct {
 	Window kernel.Micros `json:"window_us"`
-	Excess float64       `json:"excess"` // share of the operations that the limit allows in a window
-	Slack  float64       `json:"slack"`  // number of operations
+	Excess float64       `json:"excess"` // as a share of the operations that the limit allows in a window
+	Slack  float64       `json:"slack"`  // number of operations in addition to that
 }
 
 const (
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -2,8 +2,8 @@
 
 import "indigowalk/internal/kernel"
 
-// takeOp is the RPC operation by which a proxy requests slices.
-const takeOp = "quota.take"
+// requestOp is the RPC operation by which a proxy requests slices.
+const requestOp = "quota.take"
 
 // sliceRequest reports to the ledger what a proxy holds, and requests further operations.
 type sliceRequest struct {
--- a/internal/quota/plugin.go
+++ b/internal/quota/plugin.go
@@ -15,33 +15,34 @@
 	kernel.Register(kernel.Plugin{
 		Name: "quota-holder", Rank: 75, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
-			s := kernel.Need[*settings.Live](k).Now()
-			h := NewLedgerServer(k, kernel.Need[*controlstate.Replica](k), settings.FromMillis(s.QuotaLeaseMs), Tolerance{
-				Window: kernel.Micros(s.QuotaWindowS) * kernel.Second, Excess: s.QuotaExcess, Slack: s.QuotaSlack,
+			current := kernel.Need[*settings.Live](k).Now()
+			server := NewLedgerServer(k, kernel.Need[*controlstate.Replica](k), settings.FromMillis(current.QuotaLeaseMs), Tolerance{
+				Window: kernel.Micros(current.QuotaWindowS) * kernel.Second, Excess: current.QuotaExcess, Slack: current.QuotaSlack,
 			})
-			rpc.HandleTyped(kernel.Need[*rpc.Endpoint](k), takeOp, h.onTake)
-			kernel.Offer(k, h)
-			k.Supervise("quota", h.Serve)
+			rpc.HandleTyped(kernel.Need[*rpc.Endpoint](k), requestOp, server.handleRequest)
+			kernel.Offer(k, server)
+			k.Supervise("quota", server.Serve)
 			return nil
 		},
 	})
 	kernel.Register(kernel.Plugin{
 		Name: "quota-client", Rank: 75, Roles: []string{"pooler", "gateway"},
 		Build: func(k *kernel.Kernel) error {
-			s := kernel.Need[*settings.Live](k).Now()
+			current := kernel.Need[*settings.Live](k).Now()
 			subscriber := kernel.Need[*distribution.Subscriber](k)
 			endpoint := kernel.Need[*rpc.Endpoint](k)
-			c := NewClient(k, s.NodeName, func(ctx context.Context, req sliceRequest) (sliceResponse, error) {
+			client := NewClient(k, current.NodeName, func(ctx context.Context, req sliceRequest) (sliceResponse, error) {
 				return requestSlices(ctx, endpoint, subscriber.ControlNode(), req)
 			})
-			kernel.Offer(k, c)
-			k.Supervise("quota", c.Serve)
+			kernel.Offer(k, client)
+			k.Supervise("quota", client.Serve)
 			return nil
 		},
 	})
 }
 
-// errNoLedger says that the node asked has no ledger, or that no node is known to ask.
+// errNoLedger says that the control node has no ledger, or that the proxy knows no control node
+// to send the request to.
 var errNoLedger = errors.New("quota: no active ledger")
 
 // responseTimeout is how long a proxy waits for the response of the ledger.
@@ -53,7 +54,7 @@
 	if addr == "" {
 		return resp, errNoLedger
 	}
-	if err := endpoint.Call(ctx, addr, takeOp, req, &resp, responseTimeout); err != nil {
+	if err := endpoint.Call(ctx, addr, requestOp, req, &resp, responseTimeout); err != nil {
 		return resp, err
 	}
 	if resp.Term == 0 && resp.NewestIncarnation == 0 {
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -2,7 +2,7 @@
 
 import "indigowalk/internal/kernel"
 
-// Kinds of the records from which the operations in each window can be recounted.
+// Kinds of the records from which the operations in each window can be counted afterwards.
 const (
 	SentKind      = "quota.sent"   // at a proxy: a SentRecord
 	RequestedKind = "quota.asked"  // at a proxy, when a response arrives: a CallRecord
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -44,18 +44,18 @@
 }
 
 const (
-	testLease  = 600 * kernel.Millisecond
-	testWindow = 2 * kernel.Second
-	callWait   = 200 * kernel.Millisecond
+	testLease   = 600 * kernel.Millisecond
+	testWindow  = 2 * kernel.Second
+	callTimeout = 200 * kernel.Millisecond
 )
 
-// strict is a tolerance of zero, so that nothing is granted in the first lease of a term.
-var strict = Tolerance{Window: testWindow}
+// zeroTolerance is a tolerance of zero, so that nothing is granted in the first lease of a term.
+var zeroTolerance = Tolerance{Window: testWindow}
 
 // tolerances are the tolerances that are simulated.
-var tolerances = []Tolerance{strict, {Window: testWindow, Slack: 20}, {Window: testWindow, Excess: 0.2, Slack: 10}}
+var tolerances = []Tolerance{zeroTolerance, {Window: testWindow, Slack: 20}, {Window: testWindow, Excess: 0.2, Slack: 10}}
 
-// sending is an operation that was sent to a database.
+// sentOperation is an operation that was sent to a database.
 type sentOperation struct {
 	tenant string
 	at     kernel.Micros
@@ -65,34 +65,34 @@
 // tenants are the names of the simulated tenants.
 var tenants = []string{"steady", "fast", "bursty", "small", "changing"}
 
-// limitsSince is the limits in force since a time.
+// limitsSince holds the limits in force since a time.
 type limitsSince struct {
-	since kernel.Micros
-	by    map[string]Limit
+	since  kernel.Micros
+	limits map[string]Limit
 }
 
 // simulation is one random schedule of requests and faults.
 type simulation struct {
-	r                *rand.Rand
+	random           *rand.Rand
 	now              kernel.Micros
 	events           schedule
 	tolerance        Tolerance
 	ledger           *Ledger
 	term             int64
-	down             bool // there is no ledger
+	ledgerDown       bool // there is no ledger
 	openingCompleted bool // it is known that no slices of a term before the last are outstanding
 	proxies          []*simulatedProxy
 	sent             []sentOperation
 	limits           []limitsSince
-	violation        string        // the violation that was found, "" if none
-	steady           bool          // demand has no bursts
+	violation        string // the violation that was found, "" if none
+	noBursts         bool
 	lateShare        float64       // share of the operations that are sent just before their lease ends
 	maxInterval      kernel.Micros // maximum interval between two demands
 }
 
 // simulatedProxy is a proxy whose requests, freezes and restarts are simulated.
 type simulatedProxy struct {
-	p           *simulation
+	sim         *simulation
 	name        string
 	client      *Client
 	pendingCall int64         // number of the request that is in flight, 0 if none
@@ -100,32 +100,32 @@
 	frozenUntil kernel.Micros // until then the proxy does nothing
 }
 
-func (p *simulation) after(span kernel.Micros, do func()) {
-	heap.Push(&p.events, event{p.now + span, do})
+func (s *simulation) after(span kernel.Micros, do func()) {
+	heap.Push(&s.events, event{s.now + span, do})
 }
 
-func (p *simulation) randomUpTo(span kernel.Micros) kernel.Micros {
-	return kernel.Micros(p.r.Int64N(int64(span) + 1))
+func (s *simulation) randomUpTo(span kernel.Micros) kernel.Micros {
+	return kernel.Micros(s.random.Int64N(int64(span) + 1))
 }
 
 // start begins an incarnation of the proxy.
-func (c *simulatedProxy) start() {
+func (p *simulatedProxy) start() {
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	k.Clock = manualClock{&c.p.now, kernel.Micros(c.p.r.Int64N(int64(kernel.Second))) + kernel.Second}
-	c.client = NewClient(k, c.name, nil)
-	c.calls++
-	c.client.incarnation = c.calls
-	c.pendingCall = 0
+	k.Clock = manualClock{&p.sim.now, kernel.Micros(p.sim.random.Int64N(int64(kernel.Second))) + kernel.Second}
+	p.client = NewClient(k, p.name, nil)
+	p.calls++
+	p.client.incarnation = p.calls
+	p.pendingCall = 0
 }
 
 // whenRunning runs an action now, or once the proxy is no longer frozen. It is dropped if the
 // proxy restarts in between.
-func (c *simulatedProxy) whenRunning(do func()) {
-	client := c.client
-	if c.p.now < c.frozenUntil {
-		c.p.after(c.frozenUntil-c.p.now+1, func() {
-			if c.client == client {
-				c.whenRunning(do)
+func (p *simulatedProxy) whenRunning(do func()) {
+	client := p.client
+	if p.sim.now < p.frozenUntil {
+		p.sim.after(p.frozenUntil-p.sim.now+1, func() {
+			if p.client == client {
+				p.whenRunning(do)
 			}
 		})
 		return
@@ -134,223 +134,223 @@
 }
 
 // demand simulates that a client wants one operation.
-func (c *simulatedProxy) demand(tenant string) {
-	a := c.client.recordDemand(tenant)
-	admission, ok := c.client.tryAdmit(tenant, a)
+func (p *simulatedProxy) demand(tenant string) {
+	a := p.client.recordDemand(tenant)
+	admission, ok := p.client.tryAdmit(tenant, a)
 	if !ok {
 		a.waiting++
-		c.p.after(50*kernel.Millisecond, func() { a.waiting-- })
-		c.sendRequest()
+		p.sim.after(50*kernel.Millisecond, func() { a.waiting-- })
+		p.sendRequest()
 		return
 	}
-	term := c.client.term
+	term := p.client.term
 	if admission.leaseNumber == previousTermLease {
 		term-- // from the slice of the previous term
 	}
-	client, span := c.client, c.p.randomUpTo(20*kernel.Millisecond)
+	client, span := p.client, p.sim.randomUpTo(20*kernel.Millisecond)
 	switch {
-	case c.p.r.IntN(20) == 0:
-		span = c.p.randomUpTo(2 * testLease)
-	case c.p.r.Float64() < c.p.lateShare:
-		span = max(0, admission.Until-c.client.k.Clock.Now()-1)
+	case p.sim.random.IntN(20) == 0:
+		span = p.sim.randomUpTo(2 * testLease)
+	case p.sim.random.Float64() < p.sim.lateShare:
+		span = max(0, admission.Until-p.client.k.Clock.Now()-1)
 	}
-	c.p.after(span, func() {
-		if c.client == client {
-			c.whenRunning(func() { c.send(tenant, admission, term) })
+	p.sim.after(span, func() {
+		if p.client == client {
+			p.whenRunning(func() { p.send(tenant, admission, term) })
 		}
 	})
 }
 
-// send is the step that checks the admission and sends the operation.
-func (c *simulatedProxy) send(tenant string, a Admission, term int64) {
-	if c.client.k.Clock.Now() >= a.Until || c.p.r.IntN(20) == 0 {
-		c.client.Return(a)
+// send checks the admission and sends the operation, in one step.
+func (p *simulatedProxy) send(tenant string, admission Admission, term int64) {
+	if p.client.k.Clock.Now() >= admission.Until || p.sim.random.IntN(20) == 0 {
+		p.client.Return(admission)
 		return
 	}
-	counted := c.p.counted(tenant, proxyProcess{c.name, c.client.incarnation})
-	if term == c.p.ledger.term && counted == 0 || term < c.p.ledger.term && c.p.now >= c.p.ledger.previousLeasesEnd {
-		c.p.violation = fmt.Sprintf("%s sends an operation of %s under a lease that has ended at the ledger", c.name, tenant)
+	recorded := p.sim.recordedHolding(tenant, proxyIncarnation{p.name, p.client.incarnation})
+	if term == p.sim.ledger.term && recorded == 0 || term < p.sim.ledger.term && p.sim.now >= p.sim.ledger.previousLeasesEnd {
+		p.sim.violation = fmt.Sprintf("%s sends an operation of %s under a lease that has ended at the ledger", p.name, tenant)
 	}
-	c.p.sent = append(c.p.sent, sentOperation{tenant, c.p.now, term})
-	c.client.Spend(a)
+	p.sim.sent = append(p.sim.sent, sentOperation{tenant, p.sim.now, term})
+	p.client.Spend(admission)
 }
 
 // sendRequest sends the next request of the proxy, if there is one, over a network that loses,
 // repeats and delays messages.
-func (c *simulatedProxy) sendRequest() {
-	if c.pendingCall != 0 {
+func (p *simulatedProxy) sendRequest() {
+	if p.pendingCall != 0 {
 		return
 	}
-	req, needed := c.client.nextRequest()
+	req, needed := p.client.nextRequest()
 	if !needed {
 		return
 	}
-	c.calls++
-	call, client, requestedAt := c.calls, c.client, c.client.k.Clock.Now()
-	c.pendingCall = call
-	complete := func(a sliceResponse, err error) {
-		if c.client != client {
+	p.calls++
+	call, client, requestedAt := p.calls, p.client, p.client.k.Clock.Now()
+	p.pendingCall = call
+	complete := func(resp sliceResponse, err error) {
+		if p.client != client {
 			return
 		}
-		c.whenRunning(func() {
-			if c.pendingCall == call {
-				c.pendingCall = 0
-				c.client.apply(req, a, err, requestedAt)
+		p.whenRunning(func() {
+			if p.pendingCall == call {
+				p.pendingCall = 0
+				p.client.apply(req, resp, err, requestedAt)
 			}
 		})
 	}
-	c.p.after(callWait, func() { complete(sliceResponse{}, errors.New("no response")) })
-	for range 1 + c.p.r.IntN(6)/5 {
-		if c.p.r.IntN(10) > 0 {
-			c.p.after(c.p.delay(), func() { c.p.deliver(req, complete) })
+	p.sim.after(callTimeout, func() { complete(sliceResponse{}, errors.New("no response")) })
+	for range 1 + p.sim.random.IntN(6)/5 {
+		if p.sim.random.IntN(10) > 0 {
+			p.sim.after(p.sim.delay(), func() { p.sim.deliver(req, complete) })
 		}
 	}
 }
 
 // delay is the time a message takes: rarely longer than the response timeout.
-func (p *simulation) delay() kernel.Micros {
-	if p.r.IntN(15) == 0 {
-		return p.randomUpTo(3 * testLease)
+func (s *simulation) delay() kernel.Micros {
+	if s.random.IntN(15) == 0 {
+		return s.randomUpTo(3 * testLease)
 	}
-	return p.randomUpTo(10 * kernel.Millisecond)
+	return s.randomUpTo(10 * kernel.Millisecond)
 }
 
 // deliver hands a request to the current ledger.
-func (p *simulation) deliver(req sliceRequest, complete func(sliceResponse, error)) {
-	if p.down {
+func (s *simulation) deliver(req sliceRequest, complete func(sliceResponse, error)) {
+	if s.ledgerDown {
 		return
 	}
-	a, err := p.ledger.Take(p.now, req)
-	if errors.Is(err, ErrMalformed) || err != nil && a.NewestIncarnation == 0 || p.r.IntN(10) == 0 {
+	resp, err := s.ledger.ProcessRequest(s.now, req)
+	if errors.Is(err, ErrMalformed) || err != nil && resp.NewestIncarnation == 0 || s.random.IntN(10) == 0 {
 		return
 	}
-	p.after(p.delay(), func() { complete(a, nil) })
+	s.after(s.delay(), func() { complete(resp, nil) })
 }
 
-// startTerm replaces the ledger by that of the next term.
-func (p *simulation) startTerm() {
-	p.term++
-	p.down = false
-	l := NewLedger(p.term, p.now, testLease, p.tolerance)
-	p.ledger = l
-	l.SetLimits(p.now, p.limits[len(p.limits)-1].by)
-	if p.openingCompleted {
-		p.openingCompleted = false
-		p.after(p.randomUpTo(100*kernel.Millisecond), func() { l.GrantEarly(p.now) })
+// startNextTerm replaces the ledger by that of the next term.
+func (s *simulation) startNextTerm() {
+	s.term++
+	s.ledgerDown = false
+	ledger := NewLedger(s.term, s.now, testLease, s.tolerance)
+	s.ledger = ledger
+	ledger.SetLimits(s.now, s.limits[len(s.limits)-1].limits)
+	if s.openingCompleted {
+		s.openingCompleted = false
+		s.after(s.randomUpTo(100*kernel.Millisecond), func() { ledger.GrantEarly(s.now) })
 	}
-	p.after(testLease+p.randomUpTo(100*kernel.Millisecond), func() {
-		if p.ledger == l && !p.down {
-			p.openingCompleted = true
+	s.after(testLease+s.randomUpTo(100*kernel.Millisecond), func() {
+		if s.ledger == ledger && !s.ledgerDown {
+			s.openingCompleted = true
 		}
 	})
 }
 
 // changeLimits puts new limits in force.
-func (p *simulation) changeLimits() {
-	by := map[string]Limit{"steady": {PerS: 20, Burst: 10}, "fast": {PerS: 200, Burst: 10}, "bursty": {PerS: 5, Burst: 40}, "small": {PerS: 2, Burst: 1}}
-	if p.r.IntN(3) > 0 {
-		by["changing"] = Limit{PerS: 1 + 40*p.r.Float64(), Burst: 20 * p.r.Float64()}
+func (s *simulation) changeLimits() {
+	limits := map[string]Limit{"steady": {PerS: 20, Burst: 10}, "fast": {PerS: 200, Burst: 10}, "bursty": {PerS: 5, Burst: 40}, "small": {PerS: 2, Burst: 1}}
+	if s.random.IntN(3) > 0 {
+		limits["changing"] = Limit{PerS: 1 + 40*s.random.Float64(), Burst: 20 * s.random.Float64()}
 	}
-	p.limits = append(p.limits, limitsSince{p.now, by})
-	if p.ledger != nil {
-		p.ledger.SetLimits(p.now, by)
+	s.limits = append(s.limits, limitsSince{s.now, limits})
+	if s.ledger != nil {
+		s.ledger.SetLimits(s.now, limits)
 	}
 }
 
-// injectFault has a random fault happen to a proxy or to the ledger.
-func (p *simulation) injectFault() {
-	c := p.proxies[p.r.IntN(len(p.proxies))]
-	switch p.r.IntN(6) {
+// injectFault injects a random fault into a proxy or the ledger, or changes the limits.
+func (s *simulation) injectFault() {
+	proxy := s.proxies[s.random.IntN(len(s.proxies))]
+	switch s.random.IntN(6) {
 	case 0:
-		c.start()
+		proxy.start()
 	case 1:
-		c.frozenUntil = p.now + p.randomUpTo(2*testLease)
+		proxy.frozenUntil = s.now + s.randomUpTo(2*testLease)
 	case 2, 3:
-		p.burst()
-		p.after(60*kernel.Millisecond, func() { p.down = true })
-		p.after(60*kernel.Millisecond+p.randomUpTo(2*testLease), p.startTerm)
+		s.burst()
+		s.after(60*kernel.Millisecond, func() { s.ledgerDown = true })
+		s.after(60*kernel.Millisecond+s.randomUpTo(2*testLease), s.startNextTerm)
 	case 4:
-		p.changeLimits()
+		s.changeLimits()
 	case 5:
-		p.burst()
-		p.after(60*kernel.Millisecond, p.startTerm)
+		s.burst()
+		s.after(60*kernel.Millisecond, s.startNextTerm)
 		next := 60 * kernel.Millisecond
-		for p.r.IntN(2) == 0 { // the new primary is replaced soon
-			next += p.randomUpTo(testLease / 2)
-			p.after(next, p.burst)
+		for s.random.IntN(2) == 0 { // the new primary is replaced soon
+			next += s.randomUpTo(testLease / 2)
+			s.after(next, s.burst)
 			next += 60 * kernel.Millisecond
-			p.after(next, p.startTerm)
+			s.after(next, s.startNextTerm)
 		}
-		p.after(next+p.randomUpTo(testLease), p.burst)
+		s.after(next+s.randomUpTo(testLease), s.burst)
 	}
 }
 
-// burst makes proxies take as much as there is, and hold it to the end of the lease.
-func (p *simulation) burst() {
-	if p.steady {
+// burst makes proxies request as much as they can get, and hold it to the end of the lease.
+func (s *simulation) burst() {
+	if s.noBursts {
 		return
 	}
-	lateShare := p.lateShare
-	p.lateShare = 1
+	lateShare := s.lateShare
+	s.lateShare = 1
 	for i := range 20 {
-		p.after(kernel.Micros(2*i)*kernel.Millisecond, func() {
-			for _, c := range p.proxies {
-				if p.now >= c.frozenUntil {
+		s.after(kernel.Micros(2*i)*kernel.Millisecond, func() {
+			for _, proxy := range s.proxies {
+				if s.now >= proxy.frozenUntil {
 					for range 4 {
-						c.demand(tenants[i%len(tenants)])
+						proxy.demand(tenants[i%len(tenants)])
 					}
 				}
 			}
 		})
 	}
-	p.after(50*kernel.Millisecond, func() { p.lateShare = lateShare })
+	s.after(50*kernel.Millisecond, func() { s.lateShare = lateShare })
 }
 
 // run simulates a period.
-func (p *simulation) run(span kernel.Micros) {
-	p.changeLimits()
-	p.startTerm()
+func (s *simulation) run(span kernel.Micros) {
+	s.changeLimits()
+	s.startNextTerm()
 	for i := range 4 {
-		c := &simulatedProxy{p: p, name: fmt.Sprint("carrier-", i)}
-		c.start()
-		p.proxies = append(p.proxies, c)
+		proxy := &simulatedProxy{sim: s, name: fmt.Sprint("carrier-", i)}
+		proxy.start()
+		s.proxies = append(s.proxies, proxy)
 	}
 	var generateDemand, sendRequests, injectFaults func()
 	generateDemand = func() {
-		c := p.proxies[p.r.IntN(len(p.proxies))]
-		tenant := tenants[p.r.IntN(len(tenants))]
-		if p.now >= c.frozenUntil {
-			c.demand(tenant)
+		proxy := s.proxies[s.random.IntN(len(s.proxies))]
+		tenant := tenants[s.random.IntN(len(tenants))]
+		if s.now >= proxy.frozenUntil {
+			proxy.demand(tenant)
 		}
-		p.after(p.randomUpTo(p.maxInterval), generateDemand)
+		s.after(s.randomUpTo(s.maxInterval), generateDemand)
 	}
 	sendRequests = func() {
-		for _, c := range p.proxies {
-			if p.now >= c.frozenUntil {
-				c.sendRequest()
+		for _, proxy := range s.proxies {
+			if s.now >= proxy.frozenUntil {
+				proxy.sendRequest()
 			}
 		}
-		p.after(20*kernel.Millisecond, sendRequests)
+		s.after(20*kernel.Millisecond, sendRequests)
 	}
 	injectFaults = func() {
-		p.injectFault()
-		p.maxInterval = kernel.Micros(1+p.r.IntN(12)) * kernel.Millisecond
-		if !p.steady && p.r.IntN(2) == 0 {
-			p.maxInterval = kernel.Second // low demand, so that stock grows to the capacity
+		s.injectFault()
+		s.maxInterval = kernel.Micros(1+s.random.IntN(12)) * kernel.Millisecond
+		if !s.noBursts && s.random.IntN(2) == 0 {
+			s.maxInterval = kernel.Second // low demand, so that stock grows to the capacity
 		}
-		p.after(p.randomUpTo(10*kernel.Second), injectFaults)
+		s.after(s.randomUpTo(10*kernel.Second), injectFaults)
 	}
 	generateDemand()
 	sendRequests()
-	p.after(3*kernel.Second, injectFaults)
-	for step := 0; p.events[0].at < span; step++ {
-		e := heap.Pop(&p.events).(event)
-		p.now = e.at
-		e.do()
-		if step%4 == 0 && p.violation == "" {
-			p.violation = cmp.Or(p.findUncovered(), p.findUnbalanced())
+	s.after(3*kernel.Second, injectFaults)
+	for step := 0; s.events[0].at < span; step++ {
+		next := heap.Pop(&s.events).(event)
+		s.now = next.at
+		next.do()
+		if step%4 == 0 && s.violation == "" {
+			s.violation = cmp.Or(s.findUncovered(), s.findUnbalanced())
 		}
-		if p.violation != "" {
+		if s.violation != "" {
 			return
 		}
 	}
