--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -11,33 +11,34 @@
 // weight is the weight of one response in the exponentially weighted moving average.
 const weight = 0.02
 
+// average is the moving average of the response times of one route.
 type average struct {
-	span    float64 // in microseconds
+	mean    float64 // in microseconds
 	updated kernel.Micros
 }
 
 // Averages holds the moving average of the response times of each route. It is not safe for
 // concurrent use.
 type Averages struct {
-	averages map[string]average
-	sweep    kernel.SweepTimer
+	byRoute map[string]average
+	sweep   kernel.SweepTimer
 }
 
-// Add records the response time span of a route and returns its average, in microseconds.
-func (u *Averages) Add(route string, span, now kernel.Micros) float64 {
-	if u.averages == nil {
-		u.averages = map[string]average{}
+// Add records a response time of a route and returns the average of the route, in microseconds.
+func (a *Averages) Add(route string, duration, now kernel.Micros) float64 {
+	if a.byRoute == nil {
+		a.byRoute = map[string]average{}
 	}
-	if u.sweep.Due(now) {
-		maps.DeleteFunc(u.averages, func(_ string, a average) bool { return now-a.updated > kernel.RetentionPeriod })
+	if a.sweep.Due(now) {
+		maps.DeleteFunc(a.byRoute, func(_ string, old average) bool { return now-old.updated > kernel.RetentionPeriod })
 	}
-	usual := float64(span)
-	if previous, known := u.averages[route]; known {
-		usual = previous.span + weight*(float64(span)-previous.span)
+	mean := float64(duration)
+	if previous, known := a.byRoute[route]; known {
+		mean = previous.mean + weight*(float64(duration)-previous.mean)
 	}
-	u.averages[route] = average{usual, now}
-	return usual
+	a.byRoute[route] = average{mean, now}
+	return mean
 }
 
 // Average returns the average response time of a route in microseconds, 0 if none was recorded.
-func (u *Averages) Average(route string) float64 { return u.averages[route].span }
+func (a *Averages) Average(route string) float64 { return a.byRoute[route].mean }
--- a/internal/loadbalance/loadbalance.go
+++ b/internal/loadbalance/loadbalance.go
@@ -1,5 +1,5 @@
 // Package loadbalance picks a database for a request out of the many equivalent databases
-// of a service. Nodes do not exchange their loads. Instead, each node uses a small subset
+// of a service. Nodes do not exchange their current loads. Instead, each node uses a small subset
 // of the databases, so that its own observations cover much of the traffic of each.
 package loadbalance
 
@@ -66,7 +66,7 @@
 	typical      latency.Averages
 	subsets      map[string]subset       // by service
 	clusterCosts map[string]reportedCost // as reported for all nodes
-	observed     map[string]Observation  // since they were last taken
+	observed     map[string]Observation  // since the last call of TakeObservations
 }
 
 // reportedCost is the cost of a request at a database, from the observations of all nodes.
@@ -84,32 +84,32 @@
 }
 
 // TakeObservations returns the observations made since it was last called, by database ID.
-func (r *Balancer) TakeObservations() map[string]Observation {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	taken := r.observed
-	r.observed = map[string]Observation{}
+func (b *Balancer) TakeObservations() map[string]Observation {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	taken := b.observed
+	b.observed = map[string]Observation{}
 	return taken
 }
 
-// UpdateClusterCosts takes in the costs that were computed from the observations of all nodes, by
+// UpdateClusterCosts stores the costs that were computed from the observations of all nodes, by
 // database ID, in hundredths of a typical response time.
-func (r *Balancer) UpdateClusterCosts(costs map[string]int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.clock.Now()
-	for id, c := range costs {
-		r.clusterCosts[id] = reportedCost{float64(c) / 100, now}
+func (b *Balancer) UpdateClusterCosts(costs map[string]int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.clock.Now()
+	for id, cost := range costs {
+		b.clusterCosts[id] = reportedCost{float64(cost) / 100, now}
 	}
 }
 
 // clusterCost returns the decayed cost reported for all nodes, 1 if there is none.
-func (r *Balancer) clusterCost(id string, now kernel.Micros) float64 {
-	t, ok := r.clusterCosts[id]
+func (b *Balancer) clusterCost(id string, now kernel.Micros) float64 {
+	reported, ok := b.clusterCosts[id]
 	if !ok {
 		return 1
 	}
-	return decayed(t.cost, 1, t.updated, now, clusterDecay)
+	return decayed(reported.cost, 1, reported.updated, now, clusterDecay)
 }
 
 // New returns a load balancer without observations.
@@ -120,7 +120,7 @@
 	}
 }
 
-// Candidates is what Pick chooses from.
+// Candidates are the databases that Pick chooses from, and what the choice depends on.
 type Candidates struct {
 	Service   string
 	Databases []discovery.Database
@@ -147,28 +147,28 @@
 		h.Write([]byte{0})
 	}
 	// FNV alone gives similar hashes to strings that differ only near their ends.
-	n := h.Sum64()
-	n ^= n >> 33
-	n *= 0xff51afd7ed558ccd
-	return n ^ n>>33
+	mixed := h.Sum64()
+	mixed ^= mixed >> 33
+	mixed *= 0xff51afd7ed558ccd
+	return mixed ^ mixed>>33
 }
 
-// subsetOf returns the subset of a service's databases that this node uses, and the others.
+// subsetOf returns how this node divides the databases of a service.
 // Databases and nodes of a zone are ordered by their hashes, and each node uses a range of
 // the databases that begins at a position proportional to its own. That covers all
 // databases evenly, and a node or database that joins or leaves shifts the ranges only a
 // little.
-func (r *Balancer) subsetOf(s Candidates) subset {
-	l := r.subsets[s.Service]
-	if sameSlice(l.databases, s.Databases) && slices.Equal(l.peers, s.Peers) {
-		return l
+func (b *Balancer) subsetOf(candidates Candidates) subset {
+	sub := b.subsets[candidates.Service]
+	if sameSlice(sub.databases, candidates.Databases) && slices.Equal(sub.peers, candidates.Peers) {
+		return sub
 	}
-	l = subset{databases: s.Databases, peers: s.Peers}
+	sub = subset{databases: candidates.Databases, peers: candidates.Peers}
 	var sameZone, otherZones []discovery.Database
-	for _, d := range s.Databases {
+	for _, d := range candidates.Databases {
 		switch {
 		case d.Draining:
-		case d.Zone == s.Zone:
+		case d.Zone == candidates.Zone:
 			sameZone = append(sameZone, d)
 		default:
 			otherZones = append(otherZones, d)
@@ -178,21 +178,21 @@
 		sameZone, otherZones = otherZones, nil
 	}
 	rank := 0
-	for _, p := range s.Peers {
-		if p != s.Self && hash(p) < hash(s.Self) {
+	for _, p := range candidates.Peers {
+		if p != candidates.Self && hash(p) < hash(candidates.Self) {
 			rank++
 		}
 	}
-	nodes := max(1, len(s.Peers))
+	nodes := max(1, len(candidates.Peers))
 	size := max(minSubset, (nodesPerDatabase*len(sameZone)+nodes-1)/nodes)
-	l.own, l.remaining = cutRange(sameZone, rank*len(sameZone)/nodes, size)
+	sub.own, sub.remaining = cutRange(sameZone, rank*len(sameZone)/nodes, size)
 	if len(otherZones) > 0 {
 		var others []discovery.Database
-		l.remote, others = cutRange(otherZones, int(hash(s.Self)%uint64(len(otherZones))), (size+1)/2)
-		l.remaining = append(l.remaining, others...)
+		sub.remote, others = cutRange(otherZones, int(hash(candidates.Self)%uint64(len(otherZones))), (size+1)/2)
+		sub.remaining = append(sub.remaining, others...)
 	}
-	r.subsets[s.Service] = l
-	return l
+	b.subsets[candidates.Service] = sub
+	return sub
 }
 
 // cutRange sorts databases by their hashes and returns the circular range of the given
@@ -208,20 +208,20 @@
 	return rotated[:size:size], rotated[size:]
 }
 
-// sameSlice reports whether two slices are the same one. Their elements are never changed
-// in place.
+// sameSlice reports whether two slices share their elements. That suffices to tell that they
+// are equal, as elements are never changed in place.
 func sameSlice(a, b []discovery.Database) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
 // statsOf returns the statistics of a database, and creates them if there are none.
-func (r *Balancer) statsOf(id string) *databaseStats {
-	st := r.databases[id]
-	if st == nil {
-		st = &databaseStats{relativeLatency: 1}
-		r.databases[id] = st
+func (b *Balancer) statsOf(id string) *databaseStats {
+	stats := b.databases[id]
+	if stats == nil {
+		stats = &databaseStats{relativeLatency: 1}
+		b.databases[id] = stats
 	}
-	return st
+	return stats
 }
 
 // decayed returns a value that was valid at a time, after its exponential decay towards a
@@ -231,31 +231,31 @@
 }
 
 // cost returns the expected duration of a request, in typical response times.
-func (r *Balancer) cost(d discovery.Database, now kernel.Micros, typical float64) float64 {
-	st, clusterCost := r.databases[d.ID], r.clusterCost(d.ID, now)
-	if st == nil {
+func (b *Balancer) cost(d discovery.Database, now kernel.Micros, typical float64) float64 {
+	stats, clusterCost := b.databases[d.ID], b.clusterCost(d.ID, now)
+	if stats == nil {
 		return clusterCost
 	}
-	relativeLatency := decayed(st.relativeLatency, clusterCost, st.latencyAt, now, localDecay)
-	if len(st.startTimes) > 0 && typical > 0 {
+	relativeLatency := decayed(stats.relativeLatency, clusterCost, stats.latencyAt, now, localDecay)
+	if len(stats.startTimes) > 0 && typical > 0 {
 		// A request without a response yet shows that the database is at least that slow.
 		// Half the age of the oldest one is taken as a minimum.
-		relativeLatency = max(relativeLatency, float64(now-st.startTimes[0])/typical/2)
+		relativeLatency = max(relativeLatency, float64(now-stats.startTimes[0])/typical/2)
 	}
-	c := relativeLatency * (1 + float64(st.inFlight)/float64(max(1, d.Slots)))
-	c += failureCost * decayed(st.failureRate, 0, st.failureAt, now, failureDecay)
-	if now < st.fullUntil {
-		c += failureCost
+	total := relativeLatency * (1 + float64(stats.inFlight)/float64(max(1, d.Slots)))
+	total += failureCost * decayed(stats.failureRate, 0, stats.failureAt, now, failureDecay)
+	if now < stats.fullUntil {
+		total += failureCost
 	}
-	return c
+	return total
 }
 
 // Pick returns the database to send a request of a route to, or false if there is none.
-func (r *Balancer) Pick(route string, s Candidates) (discovery.Database, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now, typical := r.clock.Now(), r.typical.Average(route)
-	l := r.subsetOf(s)
+func (b *Balancer) Pick(route string, candidates Candidates) (discovery.Database, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now, typical := b.clock.Now(), b.typical.Average(route)
+	sub := b.subsetOf(candidates)
 	var best discovery.Database
 	lowest, found := 0.0, false
 	// consider compares up to limit randomly chosen databases that are up and not to be
@@ -267,73 +267,73 @@
 			if limit == 0 {
 				return
 			}
-			if !s.Up(d.ID) || slices.Contains(s.Avoid, d.ID) {
+			if !candidates.Up(d.ID) || slices.Contains(candidates.Avoid, d.ID) {
 				continue
 			}
 			limit--
-			if c := r.cost(d, now, typical) + surcharge; !found || c < lowest {
-				best, lowest, found = d, c, true
+			if cost := b.cost(d, now, typical) + surcharge; !found || cost < lowest {
+				best, lowest, found = d, cost, true
 			}
 		}
 	}
-	consider(l.own, sampleSize, 0)
-	consider(l.remote, 1, remoteZoneCost)
+	consider(sub.own, sampleSize, 0)
+	consider(sub.remote, 1, remoteZoneCost)
 	for range 2 {
 		if !found || lowest >= failureCost/2 {
-			consider(l.own, len(l.own), 0)
-			consider(l.remaining, sampleSize, remoteZoneCost)
+			consider(sub.own, len(sub.own), 0)
+			consider(sub.remaining, sampleSize, remoteZoneCost)
 		}
 	}
 	return best, found
 }
 
 // Begin counts a request as in flight at a database, and returns its start time for End.
-func (r *Balancer) Begin(id string) (began kernel.Micros) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	st := r.statsOf(id)
-	began = r.clock.Now()
-	st.inFlight++
-	st.startTimes = append(st.startTimes, began)
-	return began
+func (b *Balancer) Begin(id string) (startedAt kernel.Micros) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	stats := b.statsOf(id)
+	startedAt = b.clock.Now()
+	stats.inFlight++
+	stats.startTimes = append(stats.startTimes, startedAt)
+	return startedAt
 }
 
 // End removes a request that Begin counted, and records its outcome. Its duration counts
 // towards the relative latency only if it was served.
-func (r *Balancer) End(route, id string, began kernel.Micros, o Outcome) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	st, now := r.statsOf(id), r.clock.Now()
-	st.inFlight--
-	if i := slices.Index(st.startTimes, began); i >= 0 {
-		st.startTimes = slices.Delete(st.startTimes, i, i+1)
+func (b *Balancer) End(route, id string, startedAt kernel.Micros, outcome Outcome) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	stats, now := b.statsOf(id), b.clock.Now()
+	stats.inFlight--
+	if i := slices.Index(stats.startTimes, startedAt); i >= 0 {
+		stats.startTimes = slices.Delete(stats.startTimes, i, i+1)
 	}
-	failureRate := decayed(st.failureRate, 0, st.failureAt, now, failureDecay)
-	switch o {
+	failureRate := decayed(stats.failureRate, 0, stats.failureAt, now, failureDecay)
+	switch outcome {
 	case Served:
-		typical := r.typical.Add(route, now-began, now)
-		relativeLatency := decayed(st.relativeLatency, r.clusterCost(id, now), st.latencyAt, now, localDecay)
-		st.relativeLatency = relativeLatency + latencyWeight*(min(float64(now-began)/max(typical, 1), maxRelativeLatency)-relativeLatency)
-		st.latencyAt, st.lastServed = now, now
-		observation := r.observed[id]
+		typical := b.typical.Add(route, now-startedAt, now)
+		relativeLatency := decayed(stats.relativeLatency, b.clusterCost(id, now), stats.latencyAt, now, localDecay)
+		stats.relativeLatency = relativeLatency + latencyWeight*(min(float64(now-startedAt)/max(typical, 1), maxRelativeLatency)-relativeLatency)
+		stats.latencyAt, stats.lastServed = now, now
+		observation := b.observed[id]
 		observation.Responses++
-		observation.RelativeLatency += min(float64(now-began)/max(typical, 1), maxRelativeLatency)
-		r.observed[id] = observation
-		st.failureRate, st.failureAt = failureRate*(1-failureWeight), now
+		observation.RelativeLatency += min(float64(now-startedAt)/max(typical, 1), maxRelativeLatency)
+		b.observed[id] = observation
+		stats.failureRate, stats.failureAt = failureRate*(1-failureWeight), now
 	case Full:
-		st.fullUntil = now + fullPause
+		stats.fullUntil = now + fullPause
 	case Failed:
-		st.failureRate, st.failureAt = failureRate+failureWeight*(1-failureRate), now
-		observation := r.observed[id]
+		stats.failureRate, stats.failureAt = failureRate+failureWeight*(1-failureRate), now
+		observation := b.observed[id]
 		observation.Failures++
-		r.observed[id] = observation
+		b.observed[id] = observation
 	}
 }
 
 // Outcome is how a request at a database ended.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a request.
 const (
 	Served Outcome = iota // successful response
 	Full                  // the database refused the request because it is full
@@ -342,35 +342,35 @@
 )
 
 // TypicalLatency returns the typical response time of a route, 0 if there was no response yet.
-func (r *Balancer) TypicalLatency(route string) kernel.Micros {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return kernel.Micros(r.typical.Average(route))
+func (b *Balancer) TypicalLatency(route string) kernel.Micros {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return kernel.Micros(b.typical.Average(route))
 }
 
 // LastServed returns when a database last served a request of this node, 0 if never.
-func (r *Balancer) LastServed(id string) kernel.Micros {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if st := r.databases[id]; st != nil {
-		return st.lastServed
+func (b *Balancer) LastServed(id string) kernel.Micros {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if stats := b.databases[id]; stats != nil {
+		return stats.lastServed
 	}
 	return 0
 }
 
 // Prune drops the state of databases that no longer exist. Observations of a database with
 // requests in flight stay.
-func (r *Balancer) Prune(current map[string]discovery.Database) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for id, st := range r.databases {
-		if _, ok := current[id]; !ok && st.inFlight == 0 {
-			delete(r.databases, id)
+func (b *Balancer) Prune(current map[string]discovery.Database) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for id, stats := range b.databases {
+		if _, ok := current[id]; !ok && stats.inFlight == 0 {
+			delete(b.databases, id)
 		}
 	}
-	for id := range r.clusterCosts {
+	for id := range b.clusterCosts {
 		if _, ok := current[id]; !ok {
-			delete(r.clusterCosts, id)
+			delete(b.clusterCosts, id)
 		}
 	}
 }
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -8,7 +8,7 @@
 )
 
 // buckets is the number of buckets that a sliding window is divided into.
-const buckets = 20
+const bucketCount = 20
 
 // Budget is a retry budget per service. In every window, the retries of this node to
 // a service stay within a fixed share of its own initial requests to that service. The
@@ -25,31 +25,31 @@
 // counts holds the requests to one service by bucket, in a ring.
 type counts struct {
 	latest  int64 // number of the newest bucket, counted from time 0
-	initial [buckets + 1]int
-	retries [buckets + 1]int
+	initial [bucketCount + 1]int
+	retries [bucketCount + 1]int
 }
 
 // New returns a budget that allows, in each window, ratio retries per initial request.
 func New(clock kernel.Clock, ratio func() float64, window kernel.Micros) *Budget {
-	return &Budget{clock: clock, ratio: ratio, bucketSpan: max(window/buckets, 1), services: map[string]*counts{}}
+	return &Budget{clock: clock, ratio: ratio, bucketSpan: max(window/bucketCount, 1), services: map[string]*counts{}}
 }
 
 // countsOf returns the counts of a service, advanced to the current time.
-func (a *Budget) countsOf(service string) *counts {
-	c := a.services[service]
+func (b *Budget) countsOf(service string) *counts {
+	c := b.services[service]
 	if c == nil {
 		c = &counts{}
-		a.services[service] = c
+		b.services[service] = c
 	}
-	c.advance(int64(a.clock.Now() / a.bucketSpan))
+	c.advance(int64(b.clock.Now() / b.bucketSpan))
 	return c
 }
 
-// advance moves the ring on to the bucket of the current time and clears the buckets that
-// have left the window. The oldest bucket that remains lies only partly in the window.
+// advance makes now the newest bucket of the ring and clears the buckets that have left the
+// window. The oldest bucket that remains is only partly inside the window.
 func (c *counts) advance(now int64) {
-	for ; c.latest < now && now-c.latest <= buckets+1; c.latest++ {
-		i := (c.latest + 1) % (buckets + 1)
+	for ; c.latest < now && now-c.latest <= bucketCount+1; c.latest++ {
+		i := (c.latest + 1) % (bucketCount + 1)
 		c.initial[i], c.retries[i] = 0, 0
 	}
 	if c.latest < now {
@@ -60,26 +60,26 @@
 }
 
 // newestIndex returns the index of the newest bucket.
-func (c *counts) newestIndex() int { return int(c.latest % (buckets + 1)) }
+func (c *counts) newestIndex() int { return int(c.latest % (bucketCount + 1)) }
 
 // CountRequest counts an initial request to a service.
-func (a *Budget) CountRequest(service string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	c := a.countsOf(service)
+func (b *Budget) CountRequest(service string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c := b.countsOf(service)
 	c.initial[c.newestIndex()]++
 }
 
-// AllowRetry reports whether a retry may be sent now, and counts it if so. The share reserve of
-// the budget is left for more urgent retries. The oldest bucket is only partly inside the
-// window: its retries are counted and its initial requests are not, so that the bound
-// holds in any case.
-func (a *Budget) AllowRetry(service string, reserve float64) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	c := a.countsOf(service)
+// AllowRetry reports whether a retry may be sent now, and counts it if so. reserve is the share
+// of the budget that is left for more urgent retries. The oldest bucket is only partly inside the
+// window: its retries are counted and its initial requests are not, so that the bound holds in
+// any case.
+func (b *Budget) AllowRetry(service string, reserve float64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c := b.countsOf(service)
 	newestBucket := c.newestIndex()
-	oldestBucket := (newestBucket + 1) % (buckets + 1)
+	oldestBucket := (newestBucket + 1) % (bucketCount + 1)
 	initial, retries := 0, 0
 	for i := range c.initial {
 		retries += c.retries[i]
@@ -87,7 +87,7 @@
 			initial += c.initial[i]
 		}
 	}
-	if float64(retries+1) > a.ratio()*(1-reserve)*float64(initial) {
+	if float64(retries+1) > b.ratio()*(1-reserve)*float64(initial) {
 		return false
 	}
 	c.retries[newestBucket]++
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -16,40 +16,40 @@
 // the budgets of services are independent.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	const ratio, window = 0.2, 10 * kernel.Second
-	rnd := rand.New(rand.NewPCG(1, 1))
-	c := &clock{now: kernel.Second}
-	a := New(c, func() float64 { return ratio }, window)
+	random := rand.New(rand.NewPCG(1, 1))
+	testClock := &clock{now: kernel.Second}
+	budget := New(testClock, func() float64 { return ratio }, window)
 	var initial, retries []kernel.Micros
-	within := func(list []kernel.Micros) (n int) {
+	countInWindow := func(list []kernel.Micros) (n int) {
 		for _, at := range list {
-			if at > c.now-window {
+			if at > testClock.now-window {
 				n++
 			}
 		}
 		return n
 	}
 	for range 20_000 {
-		pause := kernel.Millisecond
-		if rnd.IntN(400) == 0 {
-			pause = kernel.Micros(rnd.Int64N(int64(12 * kernel.Second)))
+		maxGap := kernel.Millisecond
+		if random.IntN(400) == 0 {
+			maxGap = kernel.Micros(random.Int64N(int64(12 * kernel.Second)))
 		}
-		c.now += rand.N(40 * pause)
-		if rnd.IntN(3) > 0 {
-			a.CountRequest("s")
-			initial = append(initial, c.now)
+		testClock.now += rand.N(40 * maxGap)
+		if random.IntN(3) > 0 {
+			budget.CountRequest("s")
+			initial = append(initial, testClock.now)
 			continue
 		}
-		if a.AllowRetry("s", 0) {
-			retries = append(retries, c.now)
-			if n, m := within(retries), within(initial); float64(n) > ratio*float64(m) {
+		if budget.AllowRetry("s", 0) {
+			retries = append(retries, testClock.now)
+			if n, m := countInWindow(retries), countInWindow(initial); float64(n) > ratio*float64(m) {
 				t.Fatalf("%d retries in a window with %d initial requests", n, m)
 			}
 		}
 	}
 	if float64(len(retries)) < 0.8*ratio*float64(len(initial)) {
-		t.Errorf("only %d of about %.0f retries were allowed", len(retries), ratio*float64(len(initial)))
+		t.Errorf("only %d retries were allowed, with a budget of about %.0f", len(retries), ratio*float64(len(initial)))
 	}
-	if a.AllowRetry("other", 0) {
+	if budget.AllowRetry("other", 0) {
 		t.Error("a service uses the retry budget of another")
 	}
 }
