--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -385,7 +385,7 @@
 		}
 	}
 	s.mu.Lock()
-	s.checkInvariants(response, changes)
+	s.check(response, changes)
 	if response.Epoch < s.epoch || response.Seq < s.seq {
 		s.mu.Unlock()
 		s.k.Counters.Add("distribution.old_refused", 1)
@@ -434,9 +434,9 @@
 	return nil
 }
 
-// checkInvariants checks a response against the state that this proxy has. The caller holds the
-// lock.
-func (s *Subscriber) checkInvariants(response pollReply, changes update) {
+// check checks the invariants of a response against the state that this proxy has. The caller
+// holds the lock.
+func (s *Subscriber) check(response pollReply, changes update) {
 	s.k.Invariants.Check(response.Epoch <= s.epoch || response.Seq >= s.seq, invariant.DurableStateKept,
 		"epoch %d is at change %d, but epoch %d was at change %d", response.Epoch, response.Seq, s.epoch, s.seq)
 	if changes.Config != nil && s.config != nil && response.Epoch >= s.epoch && response.Seq >= s.seq {
--- a/internal/loadbalance/loadbalance_test.go
+++ b/internal/loadbalance/loadbalance_test.go
@@ -68,14 +68,12 @@
 // Slow, failing and hanging databases soon get few requests. A database with a high cost
 // reported for all nodes gets none, even from a node that has not used it.
 func TestPickAvoidsBadDatabases(t *testing.T) {
-	for name, finish := range map[string]func(balancer *Balancer, testClock *clock, id string, startedAt kernel.Micros){
-		"slow": func(balancer *Balancer, testClock *clock, id string, startedAt kernel.Micros) {
-			testClock.now += 600 * kernel.Millisecond
-			balancer.End("r", id, startedAt, Served)
-		},
-		"failing": func(balancer *Balancer, testClock *clock, id string, startedAt kernel.Micros) {
-			balancer.End("r", id, startedAt, Failed)
+	for name, finish := range map[string]func(b *Balancer, c *clock, id string, start kernel.Micros){
+		"slow": func(b *Balancer, c *clock, id string, start kernel.Micros) {
+			c.now += 600 * kernel.Millisecond
+			b.End("r", id, start, Served)
 		},
+		"failing": func(b *Balancer, c *clock, id string, start kernel.Micros) { b.End("r", id, start, Failed) },
 		"hanging": func(*Balancer, *clock, string, kernel.Micros) {},
 	} {
 		testClock := &clock{kernel.Second}
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -236,9 +236,7 @@
 func (a *allotment) held() int64 { return a.free + a.admitted }
 
 // leaseShare returns a share of the duration of a lease.
-func (c *Client) leaseShare(share float64) kernel.Micros {
-	return kernel.Micros(share * float64(c.lease))
-}
+func (c *Client) leaseShare(s float64) kernel.Micros { return kernel.Micros(s * float64(c.lease)) }
 
 // targetHolding returns how many operations to hold for the expected use. It is 0 for a
 // tenant of which less than one operation is expected, since a held one would mostly be idle.
