--- a/internal/distribution/commits_test.go
+++ b/internal/distribution/commits_test.go
@@ -47,11 +47,11 @@
 		known    bool
 		want     lineprotocol.Position
 	}{
-		"same term as the acknowledged":           {PrimarySnapshot{Acknowledged: at(3, 7)}, at(3, 12), true, at(3, 8)},
-		"first commit of another term":            {PrimarySnapshot{Acknowledged: at(3, 7)}, at(4, 9), true, at(4, 1)},
-		"first commit of all":                     {PrimarySnapshot{}, at(1, 5), true, at(1, 1)},
-		"no position in the response":             {PrimarySnapshot{Acknowledged: at(3, 7)}, at(0, 0), false, at(3, 8)},
-		"earlier commits have no known positions": {PrimarySnapshot{Acknowledged: unbounded}, at(3, 12), true, at(3, 1)},
+		"later commit of the same term":        {PrimarySnapshot{Acknowledged: at(3, 7)}, at(3, 12), true, at(3, 8)},
+		"first commit of another term":         {PrimarySnapshot{Acknowledged: at(3, 7)}, at(4, 9), true, at(4, 1)},
+		"first commit ever":                    {PrimarySnapshot{}, at(1, 5), true, at(1, 1)},
+		"no position in the response":          {PrimarySnapshot{Acknowledged: at(3, 7)}, at(0, 0), false, at(3, 8)},
+		"positions of earlier commits unknown": {PrimarySnapshot{Acknowledged: unbounded}, at(3, 12), true, at(3, 1)},
 	} {
 		var commits commitTracker
 		commits.record("ledger", c.begun, c.response, c.known)
--- a/internal/distribution/observations_test.go
+++ b/internal/distribution/observations_test.go
@@ -21,7 +21,7 @@
 			testClock.now += 100 * kernel.Millisecond
 		}
 	}
-	observe(map[string]Observation{"fast": {2, 110, 0}, "slow": {1, 200, 0}, "usual": {2, 200, 0}, "hangs": {0, 0, 1}, "odd": {-1, 5, 0}})
+	observe(map[string]Observation{"fast": {2, 110, 0}, "slow": {1, 200, 0}, "usual": {2, 200, 0}, "hangs": {0, 0, 1}, "invalid": {-1, 5, 0}})
 	costs, seq := aggregate.since(0)
 	if costs["fast"] > 75 || costs["slow"] < 150 || costs["hangs"] < 1000 || len(costs) != 3 {
 		t.Errorf("published costs: %v", costs)
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -45,7 +45,7 @@
 	Down []string `json:"down,omitempty"`
 	// Immediate requests a response at once: the proxy's lease may expire before the next change.
 	Immediate    bool                   `json:"now,omitempty"`
-	Observations map[string]Observation `json:"seen,omitempty"` // what requests to databases showed
+	Observations map[string]Observation `json:"seen,omitempty"` // since the last poll, by database
 	// CostTerm is the term of the costs that the proxy received last, CostSeq their newest
 	// change.
 	CostTerm int64 `json:"term,omitempty"`
@@ -95,7 +95,7 @@
 }
 
 // omitKnownServices returns the query without its services if they are those of the query that
-// the proxy has, which known is the checksum of.
+// the proxy has. known is the checksum of the latter.
 func (q *positionQuery) omitKnownServices(known uint32) *positionQuery {
 	if known == 0 || q.checksum() != known {
 		return q
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -65,7 +65,8 @@
 	OnDatabases func(map[string]discovery.Database)
 	// OnPosition is called with a position that a primary's log has reached.
 	OnPosition func(service string, sent kernel.Micros, position lineprotocol.Position)
-	// Observations returns what requests showed since the last call, nil if nothing.
+	// Observations returns the observations of databases since the last call, nil if there are
+	// none.
 	Observations func() map[string]Observation
 	// OnCosts is called with the request costs that changed.
 	OnCosts func(costs map[string]int)
@@ -104,7 +105,7 @@
 	commits        commitTracker
 	failoverSeenAt map[string]kernel.Micros // when the current failover became known, by service
 
-	changes kernel.Notifier // notifies of each change
+	changes kernel.Notifier // notifies of each response applied
 	// drained notifies when nothing is in flight any more at a primary that is being replaced.
 	drained  kernel.Notifier
 	relaying atomic.Int32 // number of peers' polls being relayed
