--- a/internal/health/coordinator.go
+++ b/internal/health/coordinator.go
@@ -6,7 +6,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// Notice says that a database is down, as of a local generation.
+// Notice tells a session that a database is down, under a local generation.
 type Notice struct {
 	Database   string
 	Generation int64
@@ -15,58 +15,59 @@
 // Outcome is what a coordinator did with a report or notice.
 type Outcome int
 
-// health is the state of one database.
-type health struct {
+// databaseState is the state of one database.
+type databaseState struct {
 	up           bool
 	generation   int64
 	checking     bool
-	localFault   bool          // the running check is for a fault seen by a local session
-	nextCheck    kernel.Micros // when the next check is due while down
-	quietUntil   kernel.Micros // until then peers' notices cause no check
-	reporters    []string      // a bounded number of peers that reported it down recently
-	lastReported kernel.Micros // when the last of them did
+	localFault   bool          // the running check verifies a fault seen by a local session
+	nextCheck    kernel.Micros // when the next check is due while the database is down
+	quietUntil   kernel.Micros // until then, notices of peers cause no check
+	reporters    []string      // peers that reported it down recently, at most maxReporters
+	lastReported kernel.Micros // when a peer last reported it down
 }
 
-// Coordinator is the state machine by itself, without clock, network or goroutines, so that
-// recordings can be replayed through it.
+// Coordinator is the state machine of the health of databases. It uses no clock, network or
+// goroutines, so that recorded events can be replayed through it.
 type Coordinator struct {
-	state map[string]*health
+	states map[string]*databaseState
 }
 
 // NewCoordinator returns a coordinator that considers every database up.
-func NewCoordinator() *Coordinator { return &Coordinator{state: map[string]*health{}} }
+func NewCoordinator() *Coordinator { return &Coordinator{states: map[string]*databaseState{}} }
 
-func (c *Coordinator) entry(id string) *health {
-	h := c.state[id]
-	if h == nil {
-		h = &health{up: true}
-		c.state[id] = h
+func (c *Coordinator) entry(id string) *databaseState {
+	state := c.states[id]
+	if state == nil {
+		state = &databaseState{up: true}
+		c.states[id] = state
 	}
-	return h
+	return state
 }
 
 // Up reports whether the database is considered up, and returns its generation.
 func (c *Coordinator) Up(id string) (bool, int64) {
-	if h := c.state[id]; h != nil {
-		return h.up, h.generation
+	if state := c.states[id]; state != nil {
+		return state.up, state.generation
 	}
 	return true, 0
 }
 
-// Report processes a fault seen by a local session that was bound under a generation.
+// Report processes a fault seen by a local session, which was bound under that generation.
 func (c *Coordinator) Report(id string, generation int64) Outcome {
-	h := c.entry(id)
+	state := c.entry(id)
 	switch {
-	case generation < h.generation:
+	case generation < state.generation:
 		return StaleReport
-	case !h.up:
+	case !state.up:
 		return AlreadyDown
 	}
-	h.up = false
+	state.up = false
 	return MarkedDown
 }
 
-// PeerNotice processes a peer's notice; the outcome says whether a check is needed.
+// PeerNotice processes a peer's notice. It never marks a database down by itself: the outcome says
+// whether a local check is needed.
 func (c *Coordinator) PeerNotice(id string) Outcome {
 	if !c.entry(id).up {
 		return AlreadyDown
@@ -74,34 +75,34 @@
 	return CheckNeeded
 }
 
-// Checked processes the result of a local check that started under a generation. It reports
-// whether the state changed.
+// Checked processes the result of a local check that started under that generation. It reports
+// whether the state changed. A recovery begins a new generation.
 func (c *Coordinator) Checked(id string, generation int64, ok bool) bool {
-	h := c.entry(id)
-	if generation != h.generation || h.up == ok {
+	state := c.entry(id)
+	if generation != state.generation || state.up == ok {
 		return false
 	}
-	if h.up = ok; ok {
-		h.generation++
+	if state.up = ok; ok {
+		state.generation++
 	}
 	return true
 }
 
 // Down lists the databases that are considered down.
 func (c *Coordinator) Down() []string {
-	var out []string
-	for id, h := range c.state {
-		if !h.up {
-			out = append(out, id)
+	var ids []string
+	for id, state := range c.states {
+		if !state.up {
+			ids = append(ids, id)
 		}
 	}
-	return out
+	return ids
 }
 
-// Forget removes the state of a database that is gone.
-func (c *Coordinator) Forget(id string) { delete(c.state, id) }
+// Remove removes the state of a database that is gone.
+func (c *Coordinator) Remove(id string) { delete(c.states, id) }
 
-// Binding binds a session to a database. It must not be used before Bind or after Release.
+// Binding is the binding of a session to a database, from Monitor.Bind until Monitor.Release.
 type Binding struct {
 	mu         sync.Mutex
 	database   string
@@ -109,18 +110,20 @@
 	unbound    chan struct{}
 }
 
-// Unbound returns a channel that is closed when a notice has unbound the session.
+// Unbound returns a channel that is closed when a notice unbinds the session.
 func (b *Binding) Unbound() <-chan struct{} { return b.unbound }
 
-// Bound returns the bound database, or "" once a notice has unbound it.
+// Bound returns the database to which the session is bound, "" once a notice has unbound it, and
+// the newest generation that the session knows.
 func (b *Binding) Bound() (string, int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.database, b.generation
 }
 
-// apply applies a notice. The session takes the newer generation, ignores older notices, and is
-// unbound by a notice about its own database, as in the paper named in the package comment.
+// apply applies a notice. As in the paper named in the package comment, the session ignores notices
+// of an older generation, adopts a newer generation, and is unbound by a notice about its own
+// database.
 func (b *Binding) apply(n Notice) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -156,8 +159,8 @@
 
 // Outcomes of a report or notice.
 const (
-	MarkedDown  Outcome = iota // the database is now down
-	StaleReport                // of an older generation than the coordinator's
-	AlreadyDown                // was down already
-	CheckNeeded                // a peer's notice, which counts only after a local check
+	MarkedDown  Outcome = iota // the database has been marked down
+	StaleReport                // the report is of an older generation than the coordinator's
+	AlreadyDown                // the database was down already
+	CheckNeeded                // a peer's notice marks a database down only after a local check
 )
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,6 +1,6 @@
-// Package health is the health coordinator: it keeps, for each database, an up or down state and
-// a local generation, based on the faults that this process's own sessions report and on the
-// notices of its peers.
+// Package health is the health coordinator of a process. For each database it keeps whether the
+// database is up or down, and a local generation, based on faults that sessions of this process
+// report and on notices of its peers.
 //
 // The algorithm is the client-side session coordination of Petrauskas and Baronas (2019);
 // docs/design.md says what was kept and what was changed.
@@ -21,15 +21,15 @@
 
 // Config configures a Monitor.
 type Config struct {
-	Interval      kernel.Micros // between checks of a database that is down
+	Interval      kernel.Micros // between two checks of a database that is down
 	FirstCheck    kernel.Micros // delay of the first check after a local report
 	Check         Checker
-	Self          string          // address by which peers know this process
+	Self          string          // address by which the peers know this process
 	Peers         func() []string // in the order in which they are notified
-	ControlNodes  func() []string // those peers that may start a failover
+	ControlNodes  func() []string // the peers that may start a failover
 	Send          func(addrs []string, kind string, body any)
-	AcceptNotices func() bool // whether peers' notices matter to this process now
-	NoticeRate    float64     // bytes per microsecond that notices may use, 0 for no limit
+	AcceptNotices func() bool // whether notices of peers are of use to this process now
+	NoticeRate    float64     // bandwidth of notices in bytes per microsecond, 0 for no limit
 }
 
 // EventKind is the kind of recorded event that holds an Event.
@@ -38,38 +38,39 @@
 // NoticeKind is the kind of datagram that carries notices.
 const NoticeKind = "fault"
 
-// Notices that are due together share a datagram: they are collected for a short time and sent in
-// parts of a bounded size.
+// Notices that become due at about the same time share a datagram: they are collected for
+// gatherDelay and sent in datagrams of at most maxNotices.
 const (
 	gatherDelay = 5 * kernel.Millisecond
 	maxNotices  = 64
 )
 
-// Where many processes detect the same fault at once, only a few need to send it: each waits a
-// random delay that grows with the number of peers, and one that has received the notice from
-// others in the meantime does not repeat it. Notifying many peers takes time itself: it proceeds
-// in batches, and a process that learns between two of them that higher-ranked processes send the
-// same notice leaves the rest to them. The highest-ranked ones defer to nobody, so that some
-// process always notifies all peers.
+// When many processes detect the same fault at once, only a few of them need to send notices. Each
+// waits for a random delay that grows with the number of peers, and does not send a notice that
+// enoughReporters others have sent within echoWindow. Notifying many peers takes time too, so it is
+// done in batches: a process that receives the same notice from enough higher-ranked processes
+// between two batches leaves the remaining peers to them. The highest-ranked processes do not defer
+// to any other, so that some process always notifies all peers.
 const (
 	delayPerPeer    = kernel.Millisecond / 4
 	echoWindow      = 200 * kernel.Millisecond
 	enoughReporters = 2
-	peersPerBatch   = 24 // peers notified in one batch
-	maxReporters    = 8  // kept for one database
+	peersPerBatch   = 24
+	maxReporters    = 8 // kept for one database
 )
 
 // A process whose own link is saturated finds one database after another unresponsive, and
 // notifying hundreds of peers of each would keep the link saturated. So notices use at most a
-// share of the link, averaged over a time window: faults detected meanwhile wait and are sent
-// together.
+// share of the link (Config.NoticeRate), averaged over budgetWindow. Notices of faults that are
+// detected meanwhile are delayed and sent together.
 const (
 	budgetWindow      = 2 * kernel.Second
-	noticeHeaderBytes = 110 // bytes of a datagram, and of each database in it
-	noticeEntryBytes  = 18
+	noticeHeaderBytes = 110 // size of a datagram without databases
+	noticeEntryBytes  = 18  // size of one database in a datagram
 )
 
-// Monitor runs a coordinator for the sessions of one process.
+// Monitor runs a Coordinator for the sessions of one process: it checks databases that are down,
+// and exchanges notices with peers.
 type Monitor struct {
 	k   *kernel.Kernel
 	cfg Config
@@ -77,15 +78,15 @@
 	events chan Event
 
 	mu sync.Mutex
-	// known is the set of existing databases; nil as long as it has not been set. Late events
-	// about any other database are about one that is gone: a state set by them would never be
-	// cleared.
-	known       map[string]bool
+	// databases is the set of existing databases; nil as long as it has not been set. An event
+	// about any other database is a late one about a database that is gone, and is ignored: a
+	// state set by it would never be cleared.
+	databases   map[string]bool
 	coordinator *Coordinator
 	bindings    map[string]map[*Binding]struct{}
 	budget      byteBudget
-	faults      outbox // for all peers
-	suspicions  outbox // for the control nodes
+	faults      outbox // notices to all peers
+	suspicions  outbox // notices to the control nodes
 	changes     kernel.Notifier
 }
 
@@ -98,259 +99,260 @@
 }
 
 // State reports whether the database is considered up, and returns its generation.
-func (s *Monitor) State(id string) (bool, int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.coordinator.Up(id)
+func (m *Monitor) State(id string) (bool, int64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.coordinator.Up(id)
 }
 
 // Up reports whether the database is considered up.
-func (s *Monitor) Up(id string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	up, _ := s.coordinator.Up(id)
+func (m *Monitor) Up(id string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	up, _ := m.coordinator.Up(id)
 	return up
 }
 
 // Down returns the databases that are considered down, with their generations.
-func (s *Monitor) Down() map[string]int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (m *Monitor) Down() map[string]int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	out := map[string]int64{}
-	for _, id := range s.coordinator.Down() {
-		_, out[id] = s.coordinator.Up(id)
+	for _, id := range m.coordinator.Down() {
+		_, out[id] = m.coordinator.Up(id)
 	}
 	return out
 }
 
 // Changed returns a channel that is closed at the next change of any database's state.
-func (s *Monitor) Changed() <-chan struct{} { return s.changes.Wait() }
+func (m *Monitor) Changed() <-chan struct{} { return m.changes.Wait() }
 
 // Bind binds a session to a database that is up.
-func (s *Monitor) Bind(id string) *Binding {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_, g := s.coordinator.Up(id)
-	b := &Binding{database: id, generation: g, unbound: make(chan struct{})}
-	if s.bindings[id] == nil {
-		s.bindings[id] = map[*Binding]struct{}{}
+func (m *Monitor) Bind(id string) *Binding {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	_, generation := m.coordinator.Up(id)
+	b := &Binding{database: id, generation: generation, unbound: make(chan struct{})}
+	if m.bindings[id] == nil {
+		m.bindings[id] = map[*Binding]struct{}{}
 	}
-	s.bindings[id][b] = struct{}{}
+	m.bindings[id][b] = struct{}{}
 	return b
 }
 
 // Release ends a binding.
-func (s *Monitor) Release(id string, b *Binding) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if delete(s.bindings[id], b); len(s.bindings[id]) == 0 {
-		delete(s.bindings, id)
+func (m *Monitor) Release(id string, b *Binding) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if delete(m.bindings[id], b); len(m.bindings[id]) == 0 {
+		delete(m.bindings, id)
 	}
 }
 
-// Report submits a fault asynchronously. A report that finds the queue full is dropped: the next
-// session that meets the same fault reports it again. Certain faults (no response, connection
-// refused) count at once. A single broken connection may be a problem of that connection only:
-// such a fault counts after a local check, which a crashed database fails at once. Control nodes
-// are notified of such a suspicion right away, so that their own check runs in parallel.
-func (s *Monitor) Report(id string, generation int64, certain bool) {
+// Report reports a fault asynchronously. If the queue is full the report is dropped: the next
+// session that encounters the fault reports it again. A certain fault (no response, connection
+// refused) marks the database down at once. A single broken connection may be a problem of that
+// connection alone: such a fault marks the database down only after a local check, which a crashed
+// database fails at once. Control nodes are notified of such a suspicion without delay, so that
+// their own checks run at the same time.
+func (m *Monitor) Report(id string, generation int64, certain bool) {
 	kind := "report"
 	if !certain {
 		kind = "doubt"
 	}
-	s.post(Event{Kind: kind, Database: id, Generation: generation})
+	m.post(Event{Kind: kind, Database: id, Generation: generation})
 }
 
-func (s *Monitor) post(e Event) {
+func (m *Monitor) post(e Event) {
 	select {
-	case s.events <- e:
+	case m.events <- e:
 	default:
-		s.k.Counters.Add("health.dropped", 1)
+		m.k.Counters.Add("health.dropped", 1)
 	}
 }
 
-// HandleNotices processes a peer's datagram.
-func (s *Monitor) HandleNotices(from string, body json.RawMessage) {
+// HandleNotices processes a peer's datagram of notices.
+func (m *Monitor) HandleNotices(from string, body json.RawMessage) {
 	var n notice
 	if json.Unmarshal(body, &n) != nil || len(n.Databases) == 0 || slices.Contains(n.Databases, "") {
-		s.k.Counters.Add("health.malformed", 1)
+		m.k.Counters.Add("health.malformed", 1)
 		return
 	}
 	for _, id := range n.Databases {
-		s.HandleNotice(from, id)
+		m.HandleNotice(from, id)
 	}
 }
 
-// HandleNotice processes a peer's notice, however it was received. One that contains nothing new is
-// only counted.
-func (s *Monitor) HandleNotice(from, id string) {
-	if !s.cfg.AcceptNotices() {
+// HandleNotice processes a peer's notice, whichever way it was received. A redundant one is only
+// counted.
+func (m *Monitor) HandleNotice(from, id string) {
+	if !m.cfg.AcceptNotices() {
 		return
 	}
-	s.mu.Lock()
-	if !s.isKnown(id) {
-		s.mu.Unlock()
+	m.mu.Lock()
+	if !m.isKnown(id) {
+		m.mu.Unlock()
 		return
 	}
-	h, now := s.coordinator.entry(id), s.k.Clock.Now()
-	if now-h.lastReported > echoWindow {
-		h.reporters = h.reporters[:0]
+	state, now := m.coordinator.entry(id), m.k.Clock.Now()
+	if now-state.lastReported > echoWindow {
+		state.reporters = state.reporters[:0]
 	}
-	h.lastReported = now
-	if len(h.reporters) < maxReporters && !slices.Contains(h.reporters, from) {
-		h.reporters = append(h.reporters, from)
+	state.lastReported = now
+	if len(state.reporters) < maxReporters && !slices.Contains(state.reporters, from) {
+		state.reporters = append(state.reporters, from)
 	}
-	redundant := !h.up || h.checking || now < h.quietUntil
-	s.mu.Unlock()
+	redundant := !state.up || state.checking || now < state.quietUntil
+	m.mu.Unlock()
 	if redundant {
-		s.k.Counters.Add("health.notices", 1)
+		m.k.Counters.Add("health.notices", 1)
 		return
 	}
-	s.post(Event{Kind: "notice", Database: id})
+	m.post(Event{Kind: "notice", Database: id})
 }
 
-// Serve processes reports, notices and checks until ctx ends.
-func (s *Monitor) Serve(ctx context.Context) error {
+// Serve processes reports and notices, and runs the checks, until ctx is done.
+func (m *Monitor) Serve(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(s.nextCheck().Duration())
+		timer.Reset(m.untilNextCheck().Duration())
 		select {
 		case <-ctx.Done():
 			return nil
-		case e := <-s.events:
-			s.handleEvent(ctx, e)
+		case e := <-m.events:
+			m.handleEvent(ctx, e)
 		case <-timer.C:
-			s.startChecks(ctx)
+			m.startChecks(ctx)
 		}
 	}
 }
 
-// handleEvent processes one event and starts the checks and notifications that it calls for.
-func (s *Monitor) handleEvent(ctx context.Context, e Event) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.isKnown(e.Database) {
+// handleEvent processes one event, and starts the checks and sends the notices that it requires.
+func (m *Monitor) handleEvent(ctx context.Context, e Event) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.isKnown(e.Database) {
 		return
 	}
-	s.k.Recorder.Add(EventKind, e)
-	h := s.coordinator.entry(e.Database)
+	m.k.Recorder.Add(EventKind, e)
+	state := m.coordinator.entry(e.Database)
 	switch e.Kind {
 	case "report":
-		if s.coordinator.Apply(e) {
-			h.nextCheck = s.k.Clock.Now() + s.cfg.FirstCheck
-			s.handleDown(e.Database, e.Generation)
-			s.faults.add(s, ctx, e.Database, s.cfg.Peers, 2)
-		} else if e.Generation < h.generation {
-			s.k.Counters.Add("health.stale_reports", 1)
+		if m.coordinator.Apply(e) {
+			state.nextCheck = m.k.Clock.Now() + m.cfg.FirstCheck
+			m.handleDown(e.Database, e.Generation)
+			m.faults.add(m, ctx, e.Database, m.cfg.Peers, 2)
+		} else if e.Generation < state.generation {
+			m.k.Counters.Add("health.stale_reports", 1)
 		}
 	case "doubt":
-		if up, gen := s.coordinator.Up(e.Database); up && e.Generation >= gen {
-			if !h.localFault {
-				s.suspicions.add(s, ctx, e.Database, s.cfg.ControlNodes, 1)
+		if up, generation := m.coordinator.Up(e.Database); up && e.Generation >= generation {
+			if !state.localFault {
+				m.suspicions.add(m, ctx, e.Database, m.cfg.ControlNodes, 1)
 			}
-			h.localFault = true
-			s.check(ctx, e.Database)
+			state.localFault = true
+			m.startCheck(ctx, e.Database)
 		}
 	case "notice":
-		s.k.Counters.Add("health.notices", 1)
-		if s.coordinator.PeerNotice(e.Database) == CheckNeeded && s.k.Clock.Now() >= h.quietUntil {
-			s.check(ctx, e.Database)
+		m.k.Counters.Add("health.notices", 1)
+		if m.coordinator.PeerNotice(e.Database) == CheckNeeded && m.k.Clock.Now() >= state.quietUntil {
+			m.startCheck(ctx, e.Database)
 		}
 	case "checked":
-		h.checking = false
-		h.nextCheck = s.k.Clock.Now() + s.cfg.Interval
-		h.quietUntil = s.k.Clock.Now() + s.cfg.Interval/4
-		localFault := h.localFault
-		h.localFault = false
-		if !s.coordinator.Apply(e) {
+		state.checking = false
+		state.nextCheck = m.k.Clock.Now() + m.cfg.Interval
+		state.quietUntil = m.k.Clock.Now() + m.cfg.Interval/4
+		localFault := state.localFault
+		state.localFault = false
+		if !m.coordinator.Apply(e) {
 			return
 		}
 		if e.OK {
-			s.k.Log.Info("database up", "id", e.Database, "generation", h.generation)
-			s.changes.NotifyAll()
+			m.k.Log.Info("database up", "id", e.Database, "generation", state.generation)
+			m.changes.NotifyAll()
 			return
 		}
-		s.handleDown(e.Database, e.Generation)
+		m.handleDown(e.Database, e.Generation)
 		if localFault {
-			s.faults.add(s, ctx, e.Database, s.cfg.Peers, 2)
+			m.faults.add(m, ctx, e.Database, m.cfg.Peers, 2)
 		}
 	}
 }
 
 // handleDown notifies the local sessions that a database is down, under the local generation. The
-// caller holds s.mu.
-func (s *Monitor) handleDown(id string, generation int64) {
-	s.k.Counters.Add("health.marked_down", 1)
-	s.k.Log.Info("database down", "id", id, "generation", generation)
-	for b := range s.bindings[id] {
+// caller holds m.mu.
+func (m *Monitor) handleDown(id string, generation int64) {
+	m.k.Counters.Add("health.marked_down", 1)
+	m.k.Log.Info("database down", "id", id, "generation", generation)
+	for b := range m.bindings[id] {
 		b.apply(Notice{id, generation})
 	}
-	s.changes.NotifyAll()
+	m.changes.NotifyAll()
 }
 
-// nextCheck returns the time until a check is due.
-func (s *Monitor) nextCheck() kernel.Micros {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now, wait := s.k.Clock.Now(), 3600*kernel.Second
-	for _, h := range s.coordinator.state {
-		if !h.up && !h.checking {
-			wait = min(wait, max(h.nextCheck-now, 0))
+// untilNextCheck returns the time until the next check is due.
+func (m *Monitor) untilNextCheck() kernel.Micros {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now, wait := m.k.Clock.Now(), 3600*kernel.Second
+	for _, state := range m.coordinator.states {
+		if !state.up && !state.checking {
+			wait = min(wait, max(state.nextCheck-now, 0))
 		}
 	}
 	return wait
 }
 
 // startChecks starts the checks that are due.
-func (s *Monitor) startChecks(ctx context.Context) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.k.Clock.Now()
-	for id, h := range s.coordinator.state {
-		if !h.up && !h.checking && h.nextCheck <= now {
-			s.check(ctx, id)
+func (m *Monitor) startChecks(ctx context.Context) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.k.Clock.Now()
+	for id, state := range m.coordinator.states {
+		if !state.up && !state.checking && state.nextCheck <= now {
+			m.startCheck(ctx, id)
 		}
 	}
 }
 
-// check starts a check of a database unless one is running. The caller holds s.mu.
-func (s *Monitor) check(ctx context.Context, id string) {
-	h := s.coordinator.entry(id)
-	if h.checking {
+// startCheck starts a check of a database unless one is running. The caller holds m.mu.
+func (m *Monitor) startCheck(ctx context.Context, id string) {
+	state := m.coordinator.entry(id)
+	if state.checking {
 		return
 	}
-	h.checking = true
-	s.k.Counters.Add("health.checks", 1)
-	generation := h.generation
+	state.checking = true
+	m.k.Counters.Add("health.checks", 1)
+	generation := state.generation
 	go func() {
-		ok := s.cfg.Check(ctx, id)
+		ok := m.cfg.Check(ctx, id)
 		select {
-		case s.events <- Event{Kind: "checked", Database: id, Generation: generation, OK: ok}:
+		case m.events <- Event{Kind: "checked", Database: id, Generation: generation, OK: ok}:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// SetKnown sets which databases exist. The state of any other is dropped, and reports, notices and
-// checks of it that are in progress are ignored.
-func (s *Monitor) SetKnown(known map[string]bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.known = known
-	for id := range s.coordinator.state {
-		if !known[id] {
-			s.coordinator.Forget(id)
+// SetDatabases sets which databases exist. The state of any other is dropped; reports, notices and
+// check results about it that are still in progress are ignored.
+func (m *Monitor) SetKnown(databases map[string]bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.databases = databases
+	for id := range m.coordinator.states {
+		if !databases[id] {
+			m.coordinator.Remove(id)
 		}
 	}
 }
 
-// isKnown reports whether the database exists, and counts events about any other. The caller
-// holds s.mu.
-func (s *Monitor) isKnown(id string) bool {
-	if s.known == nil || s.known[id] {
+// isKnown reports whether a database exists. It is called for each event, and counts those about
+// unknown databases. The caller holds m.mu.
+func (m *Monitor) isKnown(id string) bool {
+	if m.databases == nil || m.databases[id] {
 		return true
 	}
-	s.k.Counters.Add("health.of_unknown_database", 1)
+	m.k.Counters.Add("health.of_unknown_database", 1)
 	return false
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -62,10 +62,10 @@
 	}
 }
 
-// pooler returns a running monitor whose checks succeed while running is true.
-func pooler(t *testing.T, running *atomic.Bool, checks *atomic.Int64, sent func(kind string)) *Monitor {
+// newTestMonitor returns a running monitor whose checks succeed while running is true.
+func newTestMonitor(t *testing.T, running *atomic.Bool, checks *atomic.Int64, sent func(kind string)) *Monitor {
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	c := New(k, Config{
+	m := New(k, Config{
 		Interval: kernel.Second, FirstCheck: 100 * kernel.Millisecond,
 		Check:        func(context.Context, string) bool { checks.Add(1); return running.Load() },
 		Peers:        func() []string { return []string{"p1", "p2"} },
@@ -79,8 +79,8 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go c.Serve(ctx)
-	return c
+	go m.Serve(ctx)
+	return m
 }
 
 func TestPeerNoticeCountsOnlyAfterLocalCheck(t *testing.T) {
@@ -88,31 +88,31 @@
 		var running atomic.Bool
 		var checks, sent atomic.Int64
 		running.Store(true)
-		c := pooler(t, &running, &checks, func(string) { sent.Add(1) })
+		m := newTestMonitor(t, &running, &checks, func(string) { sent.Add(1) })
 		body, _ := json.Marshal(notice{[]string{"a"}})
 		for range 3 { // duplicated by the network
-			c.HandleNotices("p1", body)
+			m.HandleNotices("p1", body)
 		}
 		synctest.Wait()
-		if !c.Up("a") || checks.Load() != 1 {
-			t.Fatalf("up %v after %d checks of a running database", c.Up("a"), checks.Load())
+		if !m.Up("a") || checks.Load() != 1 {
+			t.Fatalf("up %v after %d checks of a running database", m.Up("a"), checks.Load())
 		}
 		running.Store(false)
 		time.Sleep(time.Second)
-		b := c.Bind("a")
-		c.HandleNotices("p1", body)
+		b := m.Bind("a")
+		m.HandleNotices("p1", body)
 		synctest.Wait()
-		if db, _ := b.Bound(); c.Up("a") || db != "" {
+		if db, _ := b.Bound(); m.Up("a") || db != "" {
 			t.Error("the check failed, yet the database is up or the session bound")
 		}
 		if sent.Load() != 0 {
 			t.Error("a peer's notice was relayed to peers")
 		}
-		c.HandleNotices("p1", []byte("{"))
+		m.HandleNotices("p1", []byte("{"))
 		running.Store(true)
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
-		if up, gen := c.State("a"); !up || gen != 1 {
+		if up, gen := m.State("a"); !up || gen != 1 {
 			t.Errorf("after recovery: up %v generation %d", up, gen)
 		}
 	})
@@ -122,11 +122,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
 		var checks, sent atomic.Int64
-		c := pooler(t, &running, &checks, func(string) { sent.Add(1) })
-		b := c.Bind("a")
-		c.Report("a", 0, true)
+		m := newTestMonitor(t, &running, &checks, func(string) { sent.Add(1) })
+		b := m.Bind("a")
+		m.Report("a", 0, true)
 		synctest.Wait()
-		if db, _ := b.Bound(); c.Up("a") || db != "" || checks.Load() != 0 {
+		if db, _ := b.Bound(); m.Up("a") || db != "" || checks.Load() != 0 {
 			t.Error("the report waited for a check, or the session stayed bound")
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -145,18 +145,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
 		var checks, sent atomic.Int64
-		c := pooler(t, &running, &checks, func(string) { sent.Add(1) })
+		m := newTestMonitor(t, &running, &checks, func(string) { sent.Add(1) })
 		running.Store(true)
-		c.Report("a", 0, false)
+		m.Report("a", 0, false)
 		synctest.Wait()
-		if !c.Up("a") || checks.Load() != 1 {
-			t.Fatalf("up %v after %d checks", c.Up("a"), checks.Load())
+		if !m.Up("a") || checks.Load() != 1 {
+			t.Fatalf("up %v after %d checks", m.Up("a"), checks.Load())
 		}
 		running.Store(false)
-		c.Report("a", 0, false)
+		m.Report("a", 0, false)
 		time.Sleep(100 * time.Millisecond)
-		if c.Up("a") || sent.Load() != 4 {
-			t.Errorf("up %v, %d datagrams: a fault of a local session must be sent to peers", c.Up("a"), sent.Load())
+		if m.Up("a") || sent.Load() != 4 {
+			t.Errorf("up %v, %d datagrams: a fault of a local session must be sent to peers", m.Up("a"), sent.Load())
 		}
 	})
 }
@@ -167,11 +167,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
 		var checks, sent atomic.Int64
-		c := pooler(t, &running, &checks, func(string) { sent.Add(1) })
+		m := newTestMonitor(t, &running, &checks, func(string) { sent.Add(1) })
 		var ids []string
 		for i := range 90 {
 			ids = append(ids, fmt.Sprint("db-", i))
-			c.Report(ids[i], 0, true)
+			m.Report(ids[i], 0, true)
 		}
 		time.Sleep(80 * time.Millisecond)
 		if n := sent.Load(); n != 8 { // two parts, twice, to each of two peers
@@ -179,17 +179,17 @@
 		}
 		before := checks.Load()
 		body, _ := json.Marshal(notice{ids})
-		c.HandleNotices("p1", body)
+		m.HandleNotices("p1", body)
 		synctest.Wait()
 		if n := checks.Load() - before; n != 0 {
 			t.Errorf("%d checks of databases that are already down", n)
 		}
 		// What two peers report while this pooler is about to send it needs no third sender.
 		before = sent.Load()
-		c.Report("seen by all", 0, true)
+		m.Report("seen by all", 0, true)
 		body, _ = json.Marshal(notice{[]string{"seen by all"}})
-		c.HandleNotices("p1", body)
-		c.HandleNotices("p2", body)
+		m.HandleNotices("p1", body)
+		m.HandleNotices("p2", body)
 		time.Sleep(80 * time.Millisecond)
 		if n := sent.Load() - before; n != 0 {
 			t.Errorf("%d datagrams repeat what enough peers have reported", n)
@@ -204,11 +204,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
 		var checks, sent atomic.Int64
-		c := pooler(t, &running, &checks, func(string) { sent.Add(1) })
-		c.cfg.Peers = func() []string { return make([]string, 240) }
+		m := newTestMonitor(t, &running, &checks, func(string) { sent.Add(1) })
+		m.cfg.Peers = func() []string { return make([]string, 240) }
 		var higher, lower []string
 		for i := range 40 {
-			if addr := fmt.Sprint("p", i); rank(addr, "a") < rank(c.cfg.Self, "a") {
+			if addr := fmt.Sprint("p", i); rank(addr, "a") < rank(m.cfg.Self, "a") {
 				higher = append(higher, addr)
 			} else {
 				lower = append(lower, addr)
@@ -216,7 +216,7 @@
 		}
 		notify := func(id string, from []string) int64 {
 			before := sent.Load()
-			c.Report(id, 0, true)
+			m.Report(id, 0, true)
 			for range 1000 { // until the first part is sent
 				if sent.Load() > before {
 					break
@@ -225,7 +225,7 @@
 			}
 			body, _ := json.Marshal(notice{[]string{id}})
 			for _, addr := range from[:2] {
-				c.HandleNotices(addr, body)
+				m.HandleNotices(addr, body)
 			}
 			time.Sleep(30 * time.Millisecond)
 			return sent.Load() - before
@@ -233,8 +233,8 @@
 		if n := notify("a", lower); n != 240 {
 			t.Errorf("%d of 240 peers notified, though only lower-ranked processes report the same", n)
 		}
-		c.SetKnown(map[string]bool{})
-		c.SetKnown(map[string]bool{"a": true})
+		m.SetKnown(map[string]bool{})
+		m.SetKnown(map[string]bool{"a": true})
 		if n := notify("a", higher); n > 2*peersPerBatch {
 			t.Errorf("%d peers notified although two higher-ranked processes report the same", n)
 		}
@@ -244,13 +244,13 @@
 // A node that finds one database after another unresponsive, as one with a saturated link does,
 // must notify its peers with no more than its share of the link.
 func TestNoticesUseAShareOfTheLink(t *testing.T) {
-	p := byteBudget{}
+	budget := byteBudget{}
 	const rate = 0.05 // bytes a microsecond: 50 KB a second
 	sentBytes := 0.0
 	for now := kernel.Micros(kernel.Second); now < 21*kernel.Second; now += 10 * kernel.Millisecond {
-		if p.available(now, rate) {
+		if budget.available(now, rate) {
 			const all = 92 * (noticeHeaderBytes + noticeEntryBytes)
-			p.bytes -= all
+			budget.bytes -= all
 			sentBytes += all
 		}
 	}
--- a/internal/readrouting/readrouting.go
+++ b/internal/readrouting/readrouting.go
@@ -1,8 +1,10 @@
-// Package readrouting picks the database for a statement.
+// Package readrouting picks the database to which a statement is routed: the primary, or a replica
+// that is fresh enough for the read.
 //
-// Freshness rule: the position in a primary's response, dated by when its statement was sent,
-// covers every commit acknowledged before that time. A replica that has reached a position dated
-// after the oldest time that a read may see is therefore fresh enough for the read.
+// The position in a primary's response covers every commit that was acknowledged before the
+// statement was sent; that time is the date of the position. A read that may be stale by some
+// duration can go to any replica that has reached a position dated no earlier than that duration
+// before the read was received.
 package readrouting
 
 import (
@@ -19,11 +21,11 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// Choice is the database that a statement may go to.
+// Choice is the database to which a statement is routed.
 type Choice struct {
 	Database    discovery.Database
-	Primary     bool                  // under the read lease, without a required position
-	MinPosition lineprotocol.Position // what a replica must have reached
+	Primary     bool                  // it is the primary, which is used under the read lease and need not have reached a position
+	MinPosition lineprotocol.Position // that a replica must have reached
 }
 
 // Request describes a statement that is to be routed.
@@ -32,53 +34,55 @@
 	Type         string // of the route
 	MaxStaleness kernel.Micros
 	Received     kernel.Micros         // no earlier than the arrival of its first byte
-	LastCommit   lineprotocol.Position // the session's own last commit
+	LastCommit   lineprotocol.Position // of the session itself
 	Write        bool                  // a write or a plain transaction
-	Avoid        map[string]bool       // databases that were tried without success
+	Avoid        map[string]bool       // databases that were tried without success, by ID
 }
 
-// Candidates is what a choice is made from.
+// Candidates holds the databases of a service, and what a choice among them depends on.
 type Candidates struct {
 	Databases []discovery.Database
 	Leader    failover.Leader
-	Leased    bool // the read lease covers the leader now
-	Zone      string
+	Leased    bool   // the read lease covers the leader now
+	Zone      string // of this pooler
 	Up        func(id string) bool
-	Busy      func(id string) int
+	Busy      func(id string) int  // the number of its slots that this pooler uses
 	Idle      func(id string) bool // whether an idle connection to the database is available
 }
 
-// observation is a position of a primary and when the statement was sent that returned it.
+// observation is a position of a primary, and the time at which the statement was sent that
+// returned it.
 type observation struct {
 	sent kernel.Micros
 	pos  lineprotocol.Position
 }
 
-// Observations kept: at least observationSpacing apart, none older than observationRetention.
+// The observations that are kept are at least observationSpacing apart, and at most
+// observationRetention older than the newest.
 const (
 	observationSpacing   = 40 * kernel.Millisecond
 	observationRetention = 10 * kernel.Second
 )
 
-// A replica that answered LAGGING is skipped for lagBackoff at first; the time doubles up to
-// maxLagBackoff while it keeps lagging.
+// A replica that responded with LAGGING is skipped for lagBackoff. The backoff doubles up to
+// maxLagBackoff while the replica is still lagging.
 const (
 	lagBackoff    = 100 * kernel.Millisecond
 	maxLagBackoff = 800 * kernel.Millisecond
 )
 
-// lagState says until when a lagging replica is skipped, and the current backoff.
+// lagState holds until when a lagging replica is skipped, and the current backoff.
 type lagState struct{ until, backoff kernel.Micros }
 
-// Weights of response times: the relative latency of a database is the time of its responses over
-// what is typical of their route, averaged over recent ones. It decays to the typical value when
-// there are no new responses, so that a slow database is tried again.
+// The relative latency of a database is the ratio of its response times to the typical ones of
+// their routes, as an exponentially weighted moving average. It decays to 1 while there are no new
+// responses, so that a slow database is tried again.
 const (
-	latencyWeight = 0.15
+	latencyWeight = 0.15 // of the newest response
 	latencyDecay  = 1500 * kernel.Millisecond
 )
 
-// relativeLatency is a smoothed ratio of response times to typical ones, as of a time.
+// relativeLatency is the relative latency of a database, as of a time.
 type relativeLatency struct {
 	ratio float64
 	at    kernel.Micros
@@ -92,18 +96,19 @@
 	return 1 + (l.ratio-1)*math.Exp(-float64(now-l.at)/float64(latencyDecay))
 }
 
-// Router keeps observations of the primaries and tracks which replicas lag.
+// Router picks databases for statements. For that it keeps observations of the primaries, tracks
+// which replicas are lagging, and the latencies of the databases.
 type Router struct {
 	clock kernel.Clock
 
 	mu           sync.Mutex
 	observations map[string][]observation
-	// By database; entries that are no longer used are dropped at the sweep.
+	// By database ID. Entries that are no longer used are dropped by the sweep.
 	lagging   map[string]lagState
 	latencies map[string]relativeLatency
 	sweep     kernel.SweepTimer
 
-	typical latency.Averages
+	typical latency.Averages // by route
 }
 
 // New returns a router without observations.
@@ -113,40 +118,41 @@
 	}
 }
 
-// Observe records a position that covers all commits acknowledged before sent.
-func (a *Router) Observe(service string, sent kernel.Micros, pos lineprotocol.Position) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	list := a.observations[service]
-	if n := len(list); n > 0 && sent < list[n-1].sent+observationSpacing {
+// Observe records a primary's position, which covers all commits acknowledged before sent.
+func (r *Router) Observe(service string, sent kernel.Micros, pos lineprotocol.Position) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	kept := r.observations[service]
+	if n := len(kept); n > 0 && sent < kept[n-1].sent+observationSpacing {
 		return
 	}
 	first := 0
-	for first < len(list) && list[first].sent < sent-observationRetention {
+	for first < len(kept) && kept[first].sent < sent-observationRetention {
 		first++
 	}
-	a.observations[service] = append(list[first:], observation{sent, pos})
+	r.observations[service] = append(kept[first:], observation{sent, pos})
 }
 
-// covering returns the oldest position dated at or after t: of those that are fresh enough, the
-// one that replicas are most likely to have reached.
-func (a *Router) covering(service string, t kernel.Micros) (lineprotocol.Position, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, o := range a.observations[service] {
-		if o.sent >= t {
+// freshPosition returns the first position dated no earlier than oldest: of those that are fresh
+// enough, the one that replicas are most likely to have reached.
+func (r *Router) freshPosition(service string, oldest kernel.Micros) (lineprotocol.Position, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, o := range r.observations[service] {
+		if o.sent >= oldest {
 			return o.pos, true
 		}
 	}
 	return lineprotocol.Position{}, false
 }
 
-// MarkLagging records that a replica has not reached a position yet.
-func (a *Router) MarkLagging(id string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	now := a.clock.Now()
-	l := a.lagging[id]
+// MarkLagging records that a replica has not reached a position yet, so that it is skipped for a
+// while.
+func (r *Router) MarkLagging(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.clock.Now()
+	l := r.lagging[id]
 	if now < l.until {
 		return
 	}
@@ -154,61 +160,62 @@
 		l.backoff = lagBackoff
 	}
 	l.until = now + l.backoff
-	a.lagging[id] = l
+	r.lagging[id] = l
 }
 
-func (a *Router) isLagging(id string) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.clock.Now() < a.lagging[id].until
+func (r *Router) isLagging(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.clock.Now() < r.lagging[id].until
 }
 
-// RecordLatency records how long a read of the route took at a database.
-func (a *Router) RecordLatency(route, id string, span kernel.Micros) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	now := a.clock.Now()
-	usual := a.typical.Add(route, span, now)
-	if a.sweep.Due(now) {
-		maps.DeleteFunc(a.lagging, func(_ string, l lagState) bool { return now-l.until > kernel.RetentionPeriod })
-		maps.DeleteFunc(a.latencies, func(_ string, p relativeLatency) bool { return now-p.at > kernel.RetentionPeriod })
+// RecordLatency records the response time of a database to a read of the route.
+func (r *Router) RecordLatency(route, id string, span kernel.Micros) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.clock.Now()
+	typical := r.typical.Add(route, span, now)
+	if r.sweep.Due(now) {
+		maps.DeleteFunc(r.lagging, func(_ string, l lagState) bool { return now-l.until > kernel.RetentionPeriod })
+		maps.DeleteFunc(r.latencies, func(_ string, l relativeLatency) bool { return now-l.at > kernel.RetentionPeriod })
 	}
-	r := a.latencies[id].current(now)
-	a.latencies[id] = relativeLatency{r + latencyWeight*(float64(span)/max(usual, 1)-r), now}
+	ratio := r.latencies[id].current(now)
+	r.latencies[id] = relativeLatency{ratio + latencyWeight*(float64(span)/max(typical, 1)-ratio), now}
 }
 
-// TypicalLatency returns how long a read of the route typically takes, 0 if there was none.
-func (a *Router) TypicalLatency(route string) kernel.Micros {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return kernel.Micros(a.typical.Average(route))
+// TypicalLatency returns the typical response time of reads of the route, 0 if there were none.
+func (r *Router) TypicalLatency(route string) kernel.Micros {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return kernel.Micros(r.typical.Average(route))
 }
 
-func (a *Router) latencyOf(id string) float64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.latencies[id].current(a.clock.Now())
+func (r *Router) latencyOf(id string) float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.latencies[id].current(r.clock.Now())
 }
 
-// Pick returns the database for a statement, or false if there is none at present.
-func (a *Router) Pick(q Request, s Candidates) (Choice, bool) {
-	if q.Type != routeconfig.Primary && !q.Write {
-		if c, ok := a.pickReplica(q, s); ok {
-			return c, true
+// Pick returns the database for a statement, or false if none is available now. A read that a
+// replica may serve goes to the primary only if there is no suitable replica.
+func (r *Router) Pick(request Request, candidates Candidates) (Choice, bool) {
+	if request.Type != routeconfig.Primary && !request.Write {
+		if choice, ok := r.pickReplica(request, candidates); ok {
+			return choice, true
 		}
 	}
-	if !s.Leased || !s.Up(s.Leader.ID) {
+	if !candidates.Leased || !candidates.Up(candidates.Leader.ID) {
 		return Choice{}, false
 	}
-	for _, d := range s.Databases {
-		if d.ID == s.Leader.ID {
+	for _, d := range candidates.Databases {
+		if d.ID == candidates.Leader.ID {
 			return Choice{Database: d, Primary: true}, true
 		}
 	}
 	return Choice{}, false
 }
 
-// Reasons why there is no choice.
+// Reasons why no database is available.
 const (
 	NoLeader           = "no_lead_known"
 	FailoverInProgress = "lead_moves"
@@ -219,65 +226,66 @@
 	NoObservation      = "no_position_of_primary_known"
 )
 
-// Explain returns why there is no choice at present: why the primary cannot be used and, for
-// reads that a replica may serve, why no replica can.
-func (a *Router) Explain(q Request, s Candidates) string {
-	if q.Type == routeconfig.Primary || q.Write {
-		return primaryReason(s)
+// Explain returns why no database is available now: why the primary cannot be used and, for reads
+// that a replica may serve, why no replica can.
+func (r *Router) Explain(request Request, candidates Candidates) string {
+	if request.Type == routeconfig.Primary || request.Write {
+		return primaryReason(candidates)
 	}
 	replicas := NoReplica
-	if _, ok := a.covering(q.Service, q.Received-q.MaxStaleness); !ok {
+	if _, ok := r.freshPosition(request.Service, request.Received-request.MaxStaleness); !ok {
 		replicas = NoObservation
 	}
-	return replicas + " and " + primaryReason(s)
+	return replicas + " and " + primaryReason(candidates)
 }
 
 // primaryReason returns why the primary cannot be used.
-func primaryReason(s Candidates) string {
+func primaryReason(candidates Candidates) string {
 	switch {
-	case s.Leader.ID == "":
+	case candidates.Leader.ID == "":
 		return NoLeader
-	case s.Leader.FailoverInProgress:
+	case candidates.Leader.FailoverInProgress:
 		return FailoverInProgress
-	case !s.Leased:
+	case !candidates.Leased:
 		return NoLease
-	case !s.Up(s.Leader.ID):
+	case !candidates.Up(candidates.Leader.ID):
 		return LeaderDown
 	}
 	return LeaderNotListed
 }
 
-// pickReplica returns the replica with the lowest expected cost that is up and may be fresh
-// enough.
-func (a *Router) pickReplica(q Request, s Candidates) (Choice, bool) {
-	pos, ok := a.covering(q.Service, q.Received-q.MaxStaleness)
+// pickReplica returns the replica with the lowest expected cost, of those that are up and may be
+// fresh enough.
+func (r *Router) pickReplica(request Request, candidates Candidates) (Choice, bool) {
+	pos, ok := r.freshPosition(request.Service, request.Received-request.MaxStaleness)
 	if !ok {
 		return Choice{}, false
 	}
-	if q.Type == routeconfig.Nearest && pos.Less(q.LastCommit) {
-		pos = q.LastCommit
+	if request.Type == routeconfig.Nearest && pos.Less(request.LastCommit) {
+		pos = request.LastCommit
 	}
-	best, cost := -1, 0.0
-	for i, d := range s.Databases {
-		if d.ID == s.Leader.ID || d.Draining || q.Avoid[d.ID] || !s.Up(d.ID) || a.isLagging(d.ID) {
+	best, lowestCost := -1, 0.0
+	for i, d := range candidates.Databases {
+		if d.ID == candidates.Leader.ID || d.Draining || request.Avoid[d.ID] || !candidates.Up(d.ID) || r.isLagging(d.ID) {
 			continue
 		}
-		// The expected wait: this pooler's own share of the busy slots, at the database's
-		// relative latency. Another zone costs like half a statement more, a connection that must
-		// be opened first like a whole one.
-		c := a.latencyOf(d.ID) * (1 + float64(s.Busy(d.ID)) + 0.2*rand.Float64())
-		if !s.Idle(d.ID) {
-			c++
+		// The expected waiting time, in statements of typical latency: those that this pooler has
+		// in progress at the database and the new one, times the relative latency of the database.
+		// A connection that must be opened first counts as one more statement, another zone as
+		// half of one.
+		cost := r.latencyOf(d.ID) * (1 + float64(candidates.Busy(d.ID)) + 0.2*rand.Float64())
+		if !candidates.Idle(d.ID) {
+			cost++
 		}
-		if d.Zone != s.Zone {
-			c += 0.5
+		if d.Zone != candidates.Zone {
+			cost += 0.5
 		}
-		if best < 0 || c < cost {
-			best, cost = i, c
+		if best < 0 || cost < lowestCost {
+			best, lowestCost = i, cost
 		}
 	}
 	if best < 0 {
 		return Choice{}, false
 	}
-	return Choice{Database: s.Databases[best], MinPosition: pos}, true
+	return Choice{Database: candidates.Databases[best], MinPosition: pos}, true
 }
--- a/internal/readrouting/sweep_test.go
+++ b/internal/readrouting/sweep_test.go
@@ -7,17 +7,17 @@
 	"indigowalk/internal/kernel"
 )
 
-// A process outlives many generations of databases and routes; what it keeps of gone ones must
-// not grow.
+// A process outlives many databases and routes: the state of those that are no longer used must be
+// dropped.
 func TestStateOfUnusedDatabasesIsDropped(t *testing.T) {
-	clock := &fixed{}
-	a := New(clock)
+	clock := &fixedClock{}
+	router := New(clock)
 	for day := range 1000 {
 		clock.now += 24 * 3600 * kernel.Second
-		a.MarkLagging(fmt.Sprint("replica-", day))
-		a.RecordLatency("p.ledger", fmt.Sprint("replica-", day), 3*kernel.Millisecond)
+		router.MarkLagging(fmt.Sprint("replica-", day))
+		router.RecordLatency("p.ledger", fmt.Sprint("replica-", day), 3*kernel.Millisecond)
 	}
-	if n := len(a.lagging) + len(a.latencies); n > 4 {
+	if n := len(router.lagging) + len(router.latencies); n > 4 {
 		t.Errorf("%d entries of unused databases are kept", n)
 	}
 }
