--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -11,54 +11,57 @@
 	"indigowalk/internal/rpc"
 )
 
-// AcceptOp is the RPC by which an operator accepts that acknowledged commits of a service may be
-// lost.
+// AcceptLossOp is the RPC by which an operator accepts that acknowledged commits of a service may
+// be lost.
 const AcceptOp = "failover.accept_loss"
 
-// AcceptLoss is the request of an operator who knows that a database that a failover waits for
-// will not come back.
+// AcceptLoss is the request of an operator who knows that a database for which a failover is
+// waiting will not return. The response to a malformed request contains the name of the type
+// ("json: cannot unmarshal ... field AcceptLoss.svc"), so it must not change.
 type AcceptLoss struct {
 	Service    string `json:"svc"`
-	FailoverID int64  `json:"turn"` // number of the failover that is waiting
-	By         string `json:"by"`   // the operator, for the record
+	FailoverID int64  `json:"turn"` // of the failover that is waiting
+	By         string `json:"by"`   // name of the operator
 }
 
-// LossAcceptance records such a request. It is kept with the leader.
+// LossAcceptance is the record of an accepted loss, which is stored with the leader.
 type LossAcceptance struct {
 	FailoverID int64  `json:"turn"`
 	By         string `json:"by"`
 	AtMs       int64  `json:"at_ms"` // Unix time in milliseconds
 }
 
-// Errors of rejected requests.
+// Errors returned for rejected requests.
 var (
-	ErrNoName     = errors.New("failover: who accepts the loss must be named") // or the name exceeds maxNameLength
-	ErrNotWaiting = errors.New("failover: no move of that service and turn waits for a database")
+	ErrNoName     = errors.New("failover: the request must name the operator, in at most 200 bytes") // see maxNameLength
+	ErrNotWaiting = errors.New("failover: no failover of that service with that turn is waiting for a database")
 )
 
-// maxNameLength bounds the stored name of the operator, in bytes.
+// maxNameLength is the maximum length of an operator's name, in bytes.
 const maxNameLength = 200
 
-// registerHandlers registers the operators' requests at the RPC endpoint.
-func (c *Manager) registerHandlers(b *rpc.Endpoint) {
-	rpc.HandleTyped(b, AcceptOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, c.Accept(ctx, q) })
+// registerHandlers registers the handlers of operators' requests at the RPC endpoint.
+func (m *Manager) registerHandlers(endpoint *rpc.Endpoint) {
+	rpc.HandleTyped(endpoint, AcceptOp, func(ctx context.Context, request AcceptLoss) (any, error) {
+		return struct{}{}, m.AcceptLoss(ctx, request)
+	})
 }
 
-// Accept records a request for the failover that is waiting now, and for no other: the next one
-// waits again. A repeated request has no further effect.
-func (c *Manager) Accept(ctx context.Context, q AcceptLoss) error {
-	if q.By == "" || len(q.By) > maxNameLength {
+// AcceptLoss records that the loss is accepted for the failover that is waiting now. The next
+// failover waits again. A repeated request has no further effect.
+func (m *Manager) AcceptLoss(ctx context.Context, request AcceptLoss) error {
+	if request.By == "" || len(request.By) > maxNameLength {
 		return ErrNoName
 	}
-	if _, err := c.state.Term(); err != nil {
+	if _, err := m.controlState.Term(); err != nil {
 		return err
 	}
-	err := c.updateService(ctx, q.Service, func(l *Leader, _ map[string]discovery.Database) error {
-		if !l.FailoverInProgress || l.FailoverID != q.FailoverID || q.FailoverID == 0 || l.To != "" {
+	err := m.updateService(ctx, request.Service, func(l *Leader, _ map[string]discovery.Database) error {
+		if !l.FailoverInProgress || l.FailoverID != request.FailoverID || request.FailoverID == 0 || l.To != "" {
 			return ErrNotWaiting
 		}
-		if l.Accepted.FailoverID != q.FailoverID {
-			l.Accepted = LossAcceptance{q.FailoverID, q.By, time.Now().UnixMilli()}
+		if l.Accepted.FailoverID != request.FailoverID {
+			l.Accepted = LossAcceptance{request.FailoverID, request.By, time.Now().UnixMilli()}
 		}
 		return nil
 	})
@@ -70,12 +73,12 @@
 	case err != nil:
 		return fmt.Errorf("failover: %w", err)
 	}
-	c.k.Counters.Add("failover.losses_accepted", 1)
-	c.k.Log.Warn("an operator accepts that acknowledged commits may be lost", "service", q.Service, "turn", q.FailoverID, "by", q.By)
+	m.k.Counters.Add("failover.losses_accepted", 1)
+	m.k.Log.Warn("an operator accepts that acknowledged commits may be lost", "service", request.Service, "turn", request.FailoverID, "by", request.By)
 	return nil
 }
 
-// canAcceptLoss reports whether an operator may override this refusal to choose a primary.
+// canAcceptLoss reports whether an operator may override that refusal to choose a primary.
 func canAcceptLoss(refusal string) bool {
 	switch refusal {
 	case unresponsiveMayHoldCommit, removedMayHaveHeldCommit, allHoldersRemoved, awaitingFirstHeartbeat, acknowledgedCommitMissing:
--- a/internal/failover/acknowledged.go
+++ b/internal/failover/acknowledged.go
@@ -8,14 +8,14 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// ackTracker holds what bounds, for each service, the commits that were acknowledged to clients.
-// A pooler that has left a primary reports what it acknowledged itself. Commits acknowledged by a
-// pooler that no longer reports, because it ended or its lease expired, are covered by an
-// observation: the position in a primary's response to a statement that was sent later covers
-// every commit acknowledged before.
+// ackTracker holds what is needed to bound, for each service, the commits that were acknowledged
+// to clients. A pooler that has released a primary reports which commits it acknowledged. What was
+// acknowledged by a pooler that no longer reports, because it ended or its lease expired, is
+// covered by an observation instead: the position in a primary's response to a statement covers
+// every commit acknowledged before that statement was sent.
 type ackTracker struct {
 	unreportedUntil kernel.Micros // poolers that no longer report may have acknowledged commits until then
-	services        []string      // those that have a primary
+	services        []string      // those that have a leader
 	observed        map[string]coveringPosition
 }
 
@@ -25,65 +25,65 @@
 	position lineprotocol.Position
 }
 
-// Observation is what a pooler observed at primaries after it received the poll response with this
-// stamp.
+// Observation holds the positions that a pooler observed at primaries after it received a poll
+// response, which carries a stamp: the time of the control node that sent it.
 type Observation struct {
-	Term  int64                            // in which the stamp was issued
-	Stamp kernel.Micros                    // clock of the control node that issued it
+	Term  int64                            // of the control state's primary that sent the stamp
+	Stamp kernel.Micros                    // by the clock of that control node
 	At    map[string]lineprotocol.Position // newest observed position, by service
 }
 
-// RecordObservation records what a pooler observed. Observations stamped in another term are
-// ignored, since their stamp is of another node's clock.
-func (r *Readers) RecordObservation(s Observation) {
+// RecordObservation records what a pooler observed. An observation of another term is ignored,
+// since its stamp is a time of another node's clock.
+func (r *Readers) RecordObservation(observation Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s.Term != r.epoch || s.Stamp <= 0 {
+	if observation.Term != r.epoch || observation.Stamp <= 0 {
 		return
 	}
-	for service, position := range s.At {
-		if known, ok := r.acks.observed[service]; ok && s.Stamp <= known.before {
+	for service, position := range observation.At {
+		if previous, ok := r.acks.observed[service]; ok && observation.Stamp <= previous.before {
 			continue
 		}
 		if r.acks.observed == nil {
 			r.acks.observed = map[string]coveringPosition{}
 		}
-		r.acks.observed[service] = coveringPosition{s.Stamp, position}
+		r.acks.observed[service] = coveringPosition{observation.Stamp, position}
 	}
 }
 
-// SetLedServices sets the services that have a primary.
-func (r *Readers) SetLedServices(services []string) {
+// SetServicesWithLeader sets the services that have a leader, which alone are to be observed.
+func (r *Readers) SetServicesWithLeader(services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.acks.services = slices.Sorted(slices.Values(services))
 }
 
 const (
-	// maxServicesToObserve bounds the services that one pooler is asked to observe.
+	// maxServicesToObserve is the maximum number of services that one pooler is asked to observe.
 	maxServicesToObserve = 16
-	// observeRotation is how long a pooler is asked for the same services, as long as
-	// observations of them are needed, so that the list does not have to be sent again.
+	// observeRotation is how long the same services are requested of a pooler, provided that
+	// observations of them are still needed: an unchanged list need not be sent again.
 	observeRotation = 2 * kernel.Second
 )
 
-// ServicesToObserve lists services for which an observation later than now would bound what was
-// acknowledged by poolers that no longer report. Different poolers are asked for different
-// services.
+// ServicesToObserve lists the services that a pooler is asked to observe: those for which an
+// observation is needed that covers what poolers that no longer report may have acknowledged.
+// Different poolers are asked to observe different services.
 func (r *Readers) ServicesToObserve(pooler string, now kernel.Micros) (services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	unreportedUntil := r.acks.unreportedUntil
-	for _, d := range r.poolers {
-		if d.leaseEnd <= now {
-			unreportedUntil = max(unreportedUntil, d.leaseEnd)
+	for _, holder := range r.poolers {
+		if holder.leaseEnd <= now {
+			unreportedUntil = max(unreportedUntil, holder.leaseEnd)
 		}
 	}
 	candidates := r.acks.services
 	offset := int(crc32.ChecksumIEEE([]byte(pooler))>>1) + int(now/observeRotation)*maxServicesToObserve
 	for i := range candidates {
 		service := candidates[(offset+i)%len(candidates)]
-		if s, known := r.acks.observed[service]; (!known || s.before < unreportedUntil) && len(services) < maxServicesToObserve {
+		if observed, known := r.acks.observed[service]; (!known || observed.before < unreportedUntil) && len(services) < maxServicesToObserve {
 			services = append(services, service)
 		}
 	}
@@ -92,39 +92,39 @@
 }
 
 // AcknowledgedUpperBound returns a position that covers every commit of the service that was
-// acknowledged to a client, once every pooler has left its primary for that failover or holds no
-// lease any more; false if no such position is known.
+// acknowledged to a client; false if none is known. It is valid once AllReleased holds for that
+// failover.
 func (r *Readers) AcknowledgedUpperBound(service string, failoverID int64) (lineprotocol.Position, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	unreportedUntil := r.acks.unreportedUntil
 	var bound lineprotocol.Position
-	for _, d := range r.poolers {
-		if d.Left[service] < failoverID {
-			unreportedUntil = max(unreportedUntil, d.leaseEnd)
-		} else if acked := d.AckedUpperBound[service]; bound.Less(acked) {
+	for _, holder := range r.poolers {
+		if holder.Left[service] < failoverID {
+			unreportedUntil = max(unreportedUntil, holder.leaseEnd)
+		} else if acked := holder.AckedUpperBound[service]; bound.Less(acked) {
 			bound = acked
 		}
 	}
-	s, known := r.acks.observed[service]
-	if !known || s.before < unreportedUntil {
+	observed, known := r.acks.observed[service]
+	if !known || observed.before < unreportedUntil {
 		return lineprotocol.Position{}, false
 	}
-	if bound.Less(s.position) {
-		bound = s.position
+	if bound.Less(observed.position) {
+		bound = observed.position
 	}
 	return bound, true
 }
 
-// AcknowledgedLowerBound returns a position that some acknowledged commit of the service has
-// reached at least, according to the poolers that have left its primary for that failover; false
-// if they reported none. Other poolers may have acknowledged later commits.
+// AcknowledgedLowerBound returns a position such that a commit at it, or at a later one, was
+// acknowledged to a client, according to the poolers that have released the old primary for that
+// failover; false if they reported none. Other poolers may have acknowledged later commits.
 func (r *Readers) AcknowledgedLowerBound(service string, failoverID int64) (bound lineprotocol.Position, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, d := range r.poolers {
-		if at, any := d.AckedLowerBound[service]; any && d.Left[service] >= failoverID && !at.Less(bound) {
-			bound, known = at, true
+	for _, holder := range r.poolers {
+		if position, reported := holder.AckedLowerBound[service]; reported && holder.Left[service] >= failoverID && !position.Less(bound) {
+			bound, known = position, true
 		}
 	}
 	return bound, known
--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -13,17 +13,17 @@
 
 // simPooler is a simulated pooler; it reports the same things as the poolers' own code.
 type simPooler struct {
-	name            string
-	incarnation     int64
-	leaseEnd        kernel.Micros // by the pooler's own reckoning, measured from before it polled
-	learnedFailover int64         // number of the failover that it has learned of
-	left            int64
-	acked           lineprotocol.Position
-	certain         lineprotocol.Position
-	stamp           kernel.Micros // of the last response that it received
-	term            int64
-	observed        lineprotocol.Position
-	known           int64 // incarnation that is registered in the control state
+	name                  string
+	incarnation           int64
+	leaseEnd              kernel.Micros // by the pooler's own reckoning, measured from before it polled
+	learnedFailover       int64         // number of the failover that it has learned of
+	released              int64
+	acked                 lineprotocol.Position
+	lowerBound            lineprotocol.Position
+	stamp                 kernel.Micros // of the last response that it received
+	term                  int64
+	observed              lineprotocol.Position
+	registeredIncarnation int64 // incarnation that is registered in the control state
 }
 
 // history is a random history of one service's primary, whose commits are numbered, of the poolers
@@ -37,18 +37,18 @@
 	inFailover   bool
 	lastNumber   int64
 	newestAcked  lineprotocol.Position // newest commit that was acknowledged to a client
-	readers      *Readers
+	readLeases   *Readers
 	poolers      []*simPooler
 	incarnations int64
 	boundsGiven  int // how often an upper bound was given
 	// Faults to inject, to see that the check detects them.
-	forgetsIncarnations, stampsLate, countsOld, claimsMore bool
+	ignoresEndedIncarnations, stampsInFuture, acceptsOldReports, lowerBoundTooHigh bool
 }
 
 const historyLease = kernel.Micros(50)
 
 func newHistory(seed uint64) *history {
-	h := &history{r: rand.New(rand.NewPCG(seed, 2)), now: 1000, term: 1, readers: NewReaders()}
+	h := &history{r: rand.New(rand.NewPCG(seed, 2)), now: 1000, term: 1, readLeases: NewReaders()}
 	for _, name := range []string{"a", "b", "c"} {
 		h.poolers = append(h.poolers, &simPooler{name: name})
 		h.restart(h.poolers[len(h.poolers)-1])
@@ -57,90 +57,90 @@
 	return h
 }
 
-func (h *history) restart(c *simPooler) {
+func (h *history) restart(p *simPooler) {
 	h.incarnations++
-	*c = simPooler{name: c.name, incarnation: h.incarnations, known: c.known}
+	*p = simPooler{name: p.name, incarnation: h.incarnations, registeredIncarnation: p.registeredIncarnation}
 }
 
 // takeOver makes another control node the primary, which knows the registered incarnations.
 func (h *history) takeOver() {
 	h.term++
 	registered := map[string]int64{}
-	for _, c := range h.poolers {
-		if c.known > 0 {
-			registered[c.name] = c.known
+	for _, p := range h.poolers {
+		if p.registeredIncarnation > 0 {
+			registered[p.name] = p.registeredIncarnation
 		}
 	}
-	h.readers.BeginTerm(h.term, registered, h.now, historyLease)
-	h.readers.SetLedServices([]string{"svc"})
+	h.readLeases.BeginTerm(h.term, registered, h.now, historyLease)
+	h.readLeases.SetServicesWithLeader([]string{"svc"})
 }
 
 // poll lets a pooler poll; the poll or its response may be lost.
-func (h *history) poll(c *simPooler) {
+func (h *history) poll(p *simPooler) {
 	sentAt := h.now
-	if c.learnedFailover > c.left && h.r.IntN(2) == 0 {
-		c.left = c.learnedFailover
+	if p.learnedFailover > p.released && h.r.IntN(2) == 0 {
+		p.released = p.learnedFailover
 	}
 	report := Report{}
-	if c.left > 0 && h.inFailover && c.left == h.failoverID {
-		report = Report{Left: map[string]int64{"svc": c.left}, AckedUpperBound: map[string]lineprotocol.Position{"svc": c.acked}}
-		if c.certain.Number > 0 {
-			report.AckedLowerBound = map[string]lineprotocol.Position{"svc": c.certain}
+	if p.released > 0 && h.inFailover && p.released == h.failoverID {
+		report = Report{Left: map[string]int64{"svc": p.released}, AckedUpperBound: map[string]lineprotocol.Position{"svc": p.acked}}
+		if p.lowerBound.Number > 0 {
+			report.AckedLowerBound = map[string]lineprotocol.Position{"svc": p.lowerBound}
 		}
 	}
-	observation := Observation{Term: c.term, Stamp: c.stamp, At: map[string]lineprotocol.Position{"svc": c.observed}}
+	observation := Observation{Term: p.term, Stamp: p.stamp, At: map[string]lineprotocol.Position{"svc": p.observed}}
 	if h.r.IntN(4) == 0 {
 		return // the poll is lost
 	}
 	h.now += kernel.Micros(h.r.IntN(3))
-	c.known = max(c.known, c.incarnation)
-	if _, ok := h.readers.RecordReport(c.name, c.incarnation, received(report), h.now); !ok {
+	p.registeredIncarnation = max(p.registeredIncarnation, p.incarnation)
+	if _, ok := h.readLeases.RecordReport(p.name, p.incarnation, decodedCopy(report), h.now); !ok {
 		return
 	}
-	if c.stamp > 0 && c.observed.Number > 0 {
-		h.readers.RecordObservation(observation)
+	if p.stamp > 0 && p.observed.Number > 0 {
+		h.readLeases.RecordObservation(observation)
 	}
-	if !h.readers.Grant(c.name, c.incarnation, h.now+historyLease) {
+	if !h.readLeases.Grant(p.name, p.incarnation, h.now+historyLease) {
 		return
 	}
 	stamp := h.now
-	if h.stampsLate {
+	if h.stampsInFuture {
 		stamp += 30
 	}
 	if h.r.IntN(4) == 0 {
 		return // the response is lost
 	}
 	h.now += kernel.Micros(h.r.IntN(3))
-	c.leaseEnd, c.stamp, c.term, c.observed = sentAt+historyLease, stamp, h.term, lineprotocol.Position{}
+	p.leaseEnd, p.stamp, p.term, p.observed = sentAt+historyLease, stamp, h.term, lineprotocol.Position{}
 	if h.inFailover {
-		c.learnedFailover = h.failoverID
+		p.learnedFailover = h.failoverID
 	}
 }
 
-// received returns a copy of a report, as decoded from a message it shares nothing with the
+// decodedCopy returns a copy of a report, as decoded from a message it shares nothing with the
 // sender.
-func received(r Report) Report {
+func decodedCopy(r Report) Report {
 	return Report{Left: maps.Clone(r.Left), AckedUpperBound: maps.Clone(r.AckedUpperBound), AckedLowerBound: maps.Clone(r.AckedLowerBound)}
 }
 
-// serve lets a pooler run a statement at the primary and acknowledge a commit.
-func (h *history) serve(c *simPooler) {
-	if h.now >= c.leaseEnd || c.learnedFailover == h.failoverID && h.inFailover {
+// execute lets a pooler run a statement at the primary and acknowledge a commit.
+func (h *history) execute(p *simPooler) {
+	if h.now >= p.leaseEnd || p.learnedFailover == h.failoverID && h.inFailover {
 		return
 	}
 	if h.r.IntN(2) == 0 {
 		h.lastNumber++
-		if c.left < h.failoverID || !h.inFailover {
+		if p.released < h.failoverID || !h.inFailover {
 			h.newestAcked = lineprotocol.Position{Term: 1, Number: h.lastNumber}
-			c.certain = c.acked.Next()
-			if h.claimsMore {
-				c.certain = h.newestAcked.Next()
+			p.lowerBound = p.acked.Next()
+			if h.lowerBoundTooHigh {
+				p.lowerBound = h.newestAcked.Next()
 			}
-			c.acked = h.newestAcked
+			p.acked = h.newestAcked
 		}
 	}
-	if c.stamp > 0 {
-		c.observed = lineprotocol.Position{Term: 1, Number: h.lastNumber}
+	if p.stamp > 0 {
+		p.observed = lineprotocol.Position{Term: 1, Number: h.lastNumber}
 	}
 }
 
@@ -148,35 +148,35 @@
 // the acknowledged commits, or its lower bound is past them.
 func (h *history) step() bool {
 	h.now += kernel.Micros(1 + h.r.IntN(4))
-	c := h.poolers[h.r.IntN(len(h.poolers))]
-	switch e := h.r.IntN(40); {
-	case e < 16:
-		h.serve(c)
-	case e < 32:
-		h.poll(c)
-	case e == 32 && h.r.IntN(3) == 0:
-		if h.forgetsIncarnations {
-			h.readers.acks.unreportedUntil = 0
+	p := h.poolers[h.r.IntN(len(h.poolers))]
+	switch event := h.r.IntN(40); {
+	case event < 16:
+		h.execute(p)
+	case event < 32:
+		h.poll(p)
+	case event == 32 && h.r.IntN(3) == 0:
+		if h.ignoresEndedIncarnations {
+			h.readLeases.acks.unreportedUntil = 0
 		}
-		h.restart(c)
-	case e == 33 && h.r.IntN(10) == 0:
+		h.restart(p)
+	case event == 33 && h.r.IntN(10) == 0:
 		h.takeOver()
-	case e == 34 && !h.inFailover:
+	case event == 34 && !h.inFailover:
 		h.failoverID, h.inFailover = h.failoverID+1, true
-	case e > 34 && h.inFailover:
-		left, _ := h.readers.AllLeft("svc", h.failoverID, h.now)
-		if !left {
+	case event > 34 && h.inFailover:
+		released, _ := h.readLeases.AllReleased("svc", h.failoverID, h.now)
+		if !released {
 			return true
 		}
 		failoverID := h.failoverID
-		if h.countsOld {
+		if h.acceptsOldReports {
 			failoverID--
 		}
-		bound, known := h.readers.AcknowledgedUpperBound("svc", failoverID)
+		bound, known := h.readLeases.AcknowledgedUpperBound("svc", failoverID)
 		if known && bound.Less(h.newestAcked) {
 			return false
 		}
-		if certain, known := h.readers.AcknowledgedLowerBound("svc", h.failoverID); known && h.newestAcked.Less(certain) {
+		if lowerBound, known := h.readLeases.AcknowledgedLowerBound("svc", h.failoverID); known && h.newestAcked.Less(lowerBound) {
 			return false
 		}
 		if known {
@@ -184,8 +184,8 @@
 		}
 		h.inFailover = false // another database leads, or the failover is cancelled
 	}
-	if h.forgetsIncarnations {
-		h.readers.acks.unreportedUntil = 0
+	if h.ignoresEndedIncarnations {
+		h.readLeases.acks.unreportedUntil = 0
 	}
 	return true
 }
@@ -211,10 +211,10 @@
 // The check of the history must detect each injected fault.
 func TestHistoryDetectsWrongBounds(t *testing.T) {
 	for name, injectFault := range map[string]func(*history){
-		"ended incarnations are forgotten":              func(h *history) { h.forgetsIncarnations = true },
-		"stamps are in the future":                      func(h *history) { h.stampsLate = true },
-		"reports for an earlier failover count":         func(h *history) { h.countsOld = true },
-		"the lower bound exceeds what was acknowledged": func(h *history) { h.claimsMore = true },
+		"ended incarnations are forgotten":              func(h *history) { h.ignoresEndedIncarnations = true },
+		"stamps are in the future":                      func(h *history) { h.stampsInFuture = true },
+		"reports for an earlier failover count":         func(h *history) { h.acceptsOldReports = true },
+		"the lower bound exceeds what was acknowledged": func(h *history) { h.lowerBoundTooHigh = true },
 	} {
 		found := false
 		for seed := uint64(0); seed < 4000 && !found; seed++ {
@@ -233,7 +233,7 @@
 // Of many services each pooler must be asked to observe some, the same ones for a while, and all
 // poolers together all of them.
 func TestObservedServicesAreSpreadOverPoolers(t *testing.T) {
-	r := NewReaders()
+	readLeases := NewReaders()
 	var services []string
 	for i := range 60 {
 		services = append(services, fmt.Sprint("svc", i))
@@ -242,14 +242,14 @@
 	for i := range 40 {
 		pooler := fmt.Sprint("pooler-", i)
 		slices.Reverse(services) // the order must not matter
-		r.SetLedServices(services)
-		first := r.ServicesToObserve(pooler, 10*observeRotation)
+		readLeases.SetServicesWithLeader(services)
+		first := readLeases.ServicesToObserve(pooler, 10*observeRotation)
 		if len(first) != maxServicesToObserve {
 			t.Fatalf("%s is asked to observe %d services", pooler, len(first))
 		}
 		slices.Reverse(services)
-		r.SetLedServices(services)
-		if again := r.ServicesToObserve(pooler, 11*observeRotation-1); !slices.Equal(first, again) {
+		readLeases.SetServicesWithLeader(services)
+		if again := readLeases.ServicesToObserve(pooler, 11*observeRotation-1); !slices.Equal(first, again) {
 			t.Errorf("%s is asked to observe %v, and soon after %v", pooler, first, again)
 		}
 		for _, service := range first {
--- a/internal/failover/attempts_test.go
+++ b/internal/failover/attempts_test.go
@@ -14,17 +14,17 @@
 // same name.
 func TestOldAttemptsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), Config{}, nil, nil, nil, nil)
+		m := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), Config{}, nil, nil, nil, nil)
 		for day := range 1000 {
-			c.elapsedSinceFirst(fmt.Sprint("gone database-", day%2))
-			c.attemptDue(fmt.Sprint("resume database-", day))
+			m.elapsedSinceFirst(fmt.Sprint("gone database-", day%2))
+			m.attemptDue(fmt.Sprint("resume database-", day))
 			time.Sleep(24 * time.Hour)
 		}
-		if n := len(c.attempts); n > 2 {
+		if n := len(m.attempts); n > 2 {
 			t.Errorf("%d attempts are kept", n)
 		}
-		if span := c.elapsedSinceFirst("gone database-0"); span > kernel.Second {
-			t.Errorf("a database has just gone, but %d s are reported", span/kernel.Second)
+		if elapsed := m.elapsedSinceFirst("gone database-0"); elapsed > kernel.Second {
+			t.Errorf("a database has just gone, but %d s are reported", elapsed/kernel.Second)
 		}
 	})
 }
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -7,7 +7,7 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// PausedReplica is what a replica reported once it was paused.
+// PausedReplica is a replica that has been paused, with the position that it then reported.
 type PausedReplica struct {
 	ID       string                `json:"id"`
 	Received lineprotocol.Position `json:"received"`
@@ -18,45 +18,45 @@
 type AbsentReplica struct {
 	ID   string `json:"id"`
 	Gone bool   `json:"gone,omitempty"`
-	// Limit is the furthest position at which it may hold an acknowledged commit; nil if none is
-	// known.
-	Limit *lineprotocol.Position `json:"limit,omitempty"`
+	// CommitLimit is the last position at which it may hold an acknowledged commit; nil if no
+	// limit is known.
+	CommitLimit *lineprotocol.Position `json:"limit,omitempty"`
 }
 
-// Situation is all that the choice of the next primary depends on.
-type Situation struct {
-	SyncReplicas int             `json:"sync"` // sync_replicas
+// ChoiceInput is everything on which the choice of the next primary depends.
+type ChoiceInput struct {
+	SyncReplicas int             `json:"sync"` // sync_replicas of the service
 	Copies       []PausedReplica `json:"copies"`
 	Absent       []AbsentReplica `json:"absent,omitempty"` // all other replicas of the service
-	// PrimaryPosition is the old primary's own position, queried after every pooler had left it;
-	// nil if it did not respond.
+	// PrimaryPosition is the old primary's own position, queried after every pooler had released
+	// it; nil if it did not respond.
 	PrimaryPosition *lineprotocol.Position `json:"held,omitempty"`
-	// ChosenPosition is the position of the replica that was chosen earlier in this failover and
-	// could not be promoted; nil if none was.
+	// ChosenPosition is the position of a replica that was chosen earlier in this failover but
+	// could not be promoted; nil if there is none.
 	ChosenPosition *lineprotocol.Position `json:"floor,omitempty"`
-	// MinPosition is a position up to which databases that have since been removed may have held
-	// commits.
+	// MinPosition is the position up to which databases that were removed since may have held
+	// acknowledged commits.
 	MinPosition lineprotocol.Position `json:"least"`
 	// AckedUpperBound covers every commit that was acknowledged to a client; nil if no bound is known.
 	AckedUpperBound *lineprotocol.Position `json:"acked,omitempty"`
-	// AckedLowerBound is a position that some acknowledged commit has reached at least; nil if
-	// none is known.
+	// AckedLowerBound is a position such that a commit at it, or at a later one, was acknowledged
+	// to a client; nil if none is known.
 	AckedLowerBound *lineprotocol.Position `json:"certain,omitempty"`
-	// FirstHeartbeatsElapsed says that the longest delay of a first heartbeat has passed, so that
-	// every replica that receives commits has been heard.
+	// FirstHeartbeatsElapsed says that the maximum delay of a first heartbeat has passed, so that
+	// every replica that receives commits is known.
 	FirstHeartbeatsElapsed bool `json:"beats_due,omitempty"`
 }
 
 // ChoiceKind is the kind of recorded event that holds a Choice.
 const ChoiceKind = "choice"
 
-// Choice records one choice of a primary.
+// Choice records one choice of a primary, or the refusal of one.
 type Choice struct {
-	Service   string    `json:"svc"`
-	Epoch     int64     `json:"epoch"`
-	Situation Situation `json:"situation"`
-	To        string    `json:"to"`
-	Accepted  bool      `json:"accepted,omitempty"` // an operator accepted that commits may be lost
+	Service   string      `json:"svc"`
+	Epoch     int64       `json:"epoch"`
+	Situation ChoiceInput `json:"situation"`
+	To        string      `json:"to"`
+	Accepted  bool        `json:"accepted,omitempty"` // an operator accepted that commits may be lost
 }
 
 // Reasons why no replica may be promoted yet.
@@ -72,59 +72,62 @@
 
 // ChoosePrimary picks the replica to promote, or returns why none may be promoted yet.
 //
-// An acknowledged commit is on at least SyncReplicas replicas. The most advanced of those that
-// responded holds it unless SyncReplicas others may be further ahead: absent replicas, except for
-// those whose limit it has reached. It must also hold what removed databases may have held. If an
-// upper bound of the acknowledged commits is known, any replica that has received as much is
-// eligible; one that is not draining is preferred. If no known replica has received as much, one
-// may have that has not sent a heartbeat yet: it is waited for as long as a first heartbeat may
-// take, or without limit if a commit is known to have been acknowledged that no known replica
-// has. Once a replica was chosen in this failover, any that has received as much is eligible: the
-// poolers have left the old primary, and nobody writes to the chosen one before it is known to
-// lead. If the old primary responded, a single replica that is not draining and has everything
-// that it holds is enough.
-func ChoosePrimary(s Situation) (id, refusal string) {
-	copies := byPosition(s.Copies)
-	if len(copies) == 0 {
+// An acknowledged commit is on at least SyncReplicas replicas. So the most advanced of the paused
+// replicas holds every acknowledged commit unless SyncReplicas of the absent ones may be ahead of
+// it, which those cannot be whose CommitLimit it has reached. It must also hold what removed
+// databases may have held.
+//
+// Any replica that has reached the known upper bound of the acknowledged commits is eligible; one
+// that is not draining is preferred. If no known replica has reached it, one that has not sent its
+// first heartbeat yet may have: the choice is deferred for as long as a first heartbeat may take,
+// or without limit if a commit is known to have been acknowledged that no known replica holds.
+//
+// Once a replica has been chosen in this failover, any that has received as much is eligible: the
+// poolers have released the old primary, and none writes to the chosen one before it is recorded as
+// the leader. If the old primary responded, one replica that is not draining and has received
+// everything that the primary holds is enough.
+func ChoosePrimary(input ChoiceInput) (id, refusal string) {
+	replicas := byPosition(input.Copies)
+	if len(replicas) == 0 {
 		return "", noReplicaResponds
 	}
-	best := copies[0].Received
-	if s.ChosenPosition != nil && !best.Less(*s.ChosenPosition) {
-		return copies[0].ID, ""
+	best := replicas[0].Received
+	if input.ChosenPosition != nil && !best.Less(*input.ChosenPosition) {
+		return replicas[0].ID, ""
 	}
-	if s.PrimaryPosition != nil {
-		// Of equal positions, one that is not draining sorts first.
-		if best.Less(*s.PrimaryPosition) || copies[0].Draining {
+	if input.PrimaryPosition != nil {
+		// Of replicas at the same position, those that are not draining are sorted first.
+		if best.Less(*input.PrimaryPosition) || replicas[0].Draining {
 			return "", replicasBehindPrimary
 		}
-		return copies[0].ID, ""
+		return replicas[0].ID, ""
 	}
-	if s.AckedUpperBound != nil {
-		if id := mostAdvancedReaching(copies, *s.AckedUpperBound); id != "" {
+	if input.AckedUpperBound != nil {
+		if id := mostAdvancedReaching(replicas, *input.AckedUpperBound); id != "" {
 			return id, ""
 		}
 	}
-	ahead := s.mayBeAhead(best)
-	gone := len(slices.DeleteFunc(slices.Clone(ahead), func(a AbsentReplica) bool { return !a.Gone }))
-	switch sync := max(s.SyncReplicas, 1); {
-	case gone >= sync || best.Less(s.MinPosition):
+	ahead := input.mayBeAhead(best)
+	goneAhead := len(slices.DeleteFunc(slices.Clone(ahead), func(a AbsentReplica) bool { return !a.Gone }))
+	switch required := max(input.SyncReplicas, 1); {
+	case goneAhead >= required || best.Less(input.MinPosition):
 		return "", removedMayHaveHeldCommit
-	case len(ahead) >= sync:
+	case len(ahead) >= required:
 		return "", unresponsiveMayHoldCommit
-	case s.SyncReplicas == 0: // no replica is required to have an acknowledged commit
-	case s.AckedLowerBound != nil && best.Less(*s.AckedLowerBound):
+	case input.SyncReplicas == 0: // no replica is required to have an acknowledged commit
+	case input.AckedLowerBound != nil && best.Less(*input.AckedLowerBound):
 		return "", acknowledgedCommitMissing
-	case s.AckedUpperBound != nil && best.Less(*s.AckedUpperBound) && !s.FirstHeartbeatsElapsed:
+	case input.AckedUpperBound != nil && best.Less(*input.AckedUpperBound) && !input.FirstHeartbeatsElapsed:
 		return "", awaitingFirstHeartbeat
 	}
-	return copies[0].ID, ""
+	return replicas[0].ID, ""
 }
 
-// byPosition returns the replicas sorted by position, the most advanced first; of equal ones,
-// those that are not draining come first.
-func byPosition(copies []PausedReplica) []PausedReplica {
-	copies = slices.Clone(copies)
-	slices.SortStableFunc(copies, func(a, b PausedReplica) int {
+// byPosition returns the replicas sorted by position, the most advanced first. Of replicas at the
+// same position, those that are not draining are first.
+func byPosition(replicas []PausedReplica) []PausedReplica {
+	replicas = slices.Clone(replicas)
+	slices.SortStableFunc(replicas, func(a, b PausedReplica) int {
 		switch {
 		case b.Received.Less(a.Received):
 			return -1
@@ -138,35 +141,35 @@
 		}
 		return strings.Compare(a.ID, b.ID)
 	})
-	return copies
+	return replicas
 }
 
-// MostAdvanced returns the ID of the replica that has received the most, "" if there is none.
-func MostAdvanced(copies []PausedReplica) string {
-	if len(copies) == 0 {
+// MostAdvanced returns the ID of the replica with the newest position, "" if there is none.
+func MostAdvanced(replicas []PausedReplica) string {
+	if len(replicas) == 0 {
 		return ""
 	}
-	return byPosition(copies)[0].ID
+	return byPosition(replicas)[0].ID
 }
 
 // mostAdvancedReaching returns the most advanced replica that has reached the position,
 // preferring those that are not draining; "" if none has. The replicas must be sorted by
 // byPosition.
-func mostAdvancedReaching(copies []PausedReplica, position lineprotocol.Position) (id string) {
-	for _, c := range copies {
+func mostAdvancedReaching(replicas []PausedReplica, position lineprotocol.Position) (id string) {
+	for _, replica := range replicas {
 		switch {
-		case c.Received.Less(position):
+		case replica.Received.Less(position):
 			return id
-		case !c.Draining:
-			return c.ID
+		case !replica.Draining:
+			return replica.ID
 		case id == "":
-			id = c.ID
+			id = replica.ID
 		}
 	}
 	return id
 }
 
-// positionText formats a position, which may be unknown, for the log.
+// positionText formats a position for the log; nil is one that is not known.
 func positionText(p *lineprotocol.Position) string {
 	if p == nil {
 		return "not known"
@@ -175,16 +178,16 @@
 }
 
 // mayBeAhead lists the absent replicas that may hold commits past a position.
-func (s Situation) mayBeAhead(of lineprotocol.Position) []AbsentReplica {
-	return slices.DeleteFunc(slices.Clone(s.Absent), func(a AbsentReplica) bool { return a.Limit != nil && !of.Less(*a.Limit) })
+func (input ChoiceInput) mayBeAhead(position lineprotocol.Position) []AbsentReplica {
+	return slices.DeleteFunc(slices.Clone(input.Absent), func(a AbsentReplica) bool { return a.CommitLimit != nil && !position.Less(*a.CommitLimit) })
 }
 
-// mostAdvancedPosition returns the position of the replica that has received the most.
-func (s Situation) mostAdvancedPosition() (best lineprotocol.Position) {
-	for _, c := range s.Copies {
-		if best.Less(c.Received) {
-			best = c.Received
+// mostAdvancedPosition returns the newest position of the paused replicas.
+func (input ChoiceInput) mostAdvancedPosition() (newest lineprotocol.Position) {
+	for _, replica := range input.Copies {
+		if newest.Less(replica.Received) {
+			newest = replica.Received
 		}
 	}
-	return best
+	return newest
 }
--- a/internal/failover/choose_test.go
+++ b/internal/failover/choose_test.go
@@ -10,73 +10,73 @@
 func TestChoosePrimary(t *testing.T) {
 	at := func(n int64) lineprotocol.Position { return lineprotocol.Position{Term: 1, Number: n} }
 	held := at(9)
-	pos := func(n int64) *lineprotocol.Position { p := at(n); return &p }
+	pointer := func(n int64) *lineprotocol.Position { p := at(n); return &p }
 	unresponsive, gone := []AbsentReplica{{ID: "x"}}, []AbsentReplica{{ID: "x", Gone: true}}
-	for _, c := range []struct {
-		name string
-		s    Situation
-		want string
+	for _, test := range []struct {
+		name  string
+		input ChoiceInput
+		want  string
 	}{
-		{"no replica responds", Situation{SyncReplicas: 1, Absent: append(unresponsive, AbsentReplica{ID: "y"})}, ""},
-		{"the most advanced", Situation{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(5), false}, {"b", at(7), false}}}, "b"},
-		{"one of two", Situation{Absent: unresponsive, SyncReplicas: 1, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"one of two, two in sync", Situation{Absent: unresponsive, SyncReplicas: 2, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"one of two, the primary holds no more", Situation{Absent: unresponsive, SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), false}}}, "a"},
-		{"the primary holds more", Situation{SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(8), false}, {"b", at(8), false}}}, ""},
-		{"only a draining replica holds as much as the primary", Situation{SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), true}, {"b", at(8), false}}}, ""},
-		{"only a draining replica holds it", Situation{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(9), true}, {"b", at(8), false}}}, "a"},
-		{"the unresponsive one was paused no further", Situation{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", Limit: pos(5)}}, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"the unresponsive one was paused further", Situation{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", Limit: pos(6)}}, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"one is gone", Situation{SyncReplicas: 1, Absent: gone, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"two in sync, one gone and one unresponsive", Situation{SyncReplicas: 2, Absent: append(gone, unresponsive...), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"less than a removed one held", Situation{SyncReplicas: 1, MinPosition: at(6), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"as much as a removed one held", Situation{SyncReplicas: 1, MinPosition: at(6), Copies: []PausedReplica{{"a", at(6), false}}}, "a"},
-		{"as much as the one chosen before", Situation{SyncReplicas: 1, ChosenPosition: pos(5), Absent: unresponsive, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"as much, but it is draining, and the primary responds", Situation{SyncReplicas: 1, ChosenPosition: pos(9), PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), true}}}, "a"},
-		{"less than the one chosen before", Situation{SyncReplicas: 1, ChosenPosition: pos(6), Absent: unresponsive, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"an acknowledged commit is on no known replica", Situation{SyncReplicas: 1, AckedLowerBound: pos(6), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"the best position is that of the acknowledged commits", Situation{SyncReplicas: 1, AckedLowerBound: pos(5), AckedUpperBound: pos(5), Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"a replica whose first heartbeat is late may hold more", Situation{SyncReplicas: 1, AckedLowerBound: pos(5), AckedUpperBound: pos(6), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"the longest delay of a first heartbeat has passed", Situation{SyncReplicas: 1, AckedLowerBound: pos(5), AckedUpperBound: pos(6), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"no replica needs to have a commit", Situation{AckedLowerBound: pos(6), AckedUpperBound: pos(6), Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"the primary responds, and no replica holds everything", Situation{SyncReplicas: 1, PrimaryPosition: &held, AckedLowerBound: pos(9), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(8), false}}}, ""},
-		{"one that is not draining is preferred", Situation{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(7), true}, {"b", at(7), false}}}, "b"},
-		{"a later term counts more", Situation{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(9), false}, {"b", lineprotocol.Position{Term: 2, Number: 1}, false}}}, "b"},
+		{"no replica responds", ChoiceInput{SyncReplicas: 1, Absent: append(unresponsive, AbsentReplica{ID: "y"})}, ""},
+		{"the most advanced", ChoiceInput{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(5), false}, {"b", at(7), false}}}, "b"},
+		{"one of two", ChoiceInput{Absent: unresponsive, SyncReplicas: 1, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"one of two, two in sync", ChoiceInput{Absent: unresponsive, SyncReplicas: 2, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"one of two, the primary holds no more", ChoiceInput{Absent: unresponsive, SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), false}}}, "a"},
+		{"the primary holds more", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(8), false}, {"b", at(8), false}}}, ""},
+		{"only a draining replica holds as much as the primary", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), true}, {"b", at(8), false}}}, ""},
+		{"only a draining replica holds it", ChoiceInput{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(9), true}, {"b", at(8), false}}}, "a"},
+		{"the unresponsive one was paused no further", ChoiceInput{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", CommitLimit: pointer(5)}}, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"the unresponsive one was paused further", ChoiceInput{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", CommitLimit: pointer(6)}}, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"one is gone", ChoiceInput{SyncReplicas: 1, Absent: gone, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"two in sync, one gone and one unresponsive", ChoiceInput{SyncReplicas: 2, Absent: append(gone, unresponsive...), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"less than a removed one held", ChoiceInput{SyncReplicas: 1, MinPosition: at(6), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"as much as a removed one held", ChoiceInput{SyncReplicas: 1, MinPosition: at(6), Copies: []PausedReplica{{"a", at(6), false}}}, "a"},
+		{"as much as the one chosen before", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(5), Absent: unresponsive, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"as much, but it is draining, and the primary responds", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(9), PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), true}}}, "a"},
+		{"less than the one chosen before", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(6), Absent: unresponsive, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"an acknowledged commit is on no known replica", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(6), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"the best position is that of the acknowledged commits", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(5), Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"a replica whose first heartbeat is late may hold more", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(6), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"the longest delay of a first heartbeat has passed", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(6), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"no replica needs to have a commit", ChoiceInput{AckedLowerBound: pointer(6), AckedUpperBound: pointer(6), Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"the primary responds, and no replica holds everything", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, AckedLowerBound: pointer(9), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(8), false}}}, ""},
+		{"one that is not draining is preferred", ChoiceInput{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(7), true}, {"b", at(7), false}}}, "b"},
+		{"a later term counts more", ChoiceInput{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(9), false}, {"b", lineprotocol.Position{Term: 2, Number: 1}, false}}}, "b"},
 	} {
-		if got, why := ChoosePrimary(c.s); got != c.want || (got == "") == (why == "") {
-			t.Errorf("%s: %q (%s), want %q", c.name, got, why, c.want)
+		if got, refusal := ChoosePrimary(test.input); got != test.want || (got == "") == (refusal == "") {
+			t.Errorf("%s: %q (%s), want %q", test.name, got, refusal, test.want)
 		}
 	}
 }
 
-func TestReadersHoldAPromotionUpUntilTheyLeaveOrTheirLeaseEnds(t *testing.T) {
-	r := NewReaders()
+func TestFailoverWaitsForReadLeases(t *testing.T) {
+	readLeases := NewReaders()
 	now := kernel.Second
-	leftAt := func(turn int64) Report { return Report{Left: map[string]int64{"svc": turn}} }
-	r.RecordReport("d1", 10, Report{}, now)
-	r.Grant("d1", 10, now+5)
-	r.RecordReport("d2", 10, Report{}, now)
-	r.Grant("d2", 10, now+9)
-	if ok, wait := r.AllLeft("svc", 1, now); ok || wait != 9 {
+	released := func(failoverID int64) Report { return Report{Left: map[string]int64{"svc": failoverID}} }
+	readLeases.RecordReport("d1", 10, Report{}, now)
+	readLeases.Grant("d1", 10, now+5)
+	readLeases.RecordReport("d2", 10, Report{}, now)
+	readLeases.Grant("d2", 10, now+9)
+	if ok, wait := readLeases.AllReleased("svc", 1, now); ok || wait != 9 {
 		t.Errorf("left %v, wait %d", ok, wait)
 	}
-	r.RecordReport("d2", 10, leftAt(1), now)
-	if ok, _ := r.AllLeft("svc", 1, now+4); ok {
+	readLeases.RecordReport("d2", 10, released(1), now)
+	if ok, _ := readLeases.AllReleased("svc", 1, now+4); ok {
 		t.Error("d1's lease still runs, yet it is not waited for")
 	}
-	if ok, _ := r.AllLeft("svc", 1, now+5); !ok {
+	if ok, _ := readLeases.AllReleased("svc", 1, now+5); !ok {
 		t.Error("d1's lease has expired, yet it is waited for")
 	}
-	if newest, ok := r.RecordReport("d1", 9, leftAt(5), now); ok || newest != 10 || r.Grant("d1", 9, now+99) {
+	if newest, ok := readLeases.RecordReport("d1", 9, released(5), now); ok || newest != 10 || readLeases.Grant("d1", 9, now+99) {
 		t.Error("an earlier incarnation of a pooler was accepted, or the newest one not returned")
 	}
-	r.BeginTerm(2, map[string]int64{"d1": 10, "d3": 4}, now, 50)
-	r.BeginTerm(2, nil, 0, 0) // the same term again changes nothing
-	if ok, wait := r.AllLeft("svc", 1, now); ok || wait != 50 {
+	readLeases.BeginTerm(2, map[string]int64{"d1": 10, "d3": 4}, now, 50)
+	readLeases.BeginTerm(2, nil, 0, 0) // the same term again changes nothing
+	if ok, wait := readLeases.AllReleased("svc", 1, now); ok || wait != 50 {
 		t.Errorf("in a new term: left %v, wait %d", ok, wait)
 	}
-	r.RecordReport("d3", 4, leftAt(1), now)
-	if r.RecordReport("d1", 11, Report{}, now); !func() bool { ok, _ := r.AllLeft("svc", 1, now); return ok }() {
+	readLeases.RecordReport("d3", 4, released(1), now)
+	if readLeases.RecordReport("d1", 11, Report{}, now); !func() bool { ok, _ := readLeases.AllReleased("svc", 1, now); return ok }() {
 		t.Error("a new incarnation holds the lease of the previous one")
 	}
 }
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,6 +1,7 @@
 // Package failover moves the leadership of a service from one database to another, both when the
-// primary fails and when it is being replaced. It acts only in the primary of the control state,
-// while that holds its lease; the epoch is the fencing token.
+// leader has failed and when it is being replaced. Every control node runs a Manager, but only the
+// one at the primary of the control state acts, while it holds its lease; the epoch of the control
+// state is the fencing token.
 package failover
 
 import (
@@ -22,7 +23,7 @@
 // retryInterval is the pause between two attempts at the same step.
 const retryInterval = 100 * kernel.Millisecond
 
-// busyRetryInterval is the pause before a database that has no free slot is asked again.
+// busyRetryInterval is the pause before a database that has no free slot is queried again.
 const busyRetryInterval = 15 * kernel.Millisecond
 
 // Errors of this package.
@@ -33,151 +34,153 @@
 
 // Config configures a Manager.
 type Config struct {
-	Name                  string // the name by which this node identifies itself as the duty holder
-	Platform              string
-	Leaderless            bool // the databases are all alike and none is a leader
-	ReaderLease           kernel.Micros
+	Name                  string // by which this node identifies itself to the platform as the duty holder
+	PlatformAddr          string
+	Leaderless            bool          // the databases of a service are all alike, and none is the leader
+	ReaderLease           kernel.Micros // duration of a read lease
 	Dialer                dbconn.Dialer
 	RequestTimeout        kernel.Micros // for one response of a database
-	HeartbeatWait         kernel.Micros // how long to wait for the heartbeat of a promoted database before querying it
-	FirstHeartbeatTimeout kernel.Micros // the longest that a replica may receive commits before its first heartbeat is processed
+	HeartbeatWait         kernel.Micros // a promoted database that has sent no heartbeat for this long is queried
+	FirstHeartbeatTimeout kernel.Micros // upper bound of the time that a replica receives commits before its first heartbeat is processed
 }
 
-// Manager carries out failovers in the primary of the control state.
+// Manager carries out failovers while this control node is the primary of the control state.
 type Manager struct {
-	k        *kernel.Kernel
-	cfg      Config
-	state    *controlstate.Replica
-	registry *discovery.Registry
-	health   *health.Monitor
-	readers  *Readers
-	platform *platform
-
-	databases *controlstate.Decoder[discovery.Database]
-	leaders   *controlstate.Decoder[Leader]
-	poolers   *controlstate.Decoder[int64]
+	k            *kernel.Kernel
+	cfg          Config
+	controlState *controlstate.Replica
+	registry     *discovery.Registry
+	health       *health.Monitor
+	readLeases   *Readers
+	platform     *platformClient
+
+	databaseDecoder *controlstate.Decoder[discovery.Database]
+	leaderDecoder   *controlstate.Decoder[Leader]
+	poolerDecoder   *controlstate.Decoder[int64]
 
 	mu                     sync.Mutex
-	busy                   map[string]bool          // services that this process is working on
-	attempts               map[string]kernel.Micros // when each rate-limited action was last attempted
+	busy                   map[string]bool          // keys for which runExclusive is running work
+	attempts               map[string]kernel.Micros // by key, the times kept by attemptDue and elapsedSinceFirst
 	waitReasons            map[string]string        // why a service's failover is waiting, by service
 	resumed                map[string]*resumeState  // by service
 	cached                 *snapshot                // the control state as of cachedEpoch and cachedSeq
 	cachedEpoch, cachedSeq int64
 	cachedConfig           json.RawMessage // from which the cached snapshot's configuration was decoded
-	progress               kernel.Notifier
+	workDone               kernel.Notifier // notified whenever runExclusive has finished some work
 }
 
 // New returns a failover manager.
-func New(k *kernel.Kernel, cfg Config, v *controlstate.Replica, acc *discovery.Registry, health *health.Monitor, readers *Readers) *Manager {
+func New(k *kernel.Kernel, cfg Config, state *controlstate.Replica, registry *discovery.Registry, health *health.Monitor, readLeases *Readers) *Manager {
 	return &Manager{
-		k: k, cfg: cfg, state: v, registry: acc, health: health, readers: readers,
-		platform:  newPlatform(k.Net, cfg.Platform, cfg.Name),
-		databases: discovery.Decoder(), leaders: Decoder(), poolers: controlstate.NewDecoder[int64](proxyPrefix),
+		k: k, cfg: cfg, controlState: state, registry: registry, health: health, readLeases: readLeases,
+		platform:        newPlatformClient(k.Net, cfg.PlatformAddr, cfg.Name),
+		databaseDecoder: discovery.Decoder(), leaderDecoder: Decoder(), poolerDecoder: controlstate.NewDecoder[int64](proxyPrefix),
 		busy: map[string]bool{}, attempts: map[string]kernel.Micros{}, waitReasons: map[string]string{}, resumed: map[string]*resumeState{},
 	}
 }
 
-// Serve reconciles the actual state with the desired state whenever either may have changed.
-func (c *Manager) Serve(ctx context.Context) error {
+// Serve reconciles the databases with the control state whenever either may have changed.
+func (m *Manager) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		vc, hc, ac, pc := c.state.Changed(), c.health.Changed(), c.registry.Changed(), c.progress.Wait()
-		c.reconcile()
-		t := time.NewTimer((500 * kernel.Millisecond).Duration())
+		stateChanged, healthChanged, rolesChanged, workDone := m.controlState.Changed(), m.health.Changed(), m.registry.Changed(), m.workDone.Wait()
+		m.reconcile()
+		timer := time.NewTimer((500 * kernel.Millisecond).Duration())
 		select {
 		case <-ctx.Done():
-		case <-vc:
-		case <-hc:
-		case <-ac:
-		case <-pc:
-		case <-t.C:
+		case <-stateChanged:
+		case <-healthChanged:
+		case <-rolesChanged:
+		case <-workDone:
+		case <-timer.C:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 	return nil
 }
 
-func (c *Manager) reconcile() {
-	term, err := c.state.Term()
+// reconcile examines the current state once, and starts the work that it requires.
+func (m *Manager) reconcile() {
+	term, err := m.controlState.Term()
 	if err != nil {
 		return
 	}
 	ctx := term.Context()
-	s, err := c.loadSnapshot()
+	s, err := m.loadSnapshot()
 	if err != nil {
 		if !errors.Is(err, controlstate.ErrNotPrimary) {
-			c.k.Counters.Add("failover.unreadable", 1)
+			m.k.Counters.Add("failover.unreadable", 1)
 		}
 		return
 	}
-	c.readers.BeginTerm(term.FirstEpoch(), s.poolers, c.k.Clock.Now(), c.cfg.ReaderLease)
-	c.health.SetKnown(s.known)
-	c.removeReaders(ctx)
-	if c.cfg.Leaderless {
-		c.removeDatabases(ctx, s)
+	m.readLeases.BeginTerm(term.FirstEpoch(), s.poolers, m.k.Clock.Now(), m.cfg.ReaderLease)
+	m.health.SetKnown(s.databaseIDs)
+	m.removeReaders(ctx)
+	if m.cfg.Leaderless {
+		m.removeDatabases(ctx, s)
 		return
 	}
-	c.readers.SetLedServices(slices.Collect(maps.Keys(s.leaders)))
+	m.readLeases.SetServicesWithLeader(slices.Collect(maps.Keys(s.leaders)))
 	for svc := range s.services {
-		lead, known := s.leaders[svc]
-		switch back := s.returnedLeader(lead); {
-		case known && back != "" && !lead.PlatformCalled:
-			c.runExclusive(svc, func() error { return c.restoreLeader(ctx, s, lead, back) })
-		case !known:
-			c.runExclusive(svc, func() error { return c.adoptLeader(ctx, s, svc) })
-		case lead.FailoverInProgress || needsFailover(s.services[svc], lead.ID, c.health.Up):
-			c.runExclusive(svc, func() error { return c.advanceFailover(ctx, svc) })
+		leader, recorded := s.leaders[svc]
+		switch returnedID := s.returnedLeader(leader); {
+		case recorded && returnedID != "" && !leader.PlatformCalled:
+			m.runExclusive(svc, func() error { return m.restoreLeader(ctx, s, leader, returnedID) })
+		case !recorded:
+			m.runExclusive(svc, func() error { return m.adoptLeader(ctx, s, svc) })
+		case leader.FailoverInProgress || needsFailover(s.services[svc], leader.ID, m.health.Up):
+			m.runExclusive(svc, func() error { return m.advanceFailover(ctx, svc) })
 		default:
-			c.reconcileReplicas(ctx, s, lead)
+			m.reconcileReplicas(ctx, s, leader)
 		}
 	}
 }
 
-// runExclusive runs f in the background unless work for the same service is already running.
-func (c *Manager) runExclusive(svc string, f func() error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.busy[svc] {
+// runExclusive runs work in the background unless other work for the same service is running.
+func (m *Manager) runExclusive(svc string, work func() error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.busy[svc] {
 		return
 	}
-	c.busy[svc] = true
+	m.busy[svc] = true
 	go func() {
-		err := f()
+		err := work()
 		if err != nil {
 			if !errors.Is(err, errRetryLater) {
-				c.k.Counters.Add("failover.setbacks", 1)
+				m.k.Counters.Add("failover.setbacks", 1)
 			}
 			time.Sleep(retryInterval.Duration())
 		}
-		c.mu.Lock()
-		delete(c.busy, svc)
-		c.mu.Unlock()
-		c.progress.NotifyAll()
+		m.mu.Lock()
+		delete(m.busy, svc)
+		m.mu.Unlock()
+		m.workDone.NotifyAll()
 	}()
 }
 
-// adoptLeader records the leader of a service for which there has been no failover yet.
-func (c *Manager) adoptLeader(ctx context.Context, s *snapshot, svc string) error {
-	var found []string
+// adoptLeader records the first leader of a service: the one database that reports the role of the
+// primary.
+func (m *Manager) adoptLeader(ctx context.Context, s *snapshot, svc string) error {
+	var primaries []string
 	for _, d := range s.replicas(svc, "") {
 		if s.observed[d.ID].Role == "primary" {
-			found = append(found, d.ID)
+			primaries = append(primaries, d.ID)
 		}
 	}
-	if len(found) != 1 {
+	if len(primaries) != 1 {
 		return errRetryLater
 	}
-	c.k.Log.Info("lead adopted", "service", svc, "id", found[0])
-	return c.updateLeader(ctx, svc, func(l *Leader) error {
+	m.k.Log.Info("lead adopted", "service", svc, "id", primaries[0])
+	return m.updateLeader(ctx, svc, func(l *Leader) error {
 		if l.ID == "" {
-			l.ID = found[0]
+			l.ID = primaries[0]
 		}
 		return nil
 	})
 }
 
-// returnedLeader returns the ID of the leader if it crashed and has come back as the same
-// primary: with its log, and with no other database promoted in the meantime.
+// returnedLeader returns the new ID of the leader if it has restarted after a crash and is still
+// the primary: it has kept its log, and no other database was promoted in the meantime.
 func (s *snapshot) returnedLeader(l Leader) string {
 	for _, d := range s.services[l.Service] {
 		if d.HadID(l.ID) && s.observed[d.ID].Role == "primary" {
@@ -187,20 +190,21 @@
 	return ""
 }
 
-// oldPrimary returns the database that a failover moves the service away from, also if it has
-// returned under a new ID.
+// oldPrimary returns the database from which a failover moves the leadership, even if that has
+// restarted under a new ID.
 func (s *snapshot) oldPrimary(l Leader) (discovery.Database, bool) {
 	id := l.ID
-	if back := s.returnedLeader(l); back != "" {
-		id = back
+	if returnedID := s.returnedLeader(l); returnedID != "" {
+		id = returnedID
 	}
 	d, ok := s.databases[id]
 	return d, ok
 }
 
-// restoreLeader makes a database the leader again that has returned under a new ID.
-func (c *Manager) restoreLeader(ctx context.Context, s *snapshot, l Leader, id string) error {
-	err := c.updateLeader(ctx, l.Service, func(current *Leader) error {
+// restoreLeader records the new ID of a leader that has restarted as the primary. It ends a
+// failover that was in progress.
+func (m *Manager) restoreLeader(ctx context.Context, s *snapshot, l Leader, id string) error {
+	err := m.updateLeader(ctx, l.Service, func(current *Leader) error {
 		if current.FailoverID == l.FailoverID && current.ID == l.ID && !current.PlatformCalled {
 			*current = current.completed(id, current.Term)
 		}
@@ -209,28 +213,27 @@
 	if err != nil {
 		return err
 	}
-	c.clearWaitReason(l.Service)
-	c.k.Log.Info("the leader has returned under a new ID", "service", l.Service, "was", l.ID, "id", id)
+	m.clearWaitReason(l.Service)
+	m.k.Log.Info("the leader has returned under a new ID", "service", l.Service, "was", l.ID, "id", id)
 	if l.FailoverInProgress {
-		c.executeAll(ctx, remaining(s.replicas(l.Service, id)), "CONTINUE")
+		m.executeAll(ctx, notLeaving(s.replicas(l.Service, id)), "CONTINUE")
 	}
 	return nil
 }
 
 // needsFailover reports whether the leader is down, draining or gone and another database of the
-// service could take over. A database that is itself draining takes over only if there is no
-// running leader.
-func needsFailover(dbs []discovery.Database, lead string, up func(id string) bool) bool {
-	runs := false
+// service can be promoted. A draining database is promoted only if the leader is not running.
+func needsFailover(dbs []discovery.Database, leaderID string, up func(id string) bool) bool {
+	leaderUp := false
 	for _, d := range dbs {
-		if d.ID != lead || d.Gone || !up(lead) {
+		if d.ID != leaderID || d.Gone || !up(leaderID) {
 			continue
 		}
-		if runs = true; !d.Draining {
+		if leaderUp = true; !d.Draining {
 			return false
 		}
 	}
-	return slices.ContainsFunc(dbs, func(r discovery.Database) bool {
-		return r.ID != lead && !r.Gone && up(r.ID) && !(runs && r.Draining)
+	return slices.ContainsFunc(dbs, func(candidate discovery.Database) bool {
+		return candidate.ID != leaderID && !candidate.Gone && up(candidate.ID) && !(leaderUp && candidate.Draining)
 	})
 }
--- a/internal/failover/leaving.go
+++ b/internal/failover/leaving.go
@@ -12,12 +12,12 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// shutdownGrace is how long after deregistering a database may still receive commits: it
-// deregisters first and then shuts down.
+// shutdownGrace is how long a database may still receive commits after it has deregistered, which
+// it does before it shuts down.
 const shutdownGrace = kernel.Second
 
-// remaining returns the databases that are neither draining nor gone.
-func remaining(dbs []discovery.Database) []discovery.Database {
+// notLeaving returns the databases that are not leaving: neither draining nor gone.
+func notLeaving(dbs []discovery.Database) []discovery.Database {
 	return filter(dbs, func(d discovery.Database) bool { return !d.Draining && !d.Gone })
 }
 
@@ -30,209 +30,208 @@
 	return slices.DeleteFunc(slices.Clone(dbs), func(d discovery.Database) bool { return !ok(d) })
 }
 
-// splitByPaused splits the replicas into those that are paused, with their positions, and those
+// splitByPaused splits the replicas into those that were paused, at the given positions, and those
 // that are absent.
-func splitByPaused(replicas []discovery.Database, paused map[string]lineprotocol.Position) (copies []PausedReplica, absent []AbsentReplica) {
+func splitByPaused(replicas []discovery.Database, positions map[string]lineprotocol.Position) (pausedReplicas []PausedReplica, absent []AbsentReplica) {
 	for _, d := range replicas {
-		if pos, ok := paused[d.ID]; ok && !d.Gone {
-			copies = append(copies, PausedReplica{d.ID, pos, d.Draining})
+		if position, ok := positions[d.ID]; ok && !d.Gone {
+			pausedReplicas = append(pausedReplicas, PausedReplica{d.ID, position, d.Draining})
 			continue
 		}
 		a := AbsentReplica{ID: d.ID, Gone: d.Gone}
 		if limit, ok := lineprotocol.ParsePosition(d.Limit); ok {
-			a.Limit = &limit
+			a.CommitLimit = &limit
 		}
 		absent = append(absent, a)
 	}
-	return copies, absent
+	return pausedReplicas, absent
 }
 
-// recordLimits records the limits of databases that were paused at these positions. A database
-// that is neither draining nor gone gets none, since it may restart at any time and receive
-// commits.
-func recordLimits(known map[string]discovery.Database, paused map[string]lineprotocol.Position) {
-	for id, pos := range paused {
-		if d, ok := known[id]; ok && (d.Draining || d.Gone) {
-			d.Limit = pos.String()
-			known[id] = d
+// recordCommitLimits records the positions at which databases were paused as their commit limits. A
+// database that is not leaving gets none, since it may restart at any time and receive commits.
+func recordCommitLimits(databases map[string]discovery.Database, positions map[string]lineprotocol.Position) {
+	for id, position := range positions {
+		if d, ok := databases[id]; ok && (d.Draining || d.Gone) {
+			d.Limit = position.String()
+			databases[id] = d
 		}
 	}
 }
 
-// clearLimits clears the limits of databases that are about to receive commits again.
-func clearLimits(known map[string]discovery.Database) {
-	for id, d := range known {
+// clearCommitLimits clears the commit limits of databases that are about to receive commits again.
+func clearCommitLimits(databases map[string]discovery.Database) {
+	for id, d := range databases {
 		if !d.Gone {
 			d.Limit = ""
-			known[id] = d
+			databases[id] = d
 		}
 	}
 }
 
 // removeGone removes databases that are gone. Any database that is promoted later must hold what
-// they may have held: commits up to their limits, but not past a position that covered every
-// acknowledged commit after they had ended.
-func removeGone(l *Leader, known map[string]discovery.Database, covered lineprotocol.Position) {
+// they may have held, so MinPosition is raised to that: commits up to their commit limits, but not
+// past covered, a position that covered every acknowledged commit after they had ended.
+func removeGone(l *Leader, databases map[string]discovery.Database, covered lineprotocol.Position) {
 	minPosition, _ := lineprotocol.ParsePosition(l.MinPosition)
-	for id, d := range known {
+	for id, d := range databases {
 		if !d.Gone {
 			continue
 		}
-		held := covered
-		if limit, ok := lineprotocol.ParsePosition(d.Limit); ok && limit.Less(held) {
-			held = limit
+		maxHeld := covered
+		if limit, ok := lineprotocol.ParsePosition(d.Limit); ok && limit.Less(maxHeld) {
+			maxHeld = limit
 		}
-		if minPosition.Less(held) {
-			minPosition, l.MinPosition = held, held.String()
+		if minPosition.Less(maxHeld) {
+			minPosition, l.MinPosition = maxHeld, maxHeld.String()
 		}
-		delete(known, id)
+		delete(databases, id)
 	}
 }
 
-// hasCaughtUpReplica reports whether one of the given replicas has received everything that the
-// primary held when it was queried, and returns that position. The replicas are sent CONTINUE,
-// which returns the same data as STAT and takes no slot.
-func (c *Manager) hasCaughtUpReplica(ctx context.Context, leader discovery.Database, candidates []discovery.Database) (bool, lineprotocol.Position, error) {
-	row, err := c.execute(ctx, leader, "STAT")
+// hasCaughtUpReplica reports whether one of the candidates has received everything that the leader
+// held when it was queried, and returns the leader's position at that time. The candidates are sent
+// CONTINUE, which returns the same data as STAT but takes no slot.
+func (m *Manager) hasCaughtUpReplica(ctx context.Context, leader discovery.Database, candidates []discovery.Database) (bool, lineprotocol.Position, error) {
+	leaderRow, err := m.execute(ctx, leader, "STAT")
 	if err != nil {
 		return false, lineprotocol.Position{}, err
 	}
-	if !row.primary {
+	if !leaderRow.primary {
 		return false, lineprotocol.Position{}, errRetryLater
 	}
-	conns := c.openAll(ctx, filter(candidates, func(d discovery.Database) bool { return c.health.Up(d.ID) }))
+	conns := m.openAll(ctx, filter(candidates, func(d discovery.Database) bool { return m.health.Up(d.ID) }))
 	defer closeAll(conns)
-	for tries := 0; tries < 3 && len(conns) > 0; tries++ {
-		if tries > 0 {
+	for attempt := 0; attempt < 3 && len(conns) > 0; attempt++ {
+		if attempt > 0 {
 			time.Sleep(busyRetryInterval.Duration()) // let commits in flight arrive
 		}
-		for _, r := range c.executeOnAll(conns, "CONTINUE") {
-			if !r.primary && !r.received.Less(row.received) {
-				return true, row.received, nil
+		for _, row := range m.executeOnAll(conns, "CONTINUE") {
+			if !row.primary && !row.received.Less(leaderRow.received) {
+				return true, leaderRow.received, nil
 			}
 		}
 	}
-	return false, row.received, nil
+	return false, leaderRow.received, nil
 }
 
-// reconcileLeaving keeps the next failover from depending on databases that are leaving, while
-// the service has a leader: no commit may be held by them alone. One that is gone is removed, and
-// what the leader held after it had ended is recorded. One that is draining is paused, and its
-// limit recorded, as long as a replica that is not draining receives commits; if none does, it
-// receives them again.
-func (c *Manager) reconcileLeaving(ctx context.Context, s *snapshot, l Leader) error {
-	leader, there := s.databases[l.ID]
-	if !there {
+// reconcileLeaving makes the next failover independent of databases that are leaving, while the
+// service has a leader: no replica that is leaving may be the only one to hold a commit. A database
+// that is gone is removed, and the position that the leader held after that had ended is recorded.
+// A draining replica is paused, and its commit limit recorded, as long as a replica that is not
+// draining receives commits; if none does, the draining one receives them again.
+func (m *Manager) reconcileLeaving(ctx context.Context, s *snapshot, l Leader) error {
+	leader, found := s.databases[l.ID]
+	if !found {
 		return errRetryLater
 	}
 	replicas := s.replicas(l.Service, l.ID)
 	ended := map[string]bool{}
 	for _, d := range replicas {
-		ended[d.ID] = d.Gone && (d.Limit != "" || c.elapsedSinceFirst("gone "+d.ID) > shutdownGrace)
+		ended[d.ID] = d.Gone && (d.Limit != "" || m.elapsedSinceFirst("gone "+d.ID) > shutdownGrace)
 	}
-	ok, covered, err := c.hasCaughtUpReplica(ctx, leader, remaining(replicas))
+	caughtUp, leaderPosition, err := m.hasCaughtUpReplica(ctx, leader, notLeaving(replicas))
 	if err != nil {
 		return err
 	}
-	if err := c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
+	if err := m.updateService(ctx, l.Service, func(current *Leader, databases map[string]discovery.Database) error {
 		if current.ID != l.ID {
 			return nil
 		}
 		gone := map[string]discovery.Database{}
-		for id, d := range known {
+		for id, d := range databases {
 			if ended[id] {
 				gone[id] = d
-				delete(known, id)
+				delete(databases, id)
 			}
 		}
-		removeGone(current, gone, covered)
+		removeGone(current, gone, leaderPosition)
 		return nil
 	}); err != nil {
 		return err
 	}
 	for id, hasEnded := range ended {
 		if hasEnded {
-			c.clearAttempt("gone " + id)
+			m.clearAttempt("gone " + id)
 		}
 	}
 	leaving := filter(replicas, func(d discovery.Database) bool { return d.Draining && !d.Gone })
-	if !ok {
-		return c.resumeLeaving(ctx, l, leaving)
-	}
-	// A replica that has a limit receives commits again if a CONTINUE that was sent before it
-	// started draining arrived late, or if it restarted: it is paused again.
-	rows := c.executeAll(ctx, filter(leaving, func(d discovery.Database) bool { return d.Limit != "" }), "STAT")
-	_, err = c.pauseReplicas(ctx, l, filter(leaving, func(d discovery.Database) bool {
-		r, answered := rows[d.ID]
-		return d.Limit == "" || answered && r.pausedTerm == 0
+	if !caughtUp {
+		return m.resumeLeaving(ctx, l, leaving)
+	}
+	// A replica with a commit limit receives commits again if a CONTINUE that was sent before it
+	// started draining has arrived late, or if it has restarted. Then it is paused again.
+	rows := m.executeAll(ctx, filter(leaving, func(d discovery.Database) bool { return d.Limit != "" }), "STAT")
+	_, err = m.pauseReplicas(ctx, l, filter(leaving, func(d discovery.Database) bool {
+		row, responded := rows[d.ID]
+		return d.Limit == "" || responded && row.pausedTerm == 0
 	}))
 	return err
 }
 
-// pauseLeaving pauses draining replicas as soon as the leader has failed: they may shut down
-// before every pooler has left the leader, and then nobody could tell what they held. It returns
-// the term at which the replicas are paused.
-func (c *Manager) pauseLeaving(ctx context.Context, s *snapshot, l Leader) int64 {
+// pauseLeaving pauses the draining replicas as soon as the leader has failed: they may shut down
+// before every pooler has released the leader, and then it would not be known how far they got. It
+// returns the term at which the replicas are paused.
+func (m *Manager) pauseLeaving(ctx context.Context, s *snapshot, l Leader) int64 {
 	leaving := filter(s.replicas(l.Service, l.ID), func(d discovery.Database) bool {
-		return d.Draining && !d.Gone && d.Limit == "" && c.health.Up(d.ID)
+		return d.Draining && !d.Gone && d.Limit == "" && m.health.Up(d.ID)
 	})
 	if len(leaving) == 0 {
 		return l.PauseTerm
 	}
-	pauseTerm, err := c.pauseReplicas(ctx, l, leaving)
+	pauseTerm, err := m.pauseReplicas(ctx, l, leaving)
 	if err != nil {
-		c.k.Counters.Add("failover.early_pause_failed", 1)
+		m.k.Counters.Add("failover.early_pause_failed", 1)
 	}
 	return max(pauseTerm, l.PauseTerm)
 }
 
-// pauseReplicas makes replicas stop receiving commits, at a term that it returns, and records how
-// far they got.
-func (c *Manager) pauseReplicas(ctx context.Context, l Leader, leaving []discovery.Database) (pauseTerm int64, err error) {
-	conns := c.openAll(ctx, leaving)
+// pauseReplicas pauses replicas, so that they receive no more commits, and records their commit
+// limits. It returns the term at which they are paused.
+func (m *Manager) pauseReplicas(ctx context.Context, l Leader, replicas []discovery.Database) (pauseTerm int64, err error) {
+	conns := m.openAll(ctx, replicas)
 	defer closeAll(conns)
 	pauseTerm = max(l.Term, l.PauseTerm, loginTerm(conns))
-	for _, r := range c.executeOnAll(conns, "STAT") {
-		pauseTerm = max(pauseTerm, r.term, r.pausedTerm)
+	for _, row := range m.executeOnAll(conns, "STAT") {
+		pauseTerm = max(pauseTerm, row.term, row.pausedTerm)
 	}
 	pauseTerm++
-	paused := map[string]lineprotocol.Position{}
-	for id, r := range c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(pauseTerm, 10)) {
-		if r.pausedTerm == pauseTerm {
-			paused[id] = r.received
+	positions := map[string]lineprotocol.Position{}
+	for id, row := range m.executeOnAll(conns, "PAUSE "+strconv.FormatInt(pauseTerm, 10)) {
+		if row.pausedTerm == pauseTerm {
+			positions[id] = row.received
 		}
 	}
-	if len(paused) < len(conns) {
-		c.clearAttempt("leaving " + l.Service) // one of them is the old primary, which has not stepped down yet
+	if len(positions) < len(conns) {
+		m.clearAttempt("leaving " + l.Service) // one of them is the old primary, which has not stepped down yet
 	}
-	err = c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
-		if len(paused) > 0 && current.ID == l.ID && current.FailoverID == l.FailoverID && current.FailoverInProgress == l.FailoverInProgress && current.To == "" {
+	err = m.updateService(ctx, l.Service, func(current *Leader, databases map[string]discovery.Database) error {
+		if len(positions) > 0 && current.ID == l.ID && current.FailoverID == l.FailoverID && current.FailoverInProgress == l.FailoverInProgress && current.To == "" {
 			current.PauseTerm = pauseTerm
-			recordLimits(known, paused)
+			recordCommitLimits(databases, positions)
 		}
 		return nil
 	})
 	return pauseTerm, err
 }
 
-// resumeLeaving makes paused draining replicas receive commits again when no other replica does.
-func (c *Manager) resumeLeaving(ctx context.Context, l Leader, leaving []discovery.Database) error {
-	rows := c.executeAll(ctx, leaving, "STAT")
+// resumeLeaving resumes paused draining replicas when no other replica receives commits.
+func (m *Manager) resumeLeaving(ctx context.Context, l Leader, leaving []discovery.Database) error {
+	rows := m.executeAll(ctx, leaving, "STAT")
 	paused := filter(leaving, func(d discovery.Database) bool { return d.Limit != "" || rows[d.ID].pausedTerm != 0 })
 	if len(paused) == 0 {
 		return nil
 	}
-	err := c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
+	err := m.updateService(ctx, l.Service, func(current *Leader, databases map[string]discovery.Database) error {
 		if current.ID != l.ID || current.FailoverID != l.FailoverID || current.FailoverInProgress {
-			return fmt.Errorf("%w: the lead moves", errRetryLater)
+			return fmt.Errorf("%w: a failover has begun", errRetryLater)
 		}
-		clearLimits(known)
+		clearCommitLimits(databases)
 		return ctx.Err()
 	})
 	if err != nil {
 		return err
 	}
-	c.k.Counters.Add("failover.leaving_needed", 1)
-	c.executeAll(ctx, paused, "CONTINUE")
+	m.k.Counters.Add("failover.leaving_needed", 1)
+	m.executeAll(ctx, paused, "CONTINUE")
 	return nil
 }
--- a/internal/failover/model_moves_test.go
+++ b/internal/failover/model_moves_test.go
@@ -10,18 +10,18 @@
 
 func (m *model) hasCaughtUpReplica(covered lineprotocol.Position) bool {
 	m.resumeReplicas()
-	return slices.ContainsFunc(remaining(m.replicas(m.lead.ID)), func(d discovery.Database) bool {
+	return slices.ContainsFunc(notLeaving(m.replicas(m.leader.ID)), func(d discovery.Database) bool {
 		n := m.node(d.ID)
-		return m.up(d.ID) && !n.primary && !n.pos().Less(covered)
+		return m.up(d.ID) && !n.primary && !n.position().Less(covered)
 	})
 }
 
 func (m *model) reconcileLeaving() {
-	p := m.node(m.lead.ID)
+	p := m.node(m.leader.ID)
 	if !m.up(p.id) || !p.primary {
 		return
 	}
-	replicas, covered := m.replicas(p.id), p.pos()
+	replicas, covered := m.replicas(p.id), p.position()
 	if m.interrupted() {
 		return
 	}
@@ -29,14 +29,14 @@
 	gone := map[string]discovery.Database{}
 	for _, d := range replicas {
 		if d.Gone {
-			gone[d.ID] = m.known[d.ID]
-			delete(m.known, d.ID)
+			gone[d.ID] = m.registered[d.ID]
+			delete(m.registered, d.ID)
 		}
 	}
-	removeGone(&m.lead, gone, covered)
+	removeGone(&m.leader, gone, covered)
 	leaving := filter(replicas, func(d discovery.Database) bool { return d.Draining && !d.Gone })
 	if !ok {
-		m.clearLimits(m.known)
+		m.clearLimits(m.registered)
 		if m.interrupted() {
 			return
 		}
@@ -47,94 +47,94 @@
 		}
 		return
 	}
-	recordLimits(m.known, m.pause(filter(leaving, func(d discovery.Database) bool { return d.Limit == "" })))
+	recordCommitLimits(m.registered, m.pause(filter(leaving, func(d discovery.Database) bool { return d.Limit == "" })))
 }
 
 // pause pauses the nodes that can be reached and returns their positions.
 func (m *model) pause(dbs []discovery.Database) map[string]lineprotocol.Position {
-	paused := map[string]lineprotocol.Position{}
+	positions := map[string]lineprotocol.Position{}
 	for _, d := range dbs {
 		if n := m.node(d.ID); m.up(d.ID) && !n.primary {
 			n.paused = true
-			paused[d.ID] = n.pos()
+			positions[d.ID] = n.position()
 		}
 		if m.interrupted() {
 			return nil
 		}
 	}
 	// A node that ended or crashed meanwhile is no longer paused, unless it is draining.
-	return paused
+	return positions
 }
 
 func (m *model) advanceFailover() {
-	if !m.lead.FailoverInProgress {
-		if p := m.node(m.lead.ID); m.up(p.id) && p.primary && !m.hasCaughtUpReplica(p.pos()) {
+	if !m.leader.FailoverInProgress {
+		if p := m.node(m.leader.ID); m.up(p.id) && p.primary && !m.hasCaughtUpReplica(p.position()) {
 			return
 		}
-		m.lead.FailoverInProgress, m.lead.To, m.lead.ChosenPosition, m.lead.PlatformCalled, m.lead.FailoverID = true, "", "", false, m.lead.FailoverID+1
+		m.leader.FailoverInProgress, m.leader.To, m.leader.ChosenPosition, m.leader.PlatformCalled, m.leader.FailoverID = true, "", "", false, m.leader.FailoverID+1
 	}
-	if m.lead.To == "" && !m.decide() {
+	if m.leader.To == "" && !m.decide() {
 		return
 	}
 	if m.interrupted() {
 		return
 	}
-	to := m.node(m.lead.To)
-	if !to.runs {
-		m.lead.To = ""
+	target := m.node(m.leader.To)
+	if !target.running {
+		m.leader.To = ""
 		return
 	}
-	if !to.primary || to.term != m.term {
-		m.promote(to)
+	if !target.primary || target.term != m.term {
+		m.promote(target)
 	}
 	if m.interrupted() {
 		return
 	}
-	m.lead = Leader{Service: "s", ID: to.id, Term: to.term, FailoverID: m.lead.FailoverID, MinPosition: m.lead.MinPosition}
+	m.leader = Leader{Service: "s", ID: target.id, Term: target.term, FailoverID: m.leader.FailoverID, MinPosition: m.leader.MinPosition}
 	m.writesStopped = false
 	m.resumeReplicas()
 }
 
 // decide pauses the replicas, compares their positions and chooses; true once there is a choice.
 func (m *model) decide() bool {
-	if !m.up(m.lead.ID) && m.r.IntN(2) == 0 {
-		pausedEarly := m.pause(filter(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.Limit == "" }))
+	if !m.up(m.leader.ID) && m.r.IntN(2) == 0 {
+		pausedEarly := m.pause(filter(m.replicas(m.leader.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.Limit == "" }))
 		if pausedEarly == nil {
 			return false
 		}
-		recordLimits(m.known, pausedEarly)
+		recordCommitLimits(m.registered, pausedEarly)
 	}
-	m.writesStopped = true // every pooler has left the old primary
-	old := m.lead.ID
-	for _, d := range m.list() {
-		if d.HadID(m.lead.ID) && m.node(d.ID).primary {
-			old = d.ID
+	m.writesStopped = true // every pooler has left the oldPrimary primary
+	oldPrimary := m.leader.ID
+	for _, d := range m.databases() {
+		if d.HadID(m.leader.ID) && m.node(d.ID).primary {
+			oldPrimary = d.ID
 		}
 	}
-	sit := Situation{SyncReplicas: 1}
-	sit.MinPosition, _ = lineprotocol.ParsePosition(m.lead.MinPosition)
-	if floor, ok := lineprotocol.ParsePosition(m.lead.ChosenPosition); ok {
-		sit.ChosenPosition = &floor
+	input := ChoiceInput{SyncReplicas: 1}
+	input.MinPosition, _ = lineprotocol.ParsePosition(m.leader.MinPosition)
+	if chosenPosition, ok := lineprotocol.ParsePosition(m.leader.ChosenPosition); ok {
+		input.ChosenPosition = &chosenPosition
 	}
-	if n := m.node(old); m.up(old) && !m.known[old].Gone && n.primary {
-		held := n.pos()
-		sit.PrimaryPosition = &held
+	if n := m.node(oldPrimary); m.up(oldPrimary) && !m.registered[oldPrimary].Gone && n.primary {
+		primaryPosition := n.position()
+		input.PrimaryPosition = &primaryPosition
 	}
-	certain := newestOf(m.acked)
+	lowerBound := newestOf(m.acked)
 	if m.boundsKnown && (m.managerOnly || m.r.IntN(2) == 0) {
 		acked := m.upperBound(m.acked)
-		sit.AckedUpperBound = &acked
+		input.AckedUpperBound = &acked
 		if m.r.IntN(2) == 0 { // the bound may be lower than the last commit
-			certain = newestOf(m.acked[:max(0, len(m.acked)-1)])
+			lowerBound = newestOf(m.acked[:max(0, len(m.acked)-1)])
 		}
 	}
-	sit.AckedLowerBound, sit.FirstHeartbeatsElapsed = &certain, m.firstHeartbeats(m.allHeard())
-	replicas := filter(m.replicas(m.lead.ID), func(d discovery.Database) bool { return d.ID != old })
+	input.AckedLowerBound, input.FirstHeartbeatsElapsed = &lowerBound, m.firstHeartbeats(m.allHeartbeatsProcessed())
+	replicas := filter(m.replicas(m.leader.ID), func(d discovery.Database) bool { return d.ID != oldPrimary })
 	for _, d := range replicas {
-		if n := m.node(d.ID); m.up(d.ID) && n.primary && m.lead.PlatformCalled && n.term > m.lead.Term {
-			m.commitChoice(d.ID, n.pos())
+		if n := m.node(d.ID); m.up(d.ID) && n.primary && m.leader.PlatformCalled && n.term > m.leader.Term {
+			m.commitChoice(d.ID, n.position())
 			return true
-		} else if m.up(d.ID) && n.primary && n.term < m.lead.Term {
+		} else if m.up(d.ID) && n.primary && n.term < m.leader.Term {
 			n.primary = false
 		}
 	}
@@ -142,40 +142,40 @@
 	if paused == nil {
 		return false
 	}
-	sit.Copies, sit.Absent = splitByPaused(replicas, paused)
-	to, _ := m.choose(sit)
-	if to != "" {
-		m.commitChoice(to, paused[to])
+	input.Copies, input.Absent = splitByPaused(replicas, paused)
+	target, _ := m.choose(input)
+	if target != "" {
+		m.commitChoice(target, paused[target])
 		return true
 	}
-	recordLimits(m.known, paused)
-	if sit.PrimaryPosition != nil && m.lead.PlatformCalled {
-		m.commitChoice(old, *sit.PrimaryPosition)
+	recordCommitLimits(m.registered, paused)
+	if input.PrimaryPosition != nil && m.leader.PlatformCalled {
+		m.commitChoice(oldPrimary, *input.PrimaryPosition)
 		return true
 	}
-	if sit.PrimaryPosition != nil {
-		m.lead.FailoverInProgress, m.writesStopped = false, false
+	if input.PrimaryPosition != nil {
+		m.leader.FailoverInProgress, m.writesStopped = false, false
 		m.resumeReplicas()
 	}
 	return false
 }
 
-func (m *model) commitChoice(to string, floor lineprotocol.Position) {
-	m.lead.To, m.lead.PlatformCalled, m.lead.ChosenPosition = to, true, floor.String()
-	removeGone(&m.lead, m.known, floor)
-	m.clearLimits(m.known)
+func (m *model) commitChoice(target string, position lineprotocol.Position) {
+	m.leader.To, m.leader.PlatformCalled, m.leader.ChosenPosition = target, true, position.String()
+	removeGone(&m.leader, m.registered, position)
+	m.clearLimits(m.registered)
 }
 
 // promote is what the platform does; it is also where the history is checked.
-func (m *model) promote(to *node) {
-	if m.violation == "" && !m.holds(to.log) {
-		m.violation = fmt.Sprintf("%s was promoted with %d commits up to %v, although %d were acknowledged", to.id, len(to.log), to.pos(), len(m.acked))
+func (m *model) promote(target *node) {
+	if m.violation == "" && !m.holdsAllAcked(target.log) {
+		m.violation = fmt.Sprintf("%s was promoted with %d commits up to %v, although %d were acknowledged", target.id, len(target.log), target.position(), len(m.acked))
 	}
 	m.term++
-	to.primary, to.term, to.paused = true, m.term, false
+	target.primary, target.term, target.paused = true, m.term, false
 	for _, n := range m.nodes {
-		if n != to && n.runs && n.linked && to.linked && !n.primary {
-			n.log, n.paused = slices.Clone(to.log), false
+		if n != target && n.running && n.leaderLink && target.leaderLink && !n.primary {
+			n.log, n.paused = slices.Clone(target.log), false
 		}
 	}
 }
--- a/internal/failover/move.go
+++ b/internal/failover/move.go
@@ -14,106 +14,108 @@
 )
 
 // advanceFailover starts the failover of a service if one is needed, and carries out its next
-// step. Whoever takes over from this process continues from the recorded state.
-func (c *Manager) advanceFailover(ctx context.Context, svc string) error {
-	s, err := c.loadSnapshot()
+// steps. If another control node becomes the primary meanwhile, it continues from the recorded
+// state.
+func (m *Manager) advanceFailover(ctx context.Context, svc string) error {
+	s, err := m.loadSnapshot()
 	if err != nil {
 		return err
 	}
 	l := s.leaders[svc]
 	if !l.FailoverInProgress {
-		if !needsFailover(s.services[svc], l.ID, c.health.Up) {
+		if !needsFailover(s.services[svc], l.ID, m.health.Up) {
 			return nil
 		}
-		old, there := s.databases[l.ID]
-		failed := !there || old.Gone || !c.health.Up(l.ID)
+		oldPrimary, found := s.databases[l.ID]
+		failed := !found || oldPrimary.Gone || !m.health.Up(l.ID)
 		if !failed {
-			// The leader keeps serving until a replica can take over at once.
-			if ok, _, err := c.hasCaughtUpReplica(ctx, old, remaining(s.replicas(svc, l.ID))); err == nil && !ok {
-				c.setWaitReason(svc, replicasBehindPrimary, Situation{})
+			// The leader continues to serve until there is a replica that can be promoted at once.
+			if ok, _, err := m.hasCaughtUpReplica(ctx, oldPrimary, notLeaving(s.replicas(svc, l.ID))); err == nil && !ok {
+				m.setWaitReason(svc, replicasBehindPrimary, ChoiceInput{})
 				return errRetryLater
 			}
 		}
-		err := c.updateLeader(ctx, svc, func(l *Leader) error {
+		err := m.updateLeader(ctx, svc, func(l *Leader) error {
 			l.FailoverInProgress, l.Failed, l.To, l.ChosenPosition, l.PlatformCalled, l.FailoverID = true, failed, "", "", false, l.FailoverID+1
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		c.k.Counters.Add("failover.moves", 1)
-		c.k.Log.Info("lead moves", "service", svc, "from", l.ID)
-		if s, err = c.loadSnapshot(); err != nil {
+		m.k.Counters.Add("failover.moves", 1)
+		m.k.Log.Info("lead moves", "service", svc, "from", l.ID)
+		if s, err = m.loadSnapshot(); err != nil {
 			return err
 		}
 		l = s.leaders[svc]
 	}
 	if l.To == "" {
-		if err := c.chooseTarget(ctx, s, &l); err != nil {
+		if err := m.chooseTarget(ctx, s, &l); err != nil {
 			return err
 		}
 	}
-	return c.promote(ctx, s, l)
+	return m.promote(ctx, s, l)
 }
 
-// awaitReadersLeft waits until no pooler can still read at the old primary.
-func (c *Manager) awaitReadersLeft(ctx context.Context, l Leader) error {
+// awaitRelease waits until no pooler can use the old primary any more: each has released it for
+// this failover, or holds no lease.
+func (m *Manager) awaitRelease(ctx context.Context, l Leader) error {
 	for {
-		changed := c.readers.Changed()
-		ok, wait := c.readers.AllLeft(l.Service, l.FailoverID, c.k.Clock.Now())
-		if ok {
+		changed := m.readLeases.Changed()
+		released, wait := m.readLeases.AllReleased(l.Service, l.FailoverID, m.k.Clock.Now())
+		if released {
 			return nil
 		}
-		t := time.NewTimer(wait.Duration())
+		timer := time.NewTimer(wait.Duration())
 		select {
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return ctx.Err()
 		case <-changed:
-		case <-t.C:
+		case <-timer.C:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 }
 
 // chooseTarget pauses the replicas, compares their positions and makes the choice durable.
-func (c *Manager) chooseTarget(ctx context.Context, s *snapshot, l *Leader) error {
-	if err := c.awaitReadersAndPauseLeaving(ctx, s, l); err != nil {
+func (m *Manager) chooseTarget(ctx context.Context, s *snapshot, l *Leader) error {
+	if err := m.awaitReleaseAndPauseLeaving(ctx, s, l); err != nil {
 		return err
 	}
-	old, there := s.oldPrimary(*l)
-	alive := there && !old.Gone && c.health.Up(old.ID)
-	sit, newest := c.situation(ctx, s, *l, old, alive)
+	oldPrimary, found := s.oldPrimary(*l)
+	alive := found && !oldPrimary.Gone && m.health.Up(oldPrimary.ID)
+	input, newestTerm := m.choiceInput(ctx, s, *l, oldPrimary, alive)
 	replicas := s.replicas(l.Service, l.ID)
-	replicas = slices.DeleteFunc(replicas, func(d discovery.Database) bool { return d.ID == old.ID })
-	conns := c.openAll(ctx, notGone(replicas))
+	replicas = slices.DeleteFunc(replicas, func(d discovery.Database) bool { return d.ID == oldPrimary.ID })
+	conns := m.openAll(ctx, notGone(replicas))
 	defer closeAll(conns)
-	p := c.pauseAll(conns, *l, newest)
-	if p.promoted != "" {
-		return c.commitChoice(ctx, s, l, p.promoted, l.Term, p.pauseTerm, p.received[p.promoted])
+	result := m.pauseAll(conns, *l, newestTerm)
+	if result.promoted != "" {
+		return m.commitChoice(ctx, s, l, result.promoted, l.Term, result.pauseTerm, result.positions[result.promoted])
 	}
-	sit.Copies, sit.Absent = splitByPaused(replicas, p.received)
-	l.PauseTerm = p.pauseTerm
-	to, refusal := c.decideTarget(l, sit)
-	if to != "" {
-		return c.commitChoice(ctx, s, l, to, p.newestTerm, p.pauseTerm, p.received[to])
+	input.Copies, input.Absent = splitByPaused(replicas, result.positions)
+	l.PauseTerm = result.pauseTerm
+	target, refusal := m.decideTarget(l, input)
+	if target != "" {
+		return m.commitChoice(ctx, s, l, target, result.newestTerm, result.pauseTerm, result.positions[target])
 	}
-	if refusal == removedMayHaveHeldCommit && (!there || old.Gone) {
+	if refusal == removedMayHaveHeldCommit && (!found || oldPrimary.Gone) {
 		refusal = allHoldersRemoved
 	}
-	c.setWaitReason(l.Service, refusal, sit)
-	if err := c.recordLeavingLimits(ctx, *l, p.received); err != nil {
+	m.setWaitReason(l.Service, refusal, input)
+	if err := m.recordLeavingCommitLimits(ctx, *l, result.positions); err != nil {
 		return err
 	}
-	if sit.PrimaryPosition != nil && l.PlatformCalled {
-		// The chosen database is lost and the old primary is back: it alone holds everything, and
-		// is promoted like any other.
-		return c.commitChoice(ctx, s, l, old.ID, p.newestTerm, p.pauseTerm, *sit.PrimaryPosition)
+	if input.PrimaryPosition != nil && l.PlatformCalled {
+		// The database that was chosen earlier is lost and the old primary is running again. Only
+		// the old primary holds everything, so it is promoted like any other database.
+		return m.commitChoice(ctx, s, l, oldPrimary.ID, result.newestTerm, result.pauseTerm, *input.PrimaryPosition)
 	}
-	if sit.PrimaryPosition != nil || alive && !old.Draining { // let the replicas catch up
-		c.executeAll(ctx, remaining(replicas), "CONTINUE")
+	if input.PrimaryPosition != nil || alive && !oldPrimary.Draining { // let the replicas catch up
+		m.executeAll(ctx, notLeaving(replicas), "CONTINUE")
 		if !l.PlatformCalled {
-			if err := c.cancelFailover(ctx, l, refusal); err != nil {
+			if err := m.cancelFailover(ctx, l, refusal); err != nil {
 				return err
 			}
 		}
@@ -121,198 +123,198 @@
 	return fmt.Errorf("%w: %s", errRetryLater, refusal)
 }
 
-// awaitReadersAndPauseLeaving waits until poolers have left the old primary. From then on no
-// commit of it is acknowledged to a client, even if a late CONTINUE resumes a replica; what was
-// acknowledged before is held by the replicas that are queried. If the old primary has failed,
-// draining replicas are paused meanwhile; if it still responds, they are paused only after the
-// poolers' outstanding statements there have ended.
-func (c *Manager) awaitReadersAndPauseLeaving(ctx context.Context, s *snapshot, l *Leader) error {
+// awaitReleaseAndPauseLeaving waits until the poolers have released the old primary. From then on
+// no commit of it is acknowledged to a client, even if a late CONTINUE resumes a replica; what was
+// acknowledged before is held by the replicas that are queried then. If the old primary has failed,
+// draining replicas are paused during the wait. If it still responds, they are paused later, once
+// the poolers' statements in progress there have ended.
+func (m *Manager) awaitReleaseAndPauseLeaving(ctx context.Context, s *snapshot, l *Leader) error {
 	pauseTerm := make(chan int64, 1)
 	go func(l Leader) {
 		if !l.Failed {
 			pauseTerm <- l.PauseTerm
 			return
 		}
-		pauseTerm <- c.pauseLeaving(ctx, s, l)
+		pauseTerm <- m.pauseLeaving(ctx, s, l)
 	}(*l)
-	err := c.awaitReadersLeft(ctx, *l)
+	err := m.awaitRelease(ctx, *l)
 	l.PauseTerm = <-pauseTerm
 	return err
 }
 
-// situation returns what is known about the choice before the replicas are queried, and the
-// newest known term.
-func (c *Manager) situation(ctx context.Context, s *snapshot, l Leader, old discovery.Database, alive bool) (sit Situation, newest int64) {
-	sit = Situation{SyncReplicas: s.syncReplicas(l.Service)}
-	sit.MinPosition, _ = lineprotocol.ParsePosition(l.MinPosition)
+// choiceInput returns the part of the input for the choice that is known before the replicas are
+// queried, and the newest known term.
+func (m *Manager) choiceInput(ctx context.Context, s *snapshot, l Leader, oldPrimary discovery.Database, alive bool) (input ChoiceInput, newestTerm int64) {
+	input = ChoiceInput{SyncReplicas: s.syncReplicas(l.Service)}
+	input.MinPosition, _ = lineprotocol.ParsePosition(l.MinPosition)
 	if position, ok := lineprotocol.ParsePosition(l.ChosenPosition); ok {
-		sit.ChosenPosition = &position
+		input.ChosenPosition = &position
 	}
-	if acked, known := c.readers.AcknowledgedUpperBound(l.Service, l.FailoverID); known {
-		sit.AckedUpperBound = &acked
+	if acked, known := m.readLeases.AcknowledgedUpperBound(l.Service, l.FailoverID); known {
+		input.AckedUpperBound = &acked
 	}
 	waived, _ := lineprotocol.ParsePosition(l.Waived)
-	if certain, known := c.readers.AcknowledgedLowerBound(l.Service, l.FailoverID); known && waived.Less(certain) {
-		sit.AckedLowerBound = &certain
+	if certain, known := m.readLeases.AcknowledgedLowerBound(l.Service, l.FailoverID); known && waived.Less(certain) {
+		input.AckedLowerBound = &certain
 	}
-	sit.FirstHeartbeatsElapsed = c.elapsedSinceFirst(fmt.Sprintf("first heartbeats %s %d", l.Service, l.FailoverID)) > c.cfg.FirstHeartbeatTimeout
-	newest = l.Term
+	input.FirstHeartbeatsElapsed = m.elapsedSinceFirst(fmt.Sprintf("first heartbeats %s %d", l.Service, l.FailoverID)) > m.cfg.FirstHeartbeatTimeout
+	newestTerm = l.Term
 	if alive {
-		if row, err := c.execute(ctx, old, "STAT"); err == nil && row.primary {
-			sit.PrimaryPosition, newest = &row.received, max(newest, row.term)
+		if row, err := m.execute(ctx, oldPrimary, "STAT"); err == nil && row.primary {
+			input.PrimaryPosition, newestTerm = &row.received, max(newestTerm, row.term)
 		}
 	}
-	return sit, newest
+	return input, newestTerm
 }
 
-// pauseResult is what the paused replicas reported.
+// pauseResult is what pauseAll learned from the replicas.
 type pauseResult struct {
-	newestTerm int64 // newest term that any of them knows
-	pauseTerm  int64 // term at which they are paused
-	received   map[string]lineprotocol.Position
-	promoted   string // a database promoted in this failover whose promotion was not recorded yet
+	newestTerm int64                            // that any database knows
+	pauseTerm  int64                            // at which the replicas are paused
+	positions  map[string]lineprotocol.Position // of the paused replicas, by ID
+	promoted   string                           // a database promoted in this failover whose promotion has not been recorded
 }
 
-// pauseAll pauses replicas at a new term. PAUSE takes no slot and returns the same data as STAT,
-// also at a primary, which it does not pause; the positions received at login contain the terms.
-// STAT, for which an overloaded replica has no slot, is sent only to those that are not paused
-// then.
-func (c *Manager) pauseAll(conns map[string]*dbconn.Conn, l Leader, newest int64) pauseResult {
-	p := pauseResult{newestTerm: newest, received: map[string]lineprotocol.Position{}}
-	p.pauseTerm = max(newest, l.PauseTerm, loginTerm(conns)) + 1
-	rows := c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(p.pauseTerm, 10))
+// pauseAll pauses replicas at a new term, which must be newer than any that they know. The
+// positions received at login contain terms, so PAUSE is sent first: it takes no slot, and returns
+// the same data as STAT even at a primary, which it does not pause. STAT, for which an overloaded
+// replica has no slot, is sent only to those that PAUSE did not pause; then PAUSE is sent again.
+func (m *Manager) pauseAll(conns map[string]*dbconn.Conn, l Leader, newestTerm int64) pauseResult {
+	result := pauseResult{newestTerm: newestTerm, positions: map[string]lineprotocol.Position{}}
+	result.pauseTerm = max(newestTerm, l.PauseTerm, loginTerm(conns)) + 1
+	rows := m.executeOnAll(conns, "PAUSE "+strconv.FormatInt(result.pauseTerm, 10))
 	notPaused := maps.Clone(conns)
-	maps.DeleteFunc(notPaused, func(id string, _ *dbconn.Conn) bool { return rows[id].pausedTerm == p.pauseTerm })
+	maps.DeleteFunc(notPaused, func(id string, _ *dbconn.Conn) bool { return rows[id].pausedTerm == result.pauseTerm })
 	if len(notPaused) > 0 {
 		maxPausedTerm := int64(0)
-		for id, row := range c.executeOnAll(notPaused, "STAT") {
+		for id, row := range m.executeOnAll(notPaused, "STAT") {
 			if row.primary && l.PlatformCalled && row.term > l.Term {
-				p.promoted, p.received[id] = id, row.received
-				return p
+				result.promoted, result.positions[id] = id, row.received
+				return result
 			}
-			p.newestTerm, maxPausedTerm = max(p.newestTerm, row.term), max(maxPausedTerm, row.pausedTerm)
+			result.newestTerm, maxPausedTerm = max(result.newestTerm, row.term), max(maxPausedTerm, row.pausedTerm)
 			if row.primary && row.term < l.Term {
-				// A former leader that has not learned of its successor.
-				c.executeOn(conns[id], "STEPDOWN "+strconv.FormatInt(l.Term, 10))
+				// It is a former leader that has not learned of its successor.
+				m.executeOn(conns[id], "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 			}
 		}
-		p.pauseTerm = max(p.pauseTerm, p.newestTerm, maxPausedTerm) + 1
-		rows = c.executeOnAll(conns, "PAUSE "+strconv.FormatInt(p.pauseTerm, 10))
+		result.pauseTerm = max(result.pauseTerm, result.newestTerm, maxPausedTerm) + 1
+		rows = m.executeOnAll(conns, "PAUSE "+strconv.FormatInt(result.pauseTerm, 10))
 	}
 	for id, row := range rows {
-		p.newestTerm = max(p.newestTerm, row.term)
-		if row.pausedTerm == p.pauseTerm {
-			p.received[id] = row.received
+		result.newestTerm = max(result.newestTerm, row.term)
+		if row.pausedTerm == result.pauseTerm {
+			result.positions[id] = row.received
 		}
 	}
-	return p
+	return result
 }
 
-// decideTarget chooses a replica, or returns why none can be chosen; a refusal is overridden if
-// an operator accepted the loss.
-func (c *Manager) decideTarget(l *Leader, sit Situation) (to, refusal string) {
-	to, refusal = ChoosePrimary(sit)
-	accepted := to == "" && l.Accepted.FailoverID == l.FailoverID && canAcceptLoss(refusal)
+// decideTarget chooses the replica to promote, or returns why none can be chosen. A refusal is
+// overridden if an operator has accepted the loss.
+func (m *Manager) decideTarget(l *Leader, input ChoiceInput) (target, refusal string) {
+	target, refusal = ChoosePrimary(input)
+	accepted := target == "" && l.Accepted.FailoverID == l.FailoverID && canAcceptLoss(refusal)
 	if accepted {
-		to = MostAdvanced(sit.Copies)
+		target = MostAdvanced(input.Copies)
 		l.MinPosition = "" // the operator accepted that these commits may be lost
-		if sit.AckedLowerBound != nil {
-			l.Waived = sit.AckedLowerBound.String()
+		if input.AckedLowerBound != nil {
+			l.Waived = input.AckedLowerBound.String()
 		}
-		c.k.Log.Warn("chosen though acknowledged commits may be lost", "service", l.Service, "to", to, "why", refusal, "accepted by", l.Accepted.By)
+		m.k.Log.Warn("chosen though acknowledged commits may be lost", "service", l.Service, "to", target, "why", refusal, "accepted by", l.Accepted.By)
 	}
-	epoch, _ := c.state.Lease()
-	c.k.Recorder.Add(ChoiceKind, Choice{l.Service, epoch, sit, to, accepted})
-	if to == "" {
-		c.k.Counters.Add("failover.choice_refused", 1)
+	epoch, _ := m.controlState.Lease()
+	m.k.Recorder.Add(ChoiceKind, Choice{l.Service, epoch, input, target, accepted})
+	if target == "" {
+		m.k.Counters.Add("failover.choice_refused", 1)
 	}
-	return to, refusal
+	return target, refusal
 }
 
-// recordLeavingLimits records the limits of leaving databases while there is no leader, so that
-// they need not respond afterwards.
-func (c *Manager) recordLeavingLimits(ctx context.Context, l Leader, received map[string]lineprotocol.Position) error {
-	return c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
+// recordLeavingCommitLimits records the commit limits of leaving databases while no target is
+// chosen, so that they need not respond again later.
+func (m *Manager) recordLeavingCommitLimits(ctx context.Context, l Leader, positions map[string]lineprotocol.Position) error {
+	return m.updateService(ctx, l.Service, func(current *Leader, databases map[string]discovery.Database) error {
 		if current.FailoverID == l.FailoverID && current.FailoverInProgress && current.To == "" {
-			recordLimits(known, received)
+			recordCommitLimits(databases, positions)
 		}
 		return nil
 	})
 }
 
 // commitChoice makes the choice durable, unless a database has joined since the snapshot on which
-// it is based. The promotion lets every replica receive commits again, so no limit remains valid
-// except those of databases that are gone.
-func (c *Manager) commitChoice(ctx context.Context, s *snapshot, l *Leader, to string, newest, pauseTerm int64, position lineprotocol.Position) error {
-	err := c.updateService(ctx, l.Service, func(current *Leader, known map[string]discovery.Database) error {
+// it is based. After the promotion every replica receives commits again, so only the commit limits
+// of databases that are gone remain valid.
+func (m *Manager) commitChoice(ctx context.Context, s *snapshot, l *Leader, target string, newestTerm, pauseTerm int64, position lineprotocol.Position) error {
+	err := m.updateService(ctx, l.Service, func(current *Leader, databases map[string]discovery.Database) error {
 		if !current.FailoverInProgress || current.FailoverID != l.FailoverID {
 			return errRetryLater
 		}
-		for id := range known {
+		for id := range databases {
 			if _, seen := s.databases[id]; !seen {
 				return fmt.Errorf("%w: %s has joined", errRetryLater, id)
 			}
 		}
-		current.To, current.PlatformCalled, current.Term, current.PauseTerm, current.ChosenPosition = to, true, newest, pauseTerm, position.String()
+		current.To, current.PlatformCalled, current.Term, current.PauseTerm, current.ChosenPosition = target, true, newestTerm, pauseTerm, position.String()
 		if current.Accepted.FailoverID == current.FailoverID && l.MinPosition == "" {
 			current.MinPosition, current.Waived = "", l.Waived
 		}
-		removeGone(current, known, position)
-		clearLimits(known)
+		removeGone(current, databases, position)
+		clearCommitLimits(databases)
 		*l = *current
 		return nil
 	})
 	if err == nil {
-		c.clearWaitReason(l.Service)
-		c.k.Log.Info("next lead chosen", "service", l.Service, "to", to, "superseding", newest, "received", position.String())
+		m.clearWaitReason(l.Service)
+		m.k.Log.Info("next lead chosen", "service", l.Service, "to", target, "superseding", newestTerm, "received", position.String())
 	}
 	return err
 }
 
 // setWaitReason records why a service's failover is waiting, and logs each reason once.
-func (c *Manager) setWaitReason(svc, reason string, sit Situation) {
-	detail, best := reason, sit.mostAdvancedPosition()
-	for _, a := range sit.mayBeAhead(best) {
+func (m *Manager) setWaitReason(svc, reason string, input ChoiceInput) {
+	detail, best := reason, input.mostAdvancedPosition()
+	for _, a := range input.mayBeAhead(best) {
 		detail += "; " + a.ID
 		if a.Gone {
 			detail += ", gone"
 		}
 	}
-	if best.Less(sit.MinPosition) {
-		detail += fmt.Sprintf("; %s was held, %s is left", sit.MinPosition, best)
+	if best.Less(input.MinPosition) {
+		detail += fmt.Sprintf("; %s was held, %s is left", input.MinPosition, best)
 	}
 	if reason == acknowledgedCommitMissing {
-		detail += fmt.Sprintf("; %s was acknowledged, %s is left", sit.AckedLowerBound, best)
+		detail += fmt.Sprintf("; %s was acknowledged, %s is left", input.AckedLowerBound, best)
 	}
-	c.mu.Lock()
-	unchanged := c.waitReasons[svc] == detail
-	c.waitReasons[svc] = detail
-	c.mu.Unlock()
+	m.mu.Lock()
+	unchanged := m.waitReasons[svc] == detail
+	m.waitReasons[svc] = detail
+	m.mu.Unlock()
 	if !unchanged {
-		c.k.Log.Info("move waits", "service", svc, "why", reason, "answered", sit.Copies, "absent", sit.Absent, "least", sit.MinPosition.String(), "acked", positionText(sit.AckedUpperBound), "certain", positionText(sit.AckedLowerBound))
+		m.k.Log.Info("move waits", "service", svc, "why", reason, "answered", input.Copies, "absent", input.Absent, "least", input.MinPosition.String(), "acked", positionText(input.AckedUpperBound), "certain", positionText(input.AckedLowerBound))
 	}
 }
 
 // clearWaitReason records that a service's failover is no longer waiting.
-func (c *Manager) clearWaitReason(svc string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.waitReasons, svc)
+func (m *Manager) clearWaitReason(svc string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.waitReasons, svc)
 }
 
 // WaitReasons returns, by service, why its failover is waiting.
-func (c *Manager) WaitReasons() map[string]string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return maps.Clone(c.waitReasons)
+func (m *Manager) WaitReasons() map[string]string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return maps.Clone(m.waitReasons)
 }
 
-// cancelFailover ends a failover before any database was promoted, because the old primary still
-// serves.
-func (c *Manager) cancelFailover(ctx context.Context, l *Leader, why string) error {
-	c.clearWaitReason(l.Service)
-	c.k.Log.Info("failover cancelled", "service", l.Service, "why", why)
-	return c.updateLeader(ctx, l.Service, func(current *Leader) error {
+// cancelFailover ends a failover before any database was promoted: the old primary remains the
+// leader.
+func (m *Manager) cancelFailover(ctx context.Context, l *Leader, why string) error {
+	m.clearWaitReason(l.Service)
+	m.k.Log.Info("failover cancelled", "service", l.Service, "why", why)
+	return m.updateLeader(ctx, l.Service, func(current *Leader) error {
 		if current.FailoverID == l.FailoverID && !current.PlatformCalled {
 			current.FailoverInProgress, current.Failed = false, false
 		}
--- a/internal/failover/platform.go
+++ b/internal/failover/platform.go
@@ -13,25 +13,25 @@
 	"indigowalk/internal/kernel"
 )
 
-// platform makes the calls of which one node at a time has the duty. Each call is sent once, on a
-// connection of its own: net/http may resend a request only on a connection that it has used
-// before, or with a body that it can obtain again. An abandoned call is cut off rather than
-// delivered later.
-type platform struct {
+// platformClient calls the platform, which only the duty holder may do, one node at a time. A call
+// is sent at most once: it has a connection of its own, and net/http resends a request only on a
+// connection that it has used before, or with a body that it can obtain again. An abandoned call
+// is cut off by a reset of its connection, so that it is not delivered later.
+type platformClient struct {
 	client *http.Client
 	addr   string
-	holder string
+	holder string // name of this node as the duty holder
 }
 
-func newPlatform(n kernel.Network, addr, holder string) *platform {
+func newPlatformClient(network kernel.Network, addr, holder string) *platformClient {
 	dial := func(ctx context.Context, _, addr string) (net.Conn, error) {
-		c, err := n.Dial(ctx, addr, kernel.Second)
-		if t, ok := c.(interface{ SetLinger(seconds int) error }); ok && err == nil {
-			err = t.SetLinger(0)
+		conn, err := network.Dial(ctx, addr, kernel.Second)
+		if tcp, ok := conn.(interface{ SetLinger(seconds int) error }); ok && err == nil {
+			err = tcp.SetLinger(0)
 		}
-		return c, err
+		return conn, err
 	}
-	return &platform{
+	return &platformClient{
 		client: &http.Client{
 			Transport:     &http.Transport{DialContext: dial, DisableKeepAlives: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -40,31 +40,32 @@
 	}
 }
 
-// failover makes the platform promote a database to the primary of its service; errNotRunning
-// says that the platform refused. After any other error the call may have been carried out.
-func (p *platform) failover(ctx context.Context, fence int64, service, id string) error {
+// failover makes the platform promote a database to the primary of its service. It returns
+// errNotRunning if the platform refused because the database is not running. After any other error
+// the platform may have promoted it.
+func (p *platformClient) failover(ctx context.Context, fence int64, service, id string) error {
 	body, err := json.Marshal(map[string]string{"svc": service, "id": id})
 	if err != nil {
 		return fmt.Errorf("failover: %w", err)
 	}
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.addr+"/failover", io.NopCloser(bytes.NewReader(body)))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.addr+"/failover", io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return fmt.Errorf("failover: %w", err)
 	}
-	q.ContentLength = int64(len(body))
-	q.Header.Set("Content-Type", "application/json")
-	q.Header.Set("X-Indigowalk-Duty-Holder", p.holder)
-	q.Header.Set("X-Indigowalk-Fence", strconv.FormatInt(fence, 10))
-	a, err := p.client.Do(q)
+	request.ContentLength = int64(len(body))
+	request.Header.Set("Content-Type", "application/json")
+	request.Header.Set("X-Indigowalk-Duty-Holder", p.holder)
+	request.Header.Set("X-Indigowalk-Fence", strconv.FormatInt(fence, 10))
+	response, err := p.client.Do(request)
 	if err != nil {
 		return fmt.Errorf("failover: platform: %w", err)
 	}
-	a.Body.Close()
+	response.Body.Close()
 	switch {
-	case a.StatusCode/100 == 2:
+	case response.StatusCode/100 == 2:
 		return nil
-	case a.StatusCode == http.StatusConflict:
+	case response.StatusCode == http.StatusConflict:
 		return errNotRunning
 	}
-	return fmt.Errorf("failover: platform responded with status %d", a.StatusCode)
+	return fmt.Errorf("failover: platform responded with status %d", response.StatusCode)
 }
--- a/internal/failover/platform_call_test.go
+++ b/internal/failover/platform_call_test.go
@@ -13,20 +13,20 @@
 // The platform must not be called outside the term in which the failover was examined, whatever
 // lease is held now.
 func TestPlatformIsNotCalledOutsideTheTerm(t *testing.T) {
-	c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
-	if err := c.callPlatform(t.Context(), Leader{}); !errors.Is(err, errRetryLater) || len(c.k.Counters.Snapshot()) != 0 {
-		t.Errorf("the platform was called, or the error is wrong: %v, %v", err, c.k.Counters.Snapshot())
+	m := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
+	if err := m.callPlatform(t.Context(), Leader{}); !errors.Is(err, errRetryLater) || len(m.k.Counters.Snapshot()) != 0 {
+		t.Errorf("the platform was called, or the error is wrong: %v, %v", err, m.k.Counters.Snapshot())
 	}
 }
 
 // A database that was promoted without what the choice was based on must be reported.
 func TestPromotionBelowChosenPositionIsReported(t *testing.T) {
 	for text, want := range map[string]int{"2.9": 0, "2.8": 0, "2.7": 1} {
-		c := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
+		m := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
 		received, _ := lineprotocol.ParsePosition(text)
-		c.checkPromotedPosition(Leader{Service: "s", To: "a", ChosenPosition: "2.8"}, statRow{received: received})
-		if n := c.k.Invariants.Counts()[invariant.PromotedHoldsFloor]; n != want {
-			t.Errorf("%s: %d violations", text, n)
+		m.checkPromotedPosition(Leader{Service: "s", To: "a", ChosenPosition: "2.8"}, statRow{received: received})
+		if violations := m.k.Invariants.Counts()[invariant.PromotedHoldsFloor]; violations != want {
+			t.Errorf("%s: %d violations", text, violations)
 		}
 	}
 }
--- a/internal/failover/platform_test.go
+++ b/internal/failover/platform_test.go
@@ -19,11 +19,11 @@
 // depending on the case, resets the connection while it is idle or at the next request; or it
 // ends the first request without a response.
 func TestPlatformCallIsSentOnce(t *testing.T) {
-	for name, c := range map[string]struct {
-		answers int  // requests of a connection that get a response
-		rest    bool // the connection is reset while idle, after the last response
-		calls   int
-		fail    int // calls that get no response
+	for name, test := range map[string]struct {
+		responses      int  // requests of a connection that get a response
+		resetWhileIdle bool // the connection is reset while idle, after the last response
+		calls          int
+		failures       int // calls that get no response
 	}{
 		"never breaks":                {100, false, 3, 0},
 		"reset while idle":            {1, true, 3, 0},
@@ -38,23 +38,23 @@
 			}
 			defer ln.Close()
 			var mu sync.Mutex
-			var read, conns int
+			var requestsRead, conns int
 			var wg sync.WaitGroup
 			serve := func(conn net.Conn) {
 				defer wg.Done()
 				defer conn.Close()
 				conn.(*net.TCPConn).SetLinger(0)
 				in := bufio.NewReader(conn)
-				for n := 0; n < c.answers || !c.rest; n++ {
-					q, err := http.ReadRequest(in)
+				for n := 0; n < test.responses || !test.resetWhileIdle; n++ {
+					request, err := http.ReadRequest(in)
 					if err != nil {
 						return
 					}
-					io.Copy(io.Discard, q.Body)
+					io.Copy(io.Discard, request.Body)
 					mu.Lock()
-					read++
+					requestsRead++
 					mu.Unlock()
-					if n == c.answers {
+					if n == test.responses {
 						return
 					}
 					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -74,19 +74,19 @@
 					go serve(conn)
 				}
 			}()
-			p := newPlatform(kernel.HostNetwork{}, ln.Addr().String(), "a")
+			client := newPlatformClient(kernel.HostNetwork{}, ln.Addr().String(), "a")
 			failed := 0
-			for range c.calls {
+			for range test.calls {
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-				if err := p.failover(ctx, 7, "s", "id"); err != nil {
+				if err := client.failover(ctx, 7, "s", "id"); err != nil {
 					failed++
 				}
 				cancel()
 			}
-			p.client.CloseIdleConnections()
+			client.client.CloseIdleConnections()
 			wg.Wait()
-			if asked := c.calls - min(failed, c.calls); failed != c.fail || read > c.calls || read < asked || conns != c.calls {
-				t.Errorf("%d calls were read %d times on %d connections, %d failed, not %d", c.calls, read, conns, failed, c.fail)
+			if answered := test.calls - min(failed, test.calls); failed != test.failures || requestsRead > test.calls || requestsRead < answered || conns != test.calls {
+				t.Errorf("%d calls were read %d times on %d connections, %d failed, not %d", test.calls, requestsRead, conns, failed, test.failures)
 			}
 		})
 	}
@@ -99,10 +99,10 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	p := newPlatform(kernel.HostNetwork{}, ln.Addr().String(), "a")
+	client := newPlatformClient(kernel.HostNetwork{}, ln.Addr().String(), "a")
 	ctx, cancel := context.WithCancel(t.Context())
-	asked := make(chan error)
-	go func() { asked <- p.failover(ctx, 7, "s", "id") }()
+	result := make(chan error)
+	go func() { result <- client.failover(ctx, 7, "s", "id") }()
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	cancel()
-	if err := <-asked; !errors.Is(err, context.Canceled) {
+	if err := <-result; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/failover/plugin.go
+++ b/internal/failover/plugin.go
@@ -15,17 +15,17 @@
 		Name: "failover", Rank: 60, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			readers := NewReaders()
-			kernel.Offer(k, readers)
-			c := New(k, Config{
-				Name: s.NodeName, Platform: s.PlatformAddr, Leaderless: s.Deploy == settings.DeployAPI, ReaderLease: settings.FromMillis(s.ReaderLeaseMs),
+			readLeases := NewReaders()
+			kernel.Offer(k, readLeases)
+			manager := New(k, Config{
+				Name: s.NodeName, PlatformAddr: s.PlatformAddr, Leaderless: s.Deploy == settings.DeployAPI, ReaderLease: settings.FromMillis(s.ReaderLeaseMs),
 				Dialer:         dbconn.Dialer{Net: k.Net, ClientName: "failover", ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs)},
 				RequestTimeout: kernel.Second, HeartbeatWait: 700 * kernel.Millisecond, FirstHeartbeatTimeout: settings.FromMillis(s.HeartbeatMs + s.ContactMs),
 			}, kernel.Need[*controlstate.Replica](k), kernel.Need[*discovery.Registry](k),
-				kernel.Need[*health.Monitor](k), readers)
-			kernel.Offer(k, c)
-			c.registerHandlers(kernel.Need[*rpc.Endpoint](k))
-			k.Supervise("failover", c.Serve)
+				kernel.Need[*health.Monitor](k), readLeases)
+			kernel.Offer(k, manager)
+			manager.registerHandlers(kernel.Need[*rpc.Endpoint](k))
+			k.Supervise("failover", manager.Serve)
 			return nil
 		},
 	})
--- a/internal/failover/promotion.go
+++ b/internal/failover/promotion.go
@@ -14,20 +14,20 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// promote makes the platform promote the chosen database, waits until it leads, and records it as
-// the leader.
-func (c *Manager) promote(ctx context.Context, s *snapshot, l Leader) error {
-	if err := c.awaitReadersLeft(ctx, l); err != nil {
+// promote makes the platform promote the chosen database, waits until that is the primary, and
+// records it as the leader. If the database is not running, the choice is withdrawn.
+func (m *Manager) promote(ctx context.Context, s *snapshot, l Leader) error {
+	if err := m.awaitRelease(ctx, l); err != nil {
 		return err
 	}
-	to, there := s.databases[l.To]
+	target, found := s.databases[l.To]
 	err := errNotRunning
-	before := c.registry.Observed()[l.To]
-	if there {
-		err = c.callPlatform(ctx, l)
+	observedBefore := m.registry.Observed()[l.To]
+	if found {
+		err = m.callPlatform(ctx, l)
 	}
 	if errors.Is(err, errNotRunning) {
-		return c.updateLeader(ctx, l.Service, func(current *Leader) error {
+		return m.updateLeader(ctx, l.Service, func(current *Leader) error {
 			if current.FailoverID == l.FailoverID && current.To == l.To {
 				current.To = ""
 			}
@@ -38,14 +38,14 @@
 		return err
 	}
 	supersededTerm := l.Term
-	if to.ID == l.ID || to.HadID(l.ID) {
-		supersededTerm-- // the previous primary can lead again without a new term
+	if target.ID == l.ID || target.HadID(l.ID) {
+		supersededTerm-- // the previous leader may become the primary again without a new term
 	}
-	if l.Term, err = c.awaitPromotion(ctx, l, to, before, supersededTerm); err != nil {
+	if l.Term, err = m.awaitPromotion(ctx, l, target, observedBefore, supersededTerm); err != nil {
 		return err
 	}
-	old := l.ID
-	err = c.updateLeader(ctx, l.Service, func(current *Leader) error {
+	oldID := l.ID
+	err = m.updateLeader(ctx, l.Service, func(current *Leader) error {
 		if current.FailoverID == l.FailoverID && current.To == l.To {
 			*current = current.completed(l.To, l.Term)
 		}
@@ -54,118 +54,120 @@
 	if err != nil {
 		return err
 	}
-	c.k.Log.Info("lead moved", "service", l.Service, "from", old, "to", l.To, "term", l.Term)
-	c.clearAttempt("leaving " + l.Service)
+	m.k.Log.Info("lead moved", "service", l.Service, "from", oldID, "to", l.To, "term", l.Term)
+	m.clearAttempt("leaving " + l.Service)
 	others := s.replicas(l.Service, l.To)
 	for _, d := range others {
-		if d.ID == old {
-			go c.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
+		if d.ID == oldID {
+			go m.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 		}
 	}
-	for _, d := range remaining(others) {
-		if d.ID != old {
-			go c.execute(ctx, d, "CONTINUE")
+	for _, d := range notLeaving(others) {
+		if d.ID != oldID {
+			go m.execute(ctx, d, "CONTINUE")
 		}
 	}
 	return nil
 }
 
-// awaitPromotion waits until the database leads a newer term and returns that term. The database
-// reports this by its own heartbeat, which it sends at once when its role changes; if none
-// arrives it is queried.
-func (c *Manager) awaitPromotion(ctx context.Context, l Leader, to discovery.Database, before discovery.ObservedState, supersededTerm int64) (int64, error) {
-	end := c.k.Clock.Now() + 3*kernel.Second
-	for c.k.Clock.Now() < end && ctx.Err() == nil {
-		changed := c.registry.Changed()
-		if now := c.registry.Observed()[to.ID]; now.Role == "primary" && before.Role == "replica" {
+// awaitPromotion waits until the database is the primary of a term newer than supersededTerm, and
+// returns that term. The database sends a heartbeat as soon as its role changes; if none arrives,
+// it is queried.
+func (m *Manager) awaitPromotion(ctx context.Context, l Leader, target discovery.Database, observedBefore discovery.ObservedState, supersededTerm int64) (int64, error) {
+	deadline := m.k.Clock.Now() + 3*kernel.Second
+	for m.k.Clock.Now() < deadline && ctx.Err() == nil {
+		changed := m.registry.Changed()
+		if observed := m.registry.Observed()[target.ID]; observed.Role == "primary" && observedBefore.Role == "replica" {
 			return supersededTerm + 1, nil
 		}
-		t := time.NewTimer(c.cfg.HeartbeatWait.Duration())
+		timer := time.NewTimer(m.cfg.HeartbeatWait.Duration())
 		select {
 		case <-changed:
-			t.Stop()
+			timer.Stop()
 			continue
-		case <-t.C:
+		case <-timer.C:
 		}
-		if row, err := c.execute(ctx, to, "STAT"); err != nil {
+		if row, err := m.execute(ctx, target, "STAT"); err != nil {
 			return 0, err
 		} else if row.primary && row.term > supersededTerm {
-			c.checkPromotedPosition(l, row)
+			m.checkPromotedPosition(l, row)
 			return row.term, nil
 		}
 	}
 	return 0, errRetryLater
 }
 
-// checkPromotedPosition checks that a promoted database holds what the choice was based on.
-func (c *Manager) checkPromotedPosition(l Leader, row statRow) {
-	floor, known := lineprotocol.ParsePosition(l.ChosenPosition)
-	c.k.Invariants.Check(!known || !row.received.Less(floor), invariant.PromotedHoldsFloor,
+// checkPromotedPosition checks that a promoted database holds everything that it held when it was
+// chosen.
+func (m *Manager) checkPromotedPosition(l Leader, row statRow) {
+	chosenPosition, known := lineprotocol.ParsePosition(l.ChosenPosition)
+	m.k.Invariants.Check(!known || !row.received.Less(chosenPosition), invariant.PromotedHoldsFloor,
 		"%s leads %s at position %s but was chosen at position %s", l.To, l.Service, row.received, l.ChosenPosition)
 }
 
-// reconcileReplicas resumes paused replicas, makes every database step down that acts as the
-// primary without being the leader, and handles those that are leaving.
-func (c *Manager) reconcileReplicas(ctx context.Context, s *snapshot, l Leader) {
-	c.resumeReplicas(ctx, s, l)
+// reconcileReplicas resumes paused replicas, demotes every database that acts as the primary
+// without being the leader, and handles databases that are leaving.
+func (m *Manager) reconcileReplicas(ctx context.Context, s *snapshot, l Leader) {
+	m.resumeReplicas(ctx, s, l)
 	leaving := false
 	for _, d := range s.replicas(l.Service, l.ID) {
 		leaving = leaving || d.Gone || d.Draining
-		if s.observed[d.ID].Role == "primary" && l.Term != 0 && !d.Gone && c.attemptDue("demote "+d.ID) {
-			go c.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
+		if s.observed[d.ID].Role == "primary" && l.Term != 0 && !d.Gone && m.attemptDue("demote "+d.ID) {
+			go m.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
 		}
 	}
-	if leaving && c.attemptDue("leaving "+l.Service) {
-		c.runExclusive(l.Service, func() error { return c.reconcileLeaving(ctx, s, l) })
+	if leaving && m.attemptDue("leaving "+l.Service) {
+		m.runExclusive(l.Service, func() error { return m.reconcileLeaving(ctx, s, l) })
 	}
 }
 
-// attemptRetention is how long the time of an attempt is kept. It is longer than any retry
-// interval; what was attempted may be over by then.
+// attemptRetention is how long the time of an attempt is kept. It exceeds every retry interval. An
+// older time may belong to a database that has left, and must not be taken for that of a new one
+// with the same name.
 const attemptRetention = 600 * kernel.Second
 
-// dropOldAttempts drops the times of attempts made long ago. The caller holds c.mu.
-func (c *Manager) dropOldAttempts(now kernel.Micros) {
-	maps.DeleteFunc(c.attempts, func(_ string, at kernel.Micros) bool { return now-at > attemptRetention })
+// dropOldAttempts drops the times older than attemptRetention. The caller holds m.mu.
+func (m *Manager) dropOldAttempts(now kernel.Micros) {
+	maps.DeleteFunc(m.attempts, func(_ string, at kernel.Micros) bool { return now-at > attemptRetention })
 }
 
-// attemptDue limits an action that is repeated until it succeeds to once a second; it reports
+// attemptDue limits an action that is repeated until it succeeds to once per second. It reports
 // whether the action is due, and if so records the attempt.
-func (c *Manager) attemptDue(action string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.k.Clock.Now()
-	c.dropOldAttempts(now)
-	if now-c.attempts[action] < kernel.Second && c.attempts[action] != 0 {
+func (m *Manager) attemptDue(action string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.k.Clock.Now()
+	m.dropOldAttempts(now)
+	if now-m.attempts[action] < kernel.Second && m.attempts[action] != 0 {
 		return false
 	}
-	c.attempts[action] = now
+	m.attempts[action] = now
 	return true
 }
 
 // clearAttempt makes a rate-limited action due at once.
-func (c *Manager) clearAttempt(action string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.attempts, action)
+func (m *Manager) clearAttempt(action string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.attempts, action)
 }
 
-// elapsedSinceFirst returns the time since it was first called with this key, provided that calls
-// are repeated within attemptRetention.
-func (c *Manager) elapsedSinceFirst(action string) kernel.Micros {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.k.Clock.Now()
-	c.dropOldAttempts(now)
-	if c.attempts[action] == 0 {
-		c.attempts[action] = now
+// elapsedSinceFirst returns the time since its first call with that key. The key is dropped after
+// attemptRetention: the next call is a first one again.
+func (m *Manager) elapsedSinceFirst(key string) kernel.Micros {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.k.Clock.Now()
+	m.dropOldAttempts(now)
+	if m.attempts[key] == 0 {
+		m.attempts[key] = now
 	}
-	return now - c.attempts[action]
+	return now - m.attempts[key]
 }
 
-// callPlatform calls the platform as the duty holder, only in the term in which the failover was
-// examined, and well within the lease.
-func (c *Manager) callPlatform(ctx context.Context, l Leader) error {
+// callPlatform calls the platform as the duty holder. It does so only in the control state's term
+// in which the failover was examined, and ends the call well before the lease ends.
+func (m *Manager) callPlatform(ctx context.Context, l Leader) error {
 	epoch, left := controlstate.TermOf(ctx).Lease()
 	wait := min(left-100*kernel.Millisecond, kernel.Second)
 	if wait < 100*kernel.Millisecond {
@@ -173,6 +175,6 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
-	c.k.Counters.Add("failover.platform_calls", 1)
-	return c.platform.failover(ctx, epoch, l.Service, l.To)
+	m.k.Counters.Add("failover.platform_calls", 1)
+	return m.platform.failover(ctx, epoch, l.Service, l.To)
 }
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -12,19 +12,20 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// leaseHolder is what is known of one pooler.
+// leaseHolder is the state of one pooler.
 type leaseHolder struct {
 	incarnation int64
 	leaseEnd    kernel.Micros
 	lastHeard   kernel.Micros
-	// removing says that its registration is being removed: until that is done it is granted no
-	// lease and its reports are refused.
+	// removing says that its registration is being removed: until that is done, its reports are
+	// refused and it is granted no lease.
 	removing bool
 	Report
 }
 
-// Readers tracks which poolers may still read at a primary: those that hold a read lease and have
-// not acknowledged leaving.
+// ReadLeases tracks which poolers may still use a primary: those that hold a read lease and have
+// not reported that they released the primary. Where databases have no leader, the lease holders
+// are gateways.
 type Readers struct {
 	mu      sync.Mutex
 	epoch   int64
@@ -33,60 +34,60 @@
 	changes kernel.Notifier
 }
 
-// Report is what a pooler reports about the primaries with a poll.
+// Report is what a pooler reports with a poll about the failovers in progress.
 type Report struct {
-	// Left holds, by service, the number of the failover for which the pooler has left the old
-	// primary: it no longer acknowledges any commit of that primary.
+	// Released holds, by service, the number of the failover for which the pooler has released the
+	// old primary: it no longer acknowledges any commit of that primary.
 	Left map[string]int64
-	// AckedUpperBound holds, by service that it has left, a position that covers every commit that
-	// it has acknowledged to a client.
+	// AckedUpperBound holds, by released service, a position that covers every commit that the
+	// pooler acknowledged to a client.
 	AckedUpperBound map[string]lineprotocol.Position
-	// AckedLowerBound holds, by service that it has left, a position that one of those commits has
-	// reached at least.
+	// AckedLowerBound holds, by released service, a position such that the pooler acknowledged a
+	// commit at it or at a later one.
 	AckedLowerBound map[string]lineprotocol.Position
 }
 
-// NewReaders returns an empty set of poolers.
+// NewReadLeases returns a tracker that knows no poolers.
 func NewReaders() *Readers { return &Readers{poolers: map[string]*leaseHolder{}} }
 
-// RecordReport records what a pooler reported at that time. A report of an earlier incarnation of
-// the pooler is refused, and the newest incarnation returned; so is the report of a pooler whose
-// registration is being removed, with no incarnation returned.
+// RecordReport records what a pooler reported at that time. It refuses a report of an earlier
+// incarnation of the pooler, and returns the newest one; it also refuses a report of a pooler whose
+// registration is being removed, and returns 0.
 func (r *Readers) RecordReport(pooler string, incarnation int64, report Report, now kernel.Micros) (newest int64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := r.poolers[pooler]
-	if d != nil && d.removing {
+	holder := r.poolers[pooler]
+	if holder != nil && holder.removing {
 		return 0, false
 	}
-	if d != nil && incarnation < d.incarnation {
-		return d.incarnation, false
+	if holder != nil && incarnation < holder.incarnation {
+		return holder.incarnation, false
 	}
-	fresh := d == nil || incarnation > d.incarnation
-	if fresh {
-		// A new incarnation does not hold the lease of the previous one, whose last
-		// acknowledgements are no longer reported by anybody.
-		d = &leaseHolder{incarnation: incarnation}
-		r.poolers[pooler] = d
+	newIncarnation := holder == nil || incarnation > holder.incarnation
+	if newIncarnation {
+		// A new incarnation does not hold the lease of the previous one. What the previous one
+		// acknowledged since its last report will not be reported any more.
+		holder = &leaseHolder{incarnation: incarnation}
+		r.poolers[pooler] = holder
 		r.acks.unreportedUntil = max(r.acks.unreportedUntil, now)
 	}
-	if changed := fresh || !maps.Equal(d.Left, report.Left); changed {
+	if changed := newIncarnation || !maps.Equal(holder.Left, report.Left); changed {
 		r.changes.NotifyAll()
 	}
-	d.Report, d.lastHeard = report, now
+	holder.Report, holder.lastHeard = report, now
 	return incarnation, true
 }
 
-// Grant records that the pooler's lease runs until then. It must be called before the grant is
-// sent.
+// Grant records that the pooler is granted a lease until that time. It must be called before the
+// grant is sent, and reports whether the grant may be sent.
 func (r *Readers) Grant(pooler string, incarnation int64, until kernel.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := r.poolers[pooler]
-	if d == nil || d.incarnation != incarnation || d.removing {
+	holder := r.poolers[pooler]
+	if holder == nil || holder.incarnation != incarnation || holder.removing {
 		return false
 	}
-	d.leaseEnd = max(d.leaseEnd, until)
+	holder.leaseEnd = max(holder.leaseEnd, until)
 	return true
 }
 
@@ -94,40 +95,40 @@
 func (r *Readers) CountLeases(at kernel.Micros) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, d := range r.poolers {
-		if d.leaseEnd > at {
+	for _, holder := range r.poolers {
+		if holder.leaseEnd > at {
 			n++
 		}
 	}
 	return n
 }
 
-// AllLeft reports whether every pooler has left the service's old primary for that failover or
-// holds no lease any more, and if not, how long the leases still run.
-func (r *Readers) AllLeft(service string, failoverID int64, now kernel.Micros) (bool, kernel.Micros) {
+// AllReleased reports whether every pooler has released the service's old primary for that failover
+// or holds no lease any more, and if not, the time until the last of the leases ends.
+func (r *Readers) AllReleased(service string, failoverID int64, now kernel.Micros) (bool, kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var wait kernel.Micros
-	for _, d := range r.poolers {
-		if d.leaseEnd > now && d.Left[service] < failoverID {
-			wait = max(wait, d.leaseEnd-now)
+	for _, holder := range r.poolers {
+		if holder.leaseEnd > now && holder.Left[service] < failoverID {
+			wait = max(wait, holder.leaseEnd-now)
 		}
 	}
 	return wait == 0, wait
 }
 
-// MarkExpired lists the poolers that have not polled, and whose leases have been over, for a time
-// span. From now on their reports are refused and they are granted nothing until RemoveExpired is
-// called once their registrations have been removed: the next primary would not wait for a lease
-// without a registration.
+// MarkExpired lists the poolers that have neither polled nor held a lease for a time span. Their
+// reports are refused, and they are granted no lease, until RemoveExpired is called after their
+// registrations have been removed: the next primary of the control state does not wait for a lease
+// whose holder is not registered.
 func (r *Readers) MarkExpired(now, span kernel.Micros) (poolers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for pooler, d := range r.poolers {
-		if now-max(d.leaseEnd, d.lastHeard) > span {
-			d.removing = true
+	for pooler, holder := range r.poolers {
+		if now-max(holder.leaseEnd, holder.lastHeard) > span {
+			holder.removing = true
 		}
-		if d.removing {
+		if holder.removing {
 			poolers = append(poolers, pooler)
 		}
 	}
@@ -135,22 +136,22 @@
 	return poolers
 }
 
-// RemoveExpired removes poolers whose registrations have been removed.
+// RemoveExpired removes poolers after their registrations have been removed.
 func (r *Readers) RemoveExpired(poolers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, pooler := range poolers {
-		if d := r.poolers[pooler]; d != nil && d.removing {
-			// Nobody reports any more what it acknowledged.
-			r.acks.unreportedUntil = max(r.acks.unreportedUntil, d.leaseEnd)
+		if holder := r.poolers[pooler]; holder != nil && holder.removing {
+			// What it acknowledged will not be reported any more.
+			r.acks.unreportedUntil = max(r.acks.unreportedUntil, holder.leaseEnd)
 			delete(r.poolers, pooler)
 		}
 	}
 }
 
-// BeginTerm starts a term of the control state's primary, once: any pooler that was ever registered
-// may hold a lease of the previous primary, for that duration. A term that has been followed by
-// another is not started again, since it knows fewer poolers.
+// BeginTerm resets the tracker for a term of the control state's primary: every registered pooler
+// may hold a lease that the previous primary granted, of the given duration. A repeated call for
+// the current term, or for an earlier one, has no effect.
 func (r *Readers) BeginTerm(epoch int64, registered map[string]int64, now, lease kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,33 +164,37 @@
 	}
 }
 
-// InTerm reports whether the term of that epoch is the current one.
+// InTerm reports whether the current term is the one that began with that epoch.
 func (r *Readers) InTerm(epoch int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.epoch == epoch
 }
 
-// Changed returns a channel that is closed when a pooler's acknowledgements change.
+// Changed returns a channel that is closed when a pooler reports that it has released a primary, or
+// returns as a new incarnation.
 func (r *Readers) Changed() <-chan struct{} { return r.changes.Wait() }
 
-// proxyPrefix starts the keys of the control state's entries that register poolers: a pooler is
-// registered before it is granted its first lease, so that the next primary knows which poolers
-// to wait for.
+// proxyPrefix is the prefix of the keys of the control state's entries that register poolers. A
+// pooler is registered before it is granted its first lease, so that the next primary of the
+// control state knows which poolers to wait for.
 const proxyPrefix = "carrier/"
 
-// Registered returns the registered poolers in the control state, with their incarnations.
+// DecodeRegistrations returns the incarnations of the poolers that are registered in the control
+// state.
 func Registered(entries map[string]json.RawMessage) (map[string]int64, error) {
 	return controlstate.DecodePrefix[int64](entries, proxyPrefix)
 }
 
-// Register returns the change of the control state that registers an incarnation of a pooler.
+// RegistrationChanges returns the change of the control state that registers an incarnation of a
+// pooler.
 func Register(pooler string, incarnation int64) map[string]json.RawMessage {
 	return map[string]json.RawMessage{proxyPrefix + pooler: json.RawMessage(fmt.Sprint(incarnation))}
 }
 
-// Unregister returns the change of the control state that removes poolers.
-func Unregister(poolers []string) map[string]json.RawMessage {
+// UnregistrationChanges returns the change of the control state that removes the registrations of
+// poolers.
+func UnregistrationChanges(poolers []string) map[string]json.RawMessage {
 	removed := make(map[string]json.RawMessage, len(poolers))
 	for _, pooler := range poolers {
 		removed[proxyPrefix+pooler] = nil
@@ -199,6 +204,6 @@
 
 // IsRegistered reports whether that incarnation of the pooler, or a later one, is registered.
 func IsRegistered(entries map[string]json.RawMessage, pooler string, incarnation int64) bool {
-	var known int64
-	return json.Unmarshal(entries[proxyPrefix+pooler], &known) == nil && known >= incarnation
+	var registered int64
+	return json.Unmarshal(entries[proxyPrefix+pooler], &registered) == nil && registered >= incarnation
 }
--- a/internal/failover/readers_test.go
+++ b/internal/failover/readers_test.go
@@ -10,32 +10,32 @@
 func TestExpiredReadersAreRemoved(t *testing.T) {
 	const span = 10 * kernel.Second
 	now := 100 * kernel.Second
-	r := NewReaders()
-	r.BeginTerm(1, map[string]int64{"cut off": 4, "dead": 7, "polls": 2}, now, kernel.Second)
-	if gone := r.MarkExpired(now+span, span); gone != nil {
-		t.Fatalf("%v are expired while leases of the previous term may run", gone)
+	readLeases := NewReaders()
+	readLeases.BeginTerm(1, map[string]int64{"cut off": 4, "dead": 7, "polls": 2}, now, kernel.Second)
+	if expired := readLeases.MarkExpired(now+span, span); expired != nil {
+		t.Fatalf("%v are expired while leases of the previous term may run", expired)
 	}
 	now += span + 2*kernel.Second
-	r.RecordReport("polls", 2, Report{}, now)
-	r.RecordReport("new", 1, Report{}, now)
-	gone := r.MarkExpired(now, span)
+	readLeases.RecordReport("polls", 2, Report{}, now)
+	readLeases.RecordReport("new", 1, Report{}, now)
+	gone := readLeases.MarkExpired(now, span)
 	if want := []string{"cut off", "dead"}; !slices.Equal(gone, want) {
 		t.Fatalf("%v are expired, want %v", gone, want)
 	}
-	if newest, ok := r.RecordReport("cut off", 4, Report{}, now); ok || newest != 0 || r.Grant("cut off", 4, now+kernel.Second) {
+	if newest, ok := readLeases.RecordReport("cut off", 4, Report{}, now); ok || newest != 0 || readLeases.Grant("cut off", 4, now+kernel.Second) {
 		t.Error("a pooler's report was accepted, or a lease granted, while its registration is being removed")
 	}
-	if again := r.MarkExpired(now, span); !slices.Equal(again, gone) {
+	if again := readLeases.MarkExpired(now, span); !slices.Equal(again, gone) {
 		t.Errorf("%v are expired at the next check, want %v: the removal may have failed", again, gone)
 	}
-	r.RemoveExpired(gone)
-	if _, wait := r.AllLeft("service", 1, now); wait != 0 {
+	readLeases.RemoveExpired(gone)
+	if _, wait := readLeases.AllReleased("service", 1, now); wait != 0 {
 		t.Errorf("a failover waits %d for removed poolers", wait)
 	}
-	if _, ok := r.RecordReport("cut off", 4, Report{}, now); !ok || !r.Grant("cut off", 4, now+kernel.Second) {
+	if _, ok := readLeases.RecordReport("cut off", 4, Report{}, now); !ok || !readLeases.Grant("cut off", 4, now+kernel.Second) {
 		t.Error("a removed pooler is not accepted again")
 	}
-	if gone := r.MarkExpired(now, span); gone != nil {
+	if gone := readLeases.MarkExpired(now, span); gone != nil {
 		t.Errorf("%v are expired although they have just reported", gone)
 	}
 }
@@ -43,12 +43,12 @@
 func TestRemovalOfExpiredReadersEndsWithTheTerm(t *testing.T) {
 	const span = 10 * kernel.Second
 	now := 100 * kernel.Second
-	r := NewReaders()
-	r.BeginTerm(1, map[string]int64{"back": 4}, now, kernel.Second)
-	gone := r.MarkExpired(now+2*span, span)
-	r.BeginTerm(2, map[string]int64{"back": 4}, now+2*span, kernel.Second)
-	r.RemoveExpired(gone)
-	if left, _ := r.AllLeft("service", 1, now+2*span); left {
+	readLeases := NewReaders()
+	readLeases.BeginTerm(1, map[string]int64{"back": 4}, now, kernel.Second)
+	expired := readLeases.MarkExpired(now+2*span, span)
+	readLeases.BeginTerm(2, map[string]int64{"back": 4}, now+2*span, kernel.Second)
+	readLeases.RemoveExpired(expired)
+	if released, _ := readLeases.AllReleased("service", 1, now+2*span); released {
 		t.Error("a lease of the previous term is not waited for")
 	}
 }
--- a/internal/failover/resume.go
+++ b/internal/failover/resume.go
@@ -6,43 +6,43 @@
 	"indigowalk/internal/discovery"
 )
 
-// resumeState tells which replicas of a service have acknowledged CONTINUE since its last
-// failover, or since this process became the primary of the control state.
+// resumeState holds which replicas of a service have acknowledged a CONTINUE since the last
+// failover, or since this node became the primary of the control state.
 type resumeState struct {
 	epoch, failoverID int64
-	acknowledged      map[string]bool // by database
+	acknowledged      map[string]bool // by ID of the replica
 }
 
-// resumeReplicas sends CONTINUE to every replica that is not leaving until it has acknowledged
-// one: the CONTINUE sent right after a failover, or when that was cancelled, may have been lost
-// with its connection or with the process that was to send it, and a replica that stays paused
-// never receives anything. Repeating it does no harm, nor does a late one: once a failover has
-// begun, no commit of the old primary counts (see package distribution).
-func (c *Manager) resumeReplicas(ctx context.Context, s *snapshot, l Leader) {
+// resumeReplicas sends CONTINUE to every replica that is not leaving, and repeats it until the
+// replica has acknowledged one. The CONTINUE that is sent at the end of a failover may be lost with
+// its connection, or with the process that was to send it, and a replica that remains paused never
+// receives a commit again. A repeated or late CONTINUE is harmless: once a failover has begun,
+// commits of the old primary no longer count as acknowledged (see package distribution).
+func (m *Manager) resumeReplicas(ctx context.Context, s *snapshot, l Leader) {
 	if l.FailoverID == 0 {
 		return // no replica was ever paused
 	}
-	epoch, _ := c.state.Lease()
-	c.mu.Lock()
-	w := c.resumed[l.Service]
-	if w == nil || w.epoch != epoch || w.failoverID != l.FailoverID {
-		w = &resumeState{epoch, l.FailoverID, map[string]bool{}}
-		c.resumed[l.Service] = w
+	epoch, _ := m.controlState.Lease()
+	m.mu.Lock()
+	state := m.resumed[l.Service]
+	if state == nil || state.epoch != epoch || state.failoverID != l.FailoverID {
+		state = &resumeState{epoch, l.FailoverID, map[string]bool{}}
+		m.resumed[l.Service] = state
 	}
 	var pending []discovery.Database
 	for _, d := range s.replicas(l.Service, l.ID) {
-		if !d.Draining && !d.Gone && !w.acknowledged[d.ID] {
+		if !d.Draining && !d.Gone && !state.acknowledged[d.ID] {
 			pending = append(pending, d)
 		}
 	}
-	c.mu.Unlock()
+	m.mu.Unlock()
 	for _, d := range pending {
-		if c.health.Up(d.ID) && c.attemptDue("resume "+d.ID) {
+		if m.health.Up(d.ID) && m.attemptDue("resume "+d.ID) {
 			go func() {
-				if row, err := c.execute(ctx, d, "CONTINUE"); err == nil && row.pausedTerm == 0 {
-					c.mu.Lock()
-					defer c.mu.Unlock()
-					w.acknowledged[d.ID] = true
+				if row, err := m.execute(ctx, d, "CONTINUE"); err == nil && row.pausedTerm == 0 {
+					m.mu.Lock()
+					defer m.mu.Unlock()
+					state.acknowledged[d.ID] = true
 				}
 			}()
 		}
--- a/internal/failover/snapshot.go
+++ b/internal/failover/snapshot.go
@@ -7,55 +7,54 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// snapshot is a decoded state of the control state, together with what the databases last
-// reported.
+// snapshot is the decoded control state, together with what the databases last reported.
 type snapshot struct {
-	databases map[string]discovery.Database
-	known     map[string]bool // databases by id
-	services  map[string][]discovery.Database
-	leaders   map[string]Leader
-	conf      *routeconfig.Configuration
-	observed  map[string]discovery.ObservedState
-	poolers   map[string]int64
+	databases   map[string]discovery.Database
+	databaseIDs map[string]bool // databases by id
+	services    map[string][]discovery.Database
+	leaders     map[string]Leader
+	config      *routeconfig.Configuration
+	observed    map[string]discovery.ObservedState
+	poolers     map[string]int64
 }
 
-// loadSnapshot returns the current snapshot. The control state is decoded once per change.
-func (c *Manager) loadSnapshot() (*snapshot, error) {
-	state, err := c.state.Durable()
+// loadSnapshot returns the current snapshot. The control state is decoded only when it has changed.
+func (m *Manager) loadSnapshot() (*snapshot, error) {
+	durable, err := m.controlState.Durable()
 	if err != nil {
 		return nil, err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cached == nil || c.cachedSeq != state.Seq || c.cachedEpoch != state.Epoch {
-		s := &snapshot{services: map[string][]discovery.Database{}, known: map[string]bool{}}
-		entries := state.Entries
-		if s.databases, err = c.databases.Decode(entries); err != nil {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.cached == nil || m.cachedSeq != durable.Seq || m.cachedEpoch != durable.Epoch {
+		s := &snapshot{services: map[string][]discovery.Database{}, databaseIDs: map[string]bool{}}
+		entries := durable.Entries
+		if s.databases, err = m.databaseDecoder.Decode(entries); err != nil {
 			return nil, err
 		}
 		for _, d := range s.databases {
-			s.known[d.ID] = true
+			s.databaseIDs[d.ID] = true
 			s.services[d.Service] = append(s.services[d.Service], d)
 		}
-		if s.leaders, err = c.leaders.Decode(entries); err != nil {
+		if s.leaders, err = m.leaderDecoder.Decode(entries); err != nil {
 			return nil, err
 		}
-		if s.poolers, err = c.poolers.Decode(entries); err != nil {
+		if s.poolers, err = m.poolerDecoder.Decode(entries); err != nil {
 			return nil, err
 		}
-		if c.cached != nil && bytes.Equal(c.cachedConfig, entries[routeconfig.Key]) {
-			s.conf = c.cached.conf
-		} else if _, s.conf, err = routeconfig.Decode(entries[routeconfig.Key]); err != nil {
+		if m.cached != nil && bytes.Equal(m.cachedConfig, entries[routeconfig.Key]) {
+			s.config = m.cached.config
+		} else if _, s.config, err = routeconfig.Decode(entries[routeconfig.Key]); err != nil {
 			return nil, err
 		}
-		c.cached, c.cachedSeq, c.cachedEpoch, c.cachedConfig = s, state.Seq, state.Epoch, entries[routeconfig.Key]
+		m.cached, m.cachedSeq, m.cachedEpoch, m.cachedConfig = s, durable.Seq, durable.Epoch, entries[routeconfig.Key]
 	}
-	s := *c.cached
-	s.observed = c.registry.Observed()
+	s := *m.cached
+	s.observed = m.registry.Observed()
 	return &s, nil
 }
 
-// replicas lists the databases of a service except one.
+// replicas lists the databases of a service, except the one with the given ID.
 func (s *snapshot) replicas(service, except string) []discovery.Database {
 	var out []discovery.Database
 	for _, d := range s.services[service] {
@@ -66,13 +65,13 @@
 	return out
 }
 
-// syncReplicas returns how many replicas must have a commit before it is acknowledged; 1 if the
-// service is not configured.
+// syncReplicas returns how many replicas must have received a commit before it is acknowledged; 1
+// if the service is not configured.
 func (s *snapshot) syncReplicas(service string) int {
-	if s.conf != nil {
-		for _, svc := range s.conf.Services {
-			if svc.Name == service {
-				return svc.SyncReplicas
+	if s.config != nil {
+		for _, configured := range s.config.Services {
+			if configured.Name == service {
+				return configured.SyncReplicas
 			}
 		}
 	}
--- a/internal/failover/statements.go
+++ b/internal/failover/statements.go
@@ -16,11 +16,11 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// loginTerm returns the newest term that the databases reported at login.
+// loginTerm returns the newest term among the positions that the databases reported at login.
 func loginTerm(conns map[string]*dbconn.Conn) (term int64) {
 	for _, conn := range conns {
-		if pos, ok := lineprotocol.ParsePosition(conn.LoginPosition); ok {
-			term = max(term, pos.Term)
+		if position, ok := lineprotocol.ParsePosition(conn.LoginPosition); ok {
+			term = max(term, position.Term)
 		}
 	}
 	return term
@@ -35,66 +35,66 @@
 }
 
 // execute sends a database STAT, PAUSE, CONTINUE or STEPDOWN on a connection of its own.
-func (c *Manager) execute(ctx context.Context, d discovery.Database, text string) (statRow, error) {
-	conn, err := c.open(ctx, d)
+func (m *Manager) execute(ctx context.Context, d discovery.Database, text string) (statRow, error) {
+	conn, err := m.open(ctx, d)
 	if err != nil {
 		return statRow{}, err
 	}
 	defer conn.Close()
-	return c.executeOn(conn, text)
+	return m.executeOn(conn, text)
 }
 
-func (c *Manager) open(ctx context.Context, d discovery.Database) (*dbconn.Conn, error) {
-	return c.cfg.Dialer.Open(ctx, d, c.cfg.RequestTimeout)
+func (m *Manager) open(ctx context.Context, d discovery.Database) (*dbconn.Conn, error) {
+	return m.cfg.Dialer.Open(ctx, d, m.cfg.RequestTimeout)
 }
 
-// executeOn sends a statement on an open connection, and repeats it within the request timeout
-// while the database has no free slot.
-func (c *Manager) executeOn(conn *dbconn.Conn, text string) (statRow, error) {
-	for end := c.k.Clock.Now() + c.cfg.RequestTimeout; ; {
-		a, err := conn.Execute(text, dbconn.NewLimit(end-c.k.Clock.Now(), nil))
+// executeOn sends a statement on an open connection. While the database has no free slot, it
+// repeats the statement within the request timeout.
+func (m *Manager) executeOn(conn *dbconn.Conn, text string) (statRow, error) {
+	for deadline := m.k.Clock.Now() + m.cfg.RequestTimeout; ; {
+		answer, err := conn.Execute(text, dbconn.NewLimit(deadline-m.k.Clock.Now(), nil))
 		if err != nil {
 			return statRow{}, err
 		}
-		if a.Code != lineprotocol.Retry || c.k.Clock.Now()+busyRetryInterval > end {
-			return parseStat(a)
+		if answer.Code != lineprotocol.Retry || m.k.Clock.Now()+busyRetryInterval > deadline {
+			return parseStat(answer)
 		}
 		time.Sleep(busyRetryInterval.Duration()) // all slots of the database are in use
 	}
 }
 
 // parseStat parses "ROW role term received held lag busy connections".
-func parseStat(a *lineprotocol.Answer) (statRow, error) {
-	if a.Code != "" {
-		return statRow{}, fmt.Errorf("failover: database responded with %s %s", a.Code, a.Text)
+func parseStat(answer *lineprotocol.Answer) (statRow, error) {
+	if answer.Code != "" {
+		return statRow{}, fmt.Errorf("failover: database responded with %s %s", answer.Code, answer.Text)
 	}
-	line, _, _ := bytes.Cut(a.Rows, []byte("\r\n"))
-	f := strings.Fields(string(line))
-	if len(f) < 5 || f[0] != "ROW" {
+	line, _, _ := bytes.Cut(answer.Rows, []byte("\r\n"))
+	fields := strings.Fields(string(line))
+	if len(fields) < 5 || fields[0] != "ROW" {
 		return statRow{}, fmt.Errorf("failover: malformed STAT row %q", line)
 	}
-	r := statRow{primary: f[1] == "primary"}
-	held, err1 := strconv.ParseInt(f[4], 10, 64)
-	own, err2 := strconv.ParseInt(f[2], 10, 64)
-	pos, ok := lineprotocol.ParsePosition(f[3])
-	if err1 != nil || err2 != nil || !ok && f[3] != "-" {
+	row := statRow{primary: fields[1] == "primary"}
+	pausedTerm, pausedErr := strconv.ParseInt(fields[4], 10, 64)
+	term, termErr := strconv.ParseInt(fields[2], 10, 64)
+	received, ok := lineprotocol.ParsePosition(fields[3])
+	if pausedErr != nil || termErr != nil || !ok && fields[3] != "-" {
 		return statRow{}, fmt.Errorf("failover: malformed STAT row %q", line)
 	}
-	r.received, r.term, r.pausedTerm = pos, max(own, pos.Term), held
-	return r, nil
+	row.received, row.term, row.pausedTerm = received, max(term, received.Term), pausedTerm
+	return row, nil
 }
 
-// executeAll sends a statement to several databases concurrently and returns the responses of
-// those that responded, by database.
-func (c *Manager) executeAll(ctx context.Context, dbs []discovery.Database, text string) map[string]statRow {
-	conns := c.openAll(ctx, dbs)
+// executeAll sends a statement to several databases concurrently and returns their responses by
+// ID, without those that failed to respond.
+func (m *Manager) executeAll(ctx context.Context, dbs []discovery.Database, text string) map[string]statRow {
+	conns := m.openAll(ctx, dbs)
 	defer closeAll(conns)
-	return c.executeOnAll(conns, text)
+	return m.executeOnAll(conns, text)
 }
 
-func (c *Manager) openAll(ctx context.Context, dbs []discovery.Database) map[string]*dbconn.Conn {
-	return collect(c, dbs, func(d discovery.Database) string { return d.ID },
-		func(d discovery.Database) (*dbconn.Conn, error) { return c.open(ctx, d) })
+func (m *Manager) openAll(ctx context.Context, dbs []discovery.Database) map[string]*dbconn.Conn {
+	return collect(m, dbs, func(d discovery.Database) string { return d.ID },
+		func(d discovery.Database) (*dbconn.Conn, error) { return m.open(ctx, d) })
 }
 
 func closeAll(conns map[string]*dbconn.Conn) {
@@ -103,29 +103,29 @@
 	}
 }
 
-func (c *Manager) executeOnAll(conns map[string]*dbconn.Conn, text string) map[string]statRow {
-	return collect(c, slices.Collect(maps.Values(conns)), func(conn *dbconn.Conn) string { return conn.DB.ID },
-		func(conn *dbconn.Conn) (statRow, error) { return c.executeOn(conn, text) })
+func (m *Manager) executeOnAll(conns map[string]*dbconn.Conn, text string) map[string]statRow {
+	return collect(m, slices.Collect(maps.Values(conns)), func(conn *dbconn.Conn) string { return conn.DB.ID },
+		func(conn *dbconn.Conn) (statRow, error) { return m.executeOn(conn, text) })
 }
 
-// collect applies a function to all items concurrently and returns the results of those calls
-// that did not fail.
-func collect[T, R any](c *Manager, all []T, key func(T) string, f func(T) (R, error)) map[string]R {
+// collect calls a function for all items concurrently and returns the results by key, without
+// those of calls that failed.
+func collect[T, R any](m *Manager, items []T, key func(T) string, call func(T) (R, error)) map[string]R {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	out := map[string]R{}
-	for _, t := range all {
+	results := map[string]R{}
+	for _, item := range items {
 		wg.Go(func() {
-			r, err := f(t)
+			result, err := call(item)
 			if err != nil {
-				c.k.Counters.Add("failover.unanswered", 1)
+				m.k.Counters.Add("failover.unanswered", 1)
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			out[key(t)] = r
+			results[key(item)] = result
 		})
 	}
 	wg.Wait()
-	return out
+	return results
 }
