--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -33,7 +33,7 @@
 
 // Errors returned for rejected requests.
 var (
-	ErrNoName     = errors.New("failover: the request must name the operator, in at most 200 bytes") // see maxNameLength
+	ErrNoOperator = errors.New("failover: the request must name the operator, in at most 200 bytes") // see maxNameLength
 	ErrNotWaiting = errors.New("failover: no failover of that service with that turn is waiting for a database")
 )
 
@@ -42,16 +42,14 @@
 
 // registerHandlers registers the handlers of operators' requests at the RPC endpoint.
 func (m *Manager) registerHandlers(endpoint *rpc.Endpoint) {
-	rpc.HandleTyped(endpoint, AcceptOp, func(ctx context.Context, request AcceptLoss) (any, error) {
-		return struct{}{}, m.AcceptLoss(ctx, request)
-	})
+	rpc.HandleTyped(endpoint, AcceptOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, m.AcceptLoss(ctx, q) })
 }
 
 // AcceptLoss records that the loss is accepted for the failover that is waiting now. The next
 // failover waits again. A repeated request has no further effect.
 func (m *Manager) AcceptLoss(ctx context.Context, request AcceptLoss) error {
 	if request.By == "" || len(request.By) > maxNameLength {
-		return ErrNoName
+		return ErrNoOperator
 	}
 	if _, err := m.controlState.Term(); err != nil {
 		return err
--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -11,24 +11,24 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// simPooler is a simulated pooler; it reports the same things as the poolers' own code.
+// simPooler is a simulated pooler. It reports what a real pooler reports.
 type simPooler struct {
 	name                  string
 	incarnation           int64
-	leaseEnd              kernel.Micros // by the pooler's own reckoning, measured from before it polled
-	learnedFailover       int64         // number of the failover that it has learned of
-	released              int64
+	leaseEnd              kernel.Micros // by the pooler's clock, counted from when it sent the poll
+	learnedFailover       int64         // the newest failover of which it was notified
+	released              int64         // the newest failover for which it released the primary
 	acked                 lineprotocol.Position
 	lowerBound            lineprotocol.Position
-	stamp                 kernel.Micros // of the last response that it received
+	stamp                 kernel.Micros // of the newest response that it received
 	term                  int64
 	observed              lineprotocol.Position
-	registeredIncarnation int64 // incarnation that is registered in the control state
+	registeredIncarnation int64 // in the control state
 }
 
-// history is a random history of one service's primary, whose commits are numbered, of the poolers
-// that acknowledge them, and of the control node. Polls, responses and the control node's memory
-// may be lost.
+// history is a random history of the primary of one service, whose commits are numbered, of the
+// poolers that acknowledge them to clients, and of the control node. Polls and responses may be
+// lost, and so may the control node with what it keeps in memory.
 type history struct {
 	r            *rand.Rand
 	now          kernel.Micros
@@ -41,7 +41,7 @@
 	poolers      []*simPooler
 	incarnations int64
 	boundsGiven  int // how often an upper bound was given
-	// Faults to inject, to see that the check detects them.
+	// Injected faults, which the check must detect.
 	ignoresEndedIncarnations, stampsInFuture, acceptsOldReports, lowerBoundTooHigh bool
 }
 
@@ -62,7 +62,7 @@
 	*p = simPooler{name: p.name, incarnation: h.incarnations, registeredIncarnation: p.registeredIncarnation}
 }
 
-// takeOver makes another control node the primary, which knows the registered incarnations.
+// takeOver makes another control node the primary, which knows only the registered incarnations.
 func (h *history) takeOver() {
 	h.term++
 	registered := map[string]int64{}
@@ -75,7 +75,7 @@
 	h.readLeases.SetServicesWithLeader([]string{"svc"})
 }
 
-// poll lets a pooler poll; the poll or its response may be lost.
+// poll is one poll of a pooler; the poll or its response may be lost.
 func (h *history) poll(p *simPooler) {
 	sentAt := h.now
 	if p.learnedFailover > p.released && h.r.IntN(2) == 0 {
@@ -117,13 +117,14 @@
 	}
 }
 
-// decodedCopy returns a copy of a report, as decoded from a message it shares nothing with the
-// sender.
+// decodedCopy returns a copy of a report that, like one decoded from a message, shares no memory
+// with the sender's.
 func decodedCopy(r Report) Report {
 	return Report{Left: maps.Clone(r.Left), AckedUpperBound: maps.Clone(r.AckedUpperBound), AckedLowerBound: maps.Clone(r.AckedLowerBound)}
 }
 
-// execute lets a pooler run a statement at the primary and acknowledge a commit.
+// execute is one statement that a pooler runs at the primary, and the acknowledgement of its
+// commit, if it makes one.
 func (h *history) execute(p *simPooler) {
 	if h.now >= p.leaseEnd || p.learnedFailover == h.failoverID && h.inFailover {
 		return
@@ -144,8 +145,8 @@
 	}
 }
 
-// step takes one random step; it returns false if the control node's upper bound does not cover
-// the acknowledged commits, or its lower bound is past them.
+// step takes one random step. It returns false if the control node's upper bound does not cover all
+// acknowledged commits, or if its lower bound is past them.
 func (h *history) step() bool {
 	h.now += kernel.Micros(1 + h.r.IntN(4))
 	p := h.poolers[h.r.IntN(len(h.poolers))]
@@ -190,8 +191,8 @@
 	return true
 }
 
-// Whichever poolers, polls and control nodes are lost, an upper bound that is given must cover
-// every commit that was acknowledged to a client; and it must be given often enough.
+// Whichever poolers, polls and control nodes are lost, a known upper bound must cover every commit
+// that was acknowledged to a client, and a bound must be known often enough.
 func TestAcknowledgedBoundsHoldUnderLoss(t *testing.T) {
 	boundsGiven, failovers := 0, int64(0)
 	for seed := range uint64(2000) {
@@ -208,7 +209,7 @@
 	}
 }
 
-// The check of the history must detect each injected fault.
+// The check in step must detect each injected fault.
 func TestHistoryDetectsWrongBounds(t *testing.T) {
 	for name, injectFault := range map[string]func(*history){
 		"ended incarnations are forgotten":              func(h *history) { h.ignoresEndedIncarnations = true },
@@ -230,8 +231,8 @@
 	}
 }
 
-// Of many services each pooler must be asked to observe some, the same ones for a while, and all
-// poolers together all of them.
+// Each pooler must be asked to observe a part of the services, the same ones during a rotation
+// period, and all poolers together must observe all services.
 func TestObservedServicesAreSpreadOverPoolers(t *testing.T) {
 	readLeases := NewReaders()
 	var services []string
--- a/internal/failover/attempts_test.go
+++ b/internal/failover/attempts_test.go
@@ -10,8 +10,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// A time kept for a database that has left must not be taken for that of a later one with the
-// same name.
+// The time of an attempt for a database that has left must be dropped: it must not be taken for
+// that of a later database with the same name.
 func TestOldAttemptsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), Config{}, nil, nil, nil, nil)
@@ -24,7 +24,7 @@
 			t.Errorf("%d attempts are kept", n)
 		}
 		if elapsed := m.elapsedSinceFirst("gone database-0"); elapsed > kernel.Second {
-			t.Errorf("a database has just gone, but %d s are reported", elapsed/kernel.Second)
+			t.Errorf("%d s have elapsed for a database that has just left", elapsed/kernel.Second)
 		}
 	})
 }
--- a/internal/failover/choose_test.go
+++ b/internal/failover/choose_test.go
@@ -58,7 +58,7 @@
 	readLeases.RecordReport("d2", 10, Report{}, now)
 	readLeases.Grant("d2", 10, now+9)
 	if ok, wait := readLeases.AllReleased("svc", 1, now); ok || wait != 9 {
-		t.Errorf("left %v, wait %d", ok, wait)
+		t.Errorf("released: %v, time to wait: %d", ok, wait)
 	}
 	readLeases.RecordReport("d2", 10, released(1), now)
 	if ok, _ := readLeases.AllReleased("svc", 1, now+4); ok {
@@ -71,12 +71,12 @@
 		t.Error("an earlier incarnation of a pooler was accepted, or the newest one not returned")
 	}
 	readLeases.BeginTerm(2, map[string]int64{"d1": 10, "d3": 4}, now, 50)
-	readLeases.BeginTerm(2, nil, 0, 0) // the same term again changes nothing
+	readLeases.BeginTerm(2, nil, 0, 0) // a repeated call for the same term has no effect
 	if ok, wait := readLeases.AllReleased("svc", 1, now); ok || wait != 50 {
-		t.Errorf("in a new term: left %v, wait %d", ok, wait)
+		t.Errorf("in a new term: released: %v, time to wait: %d", ok, wait)
 	}
 	readLeases.RecordReport("d3", 4, released(1), now)
 	if readLeases.RecordReport("d1", 11, Report{}, now); !func() bool { ok, _ := readLeases.AllReleased("svc", 1, now); return ok }() {
-		t.Error("a new incarnation holds the lease of the previous one")
+		t.Error("a failover waits for the lease of a pooler's previous incarnation")
 	}
 }
--- a/internal/failover/model_moves_test.go
+++ b/internal/failover/model_moves_test.go
@@ -29,14 +29,14 @@
 	gone := map[string]discovery.Database{}
 	for _, d := range replicas {
 		if d.Gone {
-			gone[d.ID] = m.registered[d.ID]
-			delete(m.registered, d.ID)
+			gone[d.ID] = m.entries[d.ID]
+			delete(m.entries, d.ID)
 		}
 	}
 	removeGone(&m.leader, gone, covered)
 	leaving := filter(replicas, func(d discovery.Database) bool { return d.Draining && !d.Gone })
 	if !ok {
-		m.clearLimits(m.registered)
+		m.clearLimits(m.entries)
 		if m.interrupted() {
 			return
 		}
@@ -47,10 +47,11 @@
 		}
 		return
 	}
-	recordCommitLimits(m.registered, m.pause(filter(leaving, func(d discovery.Database) bool { return d.Limit == "" })))
+	recordCommitLimits(m.entries, m.pause(filter(leaving, func(d discovery.Database) bool { return d.Limit == "" })))
 }
 
-// pause pauses the nodes that can be reached and returns their positions.
+// pause pauses the replicas that the failover manager can reach and returns their positions; nil if
+// the failover manager was interrupted.
 func (m *model) pause(dbs []discovery.Database) map[string]lineprotocol.Position {
 	positions := map[string]lineprotocol.Position{}
 	for _, d := range dbs {
@@ -62,7 +63,7 @@
 			return nil
 		}
 	}
-	// A node that ended or crashed meanwhile is no longer paused, unless it is draining.
+	// A node that has crashed or ended in the meantime is no longer paused, unless it is draining.
 	return positions
 }
 
@@ -80,7 +81,7 @@
 		return
 	}
 	target := m.node(m.leader.To)
-	if !target.running {
+	if !target.alive {
 		m.leader.To = ""
 		return
 	}
@@ -95,16 +96,17 @@
 	m.resumeReplicas()
 }
 
-// decide pauses the replicas, compares their positions and chooses; true once there is a choice.
+// decide pauses the replicas, compares their positions and chooses one of them; it returns false if
+// none was chosen.
 func (m *model) decide() bool {
 	if !m.up(m.leader.ID) && m.r.IntN(2) == 0 {
 		pausedEarly := m.pause(filter(m.replicas(m.leader.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.Limit == "" }))
 		if pausedEarly == nil {
 			return false
 		}
-		recordCommitLimits(m.registered, pausedEarly)
+		recordCommitLimits(m.entries, pausedEarly)
 	}
-	m.writesStopped = true // every pooler has left the oldPrimary primary
+	m.writesStopped = true // every pooler has released the old primary
 	oldPrimary := m.leader.ID
 	for _, d := range m.databases() {
 		if d.HadID(m.leader.ID) && m.node(d.ID).primary {
@@ -116,15 +118,15 @@
 	if chosenPosition, ok := lineprotocol.ParsePosition(m.leader.ChosenPosition); ok {
 		input.ChosenPosition = &chosenPosition
 	}
-	if n := m.node(oldPrimary); m.up(oldPrimary) && !m.registered[oldPrimary].Gone && n.primary {
+	if n := m.node(oldPrimary); m.up(oldPrimary) && !m.entries[oldPrimary].Gone && n.primary {
 		primaryPosition := n.position()
 		input.PrimaryPosition = &primaryPosition
 	}
 	lowerBound := newestOf(m.acked)
 	if m.boundsKnown && (m.managerOnly || m.r.IntN(2) == 0) {
-		acked := m.upperBound(m.acked)
-		input.AckedUpperBound = &acked
-		if m.r.IntN(2) == 0 { // the bound may be lower than the last commit
+		upperBound := m.upperBound(m.acked)
+		input.AckedUpperBound = &upperBound
+		if m.r.IntN(2) == 0 { // the lower bound need not include the newest acknowledged commit
 			lowerBound = newestOf(m.acked[:max(0, len(m.acked)-1)])
 		}
 	}
@@ -148,7 +150,7 @@
 		m.commitChoice(target, paused[target])
 		return true
 	}
-	recordCommitLimits(m.registered, paused)
+	recordCommitLimits(m.entries, paused)
 	if input.PrimaryPosition != nil && m.leader.PlatformCalled {
 		m.commitChoice(oldPrimary, *input.PrimaryPosition)
 		return true
@@ -162,19 +164,20 @@
 
 func (m *model) commitChoice(target string, position lineprotocol.Position) {
 	m.leader.To, m.leader.PlatformCalled, m.leader.ChosenPosition = target, true, position.String()
-	removeGone(&m.leader, m.registered, position)
-	m.clearLimits(m.registered)
+	removeGone(&m.leader, m.entries, position)
+	m.clearLimits(m.entries)
 }
 
-// promote is what the platform does; it is also where the history is checked.
+// promote promotes a database, as the platform does, and checks that it holds every acknowledged
+// commit.
 func (m *model) promote(target *node) {
-	if m.violation == "" && !m.holdsAllAcked(target.log) {
+	if m.violation == "" && !m.holds(target.log) {
 		m.violation = fmt.Sprintf("%s was promoted with %d commits up to %v, although %d were acknowledged", target.id, len(target.log), target.position(), len(m.acked))
 	}
 	m.term++
 	target.primary, target.term, target.paused = true, m.term, false
 	for _, n := range m.nodes {
-		if n != target && n.running && n.leaderLink && target.leaderLink && !n.primary {
+		if n != target && n.alive && n.linked && target.linked && !n.primary {
 			n.log, n.paused = slices.Clone(target.log), false
 		}
 	}
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -13,48 +13,48 @@
 
 // node is a database of the model.
 type node struct {
-	id                       string
-	addr                     int
-	log                      []lineprotocol.Position // one commit each
-	term                     int64
-	primary, running, paused bool
-	lostForGood              bool // it does not return
-	managerLink, leaderLink  bool // can be reached by the failover manager, by the leader
-	heartbeatPending         bool // it receives commits, and its first heartbeat is still in flight
-	shutDown                 bool // it has shut down for good after draining
+	id                     string
+	addr                   int
+	log                    []lineprotocol.Position // one commit each
+	term                   int64
+	primary, alive, paused bool
+	lostForGood            bool // it will not restart
+	reachable, linked      bool // it can be reached by the failover manager, and by other nodes
+	heartbeatPending       bool // it receives commits, but its first heartbeat has not been processed
+	shutDown               bool // it will not restart, since it has shut down or has a successor
 }
 
 func (n *node) position() lineprotocol.Position { return newestOf(n.log) }
 
-// model is one service with its databases and its failover manager, which takes one step at a
-// time; any other event may happen between two of its steps.
+// model is a model of one service with its databases and its failover manager, which acts in single
+// steps. Any other event may happen between two of them.
 type model struct {
 	r              *rand.Rand
-	tolerable      bool // every failure is one that the manager can know to be tolerated
-	lostOneForGood bool // a database was lost for good, without deregistering
+	tolerable      bool // every failure is one that the failover manager can know to be tolerable
+	lostOneForGood bool // a database was lost for good without deregistering
 	nodes          []*node
-	registered     map[string]discovery.Database
+	entries        map[string]discovery.Database
 	leader         Leader
 	term           int64
 	created        int
-	writesStopped  bool // no pooler writes: all have left the old primary
-	boundsKnown    bool // a bound of the acknowledged commits may be known
-	managerOnly    bool // only the failover manager acts
+	writesStopped  bool // all poolers have released the old primary
+	boundsKnown    bool // an upper bound of the acknowledged commits may be known
+	managerOnly    bool // no events happen outside the failover manager
 
 	acked     []lineprotocol.Position
 	violation string
 
-	// The failover manager's decisions, which tests replace by wrong ones.
+	// Decisions of the failover manager, which a test replaces by wrong ones.
 	choose          func(ChoiceInput) (string, string)
 	clearLimits     func(map[string]discovery.Database)
-	sameDatabase    func(old discovery.Database) bool // whether a new database at its address is the same one
+	sameDatabase    func(old discovery.Database) bool // whether a new database at its address is its next incarnation
 	upperBound      func(acked []lineprotocol.Position) lineprotocol.Position
-	firstHeartbeats func(due bool) bool // whether first heartbeats are taken to have arrived
+	firstHeartbeats func(due bool) bool // whether all first heartbeats are assumed to be processed
 }
 
 func newModel(seed uint64, tolerable bool) *model {
 	m := &model{
-		r: rand.New(rand.NewPCG(seed, 1)), tolerable: tolerable, registered: map[string]discovery.Database{}, term: 1,
+		r: rand.New(rand.NewPCG(seed, 1)), tolerable: tolerable, entries: map[string]discovery.Database{}, term: 1,
 		choose: ChoosePrimary, clearLimits: clearCommitLimits, sameDatabase: func(old discovery.Database) bool { return !old.Draining },
 		boundsKnown: seed/2%2 == 0, upperBound: newestOf, firstHeartbeats: func(due bool) bool { return due },
 	}
@@ -75,9 +75,9 @@
 
 func (m *model) add(addr int, log []lineprotocol.Position) *node {
 	m.created++
-	n := &node{id: fmt.Sprint("d", m.created), addr: addr, log: log, running: true, managerLink: true, leaderLink: true}
+	n := &node{id: fmt.Sprint("d", m.created), addr: addr, log: log, alive: true, reachable: true, linked: true}
 	m.nodes = append(m.nodes, n)
-	m.registered[n.id] = discovery.Database{ID: n.id, Service: "s", Address: fmt.Sprint(addr)}
+	m.entries[n.id] = discovery.Database{ID: n.id, Service: "s", Address: fmt.Sprint(addr)}
 	return n
 }
 
@@ -90,30 +90,31 @@
 	return &node{}
 }
 
-// primary returns the running database that leads the newest term.
+// primary returns the running database that is the primary of the newest term.
 func (m *model) primary() *node {
 	for _, n := range m.nodes {
-		if n.running && n.primary && n.term == m.term {
+		if n.alive && n.primary && n.term == m.term {
 			return n
 		}
 	}
 	return nil
 }
 
-func (m *model) up(id string) bool { n := m.node(id); return n.running && n.managerLink }
+func (m *model) up(id string) bool { n := m.node(id); return n.alive && n.reachable }
 
 func (m *model) databases() []discovery.Database {
-	var out []discovery.Database
-	for _, id := range slices.Sorted(maps.Keys(m.registered)) {
-		out = append(out, m.registered[id])
+	var entries []discovery.Database
+	for _, id := range slices.Sorted(maps.Keys(m.entries)) {
+		entries = append(entries, m.entries[id])
 	}
-	return out
+	return entries
 }
 
-// replicate replicates the primary's log to those that receive and reports whether any did.
+// replicate copies the primary's log to the nodes that receive commits, and reports whether any
+// did. If late is set, some of them do not receive it yet.
 func (m *model) replicate(p *node, late bool) (received bool) {
 	for _, n := range m.nodes {
-		if n == p || !n.running || n.paused || !n.leaderLink || !p.leaderLink || late && m.r.IntN(4) == 0 {
+		if n == p || !n.alive || n.paused || !n.linked || !p.linked || late && m.r.IntN(4) == 0 {
 			continue
 		}
 		if n.primary && n.term >= p.term {
@@ -127,8 +128,8 @@
 	return received
 }
 
-// acknowledge also acknowledges what was in progress at the primary. A commit is acknowledged to
-// a client only in the term in which it was made.
+// acknowledge acknowledges all commits of the primary. A commit is acknowledged to a client only in
+// the term in which it was made.
 func (m *model) acknowledge(p *node) {
 	acknowledged := map[lineprotocol.Position]bool{}
 	for _, e := range m.acked {
@@ -137,8 +138,8 @@
 	m.acked = slices.DeleteFunc(slices.Clone(p.log), func(e lineprotocol.Position) bool { return e.Term != p.term && !acknowledged[e] })
 }
 
-// holdsAllAcked reports whether a log has every acknowledged commit.
-func (m *model) holdsAllAcked(log []lineprotocol.Position) bool {
+// holds reports whether a log contains every acknowledged commit.
+func (m *model) holds(log []lineprotocol.Position) bool {
 	contained := map[lineprotocol.Position]bool{}
 	for _, e := range log {
 		contained[e] = true
@@ -146,14 +147,15 @@
 	return !slices.ContainsFunc(m.acked, func(e lineprotocol.Position) bool { return !contained[e] })
 }
 
-// redundant reports whether a database may be lost because another holds everything.
+// redundant reports whether a database may be lost, since another that stays holds every
+// acknowledged commit.
 func (m *model) redundant(lost *node) bool {
 	return slices.ContainsFunc(m.nodes, func(n *node) bool {
-		return n != lost && !n.lostForGood && !n.shutDown && !m.registered[n.id].Draining && m.holdsAllAcked(n.log)
+		return n != lost && !n.lostForGood && !n.shutDown && !m.entries[n.id].Draining && m.holds(n.log)
 	})
 }
 
-// randomEvent is one random event outside the failover manager.
+// randomEvent causes one random event outside the failover manager.
 func (m *model) randomEvent() {
 	if m.managerOnly {
 		return
@@ -162,13 +164,11 @@
 	if m.r.IntN(4) == 0 {
 		n = m.node(m.leader.ID)
 	}
-	entry, registered := m.registered[n.id]
+	entry, registered := m.entries[n.id]
 	switch event := m.r.IntN(16); {
 	case event < 4: // a commit
 		if p := m.primary(); p != nil && p.id == m.leader.ID && !m.writesStopped {
-			if m.tolerable && !slices.ContainsFunc(m.nodes, func(n *node) bool {
-				return n != p && n.running && !n.paused && n.leaderLink && p.leaderLink && !n.primary
-			}) {
+			if m.tolerable && !slices.ContainsFunc(m.nodes, func(n *node) bool { return n != p && n.alive && !n.paused && n.linked && p.linked && !n.primary }) {
 				return
 			}
 			p.log = append(p.log, lineprotocol.Position{Term: p.term, Number: int64(len(p.log)) + 1})
@@ -178,17 +178,17 @@
 		if p := m.primary(); p != nil {
 			m.replicate(p, true)
 		}
-	case event == 6 && len(notLeaving(m.databases())) > 1 && registered && n.running:
+	case event == 6 && len(notLeaving(m.databases())) > 1 && registered && n.alive:
 		entry.Draining = true
-		m.registered[n.id] = entry
-	case event == 7 && n.running && entry.Draining: // it shuts down, and deregisters or not
+		m.entries[n.id] = entry
+	case event == 7 && n.alive && entry.Draining: // it shuts down, with or without deregistering
 		if m.tolerable && (n.id == m.leader.To || entry.Limit == "" && (m.leader.FailoverInProgress || !m.up(m.leader.ID) || n.id == m.leader.ID) || !m.redundant(n)) {
 			return
 		}
-		n.running, n.shutDown = false, true
+		n.alive, n.shutDown = false, true
 		if m.r.IntN(3) > 0 || m.tolerable {
 			entry.Gone = true
-			m.registered[n.id] = entry
+			m.entries[n.id] = entry
 		}
 		if m.tolerable && entry.Limit == "" {
 			m.managerOnly = true // temporarily
@@ -197,20 +197,20 @@
 		}
 	case event == 8 && n.shutDown && registered && !entry.Gone && m.r.IntN(2) == 0: // another database at its address
 		m.register(n, m.add(n.addr, nil))
-	case (event == 9 || event == 14) && n.running && !entry.Draining:
-		n.running, n.paused = false, false
+	case (event == 9 || event == 14) && n.alive && !entry.Draining:
+		n.alive, n.paused = false, false
 		n.lostForGood = m.r.IntN(4) == 0 && (!m.tolerable || !m.lostOneForGood && !m.leader.FailoverInProgress && m.redundant(n))
 		m.lostOneForGood = m.lostOneForGood || n.lostForGood
-	case event == 10 && !n.running && !n.lostForGood && !n.shutDown:
+	case event == 10 && !n.alive && !n.lostForGood && !n.shutDown:
 		m.restart(n)
 	case event == 11:
-		n.managerLink = m.r.IntN(3) > 0
+		n.reachable = m.r.IntN(3) > 0
 	case event == 12:
-		n.leaderLink = m.r.IntN(3) > 0
+		n.linked = m.r.IntN(3) > 0
 	case event == 13 && len(m.nodes) < 7:
 		if n := m.add(100+m.created, nil); m.r.IntN(2) == 0 {
 			n.heartbeatPending = true
-			delete(m.registered, n.id)
+			delete(m.entries, n.id)
 		}
 	case event == 15:
 		m.processFirstHeartbeat(n)
@@ -219,15 +219,16 @@
 
 // processFirstHeartbeat processes the first heartbeat of a database.
 func (m *model) processFirstHeartbeat(n *node) {
-	if n.heartbeatPending && n.running {
-		m.registered[n.id] = discovery.Database{ID: n.id, Service: "s", Address: fmt.Sprint(n.addr)}
+	if n.heartbeatPending && n.alive {
+		m.entries[n.id] = discovery.Database{ID: n.id, Service: "s", Address: fmt.Sprint(n.addr)}
 		n.heartbeatPending = false
 	}
 }
 
-// allHeartbeatsProcessed reports whether every database that received commits has been heard. One that is lost
-// before its first heartbeat never is: a commit that was held by it and the primary alone, and
-// that is in no known lower bound, is beyond the model once that heartbeat is overdue.
+// allHeartbeatsProcessed reports whether the first heartbeat of every database that receives commits
+// has been processed. That of a database that is lost before never is. Once it is overdue, the model
+// does not cover a commit that only this database and the primary held and that no known lower bound
+// includes.
 func (m *model) allHeartbeatsProcessed() bool {
 	return !slices.ContainsFunc(m.nodes, func(n *node) bool { return n.heartbeatPending })
 }
@@ -239,23 +240,23 @@
 	m.register(n, successor)
 }
 
-// register is what discovery does with a database at another's address.
+// register registers the database at the address of another, as package discovery does.
 func (m *model) register(former, successor *node) {
-	oldEntry, newEntry := m.registered[former.id], m.registered[successor.id]
+	oldEntry, newEntry := m.entries[former.id], m.entries[successor.id]
 	if former.heartbeatPending {
-		former.heartbeatPending = false // nobody knows that it was another incarnation
+		former.heartbeatPending = false // the failover manager never learns of this incarnation
 	} else if m.sameDatabase(oldEntry) {
 		newEntry = newEntry.SuccessorOf(oldEntry)
-		delete(m.registered, former.id)
+		delete(m.entries, former.id)
 	} else {
 		oldEntry.Gone = true
-		m.registered[former.id] = oldEntry
+		m.entries[former.id] = oldEntry
 	}
-	m.registered[successor.id] = newEntry
+	m.entries[successor.id] = newEntry
 }
 
-// interrupted lets events happen between two steps; at times it reports that the failover manager
-// has lost its lease.
+// interrupted causes random events between two actions of the failover manager. At random it reports
+// that the failover manager is interrupted, since it has lost its lease.
 func (m *model) interrupted() bool {
 	for m.r.IntN(3) == 0 {
 		m.randomEvent()
@@ -263,7 +264,7 @@
 	return !m.managerOnly && m.r.IntN(20) == 0
 }
 
-// step lets the failover manager examine the service once and act on it.
+// step is one step of the failover manager: it examines the service and acts on it.
 func (m *model) step() {
 	for _, d := range m.databases() {
 		if d.HadID(m.leader.ID) && m.node(d.ID).primary && !m.leader.PlatformCalled {
@@ -292,8 +293,8 @@
 	}
 }
 
-// run takes random steps. Then every node that can return returns, and the failover manager
-// alone takes steps.
+// run takes random steps. Then every node restarts that can, and the failover manager takes some
+// more steps without other events.
 func (m *model) run(steps int) {
 	for range steps {
 		if m.randomEvent(); m.r.IntN(3) == 0 {
@@ -301,9 +302,9 @@
 		}
 	}
 	for _, n := range slices.Clone(m.nodes) {
-		n.managerLink, n.leaderLink = true, true
+		n.reachable, n.linked = true, true
 		m.processFirstHeartbeat(n)
-		if !n.running && !n.lostForGood && !n.shutDown {
+		if !n.alive && !n.lostForGood && !n.shutDown {
 			m.restart(n)
 		}
 	}
@@ -316,9 +317,9 @@
 	}
 }
 
-// result returns which rule the play violated, "" if none.
+// result returns the rule that the run violated, "" if none.
 func (m *model) result() string {
-	if p := m.node(m.leader.ID); m.violation == "" && m.tolerable && (m.leader.FailoverInProgress || !p.running || !p.primary) {
+	if p := m.node(m.leader.ID); m.violation == "" && m.tolerable && (m.leader.FailoverInProgress || !p.alive || !p.primary) {
 		return fmt.Sprintf("no leader is found: %+v of %+v", m.leader, m.databases())
 	}
 	if m.violation == "" && m.boundsKnown && m.holderRunning() && !m.node(m.leader.ID).primary {
@@ -329,17 +330,15 @@
 
 // holderRunning reports whether a running database holds every acknowledged commit.
 func (m *model) holderRunning() bool {
-	return slices.ContainsFunc(m.nodes, func(n *node) bool {
-		return n.running && m.up(n.id) && m.holdsAllAcked(n.log) && !m.registered[n.id].Gone
-	})
+	return slices.ContainsFunc(m.nodes, func(n *node) bool { return n.alive && m.up(n.id) && m.holds(n.log) && !m.entries[n.id].Gone })
 }
 
 const schedules, steps = 2000, 120
 
-// Invariant CONFINED: however databases leave, crash and return, and wherever the failover
-// manager is interrupted, no database may be promoted that lacks an acknowledged commit. A leader
-// must be found in the end where every failure can be known to be tolerated, and also where a
-// bound of the acknowledged commits is known and a database that holds them is running.
+// Invariant CONFINED: however databases leave, crash and restart, and wherever the failover manager
+// is interrupted, no database may be promoted that lacks an acknowledged commit. In the end there
+// must be a leader if all failures were tolerable, and also if an upper bound of the acknowledged
+// commits is known and a database that holds them all is running.
 func TestNoAcknowledgedCommitIsLostByFailover(t *testing.T) {
 	promotions := int64(0)
 	for seed := range uint64(schedules) {
@@ -355,7 +354,7 @@
 	}
 }
 
-// The model must detect each wrong decision.
+// The model must detect each wrong decision of the failover manager.
 func TestModelDetectsWrongDecisions(t *testing.T) {
 	alterInput := func(alter func(*ChoiceInput)) func(*model) {
 		return func(m *model) {
@@ -367,9 +366,9 @@
 		}
 	}
 	for name, injectFault := range map[string]func(*model){
-		"absent replicas are not waited for":               alterInput(func(s *ChoiceInput) { s.Absent = nil }),
-		"removed databases are taken to have held nothing": alterInput(func(s *ChoiceInput) { s.MinPosition = lineprotocol.Position{} }),
-		"limits are ignored": alterInput(func(s *ChoiceInput) {
+		"absent replicas are not waited for":                 alterInput(func(s *ChoiceInput) { s.Absent = nil }),
+		"removed databases are assumed to have held nothing": alterInput(func(s *ChoiceInput) { s.MinPosition = lineprotocol.Position{} }),
+		"commit limits are ignored": alterInput(func(s *ChoiceInput) {
 			for i := range s.Absent {
 				s.Absent[i].CommitLimit = nil
 			}
@@ -379,10 +378,10 @@
 				return newestOf(acked[:max(0, len(acked)-1)])
 			}
 		},
-		"a first heartbeat is not waited for":                func(m *model) { m.firstHeartbeats = func(bool) bool { return true } },
-		"the lower bound of acknowledged commits is ignored": alterInput(func(s *ChoiceInput) { s.AckedLowerBound = nil }),
-		"limits outlast the pause":                           func(m *model) { m.clearLimits = func(map[string]discovery.Database) {} },
-		"a draining database's log is taken to remain":       func(m *model) { m.sameDatabase = func(discovery.Database) bool { return true } },
+		"a first heartbeat is not waited for":                 func(m *model) { m.firstHeartbeats = func(bool) bool { return true } },
+		"the lower bound of acknowledged commits is ignored":  alterInput(func(s *ChoiceInput) { s.AckedLowerBound = nil }),
+		"commit limits outlast the pause":                     func(m *model) { m.clearLimits = func(map[string]discovery.Database) {} },
+		"the log of a draining database is assumed to remain": func(m *model) { m.sameDatabase = func(discovery.Database) bool { return true } },
 	} {
 		found := ""
 		for seed := uint64(0); seed < 4*schedules && found == ""; seed++ {
--- a/internal/failover/move.go
+++ b/internal/failover/move.go
@@ -150,12 +150,12 @@
 	if position, ok := lineprotocol.ParsePosition(l.ChosenPosition); ok {
 		input.ChosenPosition = &position
 	}
-	if acked, known := m.readLeases.AcknowledgedUpperBound(l.Service, l.FailoverID); known {
-		input.AckedUpperBound = &acked
+	if upperBound, known := m.readLeases.AcknowledgedUpperBound(l.Service, l.FailoverID); known {
+		input.AckedUpperBound = &upperBound
 	}
 	waived, _ := lineprotocol.ParsePosition(l.Waived)
-	if certain, known := m.readLeases.AcknowledgedLowerBound(l.Service, l.FailoverID); known && waived.Less(certain) {
-		input.AckedLowerBound = &certain
+	if lowerBound, known := m.readLeases.AcknowledgedLowerBound(l.Service, l.FailoverID); known && waived.Less(lowerBound) {
+		input.AckedLowerBound = &lowerBound
 	}
 	input.FirstHeartbeatsElapsed = m.elapsedSinceFirst(fmt.Sprintf("first heartbeats %s %d", l.Service, l.FailoverID)) > m.cfg.FirstHeartbeatTimeout
 	newestTerm = l.Term
--- a/internal/failover/platform_call_test.go
+++ b/internal/failover/platform_call_test.go
@@ -10,8 +10,8 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// The platform must not be called outside the term in which the failover was examined, whatever
-// lease is held now.
+// The platform must not be called outside the term in which the failover was examined, even if a
+// lease is held in a later term.
 func TestPlatformIsNotCalledOutsideTheTerm(t *testing.T) {
 	m := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
 	if err := m.callPlatform(t.Context(), Leader{}); !errors.Is(err, errRetryLater) || len(m.k.Counters.Snapshot()) != 0 {
@@ -19,7 +19,8 @@
 	}
 }
 
-// A database that was promoted without what the choice was based on must be reported.
+// The promotion of a database that no longer holds everything that it held when it was chosen must
+// be reported as a violation of the invariant.
 func TestPromotionBelowChosenPositionIsReported(t *testing.T) {
 	for text, want := range map[string]int{"2.9": 0, "2.8": 0, "2.7": 1} {
 		m := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
--- a/internal/failover/platform_test.go
+++ b/internal/failover/platform_test.go
@@ -14,14 +14,13 @@
 	"indigowalk/internal/kernel"
 )
 
-// Invariant DUTY-ONCE: a call to the platform must be sent once, whatever happens to its
-// connection. The simulated platform responds to the first requests of a connection and then,
-// depending on the case, resets the connection while it is idle or at the next request; or it
-// ends the first request without a response.
+// Invariant DUTY-ONCE: a call to the platform must be sent at most once, whatever happens to its
+// connection. The simulated platform responds to a number of requests of a connection, possibly
+// none, and then resets it, either while it is idle or after it has read one more request.
 func TestPlatformCallIsSentOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		responses      int  // requests of a connection that get a response
-		resetWhileIdle bool // the connection is reset while idle, after the last response
+		resetWhileIdle bool // the connection is reset after the last response, not at the next request
 		calls          int
 		failures       int // calls that get no response
 	}{
@@ -59,7 +58,7 @@
 					}
 					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
-				io.Copy(io.Discard, io.LimitReader(conn, 1)) // until the far end has its response, or sends another request
+				io.Copy(io.Discard, io.LimitReader(conn, 1)) // until the client has closed the connection or sends another request
 			}
 			go func() {
 				for {
@@ -74,16 +73,16 @@
 					go serve(conn)
 				}
 			}()
-			client := newPlatformClient(kernel.HostNetwork{}, ln.Addr().String(), "a")
+			platform := newPlatformClient(kernel.HostNetwork{}, ln.Addr().String(), "a")
 			failed := 0
 			for range test.calls {
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-				if err := client.failover(ctx, 7, "s", "id"); err != nil {
+				if err := platform.failover(ctx, 7, "s", "id"); err != nil {
 					failed++
 				}
 				cancel()
 			}
-			client.client.CloseIdleConnections()
+			platform.client.CloseIdleConnections()
 			wg.Wait()
 			if answered := test.calls - min(failed, test.calls); failed != test.failures || requestsRead > test.calls || requestsRead < answered || conns != test.calls {
 				t.Errorf("%d calls were read %d times on %d connections, %d failed, not %d", test.calls, requestsRead, conns, failed, test.failures)
@@ -99,10 +98,10 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	client := newPlatformClient(kernel.HostNetwork{}, ln.Addr().String(), "a")
+	platform := newPlatformClient(kernel.HostNetwork{}, ln.Addr().String(), "a")
 	ctx, cancel := context.WithCancel(t.Context())
 	result := make(chan error)
-	go func() { result <- client.failover(ctx, 7, "s", "id") }()
+	go func() { result <- platform.failover(ctx, 7, "s", "id") }()
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/failover/readers_test.go
+++ b/internal/failover/readers_test.go
@@ -18,25 +18,25 @@
 	now += span + 2*kernel.Second
 	readLeases.RecordReport("polls", 2, Report{}, now)
 	readLeases.RecordReport("new", 1, Report{}, now)
-	gone := readLeases.MarkExpired(now, span)
-	if want := []string{"cut off", "dead"}; !slices.Equal(gone, want) {
-		t.Fatalf("%v are expired, want %v", gone, want)
+	expired := readLeases.MarkExpired(now, span)
+	if want := []string{"cut off", "dead"}; !slices.Equal(expired, want) {
+		t.Fatalf("%v are expired, want %v", expired, want)
 	}
 	if newest, ok := readLeases.RecordReport("cut off", 4, Report{}, now); ok || newest != 0 || readLeases.Grant("cut off", 4, now+kernel.Second) {
 		t.Error("a pooler's report was accepted, or a lease granted, while its registration is being removed")
 	}
-	if again := readLeases.MarkExpired(now, span); !slices.Equal(again, gone) {
-		t.Errorf("%v are expired at the next check, want %v: the removal may have failed", again, gone)
+	if again := readLeases.MarkExpired(now, span); !slices.Equal(again, expired) {
+		t.Errorf("%v are expired at the next check, want %v: the removal may have failed", again, expired)
 	}
-	readLeases.RemoveExpired(gone)
+	readLeases.RemoveExpired(expired)
 	if _, wait := readLeases.AllReleased("service", 1, now); wait != 0 {
 		t.Errorf("a failover waits %d for removed poolers", wait)
 	}
 	if _, ok := readLeases.RecordReport("cut off", 4, Report{}, now); !ok || !readLeases.Grant("cut off", 4, now+kernel.Second) {
 		t.Error("a removed pooler is not accepted again")
 	}
-	if gone := readLeases.MarkExpired(now, span); gone != nil {
-		t.Errorf("%v are expired although they have just reported", gone)
+	if expired := readLeases.MarkExpired(now, span); expired != nil {
+		t.Errorf("%v are expired although they have just reported", expired)
 	}
 }
 
--- a/internal/failover/snapshot.go
+++ b/internal/failover/snapshot.go
@@ -9,13 +9,13 @@
 
 // snapshot is the decoded control state, together with what the databases last reported.
 type snapshot struct {
-	databases   map[string]discovery.Database
-	databaseIDs map[string]bool // databases by id
-	services    map[string][]discovery.Database
-	leaders     map[string]Leader
+	databases   map[string]discovery.Database // by ID
+	databaseIDs map[string]bool
+	services    map[string][]discovery.Database // by service
+	leaders     map[string]Leader               // by service
 	config      *routeconfig.Configuration
-	observed    map[string]discovery.ObservedState
-	poolers     map[string]int64
+	observed    map[string]discovery.ObservedState // by database ID
+	poolers     map[string]int64                   // incarnations of the registered poolers
 }
 
 // loadSnapshot returns the current snapshot. The control state is decoded only when it has changed.
