--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -120,8 +120,8 @@
 }
 
 // Heartbeat processes a heartbeat. It returns nil only once everything in it that belongs to the
-// control state is durable. A draining database never goes back to normal under the same ID, and
-// one that is gone or was replaced never returns: a heartbeat that says otherwise is a delayed one.
+// control state is durable. A draining database remains draining as long as it has that ID, and one
+// that is gone or was replaced never returns: a heartbeat that says otherwise is a delayed one.
 func (r *Registry) Heartbeat(ctx context.Context, id string, beat Beat) error {
 	if id == "" || beat.Service == "" || beat.Address == "" {
 		r.k.Counters.Add("discovery.malformed", 1)
--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -33,7 +33,7 @@
 
 // Errors returned for rejected requests.
 var (
-	ErrNoOperator = errors.New("failover: the request must name the operator, in at most 200 bytes") // see maxNameLength
+	ErrNoOperator = errors.New("failover: the operator's name is missing or too long") // longer than maxNameLength
 	ErrNotWaiting = errors.New("failover: no failover of that service with that turn is waiting for a database")
 )
 
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -37,7 +37,7 @@
 	Name                  string // by which this node identifies itself to the platform as the duty holder
 	PlatformAddr          string
 	Leaderless            bool          // the databases of a service are all alike, and none is the leader
-	ReaderLease           kernel.Micros // duration of a read lease
+	ReadLease             kernel.Micros // duration of a read lease
 	Dialer                dbconn.Dialer
 	RequestTimeout        kernel.Micros // for one response of a database
 	HeartbeatWait         kernel.Micros // a promoted database that has sent no heartbeat for this long is queried
@@ -112,9 +112,9 @@
 		}
 		return
 	}
-	m.readLeases.BeginTerm(term.FirstEpoch(), s.poolers, m.k.Clock.Now(), m.cfg.ReaderLease)
+	m.readLeases.BeginTerm(term.FirstEpoch(), s.poolers, m.k.Clock.Now(), m.cfg.ReadLease)
 	m.health.SetKnown(s.databaseIDs)
-	m.removeReaders(ctx)
+	m.removeExpiredProxies(ctx)
 	if m.cfg.Leaderless {
 		m.removeDatabases(ctx, s)
 		return
--- a/internal/failover/plugin.go
+++ b/internal/failover/plugin.go
@@ -18,7 +18,7 @@
 			readLeases := NewReaders()
 			kernel.Offer(k, readLeases)
 			manager := New(k, Config{
-				Name: s.NodeName, PlatformAddr: s.PlatformAddr, Leaderless: s.Deploy == settings.DeployAPI, ReaderLease: settings.FromMillis(s.ReaderLeaseMs),
+				Name: s.NodeName, PlatformAddr: s.PlatformAddr, Leaderless: s.Deploy == settings.DeployAPI, ReadLease: settings.FromMillis(s.ReaderLeaseMs),
 				Dialer:         dbconn.Dialer{Net: k.Net, ClientName: "failover", ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs)},
 				RequestTimeout: kernel.Second, HeartbeatWait: 700 * kernel.Millisecond, FirstHeartbeatTimeout: settings.FromMillis(s.HeartbeatMs + s.ContactMs),
 			}, kernel.Need[*controlstate.Replica](k), kernel.Need[*discovery.Registry](k),
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -175,9 +175,9 @@
 // returns as a new incarnation.
 func (r *Readers) Changed() <-chan struct{} { return r.changes.Wait() }
 
-// proxyPrefix is the prefix of the keys of the control state's entries that register poolers. A
-// pooler is registered before it is granted its first lease, so that the next primary of the
-// control state knows which poolers to wait for.
+// proxyPrefix is the prefix of the keys of the control state's entries that register proxies:
+// poolers, or gateways where databases have no leader. A proxy is registered before it is granted
+// its first lease, so that the next primary of the control state knows which ones to wait for.
 const proxyPrefix = "carrier/"
 
 // DecodeRegistrations returns the incarnations of the poolers that are registered in the control
--- a/internal/failover/removal.go
+++ b/internal/failover/removal.go
@@ -10,27 +10,27 @@
 	// a proxy is removed.
 	removalLeases = 24
 	// Keys for runExclusive, which no service name can equal.
-	readerRemovalKey   = "\x00readers"
+	proxyRemovalKey    = "\x00readers"
 	databaseRemovalKey = "\x00databases"
 )
 
-// removeReaders removes the registrations of proxies that no longer poll. One that polls again
-// later is registered again before it is granted a lease.
-func (m *Manager) removeReaders(ctx context.Context) {
-	gone := m.readLeases.MarkExpired(m.k.Clock.Now(), removalLeases*m.cfg.ReaderLease)
-	if len(gone) == 0 {
+// removeExpiredProxies removes the registrations of proxies that no longer poll. One that polls
+// again later is registered again before it is granted a lease.
+func (m *Manager) removeExpiredProxies(ctx context.Context) {
+	expired := m.readLeases.MarkExpired(m.k.Clock.Now(), removalLeases*m.cfg.ReadLease)
+	if len(expired) == 0 {
 		return
 	}
-	m.runExclusive(readerRemovalKey, func() error {
+	m.runExclusive(proxyRemovalKey, func() error {
 		err := m.controlState.Update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
-			return UnregistrationChanges(gone), nil
+			return UnregistrationChanges(expired), nil
 		})
 		if err != nil {
 			return err
 		}
-		m.readLeases.RemoveExpired(gone)
-		m.k.Counters.Add("failover.carriers_forgotten", int64(len(gone)))
-		m.k.Log.Info("removed the registrations of proxies that no longer poll", "names", gone)
+		m.readLeases.RemoveExpired(expired)
+		m.k.Counters.Add("failover.carriers_forgotten", int64(len(expired)))
+		m.k.Log.Info("removed the registrations of proxies that no longer poll", "names", expired)
 		return nil
 	})
 }
