--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -110,11 +110,11 @@
 	return &Registry{k: k, state: state, decoder: Decoder(), departureDecoder: controlstate.NewDecoder[departure](departedPrefix), observed: map[string]ObservedState{}}
 }
 
-// NewDecoder returns a decoder of the databases in the control state.
+// Decoder returns a decoder of the databases in the control state.
 func Decoder() *controlstate.Decoder[Database] { return controlstate.NewDecoder[Database](keyPrefix) }
 
 // Decode returns the databases in the control state, by ID. For repeated use, a decoder of
-// NewDecoder is cheaper.
+// Decoder is cheaper.
 func Decode(entries map[string]json.RawMessage) (map[string]Database, error) {
 	return Decoder().Decode(entries)
 }
--- a/internal/failover/leader.go
+++ b/internal/failover/leader.go
@@ -47,11 +47,11 @@
 // IsLeaderKey reports whether a key is that of an entry that holds a leader.
 func IsKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
-// NewLeaderDecoder returns a decoder of the leaders in the control state.
+// LeaderDecoder returns a decoder of the leaders in the control state.
 func Decoder() *controlstate.Decoder[Leader] { return controlstate.NewDecoder[Leader](keyPrefix) }
 
 // DecodeLeaders returns the leaders in the control state, by service. For repeated use, a decoder
-// of NewLeaderDecoder is cheaper.
+// of LeaderDecoder is cheaper.
 func Decode(entries map[string]json.RawMessage) (map[string]Leader, error) {
 	return Decoder().Decode(entries)
 }
