--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -40,7 +40,7 @@
 	readLeases   *Readers
 	poolers      []*simPooler
 	incarnations int64
-	boundsGiven  int // how often an upper bound was given
+	boundsGiven  int // in how many failovers an upper bound was known
 	// Injected faults, which the check must detect.
 	ignoresEndedIncarnations, stampsInFuture, acceptsOldReports, lowerBoundTooHigh bool
 }
@@ -205,7 +205,7 @@
 		boundsGiven, failovers = boundsGiven+h.boundsGiven, failovers+h.failoverID
 	}
 	if int64(boundsGiven) < failovers/5 {
-		t.Errorf("an upper bound was given in only %d of %d failovers", boundsGiven, failovers)
+		t.Errorf("an upper bound was known in only %d of %d failovers", boundsGiven, failovers)
 	}
 }
 
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -161,8 +161,8 @@
 	})
 }
 
-// Faults of many databases that occur together must share datagrams, and a notice that contains
-// nothing new must cause no check.
+// Notices of many faults that occur together must share datagrams, and a redundant notice must
+// cause no check.
 func TestManyFaultsShareDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
@@ -174,7 +174,7 @@
 			m.Report(ids[i], 0, true)
 		}
 		time.Sleep(80 * time.Millisecond)
-		if n := sent.Load(); n != 8 { // two parts, twice, to each of two peers
+		if n := sent.Load(); n != 8 { // two datagrams, twice, to each of two peers
 			t.Errorf("%d datagrams for %d faults", n, len(ids))
 		}
 		before := checks.Load()
@@ -184,7 +184,7 @@
 		if n := checks.Load() - before; n != 0 {
 			t.Errorf("%d checks of databases that are already down", n)
 		}
-		// What two peers report while this pooler is about to send it needs no third sender.
+		// A notice that two peers send while it is queued here must not be sent by this pooler too.
 		before = sent.Load()
 		m.Report("seen by all", 0, true)
 		body, _ = json.Marshal(notice{[]string{"seen by all"}})
@@ -197,9 +197,9 @@
 	})
 }
 
-// Notifying many peers takes a while; a process that learns meanwhile that higher-ranked
-// processes send the same notice must leave the rest to them, and the highest-ranked one must go
-// on.
+// Notifying many peers takes a while. A process that receives the same notice from enough
+// higher-ranked processes meanwhile must leave the remaining peers to them; notices of lower-ranked
+// ones must not stop it.
 func TestSendingIsLeftToHigherRankedPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Bool
@@ -217,7 +217,7 @@
 		notify := func(id string, from []string) int64 {
 			before := sent.Load()
 			m.Report(id, 0, true)
-			for range 1000 { // until the first part is sent
+			for range 1000 { // until the first batch is sent
 				if sent.Load() > before {
 					break
 				}
@@ -241,8 +241,8 @@
 	})
 }
 
-// A node that finds one database after another unresponsive, as one with a saturated link does,
-// must notify its peers with no more than its share of the link.
+// Notices must use no more than their share of the link, even if one database after another is
+// found unresponsive because the link is saturated.
 func TestNoticesUseAShareOfTheLink(t *testing.T) {
 	budget := byteBudget{}
 	const rate = 0.05 // bytes a microsecond: 50 KB a second
@@ -262,8 +262,8 @@
 	}
 }
 
-// A database that was removed while it was being checked, or while a report of it was in
-// progress, must not be considered down afterwards.
+// A database that was removed while a check, report or notice of it was in progress must not be
+// considered down afterwards.
 func TestRemovedDatabaseStaysRemoved(t *testing.T) {
 	for name, late := range map[string]func(m *Monitor){
 		"a check that ends later": func(m *Monitor) { m.post(Event{Kind: "checked", Database: "a"}) },
--- a/internal/readrouting/readrouting_test.go
+++ b/internal/readrouting/readrouting_test.go
@@ -54,7 +54,7 @@
 	down["near"] = true
 	expect("the primary", "p", lineprotocol.Position{})
 	candidates.Leased = false
-	expect("nobody", "", lineprotocol.Position{})
+	expect("no database", "", lineprotocol.Position{})
 	down["near"], candidates.Leased = false, true
 	request.Received += 1100 * ms
 	expect("no observation is fresh enough", "p", lineprotocol.Position{})
