--- a/internal/tools/check.go
+++ b/internal/tools/check.go
@@ -19,14 +19,15 @@
 	"indigowalk/internal/settings"
 )
 
-// Fault is a problem found by a check, with its location: a key, a field or a file.
+// Fault is a problem found by a check, with its location: a key, a field, a file or a folder.
 type Fault struct {
-	Place  string `json:"place"`
-	Reason string `json:"reason"`
+	Location string `json:"place"`
+	Reason   string `json:"reason"`
 }
 
-func (f Fault) String() string { return f.Place + ": " + f.Reason }
+func (f Fault) String() string { return f.Location + ": " + f.Reason }
 
+// readFile returns the content of a file, or the fault that it cannot be read.
 func readFile(path string) ([]byte, []Fault) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -57,11 +58,14 @@
 	return faults
 }
 
+// deployFile is the content of a deploy file: the build command, and the roles by name.
 type deployFile struct {
 	Build string                `toml:"build" validate:"required"`
 	Roles map[string]deployRole `toml:"roles" validate:"required,dive"`
 }
 
+// deployRole specifies which command runs as a role, and on which machines: on the given share or
+// number of the machines of a class.
 type deployRole struct {
 	Run   string  `toml:"run" validate:"required"`
 	On    string  `toml:"on" validate:"required"`
@@ -81,8 +85,8 @@
 	if faults != nil {
 		return faults
 	}
-	var d deployFile
-	meta, err := toml.Decode(string(raw), &d)
+	var deploy deployFile
+	meta, err := toml.Decode(string(raw), &deploy)
 	if err != nil {
 		return []Fault{{path, err.Error()}}
 	}
@@ -90,23 +94,23 @@
 		faults = append(faults, Fault{key.String(), "is not known"})
 	}
 	var invalid validator.ValidationErrors
-	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(d); errors.As(err, &invalid) {
-		for _, f := range invalid {
-			_, place, _ := strings.Cut(f.Namespace(), ".")
-			faults = append(faults, Fault{strings.ToLower(place), "fails " + f.Tag()})
+	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(deploy); errors.As(err, &invalid) {
+		for _, invalidField := range invalid {
+			_, place, _ := strings.Cut(invalidField.Namespace(), ".")
+			faults = append(faults, Fault{strings.ToLower(place), "fails " + invalidField.Tag()})
 		}
 	}
-	names := slices.Sorted(maps.Keys(d.Roles))
+	names := slices.Sorted(maps.Keys(deploy.Roles))
 	for i, name := range names {
-		r := d.Roles[name]
-		if (r.Share > 0) == (r.Count > 0) {
+		role := deploy.Roles[name]
+		if (role.Share > 0) == (role.Count > 0) {
 			faults = append(faults, Fault{"roles." + name, "needs either share or count"})
 		}
 		for _, other := range names[:i] {
-			o := d.Roles[other]
-			for _, s := range r.Serves {
-				if r.On == o.On && r.sharesDeployment(o) && slices.Contains(o.Serves, s) {
-					faults = append(faults, Fault{"roles." + name + ".serves", s + " is served by " + other + " on the same class"})
+			otherRole := deploy.Roles[other]
+			for _, traffic := range role.Serves {
+				if role.On == otherRole.On && role.sharesDeployment(otherRole) && slices.Contains(otherRole.Serves, traffic) {
+					faults = append(faults, Fault{"roles." + name + ".serves", traffic + " is served by " + other + " on the same class"})
 				}
 			}
 		}
@@ -114,9 +118,9 @@
 	return faults
 }
 
-// sharesDeployment reports whether there is a kind of deployment in which both roles run.
-func (r deployRole) sharesDeployment(o deployRole) bool {
-	return len(r.For) == 0 || len(o.For) == 0 || slices.ContainsFunc(r.For, func(kind string) bool { return slices.Contains(o.For, kind) })
+// sharesDeployment reports whether both roles run in one of the kinds of deployment.
+func (r deployRole) sharesDeployment(other deployRole) bool {
+	return len(r.For) == 0 || len(other.For) == 0 || slices.ContainsFunc(r.For, func(kind string) bool { return slices.Contains(other.For, kind) })
 }
 
 // CheckConfig validates a configuration. If base is not empty, it also checks that the revision is
@@ -126,23 +130,23 @@
 	if faults != nil {
 		return faults
 	}
-	conf, problems := routeconfig.Parse(raw)
-	for _, f := range problems {
-		faults = append(faults, Fault{f.Field, f.Reason})
+	config, problems := routeconfig.Parse(raw)
+	for _, fault := range problems {
+		faults = append(faults, Fault{fault.Field, fault.Reason})
 	}
 	if base == "" {
 		return faults
 	}
-	raw, missing := readFile(base)
-	if missing != nil {
-		return append(faults, missing...)
+	raw, baseFaults := readFile(base)
+	if baseFaults != nil {
+		return append(faults, baseFaults...)
 	}
 	old, problems := routeconfig.Parse(raw)
-	for _, f := range problems {
-		faults = append(faults, Fault{"base: " + f.Field, f.Reason})
+	for _, fault := range problems {
+		faults = append(faults, Fault{"base: " + fault.Field, fault.Reason})
 	}
-	if conf != nil && old != nil && conf.Rev <= old.Rev {
-		faults = append(faults, Fault{"rev", fmt.Sprintf("%d is not higher than the %d it builds on", conf.Rev, old.Rev)})
+	if config != nil && old != nil && config.Rev <= old.Rev {
+		faults = append(faults, Fault{"rev", fmt.Sprintf("%d is not higher than the %d it builds on", config.Rev, old.Rev)})
 	}
 	return faults
 }
@@ -164,19 +168,19 @@
 	if err := os.WriteFile(filepath.Join(tmp, controlstate.StoreFile), raw, 0o600); err != nil {
 		return []Fault{{dir, err.Error()}}
 	}
-	s, err := controlstate.OpenStore(tmp)
+	store, err := controlstate.OpenStore(tmp)
 	if err != nil {
 		return []Fault{{dir, err.Error()}}
 	}
-	defer s.Close()
-	if s.Created {
+	defer store.Close()
+	if store.Created {
 		return []Fault{{dir, "the store holds nothing"}}
 	}
-	state, err := s.LoadState()
+	state, err := store.LoadState()
 	if err != nil {
 		faults = append(faults, Fault{"state", err.Error()})
 	}
-	if err := s.CheckRegister(); err != nil {
+	if err := store.CheckRegister(); err != nil {
 		faults = append(faults, Fault{"register", err.Error()})
 	}
 	if _, _, err := routeconfig.Decode(state.Entries[routeconfig.Key]); err != nil {
--- a/internal/tools/failures.go
+++ b/internal/tools/failures.go
@@ -15,10 +15,10 @@
 	"indigowalk/internal/rpc"
 )
 
-// FailureReport holds the recently failed requests that processes have logged.
+// FailureReport holds the recently failed requests that the processes have logged.
 type FailureReport struct {
 	Failures []NodeFailure     `json:"failures"`
-	Missing  map[string]string `json:"missing,omitempty"` // by address, why a process did not respond
+	Missing  map[string]string `json:"missing,omitempty"` // by address, why a process gave no report
 }
 
 // NodeFailure is a failed request together with the process that logged it.
@@ -29,8 +29,8 @@
 }
 
 // Failures collects the recently failed requests from all reporting processes, oldest first.
-func (s *System) Failures(ctx context.Context, n kernel.Network) *FailureReport {
-	k := kernel.NewKernel("tools", n, slog.New(slog.DiscardHandler))
+func (s *System) Failures(ctx context.Context, network kernel.Network) *FailureReport {
+	k := kernel.NewKernel("tools", network, slog.New(slog.DiscardHandler))
 	endpoint := rpc.NewEndpoint(k, "")
 	defer endpoint.CloseConnections()
 	result := &FailureReport{Missing: s.Missing}
@@ -45,8 +45,8 @@
 			if err != nil {
 				result.Missing[r.Addr] = err.Error()
 			}
-			for _, f := range recent {
-				result.Failures = append(result.Failures, NodeFailure{r.Node, r.Role, f})
+			for _, failure := range recent {
+				result.Failures = append(result.Failures, NodeFailure{r.Node, r.Role, failure})
 			}
 		})
 	}
@@ -55,25 +55,25 @@
 	return result
 }
 
-// Filter keeps the failures of which the node, role, request ID, route, service, tenant or cause
+// Filter keeps only the failures whose node, role, request ID, route, service, tenant or cause
 // contains text.
 func (r *FailureReport) Filter(text string) {
-	r.Failures = slices.DeleteFunc(r.Failures, func(f NodeFailure) bool {
-		return !anyContains(text, f.Node, f.Role, f.ID, f.Route, f.Service, f.Tenant, f.Cause)
+	r.Failures = slices.DeleteFunc(r.Failures, func(failure NodeFailure) bool {
+		return !anyContains(text, failure.Node, failure.Role, failure.ID, failure.Route, failure.Service, failure.Tenant, failure.Cause)
 	})
 }
 
 // Print writes a line for each failure, with its attempts.
 func (r *FailureReport) Print(w io.Writer) {
-	for _, f := range r.Failures {
-		fmt.Fprintf(w, "%s %s %s: %s on %q answered %s after %d ms: %s", f.At.UTC().Format(time.StampMilli), f.Role, f.Node,
-			f.ID, f.Route, f.Response, f.Duration.Millis(), f.Cause)
-		if f.Service != "" {
-			fmt.Fprintf(w, "; service %s, configuration %d", f.Service, f.Revision)
+	for _, failure := range r.Failures {
+		fmt.Fprintf(w, "%s %s %s: %s on %q answered %s after %d ms: %s", failure.At.UTC().Format(time.StampMilli), failure.Role, failure.Node,
+			failure.ID, failure.Route, failure.Response, failure.Duration.Millis(), failure.Cause)
+		if failure.Service != "" {
+			fmt.Fprintf(w, "; service %s, configuration %d", failure.Service, failure.Revision)
 		}
 		var attempts []string
-		for _, a := range f.Attempts {
-			attempts = append(attempts, strings.TrimSpace(fmt.Sprintf("%s at %d ms %s", a.Database, a.After.Millis(), a.Result)))
+		for _, attempt := range failure.Attempts {
+			attempts = append(attempts, strings.TrimSpace(fmt.Sprintf("%s at %d ms %s", attempt.Database, attempt.After.Millis(), attempt.Result)))
 		}
 		if len(attempts) > 0 {
 			fmt.Fprintf(w, " [%s]", strings.Join(attempts, "; "))
--- a/internal/tools/plan.go
+++ b/internal/tools/plan.go
@@ -16,13 +16,13 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// Plan describes the expected effects of an operational step. Making one changes nothing.
+// Plan describes the expected effects of an operational step. Making a plan changes nothing.
 type Plan struct {
 	Step     string         `json:"step"`
 	Effects  []string       `json:"effects"`
 	Warnings []string       `json:"warnings,omitempty"`
-	Conns    map[string]int `json:"connections"` // per proxy and database, by service
-	Headroom map[string]int `json:"headroom"`    // by service, connection slots of the databases that remain in use
+	Conns    map[string]int `json:"connections"` // by service, connections of one proxy to one database
+	Headroom map[string]int `json:"headroom"`    // by service, total connection slots of the databases that remain in use
 	Restart  []string       `json:"restart"`     // order in which to restart the processes
 }
 
@@ -38,59 +38,60 @@
 	return s, nil
 }
 
-// MakePlan returns the plan of a step: "config" with a parsed configuration, "drain" or "release"
-// with a database, "lose" with a node, "restart" of all processes, or "grow" to a number of poolers.
-func (s *System) MakePlan(step, what string, conf *routeconfig.Configuration) (*Plan, error) {
-	p := s.Primary()
-	if p == nil {
+// MakePlan returns the plan of a step on a target: "config" with a parsed configuration and no
+// target, "drain" or "release" of a database, "lose" of a node, "restart" of all processes, without
+// a target, or "grow" to a number of proxies.
+func (s *System) MakePlan(step, target string, config *routeconfig.Configuration) (*Plan, error) {
+	primary := s.Primary()
+	if primary == nil {
 		return nil, fmt.Errorf("the view holds no control node with a lease: ask all members")
 	}
-	plan := &Plan{Step: strings.TrimSpace(step + " " + what), Conns: map[string]int{}, Headroom: map[string]int{}}
-	poolers := len(s.withRole("pooler")) + len(s.withRole("gateway"))
-	var lost string
+	plan := &Plan{Step: strings.TrimSpace(step + " " + target), Conns: map[string]int{}, Headroom: map[string]int{}}
+	proxies := len(s.withRole("pooler")) + len(s.withRole("gateway"))
+	var drained string
 	switch step {
 	case "config":
-		plan.addConfigEffects(p, conf)
+		plan.addConfigEffects(primary, config)
 	case "drain", "release":
-		d, ok := p.Databases[what]
+		database, ok := primary.Databases[target]
 		if !ok {
-			return nil, fmt.Errorf("no database %q", what)
+			return nil, fmt.Errorf("no database %q", target)
 		}
-		lost = what
-		plan.addDrainEffects(p, d)
+		drained = target
+		plan.addDrainEffects(primary, database)
 	case "lose":
 		found := false
-		for _, r := range s.Reports {
-			if r.Node == what {
+		for _, report := range s.Reports {
+			if report.Node == target {
 				found = true
-				if isProxy(r.Role) {
-					poolers--
+				if isProxy(report.Role) {
+					proxies--
 				}
-				plan.addNodeLossEffects(s, p, r)
+				plan.addNodeLossEffects(s, primary, report)
 			}
 		}
 		if !found {
-			return nil, fmt.Errorf("no node %q", what)
+			return nil, fmt.Errorf("no node %q", target)
 		}
 	case "restart":
 	case "grow":
-		n, err := strconv.Atoi(what)
-		if err != nil || n < 1 {
-			return nil, fmt.Errorf("%q is not a number of poolers", what)
+		count, err := strconv.Atoi(target)
+		if err != nil || count < 1 {
+			return nil, fmt.Errorf("%q is not a number of poolers", target)
 		}
-		if err := plan.addGrowthEffects(p, poolers, n); err != nil {
+		if err := plan.addGrowthEffects(primary, proxies, count); err != nil {
 			return nil, err
 		}
-		poolers = n
+		proxies = count
 	default:
 		return nil, fmt.Errorf("unknown step %q", step)
 	}
-	if conf == nil {
-		conf = p.Config
+	if config == nil {
+		config = primary.Config
 	}
-	plan.countConnections(p, conf, poolers, lost)
-	plan.Restart = s.restartOrder(p)
-	if reason := s.staleReason(p); reason != "" {
+	plan.countConnections(primary, config, proxies, drained)
+	plan.Restart = s.restartOrder(primary)
+	if reason := s.staleReason(primary); reason != "" {
 		plan.warn("%s", reason)
 	}
 	if len(s.Missing) > 0 {
@@ -99,13 +100,14 @@
 	return plan, nil
 }
 
-func (s *System) withRole(role string) (out []*Report) {
-	for _, r := range s.Reports {
-		if r.Role == role {
-			out = append(out, r)
+// withRole returns the reports of the processes of a role.
+func (s *System) withRole(role string) (reports []*Report) {
+	for _, report := range s.Reports {
+		if report.Role == role {
+			reports = append(reports, report)
 		}
 	}
-	return out
+	return reports
 }
 
 func (p *Plan) effect(format string, args ...any) {
@@ -116,142 +118,149 @@
 	p.Warnings = append(p.Warnings, fmt.Sprintf(format, args...))
 }
 
-func (p *Plan) addConfigEffects(r *Report, conf *routeconfig.Configuration) {
+// addConfigEffects lists the routes that config adds, changes and removes.
+func (p *Plan) addConfigEffects(primary *Report, config *routeconfig.Configuration) {
 	old := map[string]routeconfig.Route{}
-	if r.Config != nil {
-		if conf.Rev <= r.Config.Rev {
-			p.warn("version %d would be refused: %d is in force", conf.Rev, r.Config.Rev)
+	if primary.Config != nil {
+		if config.Rev <= primary.Config.Rev {
+			p.warn("version %d would be refused: %d is in force", config.Rev, primary.Config.Rev)
 		}
-		for _, o := range r.Config.Routes {
-			old[o.Host+o.Prefix] = o
+		for _, route := range primary.Config.Routes {
+			old[route.Host+route.Prefix] = route
 		}
 	}
-	for _, n := range conf.Routes {
-		switch o, ok := old[n.Host+n.Prefix]; {
+	for _, route := range config.Routes {
+		switch previous, ok := old[route.Host+route.Prefix]; {
 		case !ok:
-			p.effect("route %s is added, to %s as %s", n.Key(), n.Target(), n.Type)
-		case !reflect.DeepEqual(o, n):
-			p.effect("route %s changes", n.Key())
+			p.effect("route %s is added, to %s as %s", route.Key(), route.Target(), route.Type)
+		case !reflect.DeepEqual(previous, route):
+			p.effect("route %s changes", route.Key())
 		}
-		delete(old, n.Host+n.Prefix)
+		delete(old, route.Host+route.Prefix)
 	}
-	for _, o := range old {
-		p.effect("route %s is removed", o.Key())
+	for _, route := range old {
+		p.effect("route %s is removed", route.Key())
 	}
 	slices.Sort(p.Effects)
 }
 
-func (p *Plan) addDrainEffects(r *Report, d discovery.Database) {
-	if _, hasLeader := r.Leads[d.Service]; !hasLeader {
-		p.effect("%s gets no more requests of %s: they go to the others", d.ID, d.Service)
+// addDrainEffects describes where the requests of a drained database are routed instead, or which
+// databases may succeed it as the service's primary.
+func (p *Plan) addDrainEffects(primary *Report, drained discovery.Database) {
+	if _, hasLeader := primary.Leaders[drained.Service]; !hasLeader {
+		p.effect("%s gets no more requests of %s: they go to the others", drained.ID, drained.Service)
 		return
 	}
-	if r.Leads[d.Service].ID != d.ID {
-		p.effect("%s is a replica of %s: its reads go to the others", d.ID, d.Service)
+	if primary.Leaders[drained.Service].ID != drained.ID {
+		p.effect("%s is a replica of %s: its reads go to the others", drained.ID, drained.Service)
 		return
 	}
 	var candidates, unreachable []string
-	for id, o := range r.Databases {
-		if o.Service != d.Service || id == d.ID || o.Gone {
+	for id, other := range primary.Databases {
+		if other.Service != drained.Service || id == drained.ID || other.Gone {
 			continue
 		}
-		if _, down := r.Down[id]; down {
+		if _, down := primary.Down[id]; down {
 			unreachable = append(unreachable, id)
-		} else if !o.Draining {
+		} else if !other.Draining {
 			candidates = append(candidates, id)
 		}
 	}
 	slices.Sort(candidates)
-	p.effect("the lead of %s moves to the furthest of %v", d.Service, candidates)
+	p.effect("the lead of %s moves to the furthest of %v", drained.Service, candidates)
 	if len(candidates) == 0 {
-		p.warn("nobody can follow %s", d.ID)
+		p.warn("nobody can follow %s", drained.ID)
 	}
 	if len(unreachable) > 0 {
-		p.warn("%v are down: should %s fail before it has handed over, the move waits for them", unreachable, d.ID)
+		p.warn("%v are down: should %s fail before it has handed over, the move waits for them", unreachable, drained.ID)
 	}
 }
 
-func (p *Plan) addNodeLossEffects(s *System, primary, r *Report) {
-	p.effect("%s %s is lost", r.Role, r.Node)
-	if r.Role != "control" {
+// addNodeLossEffects describes how the loss of a control node changes the primary, its backups and
+// the witnesses, and how many more failures are tolerated after it. A lost proxy has no such effect.
+func (p *Plan) addNodeLossEffects(system *System, primary, lost *Report) {
+	p.effect("%s %s is lost", lost.Role, lost.Node)
+	if lost.Role != "control" {
 		return
 	}
 	spares := 0
-	for _, a := range s.withRole("control") {
-		if !slices.Contains(primary.Witnesses, a.Addr) && a.Addr != r.Addr {
+	for _, node := range system.withRole("control") {
+		if !slices.Contains(primary.Witnesses, node.Addr) && node.Addr != lost.Addr {
 			spares++
 		}
 	}
 	switch {
-	case r.Addr == primary.View.Primary.Addr:
+	case lost.Addr == primary.View.Primary.Addr:
 		p.effect("%s, a backup, takes over after the lease", primary.View.Backups[0].Name)
-	case slices.ContainsFunc(primary.View.Backups, func(m controlstate.Member) bool { return m.Addr == r.Addr }):
+	case slices.ContainsFunc(primary.View.Backups, func(m controlstate.Member) bool { return m.Addr == lost.Addr }):
 		p.effect("the primary takes another backup")
 	}
-	if slices.Contains(primary.Witnesses, r.Addr) && spares > 0 {
+	if slices.Contains(primary.Witnesses, lost.Addr) && spares > 0 {
 		p.effect("another control node becomes a witness in its place")
 	}
 	remaining := 0
-	for _, a := range s.withRole("control") {
-		if a.Addr != r.Addr && slices.Contains(primary.View.Witnesses, a.Addr) && !a.Abstains {
+	for _, node := range system.withRole("control") {
+		if node.Addr != lost.Addr && slices.Contains(primary.View.Witnesses, node.Addr) && !node.Abstains {
 			remaining++
 		}
 	}
-	if n := len(primary.View.Witnesses); remaining < n/2+1 {
-		p.warn("only %d of %d witnesses remain: no lease could be granted", remaining, n)
-	} else if tolerated := s.failuresTolerated(primary, r.Addr); int64(tolerated) < primary.Tolerates {
-		p.effect("%d of %d witnesses remain; %d more may be lost, of the %d to be tolerated", remaining, n, tolerated, primary.Tolerates)
+	if total := len(primary.View.Witnesses); remaining < total/2+1 {
+		p.warn("only %d of %d witnesses remain: no lease could be granted", remaining, total)
+	} else if tolerated := system.failuresTolerated(primary, lost.Addr); int64(tolerated) < primary.Tolerates {
+		p.effect("%d of %d witnesses remain; %d more may be lost, of the %d to be tolerated", remaining, total, tolerated, primary.Tolerates)
 	}
-	if len(s.withRole("control")) <= 2 {
+	if len(system.withRole("control")) <= 2 {
 		p.warn("without a backup nothing can be acknowledged")
 	}
 }
 
-// addGrowthEffects estimates how many connections the given number of proxies opens, and how much state a
-// new pooler is sent before it serves.
-func (p *Plan) addGrowthEffects(r *Report, current, poolers int) error {
-	if r.Config == nil {
+// addGrowthEffects estimates how many connections the given number of proxies opens, and how much
+// state is sent to a new proxy before it serves.
+func (p *Plan) addGrowthEffects(primary *Report, currentProxies, proxies int) error {
+	if primary.Config == nil {
 		return fmt.Errorf("no configuration is in force yet")
 	}
-	members, err := json.Marshal(r.Members)
+	members, err := json.Marshal(primary.Members)
 	if err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	var h routeconfig.History
-	h.Advance(r.Config, 1)
-	conf, err := json.Marshal(h.Since(0, true))
+	var history routeconfig.History
+	history.Advance(primary.Config, 1)
+	config, err := json.Marshal(history.Since(0, true))
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	state, err := json.Marshal([]any{r.Databases, r.Leads})
+	state, err := json.Marshal([]any{primary.Databases, primary.Leaders})
 	if err != nil {
 		return fmt.Errorf("databases: %w", err)
 	}
-	known := len(r.Members)
+	knownMembers := len(primary.Members)
 	p.effect("a pooler that comes is sent some %d KB: %d members, the configuration of %d routes and %d databases",
-		(len(members)*(known+poolers-current)/max(known, 1)+len(conf)+len(state))>>10, known+poolers-current, len(r.Config.Routes), len(r.Databases))
-	for _, s := range r.Config.Services {
-		if s.MaxConns == 0 {
+		(len(members)*(knownMembers+proxies-currentProxies)/max(knownMembers, 1)+len(config)+len(state))>>10, knownMembers+proxies-currentProxies, len(primary.Config.Routes), len(primary.Databases))
+	for _, service := range primary.Config.Services {
+		if service.MaxConns == 0 {
 			continue
 		}
-		perProxy := distribution.ConnectionShare(s.MaxConns, poolers)
-		p.effect("%s: up to %d of its %d connections to each database", s.Name, perProxy*poolers, s.MaxConns)
-		if perProxy*poolers > s.MaxConns {
-			p.warn("%s: %d poolers with one connection each are over its max_conns of %d", s.Name, poolers, s.MaxConns)
+		perProxy := distribution.ConnectionShare(service.MaxConns, proxies)
+		p.effect("%s: up to %d of its %d connections to each database", service.Name, perProxy*proxies, service.MaxConns)
+		if perProxy*proxies > service.MaxConns {
+			p.warn("%s: %d poolers with one connection each are over its max_conns of %d", service.Name, proxies, service.MaxConns)
 		}
 	}
 	return nil
 }
 
-func (p *Plan) countConnections(r *Report, conf *routeconfig.Configuration, poolers int, lost string) {
-	if conf == nil {
+// countConnections sets the connections and the headroom of every service of a configuration. The
+// slots of the database excluded, and of databases that are gone or draining, are not counted.
+func (p *Plan) countConnections(primary *Report, config *routeconfig.Configuration, proxies int, excluded string) {
+	if config == nil {
 		return
 	}
-	for _, svc := range conf.Services {
-		p.Conns[svc.Name] = distribution.ConnectionShare(svc.MaxConns, poolers)
-		for id, d := range r.Databases {
-			if d.Service == svc.Name && id != lost && !d.Gone && !d.Draining {
-				p.Headroom[svc.Name] += d.Slots
+	for _, service := range config.Services {
+		p.Conns[service.Name] = distribution.ConnectionShare(service.MaxConns, proxies)
+		for id, database := range primary.Databases {
+			if database.Service == service.Name && id != excluded && !database.Gone && !database.Draining {
+				p.Headroom[service.Name] += database.Slots
 			}
 		}
 	}
@@ -259,32 +268,32 @@
 
 // restartOrder lists the proxies first, then the control nodes: the primary last of all, and its
 // backups right before it.
-func (s *System) restartOrder(p *Report) (out []string) {
-	for _, d := range append(s.withRole("pooler"), s.withRole("gateway")...) {
-		out = append(out, d.Role+" "+d.Node)
+func (s *System) restartOrder(primary *Report) (order []string) {
+	for _, proxy := range append(s.withRole("pooler"), s.withRole("gateway")...) {
+		order = append(order, proxy.Role+" "+proxy.Node)
 	}
 	var last []string
-	for _, a := range s.withRole("control") {
+	for _, node := range s.withRole("control") {
 		switch {
-		case a.Addr == p.View.Primary.Addr:
-			last = append(last, "control node "+a.Node)
-		case slices.ContainsFunc(p.View.Backups, func(m controlstate.Member) bool { return m.Addr == a.Addr }):
-			last = append([]string{"control node " + a.Node}, last...)
+		case node.Addr == primary.View.Primary.Addr:
+			last = append(last, "control node "+node.Node)
+		case slices.ContainsFunc(primary.View.Backups, func(m controlstate.Member) bool { return m.Addr == node.Addr }):
+			last = append([]string{"control node " + node.Node}, last...)
 		default:
-			out = append(out, "control node "+a.Node)
+			order = append(order, "control node "+node.Node)
 		}
 	}
-	return append(out, last...)
+	return append(order, last...)
 }
 
 // Print writes the plan as text.
 func (p *Plan) Print(w io.Writer) {
 	fmt.Fprintln(w, "step:", p.Step)
-	for _, e := range p.Effects {
-		fmt.Fprintln(w, "  effect:", e)
+	for _, effect := range p.Effects {
+		fmt.Fprintln(w, "  effect:", effect)
 	}
-	for _, e := range p.Warnings {
-		fmt.Fprintln(w, "  warning:", e)
+	for _, warning := range p.Warnings {
+		fmt.Fprintln(w, "  warning:", warning)
 	}
 	for _, svc := range slices.Sorted(maps.Keys(p.Conns)) {
 		fmt.Fprintf(w, "  %s: %d connections per carrier and database, %d slots\n", svc, p.Conns[svc], p.Headroom[svc])
--- a/internal/tools/quota.go
+++ b/internal/tools/quota.go
@@ -14,8 +14,8 @@
 )
 
 // QuotaCheck is the result of checking tenants' quotas against the recordings of all nodes. Nodes
-// belong to one group if they are connected by answered calls, so that their clocks can be
-// compared. Windows are counted in each group separately.
+// that are connected by answered calls, directly or through others, form a group: their clocks can
+// be compared. Windows are counted in each group separately.
 type QuotaCheck struct {
 	Recordings  int           `json:"recordings"`
 	Groups      int           `json:"groups"`
@@ -23,7 +23,7 @@
 	Tenants     int           `json:"tenants"`
 	UncertainUs kernel.Micros `json:"uncertain_us"`       // maximum error of an aligned time
 	LeftOut     []string      `json:"left_out,omitempty"` // nodes not connected to a ledger by any call
-	Excess      *QuotaExcess  `json:"excess,omitempty"`   // the earliest one of the first group that has any
+	Excess      *QuotaExcess  `json:"excess,omitempty"`   // the earliest excess in the first group that has any
 }
 
 // QuotaExcess is a window with more operations than the limit allows. Its times are on the clock of
@@ -38,16 +38,16 @@
 }
 
 // Print writes the result as text.
-func (c *QuotaCheck) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d operations of %d tenants in %d recordings; times within %.1f ms\n", c.Operations, c.Tenants, c.Recordings, float64(c.UncertainUs)/1000)
-	if c.Groups > 1 {
-		fmt.Fprintf(w, "%d groups of nodes whose clocks can't be compared: windows are counted in each\n", c.Groups)
+func (q *QuotaCheck) Print(w io.Writer) {
+	fmt.Fprintf(w, "%d operations of %d tenants in %d recordings; times within %.1f ms\n", q.Operations, q.Tenants, q.Recordings, float64(q.UncertainUs)/1000)
+	if q.Groups > 1 {
+		fmt.Fprintf(w, "%d groups of nodes whose clocks can't be compared: windows are counted in each\n", q.Groups)
 	}
-	for _, node := range c.LeftOut {
+	for _, node := range q.LeftOut {
 		fmt.Fprintf(w, "left out: %s, which no answered call joins to the others\n", node)
 	}
-	if e := c.Excess; e != nil {
-		fmt.Fprintf(w, "over the limit: %s, %d operations between %d us and %d us, and %.0f are allowed: %v\n", e.Tenant, e.Count, e.FromUs, e.ToUs, e.Allowed, e.ByNode)
+	if excess := q.Excess; excess != nil {
+		fmt.Fprintf(w, "over the limit: %s, %d operations between %d us and %d us, and %.0f are allowed: %v\n", excess.Tenant, excess.Count, excess.FromUs, excess.ToUs, excess.Allowed, excess.ByNode)
 		return
 	}
 	fmt.Fprintln(w, "no window is over a limit")
@@ -55,23 +55,23 @@
 
 // CheckQuota recounts every window of every tenant from the recordings of all nodes.
 func CheckQuota(paths []string) (*QuotaCheck, error) {
-	c := &quotaRecordings{received: map[quota.CallRecord]nodeTime{}}
+	recordings := &quotaRecordings{receivedAt: map[quota.CallRecord]nodeTime{}}
 	for _, path := range paths {
-		if err := c.load(path); err != nil {
+		if err := recordings.load(path); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	clockSkews := c.clockSkews()
-	result := &QuotaCheck{Recordings: len(c.nodes)}
-	for _, n := range c.nodes {
-		if !n.aligned && len(n.limits) > 0 {
+	clockSkews := recordings.clockSkews()
+	result := &QuotaCheck{Recordings: len(recordings.nodes)}
+	for _, node := range recordings.nodes {
+		if !node.aligned && len(node.limits) > 0 {
 			result.Groups++
-			newQuotaGroup(n, clockSkews).countWindows(result)
+			newQuotaGroup(node, clockSkews).countWindows(result)
 		}
 	}
-	for _, n := range c.nodes {
-		if !n.aligned && len(n.sent) > 0 {
-			result.LeftOut = append(result.LeftOut, n.name)
+	for _, node := range recordings.nodes {
+		if !node.aligned && len(node.sent) > 0 {
+			result.LeftOut = append(result.LeftOut, node.nodeName)
 		}
 	}
 	return result, nil
@@ -79,27 +79,29 @@
 
 // quotaRecordings holds the quota records of all recordings.
 type quotaRecordings struct {
-	nodes    []*recordedNode
-	received map[quota.CallRecord]nodeTime // keyed by the call with RequestedAt zeroed
+	nodes      []*recordedNode
+	receivedAt map[quota.CallRecord]nodeTime // keyed by the call with RequestedAt zeroed
 }
 
 // recordedNode holds the quota records of one node's recording.
 type recordedNode struct {
-	name        string
+	nodeName    string
 	sent        []operation
 	calls       []answeredCall
 	limits      []timedLimits
-	aligned     bool
+	aligned     bool          // it belongs to a group, and offset and uncertainty are set
 	offset      kernel.Micros // added to its times to convert them to the first ledger's clock
-	uncertainty kernel.Micros
+	uncertainty kernel.Micros // maximum error of a converted time
 }
 
+// operation is an operation that a node sent for a tenant.
 type operation struct {
 	tenant string
 	node   string
 	at     kernel.Micros
 }
 
+// answeredCall is a proxy's call to a ledger, with the times on the proxy's clock.
 type answeredCall struct {
 	call        quota.CallRecord
 	requestedAt kernel.Micros
@@ -112,12 +114,14 @@
 	at   kernel.Micros
 }
 
+// timedLimits is the limits of all tenants as a ledger applied them from a time on.
 type timedLimits struct {
 	quota.LimitsRecord
 	at kernel.Micros
 }
 
-func (c *quotaRecordings) load(path string) error {
+// load reads the recording of one node.
+func (q *quotaRecordings) load(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -126,37 +130,37 @@
 	if err != nil {
 		return err
 	}
-	n := &recordedNode{name: head.Node + "/" + head.Role}
-	c.nodes = append(c.nodes, n)
-	for i, r := range records {
-		if err := c.addRecord(n, r); err != nil {
+	node := &recordedNode{nodeName: head.Node + "/" + head.Role}
+	q.nodes = append(q.nodes, node)
+	for i, record := range records {
+		if err := q.addRecord(node, record); err != nil {
 			return fmt.Errorf("record %d: %w", i+1, err)
 		}
 	}
 	return nil
 }
 
-// addRecord adds a record if it concerns quotas.
-func (c *quotaRecordings) addRecord(n *recordedNode, r kernel.Record) (err error) {
-	switch r.Kind {
+// addRecord adds a record to those of its node, if it concerns quotas.
+func (q *quotaRecordings) addRecord(node *recordedNode, record kernel.Record) (err error) {
+	switch record.Kind {
 	case quota.SentKind:
-		var s quota.SentRecord
-		err = json.Unmarshal(r.Body, &s)
-		n.sent = append(n.sent, operation{s.Tenant, n.name, r.At})
+		var sent quota.SentRecord
+		err = json.Unmarshal(record.Body, &sent)
+		node.sent = append(node.sent, operation{sent.Tenant, node.nodeName, record.At})
 	case quota.RequestedKind:
 		var call quota.CallRecord
-		err = json.Unmarshal(r.Body, &call)
+		err = json.Unmarshal(record.Body, &call)
 		requestedAt := call.RequestedAt
 		call.RequestedAt = 0
-		n.calls = append(n.calls, answeredCall{call, requestedAt, r.At})
+		node.calls = append(node.calls, answeredCall{call, requestedAt, record.At})
 	case quota.ReceivedKind:
 		var call quota.CallRecord
-		err = json.Unmarshal(r.Body, &call)
-		c.received[call] = nodeTime{n, r.At}
+		err = json.Unmarshal(record.Body, &call)
+		q.receivedAt[call] = nodeTime{node, record.At}
 	case quota.LimitsKind:
-		l := timedLimits{at: r.At}
-		err = json.Unmarshal(r.Body, &l.LimitsRecord)
-		n.limits = append(n.limits, l)
+		l := timedLimits{at: record.At}
+		err = json.Unmarshal(record.Body, &l.LimitsRecord)
+		node.limits = append(node.limits, l)
 	}
 	return err
 }
@@ -168,42 +172,44 @@
 func (s clockSkew) width() kernel.Micros    { return s.maximum - s.minimum }
 func (s clockSkew) midpoint() kernel.Micros { return s.minimum + s.width()/2 }
 
+// nodePair is a proxy and a ledger that answered its calls.
 type nodePair struct{ proxy, ledger *recordedNode }
 
 // clockSkews estimates the skew between each proxy and each ledger that answered it.
-func (c *quotaRecordings) clockSkews() map[nodePair]clockSkew {
+func (q *quotaRecordings) clockSkews() map[nodePair]clockSkew {
 	result := map[nodePair]clockSkew{}
-	for _, n := range c.nodes {
-		for _, call := range n.calls {
-			received, known := c.received[call.call]
+	for _, node := range q.nodes {
+		for _, call := range node.calls {
+			received, known := q.receivedAt[call.call]
 			if !known {
 				continue
 			}
-			p := nodePair{n, received.node}
-			skew, known := result[p]
+			pair := nodePair{node, received.node}
+			skew, known := result[pair]
 			if !known {
 				skew = clockSkew{math.MinInt64 / 4, math.MaxInt64 / 4}
 			}
-			result[p] = clockSkew{max(skew.minimum, call.requestedAt-received.at), min(skew.maximum, call.respondedAt-received.at)}
+			result[pair] = clockSkew{max(skew.minimum, call.requestedAt-received.at), min(skew.maximum, call.respondedAt-received.at)}
 		}
 	}
 	return result
 }
 
-// quotaGroup is a set of nodes whose clocks can be compared.
+// quotaGroup is a set of nodes whose clocks can be compared, with their limits and operations. All
+// times are converted to the clock of its first node.
 type quotaGroup struct {
 	nodes      []*recordedNode
 	limits     []timedLimits
 	operations map[string][]operation // by tenant
 }
 
-// newQuotaGroup aligns the clocks of all nodes that calls connect to first, always following the
-// narrowest skew bounds next.
+// newQuotaGroup returns the group of the node first and of all nodes that calls connect to it. It
+// aligns their clocks one after the other, the one with the narrowest skew bounds next.
 func newQuotaGroup(first *recordedNode, clockSkews map[nodePair]clockSkew) *quotaGroup {
 	g := &quotaGroup{nodes: []*recordedNode{first}, operations: map[string][]operation{}}
 	first.aligned = true
-	for n := alignNext(clockSkews); n != nil; n = alignNext(clockSkews) {
-		g.nodes = append(g.nodes, n)
+	for node := alignNext(clockSkews); node != nil; node = alignNext(clockSkews) {
+		g.nodes = append(g.nodes, node)
 	}
 	return g
 }
@@ -213,9 +219,9 @@
 func alignNext(clockSkews map[nodePair]clockSkew) *recordedNode {
 	var best nodePair
 	narrowest := kernel.Micros(math.MaxInt64)
-	for p, skew := range clockSkews {
-		if p.proxy.aligned != p.ledger.aligned && skew.width() < narrowest {
-			best, narrowest = p, skew.width()
+	for pair, skew := range clockSkews {
+		if pair.proxy.aligned != pair.ledger.aligned && skew.width() < narrowest {
+			best, narrowest = pair, skew.width()
 		}
 	}
 	switch skew := clockSkews[best]; {
@@ -228,6 +234,8 @@
 	}
 }
 
+// align aligns a node's clock by that of an aligned reference node, which is ahead by the given
+// amount, and returns the node.
 func (n *recordedNode) align(reference *recordedNode, ahead kernel.Micros, skew clockSkew) *recordedNode {
 	n.aligned = true
 	n.offset = reference.offset + ahead
@@ -254,8 +262,8 @@
 	var first *QuotaExcess
 	for tenant, operations := range g.operations {
 		slices.SortFunc(operations, func(a, b operation) int { return cmp.Compare(a.at, b.at) })
-		if e := g.firstExcess(tenant, operations); e != nil && (first == nil || e.ToUs < first.ToUs) {
-			first = e
+		if excess := g.firstExcess(tenant, operations); excess != nil && (first == nil || excess.ToUs < first.ToUs) {
+			first = excess
 		}
 	}
 	result.Excess = cmp.Or(result.Excess, first)
@@ -274,11 +282,11 @@
 		}
 		from, to := operations[first].at, operations[last].at
 		if allowed := g.maxAllowed(tenant, from, to); float64(last-first+1) > allowed {
-			e := &QuotaExcess{Tenant: tenant, FromUs: from, ToUs: to, Count: last - first + 1, Allowed: allowed, ByNode: map[string]int{}}
+			excess := &QuotaExcess{Tenant: tenant, FromUs: from, ToUs: to, Count: last - first + 1, Allowed: allowed, ByNode: map[string]int{}}
 			for _, o := range operations[first : last+1] {
-				e.ByNode[o.node]++
+				excess.ByNode[o.node]++
 			}
-			return e
+			return excess
 		}
 	}
 	return nil
--- a/internal/tools/replay.go
+++ b/internal/tools/replay.go
@@ -31,11 +31,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &replayer{w: w, coordinator: health.NewCoordinator()}
+	replayer := &replayer{w: w, coordinator: health.NewCoordinator()}
 	result := &ReplayResult{CutOff: cutOff}
-	for _, r := range records {
+	for _, record := range records {
 		result.Records++
-		rule, err := p.replay(r)
+		rule, err := replayer.replay(record)
 		if err != nil {
 			return nil, fmt.Errorf("record %d: %w", result.Records, err)
 		}
@@ -62,120 +62,127 @@
 		if line[len(line)-1] != '\n' {
 			return head, records, true, nil
 		}
-		var r kernel.Record
-		if err := json.Unmarshal(line, &r); err != nil {
+		var record kernel.Record
+		if err := json.Unmarshal(line, &record); err != nil {
 			return head, nil, false, fmt.Errorf("record %d: %w", len(records)+1, err)
 		}
-		records = append(records, r)
+		records = append(records, record)
 	}
 	return head, records, false, nil
 }
 
+// replayer is the state to which the records of one node are applied.
 type replayer struct {
 	w           io.Writer
 	coordinator *health.Coordinator
-	at          kernel.Micros
-	epoch       int64
+	time        kernel.Micros // of the last record
+	choiceEpoch int64         // of the last failover choice
 
-	promised, accepted int64 // by this witness
-	promisedTo         string
+	// Epochs that the node, as a witness, last promised and accepted, and the control node that
+	// requested the last vote.
+	promisedEpoch, acceptedEpoch int64
+	promisedTo                   string
 }
 
 // replay applies a record and returns the rule that it violates, or "".
-func (p *replayer) replay(r kernel.Record) (rule string, err error) {
-	if r.At < p.at {
+func (r *replayer) replay(record kernel.Record) (rule string, err error) {
+	if record.At < r.time {
 		return "time goes back", nil
 	}
-	p.at = r.At
-	switch r.Kind {
+	r.time = record.At
+	switch record.Kind {
 	case health.EventKind:
-		var e health.Event
-		if err := json.Unmarshal(r.Body, &e); err != nil {
+		var event health.Event
+		if err := json.Unmarshal(record.Body, &event); err != nil {
 			return "", err
 		}
-		return p.health(e), nil
+		return r.applyHealthEvent(event), nil
 	case controlstate.VoteKind:
-		var v controlstate.Vote
-		if err := json.Unmarshal(r.Body, &v); err != nil {
+		var vote controlstate.Vote
+		if err := json.Unmarshal(record.Body, &vote); err != nil {
 			return "", err
 		}
-		return p.vote(v), nil
+		return r.applyVote(vote), nil
 	case failover.ChoiceKind:
-		var c failover.Choice
-		if err := json.Unmarshal(r.Body, &c); err != nil {
+		var choice failover.Choice
+		if err := json.Unmarshal(record.Body, &choice); err != nil {
 			return "", err
 		}
-		return p.choice(c), nil
+		return r.applyChoice(choice), nil
 	case quota.SentKind, quota.RequestedKind, quota.ReceivedKind, quota.LimitsKind, failurelog.Kind:
 		return "", nil // only meaningful together with the recordings of other nodes
 	}
-	return "", fmt.Errorf("unknown kind %q", r.Kind)
+	return "", fmt.Errorf("unknown kind %q", record.Kind)
 }
 
-func (p *replayer) health(e health.Event) string {
-	wasUp, gen := p.coordinator.Up(e.Database)
-	if e.Generation > gen {
-		return fmt.Sprintf("an event of %s under generation %d, before there is one after %d", e.Database, e.Generation, gen)
-	}
-	changed := p.coordinator.Apply(e)
-	upAfter, genAfter := p.coordinator.Up(e.Database)
+// applyHealthEvent applies a health event and returns the rule that it violates, or "".
+func (r *replayer) applyHealthEvent(event health.Event) string {
+	wasUp, generation := r.coordinator.Up(event.Database)
+	if event.Generation > generation {
+		return fmt.Sprintf("an event of %s under generation %d, before there is one after %d", event.Database, event.Generation, generation)
+	}
+	changed := r.coordinator.Apply(event)
+	upAfter, generationAfter := r.coordinator.Up(event.Database)
 	if changed {
-		fmt.Fprintf(p.w, "%d us: %s %s, generation %d, after %s\n", p.at, e.Database, map[bool]string{true: "up", false: "down"}[upAfter], genAfter, e.Kind)
+		fmt.Fprintf(r.w, "%d us: %s %s, generation %d, after %s\n", r.time, event.Database, map[bool]string{true: "up", false: "down"}[upAfter], generationAfter, event.Kind)
 	}
 	switch {
-	case e.Generation < gen && changed:
+	case event.Generation < generation && changed:
 		return "an event of an older generation counted"
-	case genAfter < gen, genAfter > gen+1, genAfter > gen && !upAfter:
+	case generationAfter < generation, generationAfter > generation+1, generationAfter > generation && !upAfter:
 		return "a generation does not rise by one with each recovery"
-	case wasUp && !upAfter && e.Kind != "report" && (e.Kind != "checked" || e.OK):
+	case wasUp && !upAfter && event.Kind != "report" && (event.Kind != "checked" || event.OK):
 		return "a database went down without a fault or a failed check"
 	}
 	return ""
 }
 
-func (p *replayer) vote(v controlstate.Vote) string {
-	if !v.Granted {
+// applyVote applies a witness's vote and returns the rule that it violates, or "".
+func (r *replayer) applyVote(vote controlstate.Vote) string {
+	if !vote.Granted {
 		return ""
 	}
-	fmt.Fprintf(p.w, "%d us: epoch %d of %s, %s granted\n", p.at, v.Epoch, v.From, v.Kind)
+	fmt.Fprintf(r.w, "%d us: epoch %d of %s, %s granted\n", r.time, vote.Epoch, vote.From, vote.Kind)
 	switch {
-	case v.Kind == "promise" && v.Epoch <= p.promised:
-		return fmt.Sprintf("epoch %d was promised after epoch %d", v.Epoch, p.promised)
-	case v.Kind == "accept" && (v.Epoch < p.promised || v.Epoch <= p.accepted):
-		return fmt.Sprintf("epoch %d was accepted after %d was promised and %d accepted", v.Epoch, p.promised, p.accepted)
-	case v.Kind == "accept" && v.Epoch == p.promised && p.promisedTo != "" && v.From != p.promisedTo:
-		return fmt.Sprintf("epoch %d was promised to %s and accepted of %s", v.Epoch, p.promisedTo, v.From)
+	case vote.Kind == "promise" && vote.Epoch <= r.promisedEpoch:
+		return fmt.Sprintf("epoch %d was promised after epoch %d", vote.Epoch, r.promisedEpoch)
+	case vote.Kind == "accept" && (vote.Epoch < r.promisedEpoch || vote.Epoch <= r.acceptedEpoch):
+		return fmt.Sprintf("epoch %d was accepted after %d was promised and %d accepted", vote.Epoch, r.promisedEpoch, r.acceptedEpoch)
+	case vote.Kind == "accept" && vote.Epoch == r.promisedEpoch && r.promisedTo != "" && vote.From != r.promisedTo:
+		return fmt.Sprintf("epoch %d was promised to %s and accepted of %s", vote.Epoch, r.promisedTo, vote.From)
 	}
-	if p.promised, p.promisedTo = v.Epoch, v.From; v.Kind == "accept" {
-		p.accepted = v.Epoch
+	if r.promisedEpoch, r.promisedTo = vote.Epoch, vote.From; vote.Kind == "accept" {
+		r.acceptedEpoch = vote.Epoch
 	}
 	return ""
 }
 
-func (p *replayer) choice(c failover.Choice) string {
-	to, reason := failover.ChoosePrimary(c.Situation)
-	fmt.Fprintf(p.w, "%d us: lead of %s: %s\n", p.at, c.Service, cmp.Or(to, "waits, "+reason))
-	if c.Epoch < p.epoch {
-		return fmt.Sprintf("a choice in epoch %d after epoch %d", c.Epoch, p.epoch)
-	}
-	p.epoch = c.Epoch
-	if c.To == "" || c.Accepted {
+// applyChoice repeats the choice of a new primary and returns the rule that the recorded choice
+// violates, or "".
+func (r *replayer) applyChoice(choice failover.Choice) string {
+	target, reason := failover.ChoosePrimary(choice.Situation)
+	fmt.Fprintf(r.w, "%d us: lead of %s: %s\n", r.time, choice.Service, cmp.Or(target, "waits, "+reason))
+	if choice.Epoch < r.choiceEpoch {
+		return fmt.Sprintf("a choice in epoch %d after epoch %d", choice.Epoch, r.choiceEpoch)
+	}
+	r.choiceEpoch = choice.Epoch
+	if choice.To == "" || choice.Accepted {
 		return ""
 	}
-	at := slices.IndexFunc(c.Situation.Copies, func(o failover.PausedReplica) bool { return o.ID == c.To })
-	if at < 0 {
-		return fmt.Sprintf("%s was chosen and did not answer", c.To)
+	chosen := slices.IndexFunc(choice.Situation.Copies, func(replica failover.PausedReplica) bool { return replica.ID == choice.To })
+	if chosen < 0 {
+		return fmt.Sprintf("%s was chosen and did not answer", choice.To)
 	}
-	if to == "" {
-		return fmt.Sprintf("%s was chosen, though %s", c.To, reason)
+	if target == "" {
+		return fmt.Sprintf("%s was chosen, though %s", choice.To, reason)
 	}
-	received := c.Situation.Copies[at].Received
-	if acked := c.Situation.AckedUpperBound; acked != nil && !received.Less(*acked) {
+	received := choice.Situation.Copies[chosen].Received
+	if acked := choice.Situation.AckedUpperBound; acked != nil && !received.Less(*acked) {
 		return "" // it holds all commits that were acknowledged to clients
 	}
-	for _, o := range c.Situation.Copies {
-		if received.Less(o.Received) {
-			return fmt.Sprintf("%s was chosen, though %s had received more", c.To, o.ID)
+	for _, other := range choice.Situation.Copies {
+		if received.Less(other.Received) {
+			return fmt.Sprintf("%s was chosen, though %s had received more", choice.To, other.ID)
 		}
 	}
 	return ""
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -20,6 +20,7 @@
 	"indigowalk/internal/settings"
 )
 
+// Names of the RPC operations.
 const (
 	statusOp   = "status"
 	failuresOp = "failures"
@@ -31,19 +32,19 @@
 	Role           string                        `json:"role"`
 	Addr           string                        `json:"addr"`
 	Zone           string                        `json:"zone"`
-	Tolerates      int64                         `json:"tolerates"` // machines, disks included, that may be lost at once
+	Tolerates      int64                         `json:"tolerates"` // control machines, disks included, that may be lost at once
 	Members        []membership.Member           `json:"members"`
 	Epoch          int64                         `json:"epoch"`
 	Rev            int64                         `json:"rev"`
-	LeaseUs        kernel.Micros                 `json:"lease_us"` // remaining lease: of the control state's primary, or a proxy's read lease
+	LeaseUs        kernel.Micros                 `json:"lease_us"` // remaining lease: that of the primary control node, or a proxy's read lease
 	View           *controlstate.View            `json:"view,omitempty"`
 	Witnesses      []string                      `json:"witnesses,omitempty"`
-	Abstains       bool                          `json:"abstains,omitempty"` // as a witness
-	NoPrimaryHeard bool                          `json:"unsure,omitempty"`   // a control node that is not the primary and has not heard from it within a lease: its view may be stale
-	HeardUs        map[string]kernel.Micros      `json:"heard_us,omitempty"` // on the primary, time since the last contact with each control node
+	Abstains       bool                          `json:"abstains,omitempty"` // a witness that does not vote
+	NoPrimaryHeard bool                          `json:"unsure,omitempty"`   // a control node that is not the primary and has not heard from it for a lease: its view may be stale
+	SinceContactUs map[string]kernel.Micros      `json:"heard_us,omitempty"` // on the primary, time since the last contact with each control node
 	Config         *routeconfig.Configuration    `json:"config,omitempty"`
 	Databases      map[string]discovery.Database `json:"databases,omitempty"`
-	Leads          map[string]failover.Leader    `json:"leads,omitempty"`
+	Leaders        map[string]failover.Leader    `json:"leads,omitempty"`
 	WaitReasons    map[string]string             `json:"waits,omitempty"`  // by service, why its failover is blocked
 	Roles          map[string]string             `json:"roles,omitempty"`  // as reported by the databases themselves
 	Down           map[string]int64              `json:"down,omitempty"`   // databases that are down, with the generation
@@ -66,40 +67,41 @@
 	})
 }
 
+// report returns the state of the system as this process sees it.
 func report(k *kernel.Kernel, endpoint *rpc.Endpoint) (*Report, error) {
-	s := kernel.Need[*settings.Live](k).Now()
-	r := &Report{
-		Node: s.NodeName, Role: k.Role, Addr: endpoint.Addr(), Zone: s.Zone, Tolerates: s.TolerateHosts,
+	current := kernel.Need[*settings.Live](k).Now()
+	result := &Report{
+		Node: current.NodeName, Role: k.Role, Addr: endpoint.Addr(), Zone: current.Zone, Tolerates: current.TolerateHosts,
 		Members: kernel.Need[*membership.Memberlist](k).Members(),
 		Down:    kernel.Need[*health.Monitor](k).Down(), Counters: k.Counters.Snapshot(),
 	}
 	if k.Role != "control" {
-		r.Epoch, _, r.Rev, r.LeaseUs = kernel.Need[*distribution.Subscriber](k).Version()
-		r.Conns = kernel.Need[connpool.Counts](k)()
-		r.Usage = kernel.Need[*quota.Client](k).Usage()
-		return r, nil
+		result.Epoch, _, result.Rev, result.LeaseUs = kernel.Need[*distribution.Subscriber](k).Version()
+		result.Conns = kernel.Need[connpool.Counts](k)()
+		result.Usage = kernel.Need[*quota.Client](k).Usage()
+		return result, nil
 	}
 	replica := kernel.Need[*controlstate.Replica](k)
 	term, err := replica.Term()
 	if err == nil {
-		if err := r.addPrimaryState(k, replica); err != nil {
+		if err := result.addPrimaryState(k, replica); err != nil {
 			return nil, err
 		}
 	}
 	view, _ := replica.Primary()
-	r.View, r.Epoch, r.Witnesses, r.Abstains = &view, view.Epoch, replica.Witnesses(), replica.Abstains()
-	if _, r.LeaseUs = term.Lease(); r.LeaseUs == 0 {
+	result.View, result.Epoch, result.Witnesses, result.Abstains = &view, view.Epoch, replica.Witnesses(), replica.Abstains()
+	if _, result.LeaseUs = term.Lease(); result.LeaseUs == 0 {
 		// The term has ended: data read in it may be stale and is not reported.
-		r.HeardUs, r.Config, r.Rev, r.Databases, r.Leads, r.Roles, r.Quotas = nil, nil, 0, nil, nil, nil, nil
+		result.SinceContactUs, result.Config, result.Rev, result.Databases, result.Leaders, result.Roles, result.Quotas = nil, nil, 0, nil, nil, nil, nil
 		_, known := replica.KnownPrimary()
-		r.NoPrimaryHeard = !known
+		result.NoPrimaryHeard = !known
 	}
-	return r, nil
+	return result, nil
 }
 
 // addPrimaryState adds what only the control state's primary knows.
 func (r *Report) addPrimaryState(k *kernel.Kernel, replica *controlstate.Replica) error {
-	r.HeardUs = replica.SinceLastContact()
+	r.SinceContactUs = replica.SinceLastContact()
 	state, err := replica.Durable()
 	if err != nil {
 		return nil // this node has just ceased to be the primary
@@ -113,7 +115,7 @@
 	if r.Databases, err = discovery.Decode(state.Entries); err != nil {
 		return err
 	}
-	if r.Leads, err = failover.Decode(state.Entries); err != nil {
+	if r.Leaders, err = failover.Decode(state.Entries); err != nil {
 		return err
 	}
 	r.Quotas = kernel.Need[*quota.LedgerServer](k).Accounts()
