--- a/cmd/indigowalk/accept.go
+++ b/cmd/indigowalk/accept.go
@@ -26,37 +26,38 @@
     indigowalk accept-loss --turn 7 --by "on call" ledger 10.1.0.8:7440
 `
 
-// runAcceptLoss shows which databases a service's failover waits for or, given the number of that
-// failover (--turn), accepts that the commits which only those databases hold are lost.
+// runAcceptLoss runs the accept-loss command. Without --turn it prints which databases the failover of a
+// service waits for; with the ID of that failover it accepts the loss of the acknowledged commits that
+// only those databases have.
 func runAcceptLoss(args []string, out, errOut io.Writer) int {
-	fs := flag.NewFlagSet("accept-loss", flag.ContinueOnError)
-	fs.SetOutput(io.Discard)
-	asJSON := fs.Bool("json", false, "")
-	failoverNumber := fs.Int64("turn", 0, "")
-	acceptedBy := fs.String("by", "", "")
-	err := fs.Parse(args)
+	flags := flag.NewFlagSet("accept-loss", flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	asJSON := flags.Bool("json", false, "")
+	failoverNumber := flags.Int64("turn", 0, "")
+	acceptedBy := flags.String("by", "", "")
+	err := flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
 		fmt.Fprint(out, acceptUsage)
 		return exitClean
 	}
-	if err != nil || fs.NArg() < 2 || (*failoverNumber == 0) != (*acceptedBy == "") {
+	if err != nil || flags.NArg() < 2 || (*failoverNumber == 0) != (*acceptedBy == "") {
 		fmt.Fprint(errOut, acceptUsage)
 		return exitUsage
 	}
-	t := toolRun{out: out, errOut: errOut, json: *asJSON}
+	tool := toolRun{out: out, errOut: errOut, json: *asJSON}
 	ctx, network := context.Background(), kernel.HostNetwork{}
-	system := tools.CollectReports(ctx, network, fs.Args()[1:], true)
-	waiting, err := system.FindBlocked(fs.Arg(0))
+	system := tools.CollectReports(ctx, network, flags.Args()[1:], true)
+	blocked, err := system.FindBlocked(flags.Arg(0))
 	if err != nil {
-		return t.fail(err)
+		return tool.fail(err)
 	}
 	if *failoverNumber == 0 {
-		return t.show(waiting, waiting.Print)
+		return tool.show(blocked, blocked.Print)
 	}
-	if err := waiting.AcceptLoss(ctx, network, *failoverNumber, *acceptedBy); err != nil {
-		return t.fail(err)
+	if err := blocked.AcceptLoss(ctx, network, *failoverNumber, *acceptedBy); err != nil {
+		return tool.fail(err)
 	}
-	return t.show(waiting, func(w io.Writer) {
-		fmt.Fprintf(w, "accepted: %s goes on without what it waited for\n", waiting.Service)
+	return tool.show(blocked, func(w io.Writer) {
+		fmt.Fprintf(w, "accepted: %s goes on without what it waited for\n", blocked.Service)
 	})
 }
--- a/cmd/indigowalk/main.go
+++ b/cmd/indigowalk/main.go
@@ -36,8 +36,8 @@
 // Exit codes of the command.
 const (
 	exitClean = 0
-	exitFault = 1
-	exitUsage = 2
+	exitFault = 1 // a fault was found, or the command failed
+	exitUsage = 2 // invalid arguments
 )
 
 const usage = `indigowalk: a pool of sessions onto databases
--- a/cmd/indigowalk/scalebench.go
+++ b/cmd/indigowalk/scalebench.go
@@ -30,19 +30,19 @@
 // maxNodes is the largest number of hollow nodes that one machine can run.
 const maxNodes = 1000
 
-// runScalebench runs the scalebench command. The flag --hollow, which the help leaves out, makes
-// the process a host of hollow nodes; the benchmark starts such processes itself.
+// runScalebench runs the scalebench command. The flag --hollow, which is not in the help, is internal:
+// the benchmark starts its processes of hollow nodes with it.
 func runScalebench(args []string, out, errOut io.Writer) int {
-	fs := flag.NewFlagSet("scalebench", flag.ContinueOnError)
-	fs.SetOutput(io.Discard)
-	asJSON := fs.Bool("json", false, "")
-	hollow := fs.String("hollow", "", "")
-	databases := fs.Int("databases", 450, "")
-	routes := fs.Int("routes", 1500, "")
-	changes := fs.Int("changes", 10, "")
-	quietSeconds := fs.Int("quiet", 10, "")
-	sessions := fs.Int("sessions", 0, "")
-	if err := fs.Parse(args); err != nil || fs.NArg() == 0 || *databases < 1 || *routes < 1 || *changes < 1 || *quietSeconds < 1 || *sessions < 0 {
+	flags := flag.NewFlagSet("scalebench", flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	asJSON := flags.Bool("json", false, "")
+	hollow := flags.String("hollow", "", "")
+	databases := flags.Int("databases", 450, "")
+	routes := flags.Int("routes", 1500, "")
+	changes := flags.Int("changes", 10, "")
+	quietSeconds := flags.Int("quiet", 10, "")
+	sessions := flags.Int("sessions", 0, "")
+	if err := flags.Parse(args); err != nil || flags.NArg() == 0 || *databases < 1 || *routes < 1 || *changes < 1 || *quietSeconds < 1 || *sessions < 0 {
 		if err == flag.ErrHelp {
 			fmt.Fprint(out, scalebenchUsage)
 			return exitClean
@@ -52,18 +52,17 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
-	t := toolRun{out: out, errOut: errOut, json: *asJSON}
+	tool := toolRun{out: out, errOut: errOut, json: *asJSON}
 	if *hollow != "" {
-		return t.runHollowNodes(ctx, *hollow, fs.Arg(0))
+		return tool.runHollowNodes(ctx, *hollow, flags.Arg(0))
 	}
-	return t.measureSizes(ctx, fs.Args(), scalebench.Config{
+	return tool.measureSizes(ctx, flags.Args(), scalebench.Config{
 		ControlNodes: 4, Databases: *databases, Routes: *routes,
 		Changes: *changes, QuietPeriod: time.Duration(*quietSeconds) * time.Second, Sessions: *sessions,
 	})
 }
 
-// runHollowNodes runs the hollow nodes that nodeRange names: the number of the first node, a
-// comma, and how many there are.
+// runHollowNodes runs the hollow nodes of nodeRange: the number of the first, a comma, and their count.
 func (t toolRun) runHollowNodes(ctx context.Context, nodeRange, seeds string) int {
 	first, count, _ := strings.Cut(nodeRange, ",")
 	firstNode, err1 := strconv.Atoi(first)
--- a/cmd/indigowalk/testbed.go
+++ b/cmd/indigowalk/testbed.go
@@ -62,13 +62,13 @@
 // runTestbed runs the testbed command. Its exit code is exitFault if a rule was broken or a process
 // ended by itself, or if the run failed.
 func runTestbed(args []string, out, errOut io.Writer) int {
-	fs := flag.NewFlagSet("testbed", flag.ContinueOnError)
-	fs.SetOutput(io.Discard)
-	asJSON := fs.Bool("json", false, "")
-	planPath := fs.String("plan", "", "")
-	program := fs.String("program", "", "")
-	keep := fs.String("keep", "", "")
-	if err := fs.Parse(args); err != nil {
+	flags := flag.NewFlagSet("testbed", flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	asJSON := flags.Bool("json", false, "")
+	planPath := flags.String("plan", "", "")
+	program := flags.String("program", "", "")
+	keep := flags.String("keep", "", "")
+	if err := flags.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			fmt.Fprint(out, testbedUsage)
 			return exitClean
@@ -76,32 +76,32 @@
 		fmt.Fprint(errOut, testbedUsage)
 		return exitUsage
 	}
-	t := toolRun{out: out, errOut: errOut, json: *asJSON}
-	plan, err := loadPlan(*planPath, fs.Args())
+	tool := toolRun{out: out, errOut: errOut, json: *asJSON}
+	plan, err := loadPlan(*planPath, flags.Args())
 	if err != nil {
 		fmt.Fprintln(errOut, "indigowalk:", strings.ReplaceAll(err.Error(), "\n", "; "))
 		return exitUsage
 	}
 	if *program == "" {
 		if *program, err = os.Executable(); err != nil {
-			return t.fail(err)
+			return tool.fail(err)
 		}
 	}
 	if info, err := os.Stat(*program); err != nil || info.IsDir() {
-		return t.fail(fmt.Errorf("testbed: %s is no program: %v", *program, err))
+		return tool.fail(fmt.Errorf("testbed: %s is no program: %v", *program, err))
 	}
 	dir, cleanUp, err := workDir(*keep)
 	if err != nil {
-		return t.fail(err)
+		return tool.fail(err)
 	}
 	defer cleanUp()
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
 	report, err := testbed.Run(ctx, testbed.Config{Plan: plan, Program: *program, Dir: dir})
 	if err != nil {
-		return t.fail(err)
+		return tool.fail(err)
 	}
-	if code := t.show(report, report.Print); code != exitClean {
+	if code := tool.show(report, report.Print); code != exitClean {
 		return code
 	}
 	if !report.Clean() {
@@ -133,8 +133,8 @@
 	return plan, nil
 }
 
-// workDir returns an empty folder for a run, and a function to call after the run. A named folder
-// is kept; without a name the folder is a temporary one, which that function removes.
+// workDir returns an empty folder for a run, and a function to call after the run. A named folder is
+// kept; if name is empty, the folder is a temporary one, which that function removes.
 func workDir(name string) (dir string, cleanUp func(), err error) {
 	if name == "" {
 		dir, err := os.MkdirTemp("", "testbed")
--- a/cmd/indigowalk/tools.go
+++ b/cmd/indigowalk/tools.go
@@ -58,23 +58,23 @@
     indigowalk status --all --json 10.1.0.8:7440 > view.json
 `
 
-// runTool runs one of the commands check, plan, replay and status. Flags may stand before, between
-// and after the other arguments.
+// runTool runs one of the commands check, plan, replay and status. Flags and other arguments may occur
+// in any order.
 func runTool(name string, args []string, out, errOut io.Writer) int {
 	usage := map[string]string{"check": checkUsage, "plan": planUsage, "replay": replayUsage, "status": statusUsage}[name]
-	fs := flag.NewFlagSet(name, flag.ContinueOnError)
-	fs.SetOutput(io.Discard)
-	asJSON := fs.Bool("json", false, "")
-	all := fs.Bool("all", false, "")
-	details := fs.Bool("details", false, "")
-	failures := fs.Bool("failures", false, "")
-	only := fs.String("only", "", "")
-	from := fs.String("from", "", "")
-	view := fs.String("view", "", "")
-	base := fs.String("on", "", "")
+	flags := flag.NewFlagSet(name, flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	asJSON := flags.Bool("json", false, "")
+	all := flags.Bool("all", false, "")
+	details := flags.Bool("details", false, "")
+	failures := flags.Bool("failures", false, "")
+	only := flags.String("only", "", "")
+	from := flags.String("from", "", "")
+	view := flags.String("view", "", "")
+	base := flags.String("on", "", "")
 	var operands []string
 	for remaining := args; ; {
-		if err := fs.Parse(remaining); err != nil {
+		if err := flags.Parse(remaining); err != nil {
 			if err == flag.ErrHelp {
 				fmt.Fprint(out, usage)
 				return exitClean
@@ -82,26 +82,26 @@
 			fmt.Fprintf(errOut, "indigowalk %s: %v\n%s", name, err, usage)
 			return exitUsage
 		}
-		if fs.NArg() == 0 {
+		if flags.NArg() == 0 {
 			break
 		}
-		operands, remaining = append(operands, fs.Arg(0)), fs.Args()[1:]
+		operands, remaining = append(operands, flags.Arg(0)), flags.Args()[1:]
 	}
-	t := toolRun{out: out, errOut: errOut, json: *asJSON}
+	tool := toolRun{out: out, errOut: errOut, json: *asJSON}
 	code := exitUsage
 	switch {
 	case name == "check" && len(operands) >= 2 && operands[0] == "quota":
-		code = t.checkQuota(operands[1:])
+		code = tool.checkQuota(operands[1:])
 	case name == "check" && len(operands) == 2:
-		code = t.check(operands[0], operands[1], *base)
+		code = tool.check(operands[0], operands[1], *base)
 	case name == "plan" && len(operands) > 0 && (*from == "") != (*view == ""):
-		code = t.plan(*from, *view, operands)
+		code = tool.plan(*from, *view, operands)
 	case name == "replay" && len(operands) == 1:
-		code = t.replay(operands[0])
+		code = tool.replay(operands[0])
 	case name == "status" && len(operands) > 0 && *failures:
-		code = t.failures(operands, *all, *only)
+		code = tool.failures(operands, *all, *only)
 	case name == "status" && len(operands) > 0:
-		code = t.status(operands, *all, *details, *only)
+		code = tool.status(operands, *all, *details, *only)
 	}
 	if code == exitUsage {
 		fmt.Fprint(errOut, usage)
@@ -121,7 +121,7 @@
 	return exitFault
 }
 
-// show writes v as JSON where that is asked for, or else as text with print.
+// show writes v as JSON if --json is set, or else as text with print.
 func (t toolRun) show(v any, print func(io.Writer)) int {
 	if !t.json {
 		print(t.out)
@@ -133,20 +133,23 @@
 	return exitClean
 }
 
+// checkQuota runs check quota. Its exit code is exitFault if a tenant exceeded its limit.
 func (t toolRun) checkQuota(paths []string) int {
-	c, err := tools.CheckQuota(paths)
+	check, err := tools.CheckQuota(paths)
 	if err != nil {
 		return t.fail(err)
 	}
-	if code := t.show(c, c.Print); code != exitClean {
+	if code := t.show(check, check.Print); code != exitClean {
 		return code
 	}
-	if c.Excess != nil {
+	if check.Excess != nil {
 		return exitFault
 	}
 	return exitClean
 }
 
+// check runs the other kinds of check. Its exit code is exitFault if there are faults, or exitUsage if
+// the kind is unknown.
 func (t toolRun) check(kind, path, base string) int {
 	var faults []tools.Fault
 	switch kind {
@@ -162,8 +165,8 @@
 		return exitUsage
 	}
 	code := t.show(map[string]any{"faults": append([]tools.Fault{}, faults...)}, func(w io.Writer) {
-		for _, f := range faults {
-			fmt.Fprintln(w, f)
+		for _, fault := range faults {
+			fmt.Fprintln(w, fault)
 		}
 		if len(faults) == 0 {
 			fmt.Fprintln(w, "clean")
@@ -175,6 +178,8 @@
 	return code
 }
 
+// plan runs plan on the reports in the file view or, if view is empty, on those of all members that the
+// process at the address from knows.
 func (t toolRun) plan(from, view string, operands []string) int {
 	var system *tools.System
 	if view != "" {
@@ -208,43 +213,45 @@
 	default:
 		return exitUsage
 	}
-	p, err := system.MakePlan(step, target, config)
+	plan, err := system.MakePlan(step, target, config)
 	if err != nil {
 		return t.fail(err)
 	}
-	return t.show(p, p.Print)
+	return t.show(plan, plan.Print)
 }
 
+// replay runs replay. Its exit code is exitFault if a record violates a rule.
 func (t toolRun) replay(path string) int {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return t.fail(err)
 	}
-	w := t.out
+	stateChanges := t.out
 	if t.json {
-		w = io.Discard
+		stateChanges = io.Discard
 	}
-	r, err := tools.Replay(raw, w)
+	result, err := tools.Replay(raw, stateChanges)
 	if err != nil {
 		return t.fail(fmt.Errorf("%s: %w", path, err))
 	}
-	code := t.show(r, func(w io.Writer) {
-		fmt.Fprintf(w, "%d records", r.Records)
-		if r.CutOff {
+	code := t.show(result, func(w io.Writer) {
+		fmt.Fprintf(w, "%d records", result.Records)
+		if result.CutOff {
 			fmt.Fprint(w, ", the last one cut off")
 		}
-		if r.FirstViolation > 0 {
-			fmt.Fprintf(w, "; broken at record %d: %s\n", r.FirstViolation, r.Rule)
+		if result.FirstViolation > 0 {
+			fmt.Fprintf(w, "; broken at record %d: %s\n", result.FirstViolation, result.Rule)
 		} else {
 			fmt.Fprintln(w, "; every rule kept")
 		}
 	})
-	if r.FirstViolation > 0 {
+	if result.FirstViolation > 0 {
 		return exitFault
 	}
 	return code
 }
 
+// failures runs status --failures. Its exit code is exitFault if a process gave no report.
 func (t toolRun) failures(addrs []string, all bool, only string) int {
 	ctx, network := context.Background(), kernel.HostNetwork{}
 	report := tools.CollectReports(ctx, network, addrs, all).Failures(ctx, network)
@@ -256,6 +263,7 @@
 	return code
 }
 
+// status runs status. Its exit code is exitFault if a process gave no report.
 func (t toolRun) status(addrs []string, all, details bool, only string) int {
 	system := tools.CollectReports(context.Background(), kernel.HostNetwork{}, addrs, all)
 	code := t.show(system, func(w io.Writer) { system.Print(w, details, only) })
--- a/internal/scalebench/hollow.go
+++ b/internal/scalebench/hollow.go
@@ -1,6 +1,6 @@
 // Package scalebench measures the cost of the control state at a given cluster size. It runs
-// real control nodes, one process each, and hollow nodes, many in one process, which take part
-// in membership and receive all updates but serve no traffic.
+// real control nodes, one process each, and hollow nodes, many in one process. Hollow nodes take
+// part in membership and receive all updates like poolers, but serve no traffic.
 package scalebench
 
 import (
@@ -25,7 +25,7 @@
 // Role is the kernel role under which hollow nodes run.
 const Role = "hollow"
 
-// A hollow node has no connection pools to update, and takes every database as healthy.
+// A hollow node has no connection pools to update, and its health checks always succeed.
 func init() {
 	kernel.Register(kernel.Plugin{
 		Name: "hollow", Rank: 50, Roles: []string{Role},
@@ -40,7 +40,7 @@
 // meteredNetwork is the host's network with counters of the bytes received and sent through it.
 type meteredNetwork struct {
 	kernel.HostNetwork
-	in, out *atomic.Int64
+	received, sent *atomic.Int64
 }
 
 // meteredConn is a connection whose bytes are counted.
@@ -51,23 +51,23 @@
 
 func (c meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.network.in.Add(int64(n))
+	c.network.received.Add(int64(n))
 	return n, err
 }
 
 func (c meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.network.out.Add(int64(n))
+	c.network.sent.Add(int64(n))
 	return n, err
 }
 
 // Dial implements kernel.Network.
-func (m meteredNetwork) Dial(ctx context.Context, addr string, peerTimeout kernel.Micros) (net.Conn, error) {
-	c, err := m.HostNetwork.Dial(ctx, addr, peerTimeout)
+func (n meteredNetwork) Dial(ctx context.Context, addr string, peerTimeout kernel.Micros) (net.Conn, error) {
+	conn, err := n.HostNetwork.Dial(ctx, addr, peerTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return meteredConn{c, m}, nil
+	return meteredConn{conn, n}, nil
 }
 
 // meteredPacketConn is a packet socket whose bytes are counted.
@@ -78,32 +78,33 @@
 
 func (p meteredPacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	n, from, err := p.PacketConn.ReadFrom(b)
-	p.network.in.Add(int64(n))
+	p.network.received.Add(int64(n))
 	return n, from, err
 }
 
 func (p meteredPacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	n, err := p.PacketConn.WriteTo(b, to)
-	p.network.out.Add(int64(n))
+	p.network.sent.Add(int64(n))
 	return n, err
 }
 
 // ListenPacket implements kernel.Network.
-func (m meteredNetwork) ListenPacket(addr string) (net.PacketConn, error) {
-	p, err := m.HostNetwork.ListenPacket(addr)
+func (n meteredNetwork) ListenPacket(addr string) (net.PacketConn, error) {
+	conn, err := n.HostNetwork.ListenPacket(addr)
 	if err != nil {
 		return nil, err
 	}
-	return meteredPacketConn{p, m}, nil
+	return meteredPacketConn{conn, n}, nil
 }
 
 // hollowStatus is one status report of a hollow node process, written as a line of JSON: how many
 // of its nodes have a configuration and databases, the oldest configuration version among them,
-// when the last of them received it, and the bytes that its nodes have received and sent.
+// when the last of the nodes with that version received it, and the bytes that all have received
+// and sent.
 type hollowStatus struct {
 	Ready int   `json:"ready"`
 	Rev   int64 `json:"rev"`
-	AtUs  int64 `json:"at_us"` // wall-clock time at which the last of them received it
+	AtUs  int64 `json:"at_us"` // wall-clock time at which the last node with version Rev received it
 	In    int64 `json:"in"`
 	Out   int64 `json:"out"`
 }
@@ -111,17 +112,17 @@
 // RunHollowNodes runs count hollow nodes, numbered from first on, and writes their status to out
 // every 50 ms until ctx is done.
 func RunHollowNodes(ctx context.Context, first, count int, seeds string, out io.Writer) error {
-	m := meteredNetwork{in: new(atomic.Int64), out: new(atomic.Int64)}
+	network := meteredNetwork{received: new(atomic.Int64), sent: new(atomic.Int64)}
 	var mu sync.Mutex
 	revs, receivedAt := make([]int64, count), make([]time.Time, count)
 	var running sync.WaitGroup
 	for i := range count {
-		s, err := settings.Parse([]byte(settingsText(first+i, Role, seeds, "")))
+		nodeSettings, err := settings.Parse([]byte(settingsText(first+i, Role, seeds, "")))
 		if err != nil {
 			return fmt.Errorf("scalebench: %w", err)
 		}
-		k := kernel.NewKernel(Role, m, slog.New(slog.DiscardHandler))
-		kernel.Offer(k, settings.NewLive(s))
+		k := kernel.NewKernel(Role, network, slog.New(slog.DiscardHandler))
+		kernel.Offer(k, settings.NewLive(nodeSettings))
 		if err := k.Assemble(); err != nil {
 			return fmt.Errorf("scalebench: %w", err)
 		}
@@ -146,7 +147,7 @@
 	}
 	encoder := json.NewEncoder(out)
 	for kernel.Sleep(ctx, 50*kernel.Millisecond) {
-		status := hollowStatus{In: m.in.Load(), Out: m.out.Load()}
+		status := hollowStatus{In: network.received.Load(), Out: network.sent.Load()}
 		mu.Lock()
 		for i, rev := range revs {
 			if rev > 0 {
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// nodeAddress returns the loopback address of a node.
+// nodeAddress returns the loopback address of the node with the given number.
 func nodeAddress(node int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 10+node/40000, node/200%200, node%200+1)
 }
--- a/internal/scalebench/scalebench.go
+++ b/internal/scalebench/scalebench.go
@@ -32,14 +32,14 @@
 	Sessions     int           // number of idle sessions opened at one pooler; 0 skips that measurement
 }
 
-// Result holds the measurements at one cluster size. Processor time is in thousandths of a
-// core. "Quiet" means that heartbeats arrive but the configuration does not change. Bytes are those
-// sent and received; nodes are hollow nodes unless control nodes are named.
+// Result holds the measurements at one cluster size. CPU usage is in thousandths of a core. "Quiet"
+// means that heartbeats arrive but the configuration does not change. Bytes are those sent and
+// received; nodes are hollow nodes unless control nodes are named.
 type Result struct {
 	Nodes        int     `json:"nodes"`
 	Databases    int     `json:"databases"`
 	Routes       int     `json:"routes"`
-	StartMs      int64   `json:"start_ms"`    // until all hollow nodes have the state
+	StartMs      int64   `json:"start_ms"`    // from the start of the hollow nodes until all have the state
 	NodeBytes    float64 `json:"node_bytes"`  // per second and hollow node, quiet
 	NodeCPU      float64 `json:"node_cpu"`    // of one hollow node, quiet
 	NodeKB       float64 `json:"node_kb"`     // resident memory per hollow node
@@ -56,7 +56,7 @@
 // hollowNodesPerProcess is the maximum number of hollow nodes in one process.
 const hollowNodesPerProcess = 52
 
-// stepTimeout bounds each wait of the benchmark.
+// stepTimeout bounds each step of the benchmark that waits.
 const stepTimeout = 60 * time.Second
 
 var errStepTimeout = errors.New("scalebench: a step takes too long")
@@ -72,7 +72,7 @@
 		seeds = append(seeds, nodeAddress(i)+":8782")
 	}
 	for i := range cfg.ControlNodes {
-		if err := r.startControl(ctx, i, strings.Join(seeds, ",")); err != nil {
+		if err := r.startControlNode(ctx, i, strings.Join(seeds, ",")); err != nil {
 			return nil, err
 		}
 	}
@@ -82,16 +82,16 @@
 	}
 	began := time.Now()
 	for first := 0; first < cfg.Nodes; first += hollowNodesPerProcess {
-		if err := r.startHollow(ctx, cfg.ControlNodes+first, min(hollowNodesPerProcess, cfg.Nodes-first), strings.Join(seeds, ",")); err != nil {
+		if err := r.startHollowNodes(ctx, cfg.ControlNodes+first, min(hollowNodesPerProcess, cfg.Nodes-first), strings.Join(seeds, ",")); err != nil {
 			return nil, err
 		}
 	}
-	at, err := r.awaitVersion(1)
+	readyAt, err := r.awaitVersion(1)
 	if err != nil {
 		return nil, err
 	}
-	r.result.StartMs = at.Sub(began).Milliseconds()
-	time.Sleep(5 * time.Second) // lets membership's state comparison finish before the quiet measurement
+	r.result.StartMs = readyAt.Sub(began).Milliseconds()
+	time.Sleep(5 * time.Second) // the members synchronize before the quiet measurement
 	quietRate := r.measureQuiet()
 	if err := r.measureChanges(quietRate); err != nil {
 		return nil, err
@@ -106,8 +106,8 @@
 type process struct {
 	cmd *exec.Cmd
 
-	mu     sync.Mutex
-	status hollowStatus // last report of a hollow node process
+	mu         sync.Mutex
+	lastStatus hollowStatus // last report of a hollow node process
 }
 
 // run is the state of one benchmark run.
@@ -145,13 +145,14 @@
 	return p, err
 }
 
-func (r *run) startControl(ctx context.Context, node int, seeds string) error {
+// startControlNode starts a control node.
+func (r *run) startControlNode(ctx context.Context, node int, seeds string) error {
 	p, err := r.startDaemon(ctx, node, "control", seeds)
 	r.controlNodes = append(r.controlNodes, p)
 	return err
 }
 
-// measureSessions measures the memory that idle sessions take in a pooler.
+// measureSessions measures the memory of a pooler without sessions, and the memory per idle session.
 func (r *run) measureSessions(ctx context.Context, seeds string) error {
 	if r.cfg.Sessions == 0 {
 		return nil
@@ -167,21 +168,21 @@
 	}()
 	var conns []net.Conn
 	defer func() {
-		for _, c := range conns {
-			c.Close()
+		for _, conn := range conns {
+			conn.Close()
 		}
 	}()
 	login := func() error {
-		c, err := net.DialTimeout("tcp4", nodeAddress(node)+":8784", time.Second)
+		conn, err := net.DialTimeout("tcp4", nodeAddress(node)+":8784", time.Second)
 		if err != nil {
 			return err
 		}
-		conns = append(conns, c)
-		c.SetDeadline(time.Now().Add(5 * time.Second))
-		if _, err := io.WriteString(c, "LOGIN host0 someone\r\n"); err != nil {
+		conns = append(conns, conn)
+		conn.SetDeadline(time.Now().Add(5 * time.Second))
+		if _, err := io.WriteString(conn, "LOGIN host0 someone\r\n"); err != nil {
 			return err
 		}
-		reply, err := bufio.NewReader(c).ReadString('\n')
+		reply, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(reply, "IDLE") {
 			return fmt.Errorf("scalebench: log-in answered %q: %v", reply, err)
 		}
@@ -193,21 +194,21 @@
 		}
 	}
 	time.Sleep(3 * time.Second)
-	_, before := pooler.usage()
+	_, memoryBefore := pooler.usage()
 	for range r.cfg.Sessions {
 		if err := login(); err != nil {
 			return err
 		}
 	}
 	time.Sleep(3 * time.Second)
-	_, after := pooler.usage()
-	r.result.PoolerMB = float64(before) / (1 << 20)
-	r.result.SessionBytes = float64(after-before) / float64(r.cfg.Sessions)
+	_, memoryAfter := pooler.usage()
+	r.result.PoolerMB = float64(memoryBefore) / (1 << 20)
+	r.result.SessionBytes = float64(memoryAfter-memoryBefore) / float64(r.cfg.Sessions)
 	return nil
 }
 
-// startHollow starts a process of count hollow nodes, and keeps its last status report.
-func (r *run) startHollow(ctx context.Context, first, count int, seeds string) error {
+// startHollowNodes starts a process of count hollow nodes, and keeps its last status report.
+func (r *run) startHollowNodes(ctx context.Context, first, count int, seeds string) error {
 	p, out, err := r.startProcess(ctx, "", "scalebench", "--hollow", fmt.Sprintf("%d,%d", first, count), seeds)
 	if err != nil {
 		return err
@@ -219,7 +220,7 @@
 			var status hollowStatus
 			if json.Unmarshal(scanner.Bytes(), &status) == nil {
 				p.mu.Lock()
-				p.status = status
+				p.lastStatus = status
 				p.mu.Unlock()
 			}
 		}
@@ -237,8 +238,8 @@
 	}
 }
 
-// sendHeartbeats sends a heartbeat of every database each 1200 ms, evenly spread, until ctx is
-// done.
+// sendHeartbeats sends a heartbeat of every database every 1200 ms, evenly spread over that time, until
+// ctx is done.
 func (r *run) sendHeartbeats(ctx context.Context) {
 	for seq := 1; ctx.Err() == nil; seq++ {
 		start := time.Now()
@@ -255,7 +256,8 @@
 	}
 }
 
-var client = &http.Client{Timeout: time.Second}
+// httpClient sends the requests to the control nodes.
+var httpClient = &http.Client{Timeout: time.Second}
 
 // post sends a request to the control nodes in turn until one accepts it, and reports whether
 // one did.
@@ -268,7 +270,7 @@
 		for k, v := range header {
 			request.Header.Set(k, v)
 		}
-		response, err := client.Do(request)
+		response, err := httpClient.Do(request)
 		if err != nil {
 			continue
 		}
@@ -315,43 +317,43 @@
 // last node received it.
 func (r *run) awaitVersion(rev int64) (time.Time, error) {
 	for deadline := time.Now().Add(stepTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		var last int64
+		var lastReceived int64
 		ready := 0
 		for _, p := range r.hollowProcesses {
 			p.mu.Lock()
-			if p.status.Rev >= rev {
-				ready += p.status.Ready
-				last = max(last, p.status.AtUs)
+			if p.lastStatus.Rev >= rev {
+				ready += p.lastStatus.Ready
+				lastReceived = max(lastReceived, p.lastStatus.AtUs)
 			}
 			p.mu.Unlock()
 		}
 		if ready == r.cfg.Nodes {
-			return time.UnixMicro(last), nil
+			return time.UnixMicro(lastReceived), nil
 		}
 	}
 	return time.Time{}, errStepTimeout
 }
 
 // totalBytes returns the bytes that all hollow nodes have sent and received so far.
-func (r *run) totalBytes() (n int64) {
+func (r *run) totalBytes() (total int64) {
 	for _, p := range r.hollowProcesses {
 		p.mu.Lock()
-		n += p.status.In + p.status.Out
+		total += p.lastStatus.In + p.lastStatus.Out
 		p.mu.Unlock()
 	}
-	return n
+	return total
 }
 
-// usage returns the process's total processor time and its resident memory in bytes, or zeros if
+// usage returns the process's total CPU time and its resident memory in bytes, or zeros if
 // /proc cannot be read.
 func (p *process) usage() (cpu time.Duration, memory int64) {
-	stat, err1 := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
-	statm, err2 := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
-	if err1 != nil || err2 != nil {
+	stat, statErr := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+	statm, statmErr := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
+	if statErr != nil || statmErr != nil {
 		return 0, 0
 	}
-	_, after, _ := strings.Cut(string(stat), ") ")
-	statFields, statmFields := strings.Fields(after), strings.Fields(string(statm))
+	_, fields, _ := strings.Cut(string(stat), ") ")
+	statFields, statmFields := strings.Fields(fields), strings.Fields(string(statm))
 	if len(statFields) < 13 || len(statmFields) < 2 {
 		return 0, 0
 	}
@@ -361,21 +363,21 @@
 	return time.Duration(user+system) * 10 * time.Millisecond, pages * int64(os.Getpagesize())
 }
 
-// measureQuiet measures the cost over a period without configuration changes, and returns the
-// bytes per second of all hollow nodes together.
+// measureQuiet measures the CPU usage, memory and traffic over a period without configuration changes,
+// and returns the bytes per second of all hollow nodes together.
 func (r *run) measureQuiet() float64 {
-	all := append(append([]*process{}, r.controlNodes...), r.hollowProcesses...)
-	cpuBefore := make([]time.Duration, len(all))
-	for i, p := range all {
+	processes := append(append([]*process{}, r.controlNodes...), r.hollowProcesses...)
+	cpuBefore := make([]time.Duration, len(processes))
+	for i, p := range processes {
 		cpuBefore[i], _ = p.usage()
 	}
-	bytesBefore, start := r.totalBytes(), time.Now()
+	bytesBefore, began := r.totalBytes(), time.Now()
 	time.Sleep(r.cfg.QuietPeriod)
-	elapsed := time.Since(start)
+	elapsed := time.Since(began)
 	perSecond := float64(r.totalBytes()-bytesBefore) / elapsed.Seconds()
 	var totalCPU time.Duration
 	var totalMemory int64
-	for i, p := range all {
+	for i, p := range processes {
 		cpu, memory := p.usage()
 		millicores := 1000 * float64(cpu-cpuBefore[i]) / float64(elapsed)
 		if i >= len(r.controlNodes) {
@@ -390,10 +392,10 @@
 			r.result.ControlCPU = max(r.result.ControlCPU, millicores)
 		}
 	}
-	n := float64(r.cfg.Nodes)
-	r.result.NodeBytes = perSecond / n
-	r.result.NodeCPU = 1000 * float64(totalCPU) / float64(elapsed) / n
-	r.result.NodeKB = float64(totalMemory) / 1024 / n
+	nodes := float64(r.cfg.Nodes)
+	r.result.NodeBytes = perSecond / nodes
+	r.result.NodeCPU = 1000 * float64(totalCPU) / float64(elapsed) / nodes
+	r.result.NodeKB = float64(totalMemory) / 1024 / nodes
 	return perSecond
 }
 
@@ -402,15 +404,15 @@
 func (r *run) measureChanges(quietRate float64) error {
 	bytesBefore, began := r.totalBytes(), time.Now()
 	for range r.cfg.Changes {
-		start := time.Now()
+		sentAt := time.Now()
 		if err := r.publishConfig(r.rev + 1); err != nil {
 			return err
 		}
-		at, err := r.awaitVersion(r.rev)
+		receivedAt, err := r.awaitVersion(r.rev)
 		if err != nil {
 			return err
 		}
-		r.result.ChangeMs = append(r.result.ChangeMs, at.Sub(start).Milliseconds())
+		r.result.ChangeMs = append(r.result.ChangeMs, receivedAt.Sub(sentAt).Milliseconds())
 		time.Sleep(300 * time.Millisecond)
 	}
 	extra := float64(r.totalBytes()-bytesBefore) - quietRate*time.Since(began).Seconds()
@@ -418,7 +420,7 @@
 	return nil
 }
 
-// measureTakeover kills the primary, taken to be the control node with the most processor time,
+// measureTakeover kills the primary, taken to be the control node with the most CPU time,
 // and measures how long it takes until a new change has reached every hollow node.
 func (r *run) measureTakeover() error {
 	var primary int
@@ -428,17 +430,17 @@
 			primary, maxCPU = i, cpu
 		}
 	}
-	start := time.Now()
+	killedAt := time.Now()
 	if err := r.controlNodes[primary].cmd.Process.Kill(); err != nil {
 		return fmt.Errorf("scalebench: %w", err)
 	}
 	if err := r.publishConfig(r.rev + 1); err != nil {
 		return err
 	}
-	at, err := r.awaitVersion(r.rev)
+	receivedAt, err := r.awaitVersion(r.rev)
 	if err != nil {
 		return err
 	}
-	r.result.TakeoverMs = at.Sub(start).Milliseconds()
+	r.result.TakeoverMs = receivedAt.Sub(killedAt).Milliseconds()
 	return nil
 }
