--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -21,8 +21,8 @@
 // Status is the liveness of a member as far as this process knows.
 type Status int
 
-// A member is alive until a direct probe and the indirect probes fail. It is then
-// suspected, and declared dead if it does not refute the suspicion in time.
+// A member is alive until its direct probe and all indirect probes fail. It is then
+// suspected, and it is declared dead unless it refutes the suspicion in time.
 const (
 	Alive Status = iota
 	Suspect
@@ -42,26 +42,27 @@
 // packet is one datagram of the protocol.
 type packet struct {
 	Kind      string          `json:"k"`
-	Seq       uint64          `json:"q,omitempty"`
-	From      string          `json:"f"`
-	Target    string          `json:"t,omitempty"`
+	Seq       uint64          `json:"q,omitempty"` // of the request, repeated in the response
+	From      string          `json:"f"`           // the sender's address
+	Target    string          `json:"t,omitempty"` // of an indirect ping
 	Updates   []Member        `json:"m,omitempty"`
 	Checksums []uint32        `json:"h,omitempty"` // one per partition of the members known to the sender
 	Body      json.RawMessage `json:"b,omitempty"`
 }
 
-// Kinds of packets, and limits of the protocol.
+// Kinds of packets, and limits of the protocol. A syncRequest carries the checksums of
+// the members known to its sender, or none if the sender requests all members.
 const (
-	ping    = "ping"
-	ack     = "ack"
-	pingReq = "ask"
-	join    = "join"
-	page    = "page" // members that differ, in response to a join
+	ping         = "ping"
+	ack          = "ack"
+	indirectPing = "ask"
+	syncRequest  = "join"
+	syncReply    = "page" // members of the partitions that differ
 
-	maxUpdates       = 8
-	pageSize         = 24 // members in one datagram of a synchronization
+	maxUpdates       = 8  // members whose updates one packet carries, besides the sender
+	syncReplyMembers = 24 // members in one datagram of a synchronization
 	maxDatagramBytes = 8192
-	indirectProbes   = 3
+	indirectProbes   = 3      // members that are requested to probe a suspect
 	maxMembers       = 10_000 // further members are ignored
 
 	syncEveryRounds = 3 // probe rounds between two synchronizations with a member
@@ -71,17 +72,17 @@
 type Config struct {
 	Self          Member
 	Seeds         []string
-	ProbeInterval kernel.Micros // between probes; indirect probes may take as long again
+	ProbeInterval kernel.Micros // between probes; the indirect probes may take another interval
 }
 
 // entry is the local state of another member.
 type entry struct {
 	Member
-	statusSince kernel.Micros // when the present status began
-	sendsLeft   int           // remaining transmissions of its update
+	statusSince       kernel.Micros // when the present status began
+	transmissionsLeft int           // remaining transmissions of its update
 }
 
-// Memberlist is the local view of the group's members and takes part in the protocol.
+// Memberlist takes part in the membership protocol and holds the members known to this process.
 type Memberlist struct {
 	k   *kernel.Kernel
 	cfg Config
@@ -94,59 +95,61 @@
 	members        map[string]*entry
 	updateQueue    []*entry  // entries with transmissions left
 	cachedSnapshot *snapshot // nil after a change
-	probeOrder     []string
+	probeOrder     []string  // addresses that remain to be probed in this round
 	nextSeq        uint64
-	pendingAcks    map[uint64]chan struct{}
+	pendingAcks    map[uint64]chan struct{} // by sequence number; closed by the response
 	handlers       map[string]func(from string, body json.RawMessage)
 	changes        kernel.Notifier
 }
 
-// New returns a member list. Its incarnation is the wall-clock time, so that a restarted
+// New returns a Memberlist. Its incarnation is the wall-clock time, so that a restarted
 // process supersedes all updates about its predecessor.
 func New(k *kernel.Kernel, cfg Config) *Memberlist {
 	cfg.Self.Incarnation = time.Now().UnixMicro()
-	r := &Memberlist{
+	ml := &Memberlist{
 		k: k, cfg: cfg, self: cfg.Self,
 		members: map[string]*entry{}, pendingAcks: map[uint64]chan struct{}{},
 		handlers: map[string]func(string, json.RawMessage){},
 	}
-	r.outOfSync.Store(true)
-	return r
+	ml.outOfSync.Store(true)
+	return ml
 }
 
 // Self returns this process as a member.
-func (r *Memberlist) Self() Member {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.self
+func (ml *Memberlist) Self() Member {
+	ml.mu.Lock()
+	defer ml.mu.Unlock()
+	return ml.self
 }
 
 // Changed returns a channel that is closed at the next change of membership.
-func (r *Memberlist) Changed() <-chan struct{} { return r.changes.Wait() }
+func (ml *Memberlist) Changed() <-chan struct{} { return ml.changes.Wait() }
 
-// Handle registers the handler for kind k of datagrams that another package defines.
+// Handle registers the handler of a kind of datagrams that another package defines.
 // All handlers must be registered before Serve is called.
-func (r *Memberlist) Handle(k string, f func(from string, body json.RawMessage)) { r.handlers[k] = f }
+func (ml *Memberlist) Handle(kind string, handler func(from string, body json.RawMessage)) {
+	ml.handlers[kind] = handler
+}
 
 // SendDatagram sends a datagram to each of the addresses. It may be lost, duplicated or
 // delayed. It carries no membership updates: a datagram sent to all members at once
 // must be small.
-func (r *Memberlist) SendDatagram(addrs []string, kind string, body any) {
+func (ml *Memberlist) SendDatagram(addrs []string, kind string, body any) {
 	raw, err := json.Marshal(body)
 	if err == nil {
-		r.send(packet{Kind: kind, Body: raw, Updates: []Member{}}, addrs...)
+		ml.send(packet{Kind: kind, Body: raw, Updates: []Member{}}, addrs...)
 	}
 }
 
 // send encodes a packet once and sends it to the addresses.
-func (r *Memberlist) send(p packet, addrs ...string) {
-	r.mu.Lock()
-	p.From = r.self.Addr
-	if p.Updates == nil && p.Kind != pingReq {
-		p.Updates = r.gossip()
+func (ml *Memberlist) send(p packet, addrs ...string) {
+	ml.mu.Lock()
+	p.From = ml.self.Addr
+	if p.Updates == nil && p.Kind != indirectPing {
+		p.Updates = ml.selectUpdates()
 	}
-	conn := r.conn
-	r.mu.Unlock()
+	conn := ml.conn
+	ml.mu.Unlock()
 	raw, err := json.Marshal(p)
 	if conn == nil || err != nil {
 		return
@@ -154,67 +157,67 @@
 	for _, addr := range addrs {
 		to, err := netip.ParseAddrPort(addr)
 		if err != nil {
-			r.k.Counters.Add("membership.malformed", 1)
+			ml.k.Counters.Add("membership.malformed", 1)
 			continue
 		}
 		if _, err := conn.WriteTo(raw, net.UDPAddrFromAddrPort(to)); err != nil {
-			r.k.Counters.Add("membership.send_failed", 1)
+			ml.k.Counters.Add("membership.send_failed", 1)
 		}
 	}
 }
 
-// gossip selects the updates with the most transmissions left. The caller holds the
-// lock.
-func (r *Memberlist) gossip() []Member {
-	r.updateQueue = slices.DeleteFunc(r.updateQueue, func(e *entry) bool { return e.sendsLeft == 0 || r.members[e.Addr] != e })
-	if len(r.updateQueue) == 0 {
+// selectUpdates returns the updates with the most transmissions left, for the next
+// packet, and counts that transmission. The caller holds the lock.
+func (ml *Memberlist) selectUpdates() []Member {
+	ml.updateQueue = slices.DeleteFunc(ml.updateQueue, func(e *entry) bool { return e.transmissionsLeft == 0 || ml.members[e.Addr] != e })
+	if len(ml.updateQueue) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.updateQueue, func(a, b *entry) int { return b.sendsLeft - a.sendsLeft })
+	slices.SortStableFunc(ml.updateQueue, func(a, b *entry) int { return b.transmissionsLeft - a.transmissionsLeft })
 	picked := make([]Member, 0, maxUpdates)
-	for _, e := range r.updateQueue[:min(len(r.updateQueue), maxUpdates)] {
-		e.sendsLeft--
+	for _, e := range ml.updateQueue[:min(len(ml.updateQueue), maxUpdates)] {
+		e.transmissionsLeft--
 		picked = append(picked, e.Member)
 	}
 	return picked
 }
 
 // retransmitLimit returns how often a process transmits a change of a member's status.
-// It grows with the logarithm of the group size, so that all members soon know.
-func (r *Memberlist) retransmitLimit() int {
-	sends := 3
-	for n := len(r.members) + 1; n > 1; n /= 2 {
-		sends += 2
+// It grows with the logarithm of the group size, so that all members soon learn of it.
+func (ml *Memberlist) retransmitLimit() int {
+	limit := 3
+	for n := len(ml.members) + 1; n > 1; n /= 2 {
+		limit += 2
 	}
-	return sends
+	return limit
 }
 
-// newMemberSends is how often a process transmits that a member is new. It is small
-// because otherwise, when many processes start at once, each would announce all to
-// all. Members missed this way are learned by synchronization.
-const newMemberSends = 2
+// newMemberTransmissions is how often a process transmits that a member is new. It is
+// small because otherwise, when many processes start at once, each would announce all
+// others to all. Members missed this way are learned by synchronization.
+const newMemberTransmissions = 2
 
 // queueUpdate queues the update of an entry for the given number of transmissions and
 // invalidates the cached snapshot. The caller holds the lock.
-func (r *Memberlist) queueUpdate(e *entry, sends int) {
-	e.sendsLeft, r.cachedSnapshot = sends, nil
-	if sends > 0 && !slices.Contains(r.updateQueue, e) {
-		r.updateQueue = append(r.updateQueue, e)
+func (ml *Memberlist) queueUpdate(e *entry, transmissions int) {
+	e.transmissionsLeft, ml.cachedSnapshot = transmissions, nil
+	if transmissions > 0 && !slices.Contains(ml.updateQueue, e) {
+		ml.updateQueue = append(ml.updateQueue, e)
 	}
 }
 
 // Serve runs the membership protocol until ctx is done.
-func (r *Memberlist) Serve(ctx context.Context) error {
-	conn, err := r.k.Net.ListenPacket(r.cfg.Self.Addr)
+func (ml *Memberlist) Serve(ctx context.Context) error {
+	conn, err := ml.k.Net.ListenPacket(ml.cfg.Self.Addr)
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
-	r.mu.Lock()
-	r.conn = conn
-	r.mu.Unlock()
-	go r.probeLoop(ctx)
+	ml.mu.Lock()
+	ml.conn = conn
+	ml.mu.Unlock()
+	go ml.probeLoop(ctx)
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := conn.ReadFrom(buf)
@@ -226,64 +229,64 @@
 		}
 		var p packet
 		if json.Unmarshal(buf[:n], &p) != nil || p.From == "" {
-			r.k.Counters.Add("membership.malformed", 1)
+			ml.k.Counters.Add("membership.malformed", 1)
 			continue
 		}
-		r.handlePacket(ctx, p)
+		ml.handlePacket(ctx, p)
 	}
 }
 
 // handlePacket merges the updates of a received packet and responds to its kind.
-func (r *Memberlist) handlePacket(ctx context.Context, p packet) {
-	for _, m := range p.Updates {
-		if newer, ok := r.mergeUpdate(m, p.Kind != page); ok && m.Addr == p.From {
-			// The sender's clock may have stepped back between two incarnations: it is
-			// sent the newest known one, and refutes it with the next.
-			r.send(packet{Kind: ack, Updates: []Member{newer}}, p.From)
+func (ml *Memberlist) handlePacket(ctx context.Context, p packet) {
+	for _, update := range p.Updates {
+		if newer, ok := ml.mergeUpdate(update, p.Kind != syncReply); ok && update.Addr == p.From {
+			// The sender's clock may have stepped back before it restarted: it is sent
+			// its newest known incarnation, and refutes that with the next one.
+			ml.send(packet{Kind: ack, Updates: []Member{newer}}, p.From)
 		}
 	}
 	switch p.Kind {
 	case ping:
-		r.send(packet{Kind: ack, Seq: p.Seq, Updates: r.updatesWithSelf()}, p.From)
-	case join:
-		missing := r.differingMembers(p.Checksums)
+		ml.send(packet{Kind: ack, Seq: p.Seq, Updates: ml.updatesWithSelf()}, p.From)
+	case syncRequest:
+		missing := ml.differingMembers(p.Checksums)
 		if len(missing) == 0 {
-			r.send(packet{Kind: ack, Seq: p.Seq}, p.From)
+			ml.send(packet{Kind: ack, Seq: p.Seq}, p.From)
 			return
 		}
-		r.sendPages(p.From, packet{Kind: page, Seq: p.Seq, Checksums: r.checksums()}, missing)
-	case ack, page:
-		r.mu.Lock()
-		if ch := r.pendingAcks[p.Seq]; ch != nil {
+		ml.sendSyncReply(p.From, packet{Kind: syncReply, Seq: p.Seq, Checksums: ml.checksums()}, missing)
+	case ack, syncReply:
+		ml.mu.Lock()
+		if ch := ml.pendingAcks[p.Seq]; ch != nil {
 			close(ch)
-			delete(r.pendingAcks, p.Seq)
+			delete(ml.pendingAcks, p.Seq)
 		}
-		r.mu.Unlock()
+		ml.mu.Unlock()
 		if len(p.Checksums) == partitions {
-			// The sender knew other members than this process. It is sent what it lacks
-			// itself, and another synchronization soon makes up for lost datagrams.
-			r.outOfSync.Store(true)
-			r.sendPages(p.From, packet{Kind: page}, r.differingMembers(p.Checksums))
+			// The sender knew other members than this process. It is sent those that it
+			// does not know, and another synchronization soon makes up for lost datagrams.
+			ml.outOfSync.Store(true)
+			ml.sendSyncReply(p.From, packet{Kind: syncReply}, ml.differingMembers(p.Checksums))
 		}
-	case pingReq:
+	case indirectPing:
 		go func() {
-			if r.roundTrip(ctx, p.Target, packet{Kind: ping}, r.cfg.ProbeInterval/2) {
-				r.send(packet{Kind: ack, Seq: p.Seq}, p.From)
+			if ml.roundTrip(ctx, p.Target, packet{Kind: ping}, ml.cfg.ProbeInterval/2) {
+				ml.send(packet{Kind: ack, Seq: p.Seq}, p.From)
 			}
 		}()
 	default:
-		if h := r.handlers[p.Kind]; h != nil {
-			h(p.From, p.Body)
+		if handler := ml.handlers[p.Kind]; handler != nil {
+			handler(p.From, p.Body)
 		} else {
-			r.k.Counters.Add("membership.malformed", 1)
+			ml.k.Counters.Add("membership.malformed", 1)
 		}
 	}
 }
 
 // differingMembers lists the members of the partitions whose checksums differ from the
 // given ones, or all members if no checksums are given.
-func (r *Memberlist) differingMembers(sums []uint32) []Member {
-	current := r.snapshot()
+func (ml *Memberlist) differingMembers(sums []uint32) []Member {
+	current := ml.snapshot()
 	if len(sums) != partitions {
 		return current.members
 	}
@@ -297,88 +300,88 @@
 }
 
 // checksums returns the partition checksums of the members known to this process.
-func (r *Memberlist) checksums() []uint32 { s := r.snapshot().checksums; return s[:] }
+func (ml *Memberlist) checksums() []uint32 { s := ml.snapshot().checksums; return s[:] }
 
-// sendPages sends the members in several datagrams, since one does not hold many. The
-// checksums go with the last.
-func (r *Memberlist) sendPages(to string, p packet, members []Member) {
+// sendSyncReply sends the members in datagrams of at most syncReplyMembers. The last
+// one carries the checksums.
+func (ml *Memberlist) sendSyncReply(to string, p packet, members []Member) {
 	sums := p.Checksums
 	for len(members) > 0 {
-		n := min(len(members), pageSize)
-		if p.Updates, p.Checksums, members = members[:n], nil, members[n:]; len(members) == 0 {
+		count := min(len(members), syncReplyMembers)
+		if p.Updates, p.Checksums, members = members[:count], nil, members[count:]; len(members) == 0 {
 			p.Checksums = sums
 		}
-		r.send(p, to)
+		ml.send(p, to)
 	}
 }
 
 // updatesWithSelf returns the updates to transmit, with this process first.
-func (r *Memberlist) updatesWithSelf() []Member {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]Member{r.self}, r.gossip()...)
+func (ml *Memberlist) updatesWithSelf() []Member {
+	ml.mu.Lock()
+	defer ml.mu.Unlock()
+	return append([]Member{ml.self}, ml.selectUpdates()...)
 }
 
 // mergeUpdate merges one update. If a newer state of that member is known already, it
-// returns that. A new member is gossiped on only if relay is true, that is unless it
-// was found by synchronization.
-func (r *Memberlist) mergeUpdate(m Member, relay bool) (newer Member, known bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if m.Addr == r.self.Addr {
-		if r.leaving {
-			return Member{}, false // it has announced its departure itself
+// returns that state. The update of a new member is queued for transmission only if relay
+// is true, that is, unless the member was learned by synchronization.
+func (ml *Memberlist) mergeUpdate(update Member, relay bool) (newer Member, known bool) {
+	ml.mu.Lock()
+	defer ml.mu.Unlock()
+	if update.Addr == ml.self.Addr {
+		if ml.leaving {
+			return Member{}, false // this process has announced its departure itself
 		}
-		if m.Incarnation > r.self.Incarnation || m.Status != Alive && m.Incarnation == r.self.Incarnation {
-			r.self.Incarnation, r.cachedSnapshot = m.Incarnation+1, nil // refute
-			r.k.Counters.Add("membership.objections", 1)
+		if update.Incarnation > ml.self.Incarnation || update.Status != Alive && update.Incarnation == ml.self.Incarnation {
+			ml.self.Incarnation, ml.cachedSnapshot = update.Incarnation+1, nil // refute
+			ml.k.Counters.Add("membership.objections", 1)
 		}
 		return Member{}, false
 	}
-	e := r.members[m.Addr]
+	e := ml.members[update.Addr]
 	if e == nil {
-		if m.Status == Dead {
+		if update.Status == Dead {
 			return Member{}, false
 		}
-		if len(r.members) >= maxMembers {
-			r.k.Counters.Add("membership.too_many", 1)
+		if len(ml.members) >= maxMembers {
+			ml.k.Counters.Add("membership.too_many", 1)
 			return Member{}, false
 		}
-		e = &entry{Member: m, statusSince: r.k.Clock.Now()}
-		r.members[m.Addr] = e
-		sends := 0
+		e = &entry{Member: update, statusSince: ml.k.Clock.Now()}
+		ml.members[update.Addr] = e
+		transmissions := 0
 		if relay {
-			sends = newMemberSends
+			transmissions = newMemberTransmissions
 		}
-		r.queueUpdate(e, sends)
-		r.changes.NotifyAll()
+		ml.queueUpdate(e, transmissions)
+		ml.changes.NotifyAll()
 		return Member{}, false
 	}
-	if m.Incarnation < e.Incarnation || m.Incarnation == e.Incarnation && m.Status <= e.Status {
-		return e.Member, m.Incarnation < e.Incarnation || m.Status < e.Status
+	if update.Incarnation < e.Incarnation || update.Incarnation == e.Incarnation && update.Status <= e.Status {
+		return e.Member, update.Incarnation < e.Incarnation || update.Status < e.Status
 	}
-	changed := (e.Status == Dead) != (m.Status == Dead) || e.Role != m.Role
-	if e.Status != m.Status {
-		e.statusSince = r.k.Clock.Now()
+	changed := (e.Status == Dead) != (update.Status == Dead) || e.Role != update.Role
+	if e.Status != update.Status {
+		e.statusSince = ml.k.Clock.Now()
 	}
-	e.Member = m
-	r.queueUpdate(e, r.retransmitLimit())
+	e.Member = update
+	ml.queueUpdate(e, ml.retransmitLimit())
 	if changed {
-		r.changes.NotifyAll()
+		ml.changes.NotifyAll()
 	}
 	return Member{}, false
 }
 
 // Leave notifies a few other members that this process is shutting down.
-func (r *Memberlist) Leave(context.Context) {
-	r.mu.Lock()
-	r.leaving = true
-	gone := r.self
-	gone.Status = Dead
-	r.mu.Unlock()
-	for i, m := range r.Members() {
-		if i < 2*indirectProbes && m.Addr != gone.Addr {
-			r.send(packet{Kind: ack, Updates: []Member{gone}}, m.Addr)
+func (ml *Memberlist) Leave(context.Context) {
+	ml.mu.Lock()
+	ml.leaving = true
+	departure := ml.self
+	departure.Status = Dead
+	ml.mu.Unlock()
+	for i, member := range ml.Members() {
+		if i < 2*indirectProbes && member.Addr != departure.Addr {
+			ml.send(packet{Kind: ack, Updates: []Member{departure}}, member.Addr)
 		}
 	}
 }
--- a/internal/membership/plugin.go
+++ b/internal/membership/plugin.go
@@ -11,16 +11,16 @@
 		Name: "membership", Rank: 15, Roles: []string{"pooler", "gateway", "control", "hollow"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			r := New(k, Config{
+			ml := New(k, Config{
 				Self: Member{
 					Addr: kernel.Need[*rpc.Endpoint](k).Addr(), Name: s.NodeName, Role: k.Role, Zone: s.Zone,
 				},
 				Seeds:         s.SeedPeers(),
 				ProbeInterval: settings.FromMillis(s.ProbeMs),
 			})
-			kernel.Offer(k, r)
-			k.Supervise("membership", r.Serve)
-			k.OnShutdown(r.Leave)
+			kernel.Offer(k, ml)
+			k.Supervise("membership", ml.Serve)
+			k.OnShutdown(ml.Leave)
 			return nil
 		},
 	})
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -29,14 +29,14 @@
 }
 
 // snapshot returns the current snapshot, which must not be modified.
-func (r *Memberlist) snapshot() *snapshot {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.cachedSnapshot != nil {
-		return r.cachedSnapshot
+func (ml *Memberlist) snapshot() *snapshot {
+	ml.mu.Lock()
+	defer ml.mu.Unlock()
+	if ml.cachedSnapshot != nil {
+		return ml.cachedSnapshot
 	}
-	s := &snapshot{members: []Member{r.self}, peers: map[string][]string{}}
-	for _, e := range r.members {
+	s := &snapshot{members: []Member{ml.self}, peers: map[string][]string{}}
+	for _, e := range ml.members {
 		if e.Status != Dead {
 			s.members = append(s.members, e.Member)
 		}
@@ -45,28 +45,28 @@
 	for _, m := range s.members {
 		partition, sum := hashAddr(m.Addr)
 		s.checksums[partition] ^= sum
-		if m.Role == r.self.Role && m.Zone == r.self.Zone {
+		if m.Role == ml.self.Role && m.Zone == ml.self.Zone {
 			s.sameZone = append(s.sameZone, m.Addr)
 		}
-		if m.Addr != r.self.Addr {
+		if m.Addr != ml.self.Addr {
 			s.peers[m.Role] = append(s.peers[m.Role], m.Addr)
 		}
 	}
 	for role, addrs := range s.peers {
 		s.peers[role] = slices.Clip(addrs) // appending to it copies it
 	}
-	r.cachedSnapshot = s
+	ml.cachedSnapshot = s
 	return s
 }
 
 // Members returns all members that are not dead, this process included. The slice must
 // not be modified.
-func (r *Memberlist) Members() []Member { return r.snapshot().members }
+func (ml *Memberlist) Members() []Member { return ml.snapshot().members }
 
 // Peers returns the internal addresses of the other members with the role. The slice
 // must not be modified.
-func (r *Memberlist) Peers(role string) []string { return r.snapshot().peers[role] }
+func (ml *Memberlist) Peers(role string) []string { return ml.snapshot().peers[role] }
 
 // ZonePeers returns the internal addresses of the members with this process's role and zone,
 // sorted and including its own. The slice must not be modified.
-func (r *Memberlist) ZonePeers() []string { return r.snapshot().sameZone }
+func (ml *Memberlist) ZonePeers() []string { return ml.snapshot().sameZone }
