--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -17,8 +17,8 @@
 
 // The invariants. docs/promises.md lists the guarantee that each of them checks.
 const (
-	// DurableStateKept: a control node that becomes primary, or whose update a proxy applies, has
-	// every change that was acknowledged as durable before.
+	// DurableStateKept: a control node that becomes primary, or from which a proxy applies an
+	// update, has every change that was acknowledged as durable before.
 	DurableStateKept Invariant = "state_kept"
 	// OnePrimary: no epoch of the control state has more than one primary.
 	OnePrimary Invariant = "one_primary_of_an_epoch"
@@ -33,7 +33,7 @@
 	NoUnsafeRetry Invariant = "sent_once"
 	// TriesBounded: a request is sent to no more databases than its route allows.
 	TriesBounded Invariant = "tries_bounded"
-	// LentOnce: a pooled connection is checked out by at most one user at a time.
+	// CheckedOutOnce: a pooled connection is checked out by at most one user at a time.
 	LentOnce Invariant = "connection_lent_once"
 	// ConnectionsCounted: every connection counted as open is either idle or checked out.
 	ConnectionsCounted Invariant = "connections_counted"
@@ -41,8 +41,8 @@
 	CountsNonNegative Invariant = "counts_not_negative"
 	// DownIsKnown: every database that is recorded as down is a known database.
 	DownIsKnown Invariant = "down_database_is_known"
-	// PromotedHoldsFloor: a promoted database has received at least the minimum position on
-	// which its selection was based.
+	// PromotedReachesMinimum: a promoted database has received commits up to at least the minimum
+	// position on which its selection was based.
 	PromotedHoldsFloor Invariant = "promoted_holds_floor"
 	// NothingUnanswered: a process that is shut down has answered every request that it
 	// read by the time it exits.
@@ -69,7 +69,7 @@
 const LogMessage = "invariant violated"
 
 // maxLogged is how many violations of one invariant are logged: an invariant that is
-// violated by every statement must not fill the disk.
+// violated by every statement must not fill the disk with its log lines.
 const maxLogged = 20
 
 // Checker checks the invariants of one process. A nil Checker checks nothing.
--- a/internal/kernel/counters.go
+++ b/internal/kernel/counters.go
@@ -33,14 +33,14 @@
 
 // Snapshot returns the current values of all counters and observed values by name.
 func (c *Counters) Snapshot() map[string]int64 {
-	out := map[string]int64{}
+	values := map[string]int64{}
 	c.observables.Range(func(k, v any) bool {
-		out[k.(string)] = v.(func() int64)()
+		values[k.(string)] = v.(func() int64)()
 		return true
 	})
 	c.counters.Range(func(k, v any) bool {
-		out[k.(string)] = v.(*atomic.Int64).Load()
+		values[k.(string)] = v.(*atomic.Int64).Load()
 		return true
 	})
-	return out
+	return values
 }
--- a/internal/kernel/host.go
+++ b/internal/kernel/host.go
@@ -38,8 +38,8 @@
 
 func (c monotonicClock) Now() Micros { return Micros(time.Since(c.start) / time.Microsecond) }
 
-// Sync abstracts fsync: it returns once the current content of a file, or the entries
-// of a directory, are on disk.
+// Sync abstracts fsync: it returns once the current content of a file, or the entries of
+// a directory, is on disk.
 type Sync func(*os.File) error
 
 // Sleep waits for the duration m or until ctx ends. It reports whether the whole
@@ -110,12 +110,12 @@
 
 // Dial implements Network.
 func (n HostNetwork) Dial(ctx context.Context, addr string, peerTimeout Micros) (net.Conn, error) {
-	d := net.Dialer{KeepAlive: -1}
+	dialer := net.Dialer{KeepAlive: -1}
 	if n.BindIP != "" {
-		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(n.BindIP)}
+		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(n.BindIP)}
 	}
 	if peerTimeout > 0 {
-		d.Control = func(_, _ string, c syscall.RawConn) error {
+		dialer.Control = func(_, _ string, c syscall.RawConn) error {
 			var err error
 			if e := c.Control(func(fd uintptr) { err = setPeerTimeout(int(fd), peerTimeout) }); e != nil {
 				return e
@@ -123,7 +123,7 @@
 			return err
 		}
 	}
-	c, err := d.DialContext(ctx, "tcp4", addr)
+	c, err := dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -136,7 +136,7 @@
 // setPeerTimeout makes the socket fail about timeout after its peer has stopped acknowledging
 // data.
 func setPeerTimeout(fd int, timeout Micros) error {
-	for _, o := range []struct{ level, name, value int }{
+	for _, option := range []struct{ level, name, value int }{
 		{unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Millis())},
 		// Idle connections are probed rarely: with thousands of them the probes alone
 		// would fill links, and a connection in use reveals a dead peer sooner.
@@ -145,7 +145,7 @@
 		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, 1},
 		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, 2},
 	} {
-		if err := unix.SetsockoptInt(fd, o.level, o.name, o.value); err != nil {
+		if err := unix.SetsockoptInt(fd, option.level, option.name, option.value); err != nil {
 			return os.NewSyscallError("setsockopt", err)
 		}
 	}
--- a/internal/kernel/host_test.go
+++ b/internal/kernel/host_test.go
@@ -27,23 +27,23 @@
 	return w.Buffer.Write(b)
 }
 
-// A blocked log output does not block those who log; the number of dropped lines is
-// written once the output accepts writes again.
+// A blocked log output does not block the goroutines that log; the number of dropped lines
+// is written once the output accepts writes again.
 func TestLogWriterNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockedWriter{unblock: make(chan struct{})}
-		w := NewLogWriter(out)
+		writer := NewLogWriter(out)
 		start := time.Now()
 		for i := range logQueueLength + 100 {
-			fmt.Fprintf(w, "line %d\n", i)
+			fmt.Fprintf(writer, "line %d\n", i)
 		}
 		if time.Since(start) != 0 {
 			t.Errorf("writing took %v", time.Since(start))
 		}
 		close(out.unblock)
 		synctest.Wait()
-		fmt.Fprintln(w, "last")
-		w.Close()
+		fmt.Fprintln(writer, "last")
+		writer.Close()
 		text := out.String()
 		if !strings.Contains(text, "line 0\n") || !strings.HasSuffix(text, "last\n") || !strings.Contains(text, `"log lines dropped"`) {
 			t.Errorf("written: %.60s ... %s", text, text[max(0, len(text)-80):])
@@ -57,28 +57,28 @@
 	errs []error
 }
 
-func (f *failingListener) Accept() (net.Conn, error) {
-	if len(f.errs) == 0 {
+func (l *failingListener) Accept() (net.Conn, error) {
+	if len(l.errs) == 0 {
 		return nil, net.ErrClosed
 	}
-	err := f.errs[0]
-	f.errs = f.errs[1:]
+	err := l.errs[0]
+	l.errs = l.errs[1:]
 	if err == nil {
 		return &net.TCPConn{}, nil
 	}
 	return nil, err
 }
 
-// A process that is briefly out of file descriptors keeps its listener.
+// A process that is briefly out of file descriptors keeps its listener and accepts again.
 func TestAcceptRetriesTemporaryErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		full := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
+		tooManyFiles := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 		aborted := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)}
-		l := retryListener{&failingListener{errs: []error{full, full, aborted, nil}}}
-		if c, err := l.Accept(); c == nil || err != nil {
-			t.Errorf("%v %v", c, err)
+		listener := retryListener{&failingListener{errs: []error{tooManyFiles, tooManyFiles, aborted, nil}}}
+		if c, err := listener.Accept(); c == nil || err != nil {
+			t.Errorf("accept after temporary errors: connection %v, error %v", c, err)
 		}
-		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+		if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("accept on a closed listener: %v", err)
 		}
 	})
@@ -105,15 +105,15 @@
 
 // TryWrite does not block when the send buffer is full, and all that it reports as written
 // arrives.
-func TestTryWriteNeverWaits(t *testing.T) {
+func TestTryWriteNeverBlocks(t *testing.T) {
 	c, peer := connectedPair(t)
-	w, ok := c.(TryWriter)
+	writer, ok := c.(TryWriter)
 	if !ok {
 		t.Fatal("a connection of HostNetwork does not implement TryWriter")
 	}
 	sent := 0
 	for piece := make([]byte, 1<<20); ; {
-		n, err := w.TryWrite(piece)
+		n, err := writer.TryWrite(piece)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 		t.Error(err)
 	}
 	for range 100 {
-		if _, err := w.TryWrite([]byte("x")); err != nil {
+		if _, err := writer.TryWrite([]byte("x")); err != nil {
 			return
 		}
 	}
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -87,12 +87,14 @@
 }
 
 // Supervise adds a service to the supervisor tree, which restarts it when it fails.
-func (k *Kernel) Supervise(name string, f func(context.Context) error) {
-	k.tree.Add(&service{name: name, f: f})
+func (k *Kernel) Supervise(name string, serve func(context.Context) error) {
+	k.tree.Add(&service{name: name, serve: serve})
 }
 
 // OnShutdown registers a hook for graceful shutdown; the hooks run concurrently.
-func (k *Kernel) OnShutdown(f func(context.Context)) { k.shutdownHooks = append(k.shutdownHooks, f) }
+func (k *Kernel) OnShutdown(hook func(context.Context)) {
+	k.shutdownHooks = append(k.shutdownHooks, hook)
+}
 
 // Assemble builds the plug-ins of the kernel's role in order of rank.
 func (k *Kernel) Assemble() error {
@@ -110,7 +112,7 @@
 }
 
 // OnExit registers a hook that runs after every service has stopped.
-func (k *Kernel) OnExit(f func() error) { k.exitHooks = append(k.exitHooks, f) }
+func (k *Kernel) OnExit(hook func() error) { k.exitHooks = append(k.exitHooks, hook) }
 
 // Run runs the supervised services until ctx ends, then the hooks registered with OnExit.
 func (k *Kernel) Run(ctx context.Context) error {
@@ -118,8 +120,8 @@
 	if errors.Is(err, context.Canceled) {
 		err = nil
 	}
-	for _, f := range k.exitHooks {
-		err = errors.Join(err, f())
+	for _, hook := range k.exitHooks {
+		err = errors.Join(err, hook())
 	}
 	return err
 }
@@ -128,9 +130,9 @@
 // or ctx ends.
 func (k *Kernel) Shutdown(ctx context.Context) {
 	done := make(chan struct{}, len(k.shutdownHooks))
-	for _, f := range k.shutdownHooks {
+	for _, hook := range k.shutdownHooks {
 		go func() {
-			f(ctx)
+			hook(ctx)
 			done <- struct{}{}
 		}()
 	}
@@ -145,9 +147,9 @@
 
 // service adapts a function to suture.Service.
 type service struct {
-	name string
-	f    func(context.Context) error
+	name  string
+	serve func(context.Context) error
 }
 
-func (s *service) Serve(ctx context.Context) error { return s.f(ctx) }
+func (s *service) Serve(ctx context.Context) error { return s.serve(ctx) }
 func (s *service) String() string                  { return s.name }
--- a/internal/kernel/metrics.go
+++ b/internal/kernel/metrics.go
@@ -30,9 +30,9 @@
 // line each, sorted by name.
 func (c *Counters) Metrics() []byte {
 	var out bytes.Buffer
-	all := c.Snapshot()
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		fmt.Fprintf(&out, "indigowalk_%s %d\n", invalidMetricChars.ReplaceAllString(name, "_"), all[name])
+	values := c.Snapshot()
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		fmt.Fprintf(&out, "indigowalk_%s %d\n", invalidMetricChars.ReplaceAllString(name, "_"), values[name])
 	}
 	return out.Bytes()
 }
--- a/internal/kernel/metrics_test.go
+++ b/internal/kernel/metrics_test.go
@@ -40,7 +40,8 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Counters and observed values are served as text, even if the address is in use at first.
+// Counters and observed values are served in the Prometheus text format, even if the address is in use
+// at first.
 func TestMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipeNetwork{conns: make(chan net.Conn)}
@@ -51,13 +52,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go k.ServeMetrics(ctx, "10.0.0.1:9464")
-		ours, theirs := net.Pipe()
-		defer ours.Close()
-		network.conns <- theirs
-		if _, err := io.WriteString(ours, "GET "+MetricsPath+" HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); err != nil {
+		client, server := net.Pipe()
+		defer client.Close()
+		network.conns <- server
+		if _, err := io.WriteString(client, "GET "+MetricsPath+" HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		response, err := http.ReadResponse(bufio.NewReader(ours), nil)
+		response, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,7 +66,7 @@
 		want := "indigowalk_connpool_open 7\nindigowalk_failure_no_replica_fresh_and_up_and_lead_moves 1\n" +
 			"indigowalk_kernel_metrics_address_in_use 1\nindigowalk_pooler_refused 3\n"
 		if err != nil || string(raw) != want {
-			t.Errorf("%v %q", err, raw)
+			t.Errorf("reading the metrics: error %v, got %q", err, raw)
 		}
 		close(network.conns)
 	})
@@ -80,30 +81,30 @@
 func (c *jumpingClock) Now() Micros { return c.Clock.Now() + Micros(c.offset.Load()) }
 
 // A stall is detected, even before the detector's own check has run again.
-func TestStalls(t *testing.T) {
+func TestStallDetector(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 		clock := &jumpingClock{Clock: NewMonotonicClock()}
 		k.Clock = clock
-		s := NewStallDetector(k)
+		detector := NewStallDetector(k)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go s.Serve(ctx)
+		go detector.Serve(ctx)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if began := k.Clock.Now(); s.StalledSince(began-Second) || k.Counters.Counter("kernel.stalls").Load() != 0 {
+		if began := k.Clock.Now(); detector.StalledSince(began-Second) || k.Counters.Counter("kernel.stalls").Load() != 0 {
 			t.Error("a stall is reported where there was none")
 		}
 		clock.offset.Add(int64(2 * Second))
-		if !s.StalledSince(k.Clock.Now() - Second) {
+		if !detector.StalledSince(k.Clock.Now() - Second) {
 			t.Error("a stall that has just ended is not detected")
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if k.Counters.Counter("kernel.stalls").Load() != 1 || k.Counters.Counter("kernel.stalled_ms").Load() < 1500 {
-			t.Error("a stall is not counted")
+			t.Error("the counters of the number and length of stalls miss a stall")
 		}
-		if s.StalledSince(k.Clock.Now()) {
+		if detector.StalledSince(k.Clock.Now()) {
 			t.Error("a stall that ended earlier is still reported")
 		}
 	})
--- a/internal/kernel/notify.go
+++ b/internal/kernel/notify.go
@@ -12,22 +12,22 @@
 }
 
 // Wait returns a channel that is closed at the next notification.
-func (b *Notifier) Wait() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.ch == nil {
-		b.ch = make(chan struct{})
+func (n *Notifier) Wait() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.ch == nil {
+		n.ch = make(chan struct{})
 	}
-	return b.ch
+	return n.ch
 }
 
 // NotifyAll notifies all current waiters.
-func (b *Notifier) NotifyAll() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.ch != nil {
-		close(b.ch)
-		b.ch = nil
+func (n *Notifier) NotifyAll() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.ch != nil {
+		close(n.ch)
+		n.ch = nil
 	}
 }
 
--- a/internal/kernel/recorder.go
+++ b/internal/kernel/recorder.go
@@ -20,15 +20,15 @@
 	Role      string `json:"role"`
 }
 
-// Record is one recorded decision input, a line of a recording.
+// Record is one line of a recording after the header: an input of a decision.
 type Record struct {
 	At   Micros          `json:"t"`
 	Kind string          `json:"k"`
 	Body json.RawMessage `json:"v"`
 }
 
-// Recorder writes decision inputs to a file of bounded size. A nil Recorder
-// records nothing.
+// Recorder writes the inputs of decisions to a file of bounded size, from which the
+// decisions can be replayed. A nil Recorder records nothing.
 type Recorder struct {
 	clock    Clock
 	counters *Counters
--- a/internal/kernel/stall.go
+++ b/internal/kernel/stall.go
@@ -24,7 +24,7 @@
 	k         *Kernel
 	stallEnd  atomic.Int64 // when the last stall ended
 	nextCheck atomic.Int64 // when the next check is due; 0 before the first and after Serve
-	// stallLength is how long the last stall was.
+	// stallLength is the length of the last stall.
 	stallLength atomic.Int64
 }
 
@@ -59,9 +59,9 @@
 	}
 }
 
-// Remaining returns what remains of a duration that started when this process was sent a signal
-// or message which it has only just received: during a stall, that may have been sent at any
-// moment, so a stall in progress or just ended is deducted.
+// Remaining returns how much of span remains, if span began when a signal or message was sent
+// that this process has only just received. It may have been sent at any time during a stall
+// that is in progress or has just ended, so the length of that stall is deducted.
 func (s *StallDetector) Remaining(span Micros) Micros {
 	if s == nil {
 		return span
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -82,7 +82,7 @@
 
 // Packets from unknown senders have bounded cost: the number of members is limited, and
 // malformed packets get no response.
-func TestUntrustedPacketsAreBounded(t *testing.T) {
+func TestPacketsFromUnknownSendersHaveBoundedCost(t *testing.T) {
 	ml, conn := newTestMemberlist(t, 10)
 	for i := range maxMembers + 500 {
 		ml.mergeUpdate(Member{Addr: fmt.Sprintf("10.%d.%d.%d:1", 2+i/60_000, i/250%240, i%250), Incarnation: 1}, true)
@@ -100,7 +100,7 @@
 
 // Updates about new members are transmitted only a few times. Otherwise many processes
 // that start at once would each announce all others to all.
-func TestNewMemberUpdatesReachSendLimit(t *testing.T) {
+func TestNewMemberUpdatesAreTransmittedFewTimes(t *testing.T) {
 	ml, _ := newTestMemberlist(t, 0)
 	for i := range 300 {
 		ml.mergeUpdate(testMember(i), true)
--- a/internal/memorybudget/memorybudget.go
+++ b/internal/memorybudget/memorybudget.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 )
 
-// ErrFull reports that the data being read exceeds the budget.
+// ErrFull reports that the budget does not allow what is being read to be kept in memory.
 var ErrFull = errors.New("memorybudget: memory limit for client data reached")
 
 const (
@@ -50,8 +50,8 @@
 // Reservation is the reservation of one client. It is not safe for concurrent use.
 type Reservation struct {
 	budget    *Budget
-	uncounted int64 // bytes that are not counted
-	reserved  int64
+	uncounted int64 // bytes of the client that are not charged to the budget
+	reserved  int64 // bytes charged to the budget
 }
 
 // NewReservation returns an empty reservation, whose first n bytes are not charged to the
@@ -60,23 +60,23 @@
 
 // Resize sets the size of the reservation in bytes. Growth that the budget does not allow is
 // refused and changes nothing.
-func (h *Reservation) Resize(bytes int64) bool {
-	wanted := max(0, bytes-h.uncounted)
-	growth := wanted - h.reserved
+func (r *Reservation) Resize(bytes int64) bool {
+	wanted := max(0, bytes-r.uncounted)
+	growth := wanted - r.reserved
 	switch {
 	case growth < 0:
-		h.budget.used.Add(growth)
-	case growth > 0 && !h.budget.reserve(growth):
+		r.budget.used.Add(growth)
+	case growth > 0 && !r.budget.reserve(growth):
 		return false
 	}
-	h.reserved = wanted
+	r.reserved = wanted
 	return true
 }
 
-// ReadAll reads to the end and reserves what it has read, multiplied by the number of copies that
-// will be kept in memory. It replaces what was reserved before.
-func (h *Reservation) ReadAll(r io.Reader, copies int64) ([]byte, error) {
-	return io.ReadAll(&countedReader{r: r, reservation: h, copies: copies})
+// ReadAll reads source to its end. It sets the size of the reservation to the bytes read, times the
+// number of copies of them that will be kept in memory.
+func (r *Reservation) ReadAll(source io.Reader, copies int64) ([]byte, error) {
+	return io.ReadAll(&countedReader{r: source, reservation: r, copies: copies})
 }
 
 // countedReader reserves memory for what is read through it.
@@ -98,4 +98,4 @@
 }
 
 // Release frees the reservation.
-func (h *Reservation) Release() { h.Resize(0) }
+func (r *Reservation) Release() { r.Resize(0) }
--- a/internal/memorybudget/memorybudget_test.go
+++ b/internal/memorybudget/memorybudget_test.go
@@ -35,16 +35,16 @@
 
 func TestReadAll(t *testing.T) {
 	b := New(6) // 1 MiB
-	h := b.NewReservation(0)
+	reservation := b.NewReservation(0)
 	text := strings.Repeat("x", 400<<10)
-	if raw, err := h.ReadAll(strings.NewReader(text), 2); err != nil || string(raw) != text || b.Used() != 800<<10 {
+	if raw, err := reservation.ReadAll(strings.NewReader(text), 2); err != nil || string(raw) != text || b.Used() != 800<<10 {
 		t.Errorf("%d bytes read, %d reserved: %v", len(raw), b.Used(), err)
 	}
 	other := b.NewReservation(0)
 	if _, err := other.ReadAll(strings.NewReader(text), 2); !errors.Is(err, ErrFull) {
 		t.Errorf("more is read than the budget allows: %v", err)
 	}
-	h.Release()
+	reservation.Release()
 	other.Release()
 	if b.Used() != 0 {
 		t.Errorf("%d bytes are still reserved after all releases", b.Used())
@@ -53,20 +53,20 @@
 
 func TestConcurrentReservations(t *testing.T) {
 	b := New(6)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
-			h := b.NewReservation(0)
+		wg.Go(func() {
+			reservation := b.NewReservation(0)
 			for i := range 1000 {
-				h.Resize(int64(i) << 8)
+				reservation.Resize(int64(i) << 8)
 				if used := b.Used(); used < 0 {
 					t.Errorf("%d bytes are reserved", used)
 				}
 			}
-			h.Release()
+			reservation.Release()
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	if b.Used() != 0 {
 		t.Errorf("%d bytes are still reserved after all releases", b.Used())
 	}
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -28,7 +28,7 @@
 	Stale bool `json:"old,omitempty"`
 }
 
-// maxIncarnation is later than any wall-clock time. Incarnations from there on are
+// maxIncarnation is later than any wall-clock time. Incarnations that are not below it are
 // rejected as invalid.
 const maxIncarnation = 1 << 60
 
@@ -40,8 +40,8 @@
 // and its newest incoming connection, which is the only one kept open.
 type process struct {
 	incarnation int64
-	seq         int64
-	conn        net.Conn
+	seq         int64    // of its newest incoming connection
+	conn        net.Conn // nil if that connection has ended
 }
 
 // maxKnownProcesses limits the addresses whose incarnations are remembered.
@@ -63,7 +63,7 @@
 // recordIncarnation records the incarnation of the process at an address. It reports
 // whether that is the newest one, and returns the newest. If an incoming connection
 // is given, it must be newer than the caller's previous one, which it replaces.
-func (e *Endpoint) recordIncarnation(addr string, incarnation, seq int64, c net.Conn) (newest int64, ok bool) {
+func (e *Endpoint) recordIncarnation(addr string, incarnation, seq int64, conn net.Conn) (newest int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.processes[addr]
@@ -72,25 +72,26 @@
 			e.processes[addr] = p
 		}
 	}
-	if incarnation < p.incarnation || c != nil && incarnation == p.incarnation && seq <= p.seq {
+	if incarnation < p.incarnation || conn != nil && incarnation == p.incarnation && seq <= p.seq {
 		e.k.Counters.Add("rpc.old_life", 1)
 		return p.incarnation, false
 	}
-	if (incarnation > p.incarnation || c != nil) && p.conn != nil {
+	if (incarnation > p.incarnation || conn != nil) && p.conn != nil {
 		p.conn.Close()
 		p.conn = nil
 	}
 	if incarnation > p.incarnation {
 		p.incarnation, p.seq = incarnation, 0
 	}
-	if c != nil {
-		p.seq, p.conn = seq, c
+	if conn != nil {
+		p.seq, p.conn = seq, conn
 	}
 	return incarnation, true
 }
 
-// raiseIncarnation moves this process to the incarnation after other, which belonged
-// to an earlier process at this address: the clock has stepped back since.
+// raiseIncarnation moves this process to the incarnation after other, unless its own is
+// later already. The incarnation other belonged to an earlier process at this address, and
+// the clock has stepped back since.
 func (e *Endpoint) raiseIncarnation(other int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,25 +109,25 @@
 
 // acceptHello reads a caller's hello and replies to it. It returns the caller's
 // address and whether its calls are accepted.
-func (e *Endpoint) acceptHello(sc *bufio.Scanner, c net.Conn) (from string, ok bool) {
-	if c.SetReadDeadline(time.Now().Add(helloTimeout.Duration())) != nil || !sc.Scan() {
-		e.countOversizedLine(sc)
+func (e *Endpoint) acceptHello(scanner *bufio.Scanner, c net.Conn) (from string, ok bool) {
+	if c.SetReadDeadline(time.Now().Add(helloTimeout.Duration())) != nil || !scanner.Scan() {
+		e.countOversizedLine(scanner)
 		return "", false
 	}
 	var req message
-	if err := json.Unmarshal(sc.Bytes(), &req); err != nil || !req.Hello.valid() || req.ID != 0 {
+	if err := json.Unmarshal(scanner.Bytes(), &req); err != nil || !req.Hello.valid() || req.ID != 0 {
 		e.k.Counters.Add("rpc.malformed", 1)
 		return "", false
 	}
-	h := req.Hello
-	resp := &hello{From: e.addr, To: h.From}
-	if ok = h.From == "" || h.To == e.addr; !ok {
+	callerHello := req.Hello
+	resp := &hello{From: e.addr, To: callerHello.From}
+	if ok = callerHello.From == "" || callerHello.To == e.addr; !ok {
 		e.k.Counters.Add("rpc.misdirected", 1)
-	} else if h.From != "" {
-		if h.KnownIncarnation > e.currentIncarnation() {
-			e.raiseIncarnation(h.KnownIncarnation)
+	} else if callerHello.From != "" {
+		if callerHello.KnownIncarnation > e.currentIncarnation() {
+			e.raiseIncarnation(callerHello.KnownIncarnation)
 		}
-		resp.KnownIncarnation, ok = e.recordIncarnation(h.From, h.Incarnation, h.Seq, c)
+		resp.KnownIncarnation, ok = e.recordIncarnation(callerHello.From, callerHello.Incarnation, callerHello.Seq, c)
 		resp.Stale = !ok
 	}
 	resp.Incarnation = e.currentIncarnation()
@@ -137,7 +138,7 @@
 	if err == nil {
 		err = c.SetReadDeadline(time.Time{})
 	}
-	return h.From, ok && err == nil
+	return callerHello.From, ok && err == nil
 }
 
 // forgetConn drops the reference to a caller's connection that has ended.
@@ -152,9 +153,9 @@
 // newLineScanner returns a scanner over complete lines. Data at the end of the stream
 // without a line terminator was truncated and is discarded.
 func newLineScanner(c net.Conn) *bufio.Scanner {
-	sc := bufio.NewScanner(c)
-	sc.Buffer(make([]byte, 0, 2048), maxLineBytes)
-	sc.Split(func(data []byte, atEOF bool) (int, []byte, error) {
+	scanner := bufio.NewScanner(c)
+	scanner.Buffer(make([]byte, 0, 2048), maxLineBytes)
+	scanner.Split(func(data []byte, atEOF bool) (int, []byte, error) {
 		if i := bytes.IndexByte(data, '\n'); i >= 0 {
 			return i + 1, data[:i], nil
 		}
@@ -163,12 +164,12 @@
 		}
 		return 0, nil, nil
 	})
-	return sc
+	return scanner
 }
 
 // countOversizedLine counts a line that exceeded maxLineBytes as malformed.
-func (e *Endpoint) countOversizedLine(sc *bufio.Scanner) {
-	if errors.Is(sc.Err(), bufio.ErrTooLong) {
+func (e *Endpoint) countOversizedLine(scanner *bufio.Scanner) {
+	if errors.Is(scanner.Err(), bufio.ErrTooLong) {
 		e.k.Counters.Add("rpc.malformed", 1)
 	}
 }
@@ -198,8 +199,8 @@
 	closeErr error                   // why the connection was closed; nil while it is open
 }
 
-// maxAbandonedCalls limits the abandoned calls on a connection whose responses may
-// still arrive. A connection with more of them is useless and is closed.
+// maxAbandonedCalls limits the abandoned calls of one connection that have no response
+// yet. A connection with more of them is taken to be unresponsive and is closed.
 const maxAbandonedCalls = 256
 
 // connect returns the open connection to the peer, and dials one if needed. Concurrent
@@ -319,10 +320,10 @@
 
 // readResponses delivers the responses of a connection until it ends, then closes it.
 func (e *Endpoint) readResponses(cc *clientConn) {
-	sc := newLineScanner(cc.conn)
-	err := e.deliverResponses(sc, cc)
+	scanner := newLineScanner(cc.conn)
+	err := e.deliverResponses(scanner, cc)
 	switch {
-	case err == nil && errors.Is(sc.Err(), bufio.ErrTooLong), errors.Is(err, errMalformed):
+	case err == nil && errors.Is(scanner.Err(), bufio.ErrTooLong), errors.Is(err, errMalformed):
 		e.k.Counters.Add("rpc.malformed", 1)
 		err = errMalformed
 	case errors.Is(err, errUnexpectedResponse):
@@ -330,7 +331,7 @@
 	case errors.Is(err, errMisdirected):
 		e.k.Counters.Add("rpc.misdirected", 1)
 	case err == nil:
-		if err = sc.Err(); err == nil {
+		if err = scanner.Err(); err == nil {
 			err = io.EOF
 		}
 	}
@@ -338,17 +339,17 @@
 }
 
 // deliverResponses checks the peer's hello and delivers the responses that follow it.
-func (e *Endpoint) deliverResponses(sc *bufio.Scanner, cc *clientConn) error {
-	for greeted := false; sc.Scan(); {
+func (e *Endpoint) deliverResponses(scanner *bufio.Scanner, cc *clientConn) error {
+	for helloReceived := false; scanner.Scan(); {
 		var resp message
-		if json.Unmarshal(sc.Bytes(), &resp) != nil || resp.Op != "" || (resp.Hello == nil) != greeted || greeted == (resp.ID == 0) {
+		if json.Unmarshal(scanner.Bytes(), &resp) != nil || resp.Op != "" || (resp.Hello == nil) != helloReceived || helloReceived == (resp.ID == 0) {
 			return errMalformed
 		}
-		if !greeted {
+		if !helloReceived {
 			if err := e.checkHello(resp.Hello, cc); err != nil {
 				return err
 			}
-			greeted = true
+			helloReceived = true
 		} else if !cc.deliver(resp) {
 			return errUnexpectedResponse
 		}
@@ -378,7 +379,7 @@
 
 // deliver passes a response to its call. The response of an abandoned call is dropped,
 // and so is every response read from a connection that has been closed. It returns
-// false if there is no such call.
+// false if the connection is open and no such call was sent on it.
 func (cc *clientConn) deliver(resp message) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -16,27 +16,28 @@
 	"indigowalk/internal/rpc"
 )
 
-// pipeNet is a network with a single connection.
+// pipeNet is a network with a single connection: Dial returns end, and Accept returns what in
+// receives.
 type pipeNet struct {
 	kernel.Network
-	end net.Conn
-	in  chan net.Conn
+	end net.Conn      // the caller's end
+	in  chan net.Conn // the callee's end
 }
 
-func (w pipeNet) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return w.end, nil }
-func (w pipeNet) Listen(string) (net.Listener, error)                           { return w, nil }
-func (w pipeNet) Addr() net.Addr                                                { return nil }
+func (n pipeNet) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return n.end, nil }
+func (n pipeNet) Listen(string) (net.Listener, error)                           { return n, nil }
+func (n pipeNet) Addr() net.Addr                                                { return nil }
 
-func (w pipeNet) Accept() (net.Conn, error) {
-	if c, ok := <-w.in; ok {
+func (n pipeNet) Accept() (net.Conn, error) {
+	if c, ok := <-n.in; ok {
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (w pipeNet) Close() error { return nil }
+func (n pipeNet) Close() error { return nil }
 
-// parsedLine is a line as the checks decode it, independently of the package's decoder.
+// parsedLine is a line of the protocol as these tests decode it, independently of the package's decoder.
 type parsedLine struct {
 	Hello *struct {
 		From, To    string
@@ -53,30 +54,30 @@
 func completeLines(input []byte) (lines []parsedLine) {
 	for {
 		raw, rest, ok := bytes.Cut(input, []byte{'\n'})
-		var s parsedLine
-		if !ok || json.Unmarshal(raw, &s) != nil {
+		var line parsedLine
+		if !ok || json.Unmarshal(raw, &line) != nil {
 			return lines
 		}
-		lines, input = append(lines, s), rest
+		lines, input = append(lines, line), rest
 	}
 }
 
-// writeInTwo writes the input in two pieces and closes the connection.
-func writeInTwo(c net.Conn, input []byte, split uint16) {
+// writeInTwo writes the input in two pieces, cut at a place chosen by split, and closes the connection.
+func writeInTwo(conn net.Conn, input []byte, split uint16) {
 	cut := int(split) % (len(input) + 1)
 	for _, piece := range [][]byte{input[:cut], input[cut:]} {
-		if _, err := c.Write(piece); err != nil {
+		if _, err := conn.Write(piece); err != nil {
 			break
 		}
 		synctest.Wait()
 	}
-	c.Close()
+	conn.Close()
 }
 
-// Whatever a peer sends, a call receives only the first line with its ID, after a hello
-// of the intended process and with no malformed or unsolicited line before it; and the
-// call returns.
-func FuzzAnswers(f *testing.F) {
+// Whatever a peer sends, every call returns, and it receives only the first line with its ID,
+// and only if the connection began with a hello of the intended process and no malformed or
+// unsolicited line precedes the response.
+func FuzzResponses(f *testing.F) {
 	hello, one, two := helloLine(other, self, 10)+"\n", `{"id":1,"body":"one"}`+"\n", `{"id":2,"body":"two"}`+"\n"
 	for _, text := range []string{
 		hello + one + two, hello + two + one, one + two, hello + one + one + two, hello + `{"id":3}` + "\n" + two, hello + one + two[:9],
@@ -91,14 +92,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			local, remote := net.Pipe()
 			k := kernel.NewKernel("pooler", pipeNet{end: local}, slog.New(slog.DiscardHandler))
-			e := rpc.NewEndpoint(k, self)
+			endpoint := rpc.NewEndpoint(k, self)
 			go io.Copy(io.Discard, remote)
 			got := [3]string{}
 			var wg sync.WaitGroup
 			for id := 1; id <= 2; id++ {
 				wg.Go(func() {
 					var body string
-					if e.Call(t.Context(), other, "op", 1, &body, kernel.Second) == nil {
+					if endpoint.Call(t.Context(), other, "op", 1, &body, kernel.Second) == nil {
 						got[id] = "=" + body
 					}
 				})
@@ -106,25 +107,25 @@
 			}
 			writeInTwo(remote, input, split)
 			wg.Wait()
-			e.CloseConnections()
+			endpoint.CloseConnections()
 			time.Sleep(time.Minute)
 
 			lines := completeLines(input)
 			responses := map[uint64]bool{}
-			for i, l := range lines {
+			for i, line := range lines {
 				if i == 0 {
-					if h := l.Hello; h == nil || h.From != other || h.To != self || h.Old || h.Life <= 0 {
+					if hello := line.Hello; hello == nil || hello.From != other || hello.To != self || hello.Old || hello.Life <= 0 {
 						break
 					}
 					continue
 				}
-				if l.Hello != nil || l.Op != "" || l.ID < 1 || l.ID > 2 || responses[l.ID] {
+				if line.Hello != nil || line.Op != "" || line.ID < 1 || line.ID > 2 || responses[line.ID] {
 					break
 				}
-				responses[l.ID] = true
+				responses[line.ID] = true
 				var body string
-				if g := got[l.ID]; g != "" && (json.Unmarshal(l.Body, &body) != nil || g != "="+body) {
-					t.Errorf("call %d got %q from %s", l.ID, g, l.Body)
+				if answer := got[line.ID]; answer != "" && (json.Unmarshal(line.Body, &body) != nil || answer != "="+body) {
+					t.Errorf("call %d got %q from %s", line.ID, answer, line.Body)
 				}
 			}
 			for id := uint64(1); id <= 2; id++ {
@@ -141,21 +142,21 @@
 func TestSlowWriteDoesNotFailOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		local, remote := net.Pipe()
-		e := rpc.NewEndpoint(kernel.NewKernel("pooler", pipeNet{end: local}, slog.New(slog.DiscardHandler)), self)
+		endpoint := rpc.NewEndpoint(kernel.NewKernel("pooler", pipeNet{end: local}, slog.New(slog.DiscardHandler)), self)
 		began := time.Now()
 		call := func(wait kernel.Micros) (body string, took time.Duration, err error) {
-			err = e.Call(t.Context(), other, "op", 1, &body, wait)
+			err = endpoint.Call(t.Context(), other, "op", 1, &body, wait)
 			return body, time.Since(began), err
 		}
 		var wg sync.WaitGroup
-		for n := range 3 {
+		for caller := range 3 {
 			wg.Go(func() {
-				if n == 1 { // between two with shorter timeouts
+				if caller == 1 { // between two with shorter timeouts
 					if body, _, err := call(kernel.Second); body != "two" || err != nil {
-						t.Errorf("%q %v", body, err)
+						t.Errorf("call with the long timeout: response %q, error %v", body, err)
 					}
 				} else if _, took, err := call(100 * kernel.Millisecond); err == nil || took > 110*time.Millisecond {
-					t.Errorf("%v after %v", err, took)
+					t.Errorf("call with the short timeout: error %v after %v", err, took)
 				}
 			})
 			synctest.Wait()
@@ -166,15 +167,15 @@
 		synctest.Wait()
 		remote.Write([]byte(`{"id":1,"body":"one"}` + "\n" + `{"id":2,"body":"two"}` + "\n"))
 		wg.Wait()
-		e.CloseConnections()
+		endpoint.CloseConnections()
 		remote.Close()
 		time.Sleep(time.Minute)
 	})
 }
 
-// Whatever a caller sends, a call is executed only after a hello addressed to this
-// process, in order of increasing IDs and so each ID once; and every executed call gets a
-// response or the connection closes.
+// Whatever a caller sends, a call is executed only after a hello addressed to this process,
+// and only if its ID is higher than that of every call before it, so that no call is executed
+// twice.
 func FuzzCalls(f *testing.F) {
 	hello, one, two := helloLine(self, other, 10)+"\n", `{"id":1,"op":"op","body":1}`+"\n", `{"id":2,"op":"op","body":2}`+"\n"
 	for _, text := range []string{
@@ -190,33 +191,33 @@
 			in := make(chan net.Conn, 1)
 			in <- local
 			k := kernel.NewKernel("control", pipeNet{in: in}, slog.New(slog.DiscardHandler))
-			e := rpc.NewEndpoint(k, other)
+			endpoint := rpc.NewEndpoint(k, other)
 			var mu sync.Mutex
 			ran := 0
-			e.Handle("op", func(context.Context, json.RawMessage) (any, error) {
+			endpoint.Handle("op", func(context.Context, json.RawMessage) (any, error) {
 				mu.Lock()
 				defer mu.Unlock()
 				ran++
 				return ran, nil
 			})
-			go e.Serve(t.Context())
+			go endpoint.Serve(t.Context())
 			go io.Copy(io.Discard, remote)
 			writeInTwo(remote, input, split)
 			close(in)
 			time.Sleep(time.Minute)
 
-			allowed, last := 0, uint64(0)
-			for i, l := range completeLines(input) {
+			allowed, lastID := 0, uint64(0)
+			for i, line := range completeLines(input) {
 				if i == 0 {
-					if h := l.Hello; h == nil || h.From != "" && h.To != other || h.Life <= 0 {
+					if hello := line.Hello; hello == nil || hello.From != "" && hello.To != other || hello.Life <= 0 {
 						break
 					}
 					continue
 				}
-				if l.Hello != nil || l.Op == "" || l.ID <= last {
+				if line.Hello != nil || line.Op == "" || line.ID <= lastID {
 					break
 				}
-				if last = l.ID; l.Op == "op" {
+				if lastID = line.ID; line.Op == "op" {
 					allowed++
 				}
 			}
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -36,8 +36,8 @@
 const ackTimeout = 1500 * kernel.Millisecond
 
 // connectTimeout limits connection establishment. A peer without power does not
-// respond at all, and a lost SYN is retransmitted far too late: the caller does
-// better to try another peer, or to dial this one again.
+// respond at all, and TCP retransmits a lost SYN far too late: it is better that the
+// caller tries another peer, or dials this one again.
 const connectTimeout = 150 * kernel.Millisecond
 
 // ErrUnreachable reports that a call received no usable response. Whether the peer
@@ -114,17 +114,17 @@
 
 // Handle registers the handler of an operation. All handlers must be registered
 // before Serve is called.
-func (e *Endpoint) Handle(op string, h Handler) { e.handlers[op] = h }
+func (e *Endpoint) Handle(op string, handler Handler) { e.handlers[op] = handler }
 
 // HandleTyped registers a handler whose request body is decoded into a Q.
-func HandleTyped[Q any](e *Endpoint, op string, h func(context.Context, Q) (any, error)) {
+func HandleTyped[Q any](e *Endpoint, op string, handler func(context.Context, Q) (any, error)) {
 	e.Handle(op, func(ctx context.Context, body json.RawMessage) (any, error) {
 		var req Q
 		if err := json.Unmarshal(body, &req); err != nil {
 			e.k.Counters.Add("rpc.malformed", 1)
 			return nil, fmt.Errorf("malformed body: %w", err)
 		}
-		return h(ctx, req)
+		return handler(ctx, req)
 	})
 }
 
@@ -171,22 +171,22 @@
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	defer c.Close()
-	sc := newLineScanner(c)
-	from, ok := e.acceptHello(sc, c)
+	scanner := newLineScanner(c)
+	from, ok := e.acceptHello(scanner, c)
 	defer e.forgetConn(from, c)
 	if !ok {
 		return
 	}
-	var mu sync.Mutex
-	var last uint64
+	var writeMu sync.Mutex
+	var lastID uint64
 	slots := make(chan struct{}, maxConcurrentCalls)
-	for sc.Scan() {
+	for scanner.Scan() {
 		var req message
-		if err := json.Unmarshal(sc.Bytes(), &req); err != nil || req.Hello != nil || req.Op == "" || req.ID <= last {
+		if err := json.Unmarshal(scanner.Bytes(), &req); err != nil || req.Hello != nil || req.Op == "" || req.ID <= lastID {
 			e.k.Counters.Add("rpc.malformed", 1)
 			return
 		}
-		last = req.ID
+		lastID = req.ID
 		select {
 		case slots <- struct{}{}:
 		case <-ctx.Done():
@@ -195,33 +195,33 @@
 		go func() {
 			defer func() { <-slots }()
 			resp := message{ID: req.ID}
-			if v, err := e.dispatch(ctx, req.Op, req.Body); err != nil {
+			if result, err := e.dispatch(ctx, req.Op, req.Body); err != nil {
 				resp.Err = err.Error()
-			} else if resp.Body, err = encode(v); err != nil {
+			} else if resp.Body, err = encode(result); err != nil {
 				resp.Err = err.Error()
 			}
 			raw, err := resp.encode()
 			if err != nil {
 				return
 			}
-			mu.Lock()
-			defer mu.Unlock()
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			if _, err := c.Write(raw); err != nil {
 				c.Close()
 			}
 		}()
 	}
-	e.countOversizedLine(sc)
+	e.countOversizedLine(scanner)
 }
 
 // dispatch executes a call with the handler of its operation.
 func (e *Endpoint) dispatch(ctx context.Context, op string, body json.RawMessage) (any, error) {
-	h := e.handlers[op]
-	if h == nil {
+	handler := e.handlers[op]
+	if handler == nil {
 		e.k.Counters.Add("rpc.unknown_op", 1)
 		return nil, errors.New("unknown operation")
 	}
-	return h(ctx, body)
+	return handler(ctx, body)
 }
 
 // Call sends a request to the process at addr and decodes its result into response,
@@ -239,16 +239,16 @@
 		return e.callLocal(ctx, op, body, response)
 	}
 	e.mu.Lock()
-	p := e.peers[addr]
-	if p == nil {
-		p = &peer{addr: addr, dialGate: kernel.NewGate()}
-		e.peers[addr] = p
+	callee := e.peers[addr]
+	if callee == nil {
+		callee = &peer{addr: addr, dialGate: kernel.NewGate()}
+		e.peers[addr] = callee
 	}
 	e.mu.Unlock()
 
-	resp, err := p.call(ctx, e, op, body)
+	resp, err := callee.call(ctx, e, op, body)
 	if errors.Is(err, errOwnIncarnationStale) {
-		resp, err = p.call(ctx, e, op, body)
+		resp, err = callee.call(ctx, e, op, body)
 	}
 	switch {
 	case err != nil:
@@ -268,14 +268,14 @@
 
 // callLocal executes a call that this process makes to itself, without a connection.
 func (e *Endpoint) callLocal(ctx context.Context, op string, body json.RawMessage, response any) error {
-	v, err := e.dispatch(ctx, op, body)
+	result, err := e.dispatch(ctx, op, body)
 	if err != nil {
 		return &Refused{err.Error()}
 	}
 	if response == nil {
 		return nil
 	}
-	raw, err := encode(v)
+	raw, err := encode(result)
 	if err == nil {
 		err = json.Unmarshal(raw, response)
 	}
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -14,17 +14,17 @@
 }
 
 // keyTag returns the settings key of a struct field.
-func keyTag(f reflect.StructField) string { return f.Tag.Get("key") }
+func keyTag(field reflect.StructField) string { return field.Tag.Get("key") }
 
 // structFields lists the fields of the struct that s points to.
 func structFields(s any) []field {
 	v := reflect.ValueOf(s).Elem()
-	out := make([]field, 0, v.NumField())
+	fields := make([]field, 0, v.NumField())
 	for i := range v.NumField() {
-		f := v.Type().Field(i)
-		out = append(out, field{keyTag(f), f.Tag.Get("default"), v.Field(i)})
+		structField := v.Type().Field(i)
+		fields = append(fields, field{keyTag(structField), structField.Tag.Get("default"), v.Field(i)})
 	}
-	return out
+	return fields
 }
 
 // set parses text according to the kind of the field and assigns it.
--- a/internal/settings/halfwritten_test.go
+++ b/internal/settings/halfwritten_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// halfWritten returns the path of a settings file that contains only its beginning at first,
-// and is complete after the delay.
-func halfWritten(t *testing.T, beginning string, delay time.Duration) (path string) {
+// incompleteFile returns the path of a settings file that contains only the given beginning at
+// first, and is complete after the delay.
+func incompleteFile(t *testing.T, beginning string, delay time.Duration) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "boot.conf")
 	write := func(text string) {
@@ -22,19 +22,19 @@
 	write(beginning)
 	go func() {
 		time.Sleep(delay)
-		write(good)
+		write(validSettings)
 	}()
 	return path
 }
 
 func TestOpenWaitsForIncompleteFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, err := Open(halfWritten(t, good[:40], 300*time.Millisecond))
+		live, err := Open(incompleteFile(t, validSettings[:40], 300*time.Millisecond))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if b.Now().GraceS != 6 {
-			t.Errorf("grace period of %d s", b.Now().GraceS)
+		if live.Now().GraceS != 6 {
+			t.Errorf("the complete file was not applied: grace period of %d s", live.Now().GraceS)
 		}
 	})
 }
@@ -42,7 +42,7 @@
 func TestOpenRejectsFileThatStaysInvalid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		if _, err := Open(halfWritten(t, good[:40], time.Minute)); err == nil {
+		if _, err := Open(incompleteFile(t, validSettings[:40], time.Minute)); err == nil {
 			t.Error("an incomplete file was accepted")
 		}
 		if waited := time.Since(began); waited > 2*time.Second {
@@ -52,17 +52,17 @@
 	})
 }
 
-// A file that has all required keys may still be incomplete.
+// A file that has all required keys may still be incomplete, and must not be applied yet.
 func TestReloadWaitsForIncompleteFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		beginning, _, _ := strings.Cut(good, "bounds.grace_s")
-		b, err := Open(halfWritten(t, good, 0))
+		beginning, _, _ := strings.Cut(validSettings, "bounds.grace_s")
+		live, err := Open(incompleteFile(t, validSettings, 0))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.path = halfWritten(t, beginning, 5*time.Millisecond)
-		changed := b.Changed()
-		if err := b.Reload(); err != nil {
+		live.path = incompleteFile(t, beginning, 5*time.Millisecond)
+		changed := live.Changed()
+		if err := live.Reload(); err != nil {
 			t.Fatal(err)
 		}
 		select {
@@ -70,8 +70,8 @@
 		default:
 			t.Error("the change was not notified")
 		}
-		if b.Now().GraceS != 6 {
-			t.Errorf("a grace period of %d s is in force, which no complete file contained", b.Now().GraceS)
+		if live.Now().GraceS != 6 {
+			t.Errorf("a grace period of %d s is in force, which no complete file contained", live.Now().GraceS)
 		}
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,8 +26,9 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("settings: %s: %s", e.Key, e.Reason) }
 
-// Settings is the configuration of a process. Unknown keys are ignored. Durations that
-// operators set in milliseconds keep that unit here; FromMillis converts them to microseconds.
+// Settings is the configuration of a process. Unknown keys are ignored. Durations keep the
+// unit in which operators set them, which the names of the fields end with; FromMillis
+// converts milliseconds to microseconds.
 type Settings struct {
 	NodeName    string `key:"node_name" validate:"required"`
 	IP          string `key:"ip" validate:"required,ipv4"`
@@ -51,16 +52,21 @@
 	// NetMbps is the bandwidth of the machine's own network link; 0 if unknown.
 	NetMbps float64 `key:"limits.net_mbps" validate:"gte=0"`
 
-	ContactMs  int64 `key:"bounds.contact_ms" default:"4000" validate:"gt=0"`
-	DrainMs    int64 `key:"bounds.drain_ms" default:"7000" validate:"gt=0"`
+	ContactMs int64 `key:"bounds.contact_ms" default:"4000" validate:"gt=0"`
+	// DrainMs is how long requests may still reach a database after its deregistration was
+	// acknowledged.
+	DrainMs int64 `key:"bounds.drain_ms" default:"7000" validate:"gt=0"`
+	// GraceS is the time that a process has for a graceful shutdown.
 	GraceS     int64 `key:"bounds.grace_s" default:"6" validate:"gt=0"`
 	ApplyMs    int64 `key:"bounds.apply_ms" default:"3000" validate:"gt=0"`
 	AckMs      int64 `key:"bounds.ack_ms" default:"5000" validate:"gt=0"`
 	UnfreezeMs int64 `key:"bounds.unfreeze_ms" default:"300" validate:"gt=0"`
-	CatchupS   int64 `key:"bounds.catchup_s" default:"4" validate:"gt=0"`
+	// CatchupS is how long changes are refused while there are fewer control nodes than
+	// TolerateHosts requires.
+	CatchupS int64 `key:"bounds.catchup_s" default:"4" validate:"gt=0"`
 
-	// Whether revoked keys must be refused by every node, even one that is cut off from the
-	// control nodes, and how soon.
+	// If RevokeGlobal is set, every node must refuse a revoked API key within RevokeMs, even
+	// a node that is partitioned from the control nodes.
 	RevokeGlobal bool  `key:"bounds.revoke_global"`
 	RevokeMs     int64 `key:"bounds.revoke_ms" default:"5000" validate:"gt=0"`
 
@@ -75,22 +81,25 @@
 	QuotaExcess  float64 `key:"bounds.quota_excess" default:"0.1" validate:"gte=0,lte=10"`
 	QuotaSlack   float64 `key:"bounds.quota_slack" default:"20" validate:"gte=0"`
 
+	// TolerateHosts is how many control machines may be lost at once, disks included, without
+	// loss of the control state.
 	TolerateHosts int64 `key:"tolerate.hosts" validate:"gte=0"`
 
 	PlatformAddr string `key:"platform.address" validate:"omitempty,hostname_port"`
 
-	ControlLeaseMs   int64 `key:"tune.control_lease_ms" default:"1200" validate:"gte=100"`
-	WitnessTimeoutMs int64 `key:"tune.witness_away_ms" default:"3000" validate:"gte=100"`
-	ReaderLeaseMs    int64 `key:"tune.reader_lease_ms" default:"2500" validate:"gte=100"`
+	ControlLeaseMs   int64 `key:"tune.control_lease_ms" default:"1200" validate:"gte=100"` // lease of the primary control node
+	WitnessTimeoutMs int64 `key:"tune.witness_away_ms" default:"3000" validate:"gte=100"`  // a witness unreachable for longer is replaced
+	ReaderLeaseMs    int64 `key:"tune.reader_lease_ms" default:"2500" validate:"gte=100"`  // read lease of a proxy
 	QuotaLeaseMs     int64 `key:"tune.quota_lease_ms" default:"600" validate:"gte=300"`
-	PollMs           int64 `key:"tune.poll_ms" default:"600" validate:"gte=20"`
-	ProbeMs          int64 `key:"tune.probe_ms" default:"1000" validate:"gte=20"`
-	CheckMs          int64 `key:"tune.check_ms" default:"1000" validate:"gte=20"`
-	CheckWaitMs      int64 `key:"tune.check_wait_ms" default:"150" validate:"gte=10"`
-	QuietMs          int64 `key:"tune.quiet_ms" default:"100" validate:"gte=10"`
-	PeerTimeoutMs    int64 `key:"tune.silence_ms" default:"700" validate:"gte=50"`
+	PollMs           int64 `key:"tune.poll_ms" default:"600" validate:"gte=20"`       // timeout of a proxy's long poll of the control state
+	ProbeMs          int64 `key:"tune.probe_ms" default:"1000" validate:"gte=20"`     // interval of membership probes
+	CheckMs          int64 `key:"tune.check_ms" default:"1000" validate:"gte=20"`     // interval of health checks of a database that is down
+	CheckWaitMs      int64 `key:"tune.check_wait_ms" default:"150" validate:"gte=10"` // timeout of a health check, and of connecting to a database
+	QuietMs          int64 `key:"tune.quiet_ms" default:"100" validate:"gte=10"`      // a response that takes longer makes its database suspect
+	PeerTimeoutMs    int64 `key:"tune.silence_ms" default:"700" validate:"gte=50"`    // a connection to a database that is unresponsive for longer is closed
 	// ChangesRemembered is how many recent configuration changes are remembered, so that a change
-	// that is submitted again is recognised; resubmitting an older one gets no definite response.
+	// that is submitted again is recognized. An older change that is submitted again gets no
+	// definite response.
 	ChangesRemembered int64 `key:"tune.orders_kept" default:"512" validate:"gte=64,lte=4096"`
 	// MetricsPort is the port at which a pooler or gateway serves its metrics; a control
 	// node uses the next higher port. 0 disables metrics.
@@ -135,14 +144,14 @@
 // SeedPeers returns the internal addresses of the control nodes at the seeds, derived from
 // their control addresses: every machine uses the same port range.
 func (s *Settings) SeedPeers() []string {
-	out := make([]string, 0, len(s.Seeds))
+	addrs := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err == nil {
-			out = append(out, net.JoinHostPort(host, strconv.Itoa(s.port(ControlPort))))
+			addrs = append(addrs, net.JoinHostPort(host, strconv.Itoa(s.port(ControlPort))))
 		}
 	}
-	return out
+	return addrs
 }
 
 // Parse decodes and validates settings; the error joins all errors found.
@@ -154,26 +163,26 @@
 	return s, nil
 }
 
-// Decode reads key=value lines into a struct whose fields have the tags key, default and
-// validate, and validates it. Keys without a field are ignored. The error joins all errors
-// found.
+// Decode reads key=value lines into the struct that into points to, whose fields have the tags
+// key, default and validate, and validates it. Keys without a field are ignored. The error
+// joins all errors found.
 func Decode(raw []byte, into any) error {
-	l := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
-	p, err := l.LoadBytes(raw)
+	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
+	p, err := loader.LoadBytes(raw)
 	if err != nil {
 		return &Error{"file", err.Error()}
 	}
 	var errs []error
-	for _, f := range structFields(into) {
-		text, ok := p.Get(f.key)
+	for _, field := range structFields(into) {
+		text, ok := p.Get(field.key)
 		if !ok {
-			text = f.defaultText
+			text = field.defaultText
 		}
 		if text = strings.TrimSpace(text); text == "" {
 			continue
 		}
-		if err := f.set(text); err != nil {
-			errs = append(errs, &Error{f.key, err.Error()})
+		if err := field.set(text); err != nil {
+			errs = append(errs, &Error{field.key, err.Error()})
 		}
 	}
 	if len(errs) == 0 {
@@ -182,19 +191,19 @@
 	return errors.Join(errs...)
 }
 
-// Overlay sets only those fields of a struct whose keys occur in the lines, and validates it.
+// Overlay sets only those fields of a struct whose keys occur in raw, and validates the struct.
 func Overlay(raw []byte, into any) error {
 	p, err := properties.LoadString(string(raw))
 	if err != nil {
 		return &Error{"file", err.Error()}
 	}
-	for _, f := range structFields(into) {
-		text, ok := p.Get(f.key)
+	for _, field := range structFields(into) {
+		text, ok := p.Get(field.key)
 		if !ok {
 			continue
 		}
-		if err := f.set(strings.TrimSpace(text)); err != nil {
-			return &Error{f.key, err.Error()}
+		if err := field.set(strings.TrimSpace(text)); err != nil {
+			return &Error{field.key, err.Error()}
 		}
 	}
 	return errors.Join(validate(into)...)
@@ -207,8 +216,8 @@
 		return nil, &Error{"file", err.Error()}
 	}
 	known := map[string]bool{}
-	for _, f := range structFields(into) {
-		known[f.key] = true
+	for _, field := range structFields(into) {
+		known[field.key] = true
 	}
 	for _, key := range p.Keys() {
 		if !known[key] {
@@ -222,23 +231,23 @@
 func validate(s any) []error {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(keyTag)
-	var out []error
+	var errs []error
 	var invalid validator.ValidationErrors
 	if err := v.Struct(s); errors.As(err, &invalid) {
-		for _, f := range invalid {
-			reason := "fails " + f.Tag()
-			if f.Param() != "" {
-				reason += "=" + f.Param()
+		for _, invalidField := range invalid {
+			reason := "fails " + invalidField.Tag()
+			if invalidField.Param() != "" {
+				reason += "=" + invalidField.Param()
 			}
-			out = append(out, &Error{f.Field(), reason})
+			errs = append(errs, &Error{invalidField.Field(), reason})
 		}
 	} else if err != nil {
-		out = append(out, &Error{"file", err.Error()})
+		errs = append(errs, &Error{"file", err.Error()})
 	}
-	return out
+	return errs
 }
 
-// Live holds the current settings and notifies of changes.
+// Live holds the current settings of a process and notifies of their changes.
 type Live struct {
 	path    string
 	loaded  fileStamp // of the file, taken before it was first read
@@ -247,7 +256,7 @@
 	changed kernel.Notifier
 }
 
-// The file may be read while it is still being written.
+// Limits for reading a settings file that may still be being written.
 const (
 	// startTimeout is how long startup retries a file that is invalid, and possibly
 	// incomplete.
@@ -261,8 +270,9 @@
 	maxStableReads = 10
 )
 
-// Open reads the settings from path. Later changes of the file are detected. An invalid
-// file is rejected only after startTimeout, as it may still be being written.
+// Open reads the settings from path, and records the state of the file so that later changes
+// are detected. It rejects an invalid file only after startTimeout, because the file may
+// still be being written.
 func Open(path string) (*Live, error) {
 	for waited := kernel.Micros(0); ; waited += startRetryInterval {
 		before := statFile(path)
@@ -297,24 +307,24 @@
 func NewLive(s *Settings) *Live { return &Live{current: s} }
 
 // Now returns the current settings; the caller must not modify them.
-func (b *Live) Now() *Settings {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.current
+func (l *Live) Now() *Settings {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.current
 }
 
 // Changed returns a channel that is closed at the next change.
-func (b *Live) Changed() <-chan struct{} { return b.changed.Wait() }
+func (l *Live) Changed() <-chan struct{} { return l.changed.Wait() }
 
 // Reload reads the file again. If the file is invalid, the previous settings stay in force.
-func (b *Live) Reload() error {
-	s, err := loadStable(b.path)
+func (l *Live) Reload() error {
+	s, err := loadStable(l.path)
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	b.current = s
-	b.mu.Unlock()
-	b.changed.NotifyAll()
+	l.mu.Lock()
+	l.current = s
+	l.mu.Unlock()
+	l.changed.NotifyAll()
 	return nil
 }
