--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -92,9 +92,7 @@
 }
 
 // OnShutdown registers a hook for graceful shutdown; the hooks run concurrently.
-func (k *Kernel) OnShutdown(hook func(context.Context)) {
-	k.shutdownHooks = append(k.shutdownHooks, hook)
-}
+func (k *Kernel) OnShutdown(f func(context.Context)) { k.shutdownHooks = append(k.shutdownHooks, f) }
 
 // Assemble builds the plug-ins of the kernel's role in order of rank.
 func (k *Kernel) Assemble() error {
@@ -112,7 +110,7 @@
 }
 
 // OnExit registers a hook that runs after every service has stopped.
-func (k *Kernel) OnExit(hook func() error) { k.exitHooks = append(k.exitHooks, hook) }
+func (k *Kernel) OnExit(f func() error) { k.exitHooks = append(k.exitHooks, f) }
 
 // Run runs the supervised services until ctx ends, then the hooks registered with OnExit.
 func (k *Kernel) Run(ctx context.Context) error {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -53,11 +53,11 @@
 // Kinds of packets, and limits of the protocol. A syncRequest carries the checksums of
 // the members known to its sender, or none if the sender requests all members.
 const (
-	ping         = "ping"
-	ack          = "ack"
-	indirectPing = "ask"
-	syncRequest  = "join"
-	syncReply    = "page" // members of the partitions that differ
+	ping        = "ping"
+	ack         = "ack"
+	pingReq     = "ask"
+	syncRequest = "join"
+	syncReply   = "page" // members of the partitions that differ
 
 	maxUpdates       = 8  // members whose updates one packet carries, besides the sender
 	syncReplyMembers = 24 // members in one datagram of a synchronization
@@ -106,50 +106,48 @@
 // process supersedes all updates about its predecessor.
 func New(k *kernel.Kernel, cfg Config) *Memberlist {
 	cfg.Self.Incarnation = time.Now().UnixMicro()
-	ml := &Memberlist{
+	l := &Memberlist{
 		k: k, cfg: cfg, self: cfg.Self,
 		members: map[string]*entry{}, pendingAcks: map[uint64]chan struct{}{},
 		handlers: map[string]func(string, json.RawMessage){},
 	}
-	ml.outOfSync.Store(true)
-	return ml
+	l.outOfSync.Store(true)
+	return l
 }
 
 // Self returns this process as a member.
-func (ml *Memberlist) Self() Member {
-	ml.mu.Lock()
-	defer ml.mu.Unlock()
-	return ml.self
+func (l *Memberlist) Self() Member {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.self
 }
 
 // Changed returns a channel that is closed at the next change of membership.
-func (ml *Memberlist) Changed() <-chan struct{} { return ml.changes.Wait() }
+func (l *Memberlist) Changed() <-chan struct{} { return l.changes.Wait() }
 
-// Handle registers the handler of a kind of datagrams that another package defines.
+// Handle registers the handler of datagrams of kind k, which another package defines.
 // All handlers must be registered before Serve is called.
-func (ml *Memberlist) Handle(kind string, handler func(from string, body json.RawMessage)) {
-	ml.handlers[kind] = handler
-}
+func (l *Memberlist) Handle(k string, h func(from string, body json.RawMessage)) { l.handlers[k] = h }
 
 // SendDatagram sends a datagram to each of the addresses. It may be lost, duplicated or
 // delayed. It carries no membership updates: a datagram sent to all members at once
 // must be small.
-func (ml *Memberlist) SendDatagram(addrs []string, kind string, body any) {
+func (l *Memberlist) SendDatagram(addrs []string, kind string, body any) {
 	raw, err := json.Marshal(body)
 	if err == nil {
-		ml.send(packet{Kind: kind, Body: raw, Updates: []Member{}}, addrs...)
+		l.send(packet{Kind: kind, Body: raw, Updates: []Member{}}, addrs...)
 	}
 }
 
 // send encodes a packet once and sends it to the addresses.
-func (ml *Memberlist) send(p packet, addrs ...string) {
-	ml.mu.Lock()
-	p.From = ml.self.Addr
-	if p.Updates == nil && p.Kind != indirectPing {
-		p.Updates = ml.selectUpdates()
+func (l *Memberlist) send(p packet, addrs ...string) {
+	l.mu.Lock()
+	p.From = l.self.Addr
+	if p.Updates == nil && p.Kind != pingReq {
+		p.Updates = l.selectUpdates()
 	}
-	conn := ml.conn
-	ml.mu.Unlock()
+	conn := l.conn
+	l.mu.Unlock()
 	raw, err := json.Marshal(p)
 	if conn == nil || err != nil {
 		return
@@ -157,25 +155,25 @@
 	for _, addr := range addrs {
 		to, err := netip.ParseAddrPort(addr)
 		if err != nil {
-			ml.k.Counters.Add("membership.malformed", 1)
+			l.k.Counters.Add("membership.malformed", 1)
 			continue
 		}
 		if _, err := conn.WriteTo(raw, net.UDPAddrFromAddrPort(to)); err != nil {
-			ml.k.Counters.Add("membership.send_failed", 1)
+			l.k.Counters.Add("membership.send_failed", 1)
 		}
 	}
 }
 
 // selectUpdates returns the updates with the most transmissions left, for the next
 // packet, and counts that transmission. The caller holds the lock.
-func (ml *Memberlist) selectUpdates() []Member {
-	ml.updateQueue = slices.DeleteFunc(ml.updateQueue, func(e *entry) bool { return e.transmissionsLeft == 0 || ml.members[e.Addr] != e })
-	if len(ml.updateQueue) == 0 {
+func (l *Memberlist) selectUpdates() []Member {
+	l.updateQueue = slices.DeleteFunc(l.updateQueue, func(e *entry) bool { return e.transmissionsLeft == 0 || l.members[e.Addr] != e })
+	if len(l.updateQueue) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(ml.updateQueue, func(a, b *entry) int { return b.transmissionsLeft - a.transmissionsLeft })
+	slices.SortStableFunc(l.updateQueue, func(a, b *entry) int { return b.transmissionsLeft - a.transmissionsLeft })
 	picked := make([]Member, 0, maxUpdates)
-	for _, e := range ml.updateQueue[:min(len(ml.updateQueue), maxUpdates)] {
+	for _, e := range l.updateQueue[:min(len(l.updateQueue), maxUpdates)] {
 		e.transmissionsLeft--
 		picked = append(picked, e.Member)
 	}
@@ -184,9 +182,9 @@
 
 // retransmitLimit returns how often a process transmits a change of a member's status.
 // It grows with the logarithm of the group size, so that all members soon learn of it.
-func (ml *Memberlist) retransmitLimit() int {
+func (l *Memberlist) retransmitLimit() int {
 	limit := 3
-	for n := len(ml.members) + 1; n > 1; n /= 2 {
+	for n := len(l.members) + 1; n > 1; n /= 2 {
 		limit += 2
 	}
 	return limit
@@ -199,25 +197,25 @@
 
 // queueUpdate queues the update of an entry for the given number of transmissions and
 // invalidates the cached snapshot. The caller holds the lock.
-func (ml *Memberlist) queueUpdate(e *entry, transmissions int) {
-	e.transmissionsLeft, ml.cachedSnapshot = transmissions, nil
-	if transmissions > 0 && !slices.Contains(ml.updateQueue, e) {
-		ml.updateQueue = append(ml.updateQueue, e)
+func (l *Memberlist) queueUpdate(e *entry, transmissions int) {
+	e.transmissionsLeft, l.cachedSnapshot = transmissions, nil
+	if transmissions > 0 && !slices.Contains(l.updateQueue, e) {
+		l.updateQueue = append(l.updateQueue, e)
 	}
 }
 
 // Serve runs the membership protocol until ctx is done.
-func (ml *Memberlist) Serve(ctx context.Context) error {
-	conn, err := ml.k.Net.ListenPacket(ml.cfg.Self.Addr)
+func (l *Memberlist) Serve(ctx context.Context) error {
+	conn, err := l.k.Net.ListenPacket(l.cfg.Self.Addr)
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
-	ml.mu.Lock()
-	ml.conn = conn
-	ml.mu.Unlock()
-	go ml.probeLoop(ctx)
+	l.mu.Lock()
+	l.conn = conn
+	l.mu.Unlock()
+	go l.probeLoop(ctx)
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := conn.ReadFrom(buf)
@@ -229,64 +227,64 @@
 		}
 		var p packet
 		if json.Unmarshal(buf[:n], &p) != nil || p.From == "" {
-			ml.k.Counters.Add("membership.malformed", 1)
+			l.k.Counters.Add("membership.malformed", 1)
 			continue
 		}
-		ml.handlePacket(ctx, p)
+		l.handlePacket(ctx, p)
 	}
 }
 
 // handlePacket merges the updates of a received packet and responds to its kind.
-func (ml *Memberlist) handlePacket(ctx context.Context, p packet) {
+func (l *Memberlist) handlePacket(ctx context.Context, p packet) {
 	for _, update := range p.Updates {
-		if newer, ok := ml.mergeUpdate(update, p.Kind != syncReply); ok && update.Addr == p.From {
+		if newer, ok := l.mergeUpdate(update, p.Kind != syncReply); ok && update.Addr == p.From {
 			// The sender's clock may have stepped back before it restarted: it is sent
 			// its newest known incarnation, and refutes that with the next one.
-			ml.send(packet{Kind: ack, Updates: []Member{newer}}, p.From)
+			l.send(packet{Kind: ack, Updates: []Member{newer}}, p.From)
 		}
 	}
 	switch p.Kind {
 	case ping:
-		ml.send(packet{Kind: ack, Seq: p.Seq, Updates: ml.updatesWithSelf()}, p.From)
+		l.send(packet{Kind: ack, Seq: p.Seq, Updates: l.updatesWithSelf()}, p.From)
 	case syncRequest:
-		missing := ml.differingMembers(p.Checksums)
+		missing := l.differingMembers(p.Checksums)
 		if len(missing) == 0 {
-			ml.send(packet{Kind: ack, Seq: p.Seq}, p.From)
+			l.send(packet{Kind: ack, Seq: p.Seq}, p.From)
 			return
 		}
-		ml.sendSyncReply(p.From, packet{Kind: syncReply, Seq: p.Seq, Checksums: ml.checksums()}, missing)
+		l.sendSyncReply(p.From, packet{Kind: syncReply, Seq: p.Seq, Checksums: l.checksums()}, missing)
 	case ack, syncReply:
-		ml.mu.Lock()
-		if ch := ml.pendingAcks[p.Seq]; ch != nil {
+		l.mu.Lock()
+		if ch := l.pendingAcks[p.Seq]; ch != nil {
 			close(ch)
-			delete(ml.pendingAcks, p.Seq)
+			delete(l.pendingAcks, p.Seq)
 		}
-		ml.mu.Unlock()
+		l.mu.Unlock()
 		if len(p.Checksums) == partitions {
 			// The sender knew other members than this process. It is sent those that it
 			// does not know, and another synchronization soon makes up for lost datagrams.
-			ml.outOfSync.Store(true)
-			ml.sendSyncReply(p.From, packet{Kind: syncReply}, ml.differingMembers(p.Checksums))
+			l.outOfSync.Store(true)
+			l.sendSyncReply(p.From, packet{Kind: syncReply}, l.differingMembers(p.Checksums))
 		}
-	case indirectPing:
+	case pingReq:
 		go func() {
-			if ml.roundTrip(ctx, p.Target, packet{Kind: ping}, ml.cfg.ProbeInterval/2) {
-				ml.send(packet{Kind: ack, Seq: p.Seq}, p.From)
+			if l.roundTrip(ctx, p.Target, packet{Kind: ping}, l.cfg.ProbeInterval/2) {
+				l.send(packet{Kind: ack, Seq: p.Seq}, p.From)
 			}
 		}()
 	default:
-		if handler := ml.handlers[p.Kind]; handler != nil {
+		if handler := l.handlers[p.Kind]; handler != nil {
 			handler(p.From, p.Body)
 		} else {
-			ml.k.Counters.Add("membership.malformed", 1)
+			l.k.Counters.Add("membership.malformed", 1)
 		}
 	}
 }
 
 // differingMembers lists the members of the partitions whose checksums differ from the
 // given ones, or all members if no checksums are given.
-func (ml *Memberlist) differingMembers(sums []uint32) []Member {
-	current := ml.snapshot()
+func (l *Memberlist) differingMembers(sums []uint32) []Member {
+	current := l.snapshot()
 	if len(sums) != partitions {
 		return current.members
 	}
@@ -300,61 +298,61 @@
 }
 
 // checksums returns the partition checksums of the members known to this process.
-func (ml *Memberlist) checksums() []uint32 { s := ml.snapshot().checksums; return s[:] }
+func (l *Memberlist) checksums() []uint32 { s := l.snapshot().checksums; return s[:] }
 
 // sendSyncReply sends the members in datagrams of at most syncReplyMembers. The last
 // one carries the checksums.
-func (ml *Memberlist) sendSyncReply(to string, p packet, members []Member) {
+func (l *Memberlist) sendSyncReply(to string, p packet, members []Member) {
 	sums := p.Checksums
 	for len(members) > 0 {
 		count := min(len(members), syncReplyMembers)
 		if p.Updates, p.Checksums, members = members[:count], nil, members[count:]; len(members) == 0 {
 			p.Checksums = sums
 		}
-		ml.send(p, to)
+		l.send(p, to)
 	}
 }
 
 // updatesWithSelf returns the updates to transmit, with this process first.
-func (ml *Memberlist) updatesWithSelf() []Member {
-	ml.mu.Lock()
-	defer ml.mu.Unlock()
-	return append([]Member{ml.self}, ml.selectUpdates()...)
+func (l *Memberlist) updatesWithSelf() []Member {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]Member{l.self}, l.selectUpdates()...)
 }
 
 // mergeUpdate merges one update. If a newer state of that member is known already, it
 // returns that state. The update of a new member is queued for transmission only if relay
 // is true, that is, unless the member was learned by synchronization.
-func (ml *Memberlist) mergeUpdate(update Member, relay bool) (newer Member, known bool) {
-	ml.mu.Lock()
-	defer ml.mu.Unlock()
-	if update.Addr == ml.self.Addr {
-		if ml.leaving {
+func (l *Memberlist) mergeUpdate(update Member, relay bool) (newer Member, known bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if update.Addr == l.self.Addr {
+		if l.leaving {
 			return Member{}, false // this process has announced its departure itself
 		}
-		if update.Incarnation > ml.self.Incarnation || update.Status != Alive && update.Incarnation == ml.self.Incarnation {
-			ml.self.Incarnation, ml.cachedSnapshot = update.Incarnation+1, nil // refute
-			ml.k.Counters.Add("membership.objections", 1)
+		if update.Incarnation > l.self.Incarnation || update.Status != Alive && update.Incarnation == l.self.Incarnation {
+			l.self.Incarnation, l.cachedSnapshot = update.Incarnation+1, nil // refute
+			l.k.Counters.Add("membership.objections", 1)
 		}
 		return Member{}, false
 	}
-	e := ml.members[update.Addr]
+	e := l.members[update.Addr]
 	if e == nil {
 		if update.Status == Dead {
 			return Member{}, false
 		}
-		if len(ml.members) >= maxMembers {
-			ml.k.Counters.Add("membership.too_many", 1)
+		if len(l.members) >= maxMembers {
+			l.k.Counters.Add("membership.too_many", 1)
 			return Member{}, false
 		}
-		e = &entry{Member: update, statusSince: ml.k.Clock.Now()}
-		ml.members[update.Addr] = e
+		e = &entry{Member: update, statusSince: l.k.Clock.Now()}
+		l.members[update.Addr] = e
 		transmissions := 0
 		if relay {
 			transmissions = newMemberTransmissions
 		}
-		ml.queueUpdate(e, transmissions)
-		ml.changes.NotifyAll()
+		l.queueUpdate(e, transmissions)
+		l.changes.NotifyAll()
 		return Member{}, false
 	}
 	if update.Incarnation < e.Incarnation || update.Incarnation == e.Incarnation && update.Status <= e.Status {
@@ -362,26 +360,26 @@
 	}
 	changed := (e.Status == Dead) != (update.Status == Dead) || e.Role != update.Role
 	if e.Status != update.Status {
-		e.statusSince = ml.k.Clock.Now()
+		e.statusSince = l.k.Clock.Now()
 	}
 	e.Member = update
-	ml.queueUpdate(e, ml.retransmitLimit())
+	l.queueUpdate(e, l.retransmitLimit())
 	if changed {
-		ml.changes.NotifyAll()
+		l.changes.NotifyAll()
 	}
 	return Member{}, false
 }
 
 // Leave notifies a few other members that this process is shutting down.
-func (ml *Memberlist) Leave(context.Context) {
-	ml.mu.Lock()
-	ml.leaving = true
-	departure := ml.self
+func (l *Memberlist) Leave(context.Context) {
+	l.mu.Lock()
+	l.leaving = true
+	departure := l.self
 	departure.Status = Dead
-	ml.mu.Unlock()
-	for i, member := range ml.Members() {
+	l.mu.Unlock()
+	for i, member := range l.Members() {
 		if i < 2*indirectProbes && member.Addr != departure.Addr {
-			ml.send(packet{Kind: ack, Updates: []Member{departure}}, member.Addr)
+			l.send(packet{Kind: ack, Updates: []Member{departure}}, member.Addr)
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -27,13 +27,13 @@
 func newTestMemberlist(t *testing.T, members int) (*Memberlist, *recordingConn) {
 	t.Helper()
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	ml := New(k, Config{Self: Member{Addr: "10.0.0.1:7441", Role: "pooler"}, ProbeInterval: kernel.Second})
+	l := New(k, Config{Self: Member{Addr: "10.0.0.1:7441", Role: "pooler"}, ProbeInterval: kernel.Second})
 	conn := &recordingConn{}
-	ml.conn = conn
+	l.conn = conn
 	for i := range members {
-		ml.mergeUpdate(testMember(i), false)
+		l.mergeUpdate(testMember(i), false)
 	}
-	return ml, conn
+	return l, conn
 }
 
 func testMember(i int) Member {
@@ -83,53 +83,53 @@
 // Packets from unknown senders have bounded cost: the number of members is limited, and
 // malformed packets get no response.
 func TestPacketsFromUnknownSendersHaveBoundedCost(t *testing.T) {
-	ml, conn := newTestMemberlist(t, 10)
+	l, conn := newTestMemberlist(t, 10)
 	for i := range maxMembers + 500 {
-		ml.mergeUpdate(Member{Addr: fmt.Sprintf("10.%d.%d.%d:1", 2+i/60_000, i/250%240, i%250), Incarnation: 1}, true)
+		l.mergeUpdate(Member{Addr: fmt.Sprintf("10.%d.%d.%d:1", 2+i/60_000, i/250%240, i%250), Incarnation: 1}, true)
 	}
-	if n := len(ml.members); n > maxMembers {
+	if n := len(l.members); n > maxMembers {
 		t.Errorf("%d members accepted", n)
 	}
 	conn.written = nil
-	ml.handlePacket(t.Context(), packet{Kind: ping, From: "nowhere"})
-	ml.handlePacket(t.Context(), packet{Kind: "none", From: "10.3.0.1:1"})
-	if ml.k.Counters.Counter("membership.malformed").Load() != 2 || len(conn.written) != 0 {
-		t.Errorf("%d datagrams sent, counters %v", len(conn.written), ml.k.Counters.Snapshot())
+	l.handlePacket(t.Context(), packet{Kind: ping, From: "nowhere"})
+	l.handlePacket(t.Context(), packet{Kind: "none", From: "10.3.0.1:1"})
+	if l.k.Counters.Counter("membership.malformed").Load() != 2 || len(conn.written) != 0 {
+		t.Errorf("%d datagrams sent, counters %v", len(conn.written), l.k.Counters.Snapshot())
 	}
 }
 
 // Updates about new members are transmitted only a few times. Otherwise many processes
 // that start at once would each announce all others to all.
 func TestNewMemberUpdatesAreTransmittedFewTimes(t *testing.T) {
-	ml, _ := newTestMemberlist(t, 0)
+	l, _ := newTestMemberlist(t, 0)
 	for i := range 300 {
-		ml.mergeUpdate(testMember(i), true)
+		l.mergeUpdate(testMember(i), true)
 	}
 	sent := 0
 	for range 1000 {
-		sent += len(ml.selectUpdates())
+		sent += len(l.selectUpdates())
 	}
 	if sent != 300*newMemberTransmissions {
 		t.Errorf("%d transmissions of updates about 300 new members", sent)
 	}
-	ml.suspect(testMember(7).Addr)
-	if updates := ml.selectUpdates(); len(updates) != 1 || updates[0].Status != Suspect {
+	l.suspect(testMember(7).Addr)
+	if updates := l.selectUpdates(); len(updates) != 1 || updates[0].Status != Suspect {
 		t.Errorf("updates after a suspicion: %+v", updates)
 	}
 }
 
 func BenchmarkPacket(b *testing.B) {
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	ml := New(k, Config{Self: Member{Addr: "10.0.0.1:7441", Role: "pooler"}, ProbeInterval: kernel.Second})
-	ml.conn = &recordingConn{}
+	l := New(k, Config{Self: Member{Addr: "10.0.0.1:7441", Role: "pooler"}, ProbeInterval: kernel.Second})
+	l.conn = &recordingConn{}
 	for i := range 300 {
-		ml.mergeUpdate(testMember(i), false)
+		l.mergeUpdate(testMember(i), false)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		ml.send(packet{Kind: ping, Updates: ml.updatesWithSelf()}, "10.1.0.1:7441")
-		ml.conn.(*recordingConn).written = nil
-		if len(ml.Peers("pooler")) != 300 {
+		l.send(packet{Kind: ping, Updates: l.updatesWithSelf()}, "10.1.0.1:7441")
+		l.conn.(*recordingConn).written = nil
+		if len(l.Peers("pooler")) != 300 {
 			b.Fatal("members lost")
 		}
 	}
--- a/internal/membership/plugin.go
+++ b/internal/membership/plugin.go
@@ -11,16 +11,16 @@
 		Name: "membership", Rank: 15, Roles: []string{"pooler", "gateway", "control", "hollow"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			ml := New(k, Config{
+			l := New(k, Config{
 				Self: Member{
 					Addr: kernel.Need[*rpc.Endpoint](k).Addr(), Name: s.NodeName, Role: k.Role, Zone: s.Zone,
 				},
 				Seeds:         s.SeedPeers(),
 				ProbeInterval: settings.FromMillis(s.ProbeMs),
 			})
-			kernel.Offer(k, ml)
-			k.Supervise("membership", ml.Serve)
-			k.OnShutdown(ml.Leave)
+			kernel.Offer(k, l)
+			k.Supervise("membership", l.Serve)
+			k.OnShutdown(l.Leave)
 			return nil
 		},
 	})
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -29,14 +29,14 @@
 }
 
 // snapshot returns the current snapshot, which must not be modified.
-func (ml *Memberlist) snapshot() *snapshot {
-	ml.mu.Lock()
-	defer ml.mu.Unlock()
-	if ml.cachedSnapshot != nil {
-		return ml.cachedSnapshot
+func (l *Memberlist) snapshot() *snapshot {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.cachedSnapshot != nil {
+		return l.cachedSnapshot
 	}
-	s := &snapshot{members: []Member{ml.self}, peers: map[string][]string{}}
-	for _, e := range ml.members {
+	s := &snapshot{members: []Member{l.self}, peers: map[string][]string{}}
+	for _, e := range l.members {
 		if e.Status != Dead {
 			s.members = append(s.members, e.Member)
 		}
@@ -45,28 +45,28 @@
 	for _, m := range s.members {
 		partition, sum := hashAddr(m.Addr)
 		s.checksums[partition] ^= sum
-		if m.Role == ml.self.Role && m.Zone == ml.self.Zone {
+		if m.Role == l.self.Role && m.Zone == l.self.Zone {
 			s.sameZone = append(s.sameZone, m.Addr)
 		}
-		if m.Addr != ml.self.Addr {
+		if m.Addr != l.self.Addr {
 			s.peers[m.Role] = append(s.peers[m.Role], m.Addr)
 		}
 	}
 	for role, addrs := range s.peers {
 		s.peers[role] = slices.Clip(addrs) // appending to it copies it
 	}
-	ml.cachedSnapshot = s
+	l.cachedSnapshot = s
 	return s
 }
 
 // Members returns all members that are not dead, this process included. The slice must
 // not be modified.
-func (ml *Memberlist) Members() []Member { return ml.snapshot().members }
+func (l *Memberlist) Members() []Member { return l.snapshot().members }
 
 // Peers returns the internal addresses of the other members with the role. The slice
 // must not be modified.
-func (ml *Memberlist) Peers(role string) []string { return ml.snapshot().peers[role] }
+func (l *Memberlist) Peers(role string) []string { return l.snapshot().peers[role] }
 
 // ZonePeers returns the internal addresses of the members with this process's role and zone,
 // sorted and including its own. The slice must not be modified.
-func (ml *Memberlist) ZonePeers() []string { return ml.snapshot().sameZone }
+func (l *Memberlist) ZonePeers() []string { return l.snapshot().sameZone }
