--- a/cmd/indigowalk/sizes_test.go
+++ b/cmd/indigowalk/sizes_test.go
@@ -17,7 +17,7 @@
 	maxFunctionLines = 60  // lines; tests may be longer, since many are tables
 )
 
-// TestSizes keeps files and functions short enough to be read in one go.
+// TestSizes limits the length of files and functions, so that they stay easy to read.
 func TestSizes(t *testing.T) {
 	root := os.DirFS("../..")
 	err := fs.WalkDir(root, ".", func(path string, entry fs.DirEntry, err error) error {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -62,7 +62,7 @@
 	maxUpdates       = 8  // members whose updates one packet carries, besides the sender
 	syncReplyMembers = 24 // members in one datagram of a synchronization
 	maxDatagramBytes = 8192
-	indirectProbes   = 3      // members that are requested to probe a suspect
+	indirectProbes   = 3      // members that are requested to probe one that did not answer
 	maxMembers       = 10_000 // further members are ignored
 
 	syncEveryRounds = 3 // probe rounds between two synchronizations with a member
@@ -300,8 +300,8 @@
 // checksums returns the partition checksums of the members known to this process.
 func (l *Memberlist) checksums() []uint32 { s := l.snapshot().checksums; return s[:] }
 
-// sendSyncReply sends the members in datagrams of at most syncReplyMembers. The last
-// one carries the checksums.
+// sendSyncReply sends the members in several datagrams of at most syncReplyMembers, since
+// the size of a datagram is limited. The last one carries the checksums.
 func (l *Memberlist) sendSyncReply(to string, p packet, members []Member) {
 	sums := p.Checksums
 	for len(members) > 0 {
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -41,7 +41,7 @@
 type process struct {
 	incarnation int64
 	seq         int64    // of its newest incoming connection
-	conn        net.Conn // nil if that connection has ended
+	conn        net.Conn // nil if no incoming connection is open
 }
 
 // maxKnownProcesses limits the addresses whose incarnations are remembered.
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -175,7 +175,7 @@
 
 // Whatever a caller sends, a call is executed only after a hello addressed to this process,
 // and only if its ID is higher than that of every call before it, so that no call is executed
-// twice.
+// twice. Every executed call gets a response or the connection closes.
 func FuzzCalls(f *testing.F) {
 	hello, one, two := helloLine(self, other, 10)+"\n", `{"id":1,"op":"op","body":1}`+"\n", `{"id":2,"op":"op","body":2}`+"\n"
 	for _, text := range []string{
--- a/internal/scalebench/hollow.go
+++ b/internal/scalebench/hollow.go
@@ -1,6 +1,6 @@
 // Package scalebench measures the cost of the control state at a given cluster size. It runs
 // real control nodes, one process each, and hollow nodes, many in one process. Hollow nodes take
-// part in membership and receive all updates like poolers, but serve no traffic.
+// part in membership and receive all updates, but serve no traffic.
 package scalebench
 
 import (
--- a/internal/settings/plugin.go
+++ b/internal/settings/plugin.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// watch reloads the settings on SIGHUP, and when the file has changed, which it checks once a
-// second.
+// watch reloads the settings on SIGHUP, and after a change of the file, for which it checks once
+// a second.
 func (l *Live) watch(ctx context.Context, k *kernel.Kernel) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
--- a/internal/tools/accept.go
+++ b/internal/tools/accept.go
@@ -23,8 +23,8 @@
 // errNoPrimary is returned if none of the queried processes is the primary control node.
 var errNoPrimary = errors.New("no control node that was asked leads; ask others, or all with the primary among them")
 
-// FindBlocked returns why the failover of a service is blocked. It returns an error if the reports
-// contain none of the primary control node, or if the service is unknown or its failover is not
+// FindBlocked returns why the failover of a service is blocked. It returns an error if none of the
+// reports is from the primary control node, if the service is unknown, or if its failover is not
 // blocked.
 func (s *System) FindBlocked(service string) (*BlockedFailover, error) {
 	primary := s.Primary()
@@ -50,9 +50,9 @@
 	fmt.Fprintln(out, "Commits that clients were told of may be gone then. The order is kept with the service's lead.")
 }
 
-// AcceptLoss requests the control node to accept the loss of acknowledged commits on behalf of the
-// operator named by. If failoverID is not the ID of the reported failover, it returns an error and
-// sends nothing.
+// AcceptLoss asks the control node to accept the loss of acknowledged commits, and to record by as the
+// operator who accepted it. If failoverID is not the ID of the reported failover, it returns an error
+// and sends nothing.
 func (b *BlockedFailover) AcceptLoss(ctx context.Context, network kernel.Network, failoverID int64, by string) error {
 	if failoverID != b.FailoverID {
 		return fmt.Errorf("service %s is at turn %d, not %d: look again at what it waits for", b.Service, b.FailoverID, failoverID)
--- a/internal/tools/replay.go
+++ b/internal/tools/replay.go
@@ -178,7 +178,7 @@
 	}
 	received := choice.Situation.Copies[chosen].Received
 	if acked := choice.Situation.AckedUpperBound; acked != nil && !received.Less(*acked) {
-		return "" // it holds all commits that were acknowledged to clients
+		return "" // it has all commits that were acknowledged to clients
 	}
 	for _, other := range choice.Situation.Copies {
 		if received.Less(other.Received) {
