--- a/internal/pooler/invariants.go
+++ b/internal/pooler/invariants.go
@@ -21,24 +21,23 @@
 	}
 }
 
-// checkSentOnce checks that a statement that must not run twice is not sent again after it may have
-// run.
+// checkSentOnce checks that a write is not sent again after a database may have executed it.
 func (j *job) checkSentOnce(database string) {
-	j.s.pooler.k.Invariants.Check(!j.mayHaveRun, invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.statement.ID, database)
+	j.session.pooler.k.Invariants.Check(!j.mayHaveRun, invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.statement.ID, database)
 }
 
 // checkNoneUnanswered checks, at the end of draining, that every statement that was read has been
 // answered or its response is being written, unless the process stalled since draining began.
-func (d *Pooler) checkNoneUnanswered(drainStart kernel.Micros) {
+func (p *Pooler) checkNoneUnanswered(drainStart kernel.Micros) {
 	unanswered := 0
-	d.forEachSession(func(s *session) {
+	p.forEachSession(func(s *session) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.busy && !s.responding {
 			unanswered++
 		}
 	})
-	if unanswered > 0 && !d.stalls.StalledSince(drainStart) {
-		d.k.Invariants.Check(false, invariant.NothingUnanswered, "%d sessions wait for an answer", unanswered)
+	if unanswered > 0 && !p.stalls.StalledSince(drainStart) {
+		p.k.Invariants.Check(false, invariant.NothingUnanswered, "%d sessions still wait for a response at the end of draining", unanswered)
 	}
 }
--- a/internal/pooler/invariants_test.go
+++ b/internal/pooler/invariants_test.go
@@ -15,7 +15,7 @@
 // is unanswered at the end of draining, and memory that is not released.
 func TestInvariantViolationsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
-		play func(s *session, j *job)
+		run  func(s *session, j *job)
 		want []invariant.Invariant
 	}{
 		"answered at its deadline": {func(s *session, j *job) { j.deadline = j.now(); s.checkAnsweredInTime("s1.1") }, nil},
@@ -34,23 +34,23 @@
 		}, []invariant.Invariant{invariant.MemoryReleased}},
 	} {
 		k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
-		d := &Pooler{k: k, memory: memorybudget.New(0)}
-		s := &session{pooler: d, busy: true, memory: d.memory.NewReservation(0)}
-		d.sessions = map[*session]struct{}{s: {}}
-		j := &job{s: s, statement: lineprotocol.Statement{ID: "s1.1"}}
+		p := &Pooler{k: k, memory: memorybudget.New(0)}
+		s := &session{pooler: p, busy: true, memory: p.memory.NewReservation(0)}
+		p.sessions = map[*session]struct{}{s: {}}
+		j := &job{session: s, statement: lineprotocol.Statement{ID: "s1.1"}}
 		s.trace.reset(k.Clock.Now())
 		s.trace.job = j
-		c.play(s, j)
+		c.run(s, j)
 		if got := k.Invariants.Violated(); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: violations %v", name, got)
 		}
 	}
 }
 
-// Any stall long enough to make a response late must be detected, so that a stalled process is not
-// reported as one that answers late.
+// Any stall that can make a response late must be detected, because a late response of a process that
+// stalled is not a violation.
 func TestStallsThatDelayResponsesAreDetected(t *testing.T) {
 	if deadlineTolerance <= kernel.MaxUndetectedStall {
-		t.Errorf("an answer counts as late after %d us, a stall of %d us is not seen", deadlineTolerance, kernel.MaxUndetectedStall)
+		t.Errorf("a response counts as late after %d us, but a stall of %d us can go undetected", deadlineTolerance, kernel.MaxUndetectedStall)
 	}
 }
--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -18,32 +18,32 @@
 
 // job is the processing of one statement, or of the start of a transaction, at a database.
 type job struct {
-	s            *session
+	session      *session
 	statement    lineprotocol.Statement
 	prepared     dbconn.Prepared // the prepared statement of a RUN
 	write        bool
 	received     kernel.Micros
 	deadline     kernel.Micros
-	waitDeadline kernel.Micros // for the wait for a database that can run it
+	waitDeadline kernel.Micros // until when it may wait for a database that can run it
 	route        *routeconfig.Route
 	tenant       *routeconfig.PublishedTenant // nil if there is none
 	permit       *quota.Permit
 	tries        int
 	excluded     map[string]bool
-	mayResend    bool // may be sent a second time while the first attempt is unanswered
-	// mayHaveRun is set if it is a write that a database may have executed.
+	mayResend    bool // it may be sent a second time while the first attempt is unanswered
+	// mayHaveRun is set if it is a write that a database may have executed already.
 	mayHaveRun bool
 }
 
-// waitShare is the share of its timeout for which a statement may wait for a database that can run
-// it. After that the client gets RETRY with a retry-after.
+// waitShare is the fraction of its timeout for which a statement may wait for a database that can
+// run it. After that the client gets RETRY with a retry-after.
 const waitShare = 0.4
 
 // retryAfter formats a retry-after for a RETRY response, in milliseconds.
 func retryAfter(m kernel.Micros) string { return strconv.FormatInt(m.Millis(), 10) }
 
-// suspicionFactor is the multiple of the typical latency after which a response is considered lost,
-// or its database unresponsive.
+// suspicionFactor is the multiple of the typical latency after which a missing response makes its
+// database suspect, and the statement may be sent a second time.
 const suspicionFactor = 4
 
 // guaranteesNoEffect reports whether an error code guarantees that the statement had no lasting
@@ -58,8 +58,8 @@
 
 // newJob returns the job of a statement, with its route and tenant. It returns an error response
 // instead if the statement can't be run.
-func (s *session) newJob(q lineprotocol.Statement) (*job, *lineprotocol.Answer) {
-	j := &job{s: s, statement: q, received: s.pooler.k.Clock.Now()}
+func (s *session) newJob(statement lineprotocol.Statement) (*job, *lineprotocol.Answer) {
+	j := &job{session: s, statement: statement, received: s.pooler.k.Clock.Now()}
 	var conf *routeconfig.Index
 	if j.route, _, conf = s.pooler.route(s.database); j.route == nil {
 		s.trace.setCause(causeNoRoute)
@@ -70,8 +70,8 @@
 	if j.tenant, code = s.authorize(j.route, conf); code != "" {
 		return nil, errorResponse(code, retryAfter(kernel.Second), s.state())
 	}
-	if a := j.resolve(); a != nil {
-		return nil, a
+	if answer := j.classifyStatement(); answer != nil {
+		return nil, answer
 	}
 	j.permit = j.newPermit()
 	timeout := kernel.Micros(j.route.DeadlineMs) * kernel.Millisecond
@@ -80,39 +80,44 @@
 	return j, nil
 }
 
-// resolve determines whether the statement is a write, looking up the prepared statement of a RUN.
-func (j *job) resolve() *lineprotocol.Answer {
+// classifyStatement determines whether the statement is a write, and looks up the prepared statement
+// of a RUN. It returns an error response if there is no such prepared statement.
+func (j *job) classifyStatement() *lineprotocol.Answer {
 	switch j.statement.Verb {
 	case lineprotocol.Put:
 		j.write = true
 	case lineprotocol.Run:
-		prepared, ok := j.s.prepared[j.statement.Name]
+		prepared, ok := j.session.prepared[j.statement.Name]
 		if !ok {
-			return errorResponse(lineprotocol.NoSuch, j.statement.Name, j.s.state())
+			return errorResponse(lineprotocol.NoSuch, j.statement.Name, j.session.state())
 		}
 		j.prepared, j.write = prepared, prepared.Kind == lineprotocol.Put
 	}
 	return nil
 }
 
-func (j *job) now() kernel.Micros       { return j.s.pooler.k.Clock.Now() }
+func (j *job) now() kernel.Micros       { return j.session.pooler.k.Clock.Now() }
 func (j *job) remaining() kernel.Micros { return j.deadline - j.now() }
 
-// timeout returns the time limit for the pooler's own statements that must precede this one.
-func (j *job) timeout() dbconn.WaitLimit { return dbconn.NewLimit(j.remaining(), j.s.pooler.terminate) }
+// timeout returns the time limit for the pooler's own statements that must run before this one.
+func (j *job) timeout() dbconn.WaitLimit {
+	return dbconn.NewLimit(j.remaining(), j.session.pooler.terminate)
+}
 
-// want returns which connection the statement prefers.
-func (j *job) want() dbconn.Want { return dbconn.Want{Tenant: nameFor(j.tenant), Values: j.s.values} }
+// criteria returns what the statement requires or prefers of a connection.
+func (j *job) criteria() dbconn.Want {
+	return dbconn.Want{Tenant: nameFor(j.tenant), Values: j.session.values}
+}
 
 func (j *job) routingRequest(write bool) readrouting.Request {
 	return readrouting.Request{
 		Service: j.route.Service, Type: j.route.Type,
 		MaxStaleness: j.route.MaxStaleness(),
-		Received:     j.received, LastCommit: j.s.lastCommit, Write: write, Avoid: j.excluded,
+		Received:     j.received, LastCommit: j.session.lastCommit, Write: write, Avoid: j.excluded,
 	}
 }
 
-// exclude excludes a database from the choice for the next attempts.
+// exclude keeps the router from choosing the database for the next attempts.
 func (j *job) exclude(id string) {
 	if j.excluded == nil {
 		j.excluded = map[string]bool{}
@@ -123,35 +128,37 @@
 // unavailableError reports that no database can run the statement at present, and why.
 type unavailableError struct{ cause string }
 
-func (e *unavailableError) Error() string { return "pooler: no database can run it now: " + e.cause }
+func (e *unavailableError) Error() string {
+	return "pooler: no database can run the statement now: " + e.cause
+}
 
-// unavailable returns the error for a statement that no database can run for the given cause; if
-// that is empty, the router determines the cause.
+// unavailable returns the error for a statement that no database can run, for the given cause or, if
+// that is empty, for the cause that the router determines.
 func (j *job) unavailable(cause string, write bool) error {
 	if cause == "" {
-		cause = j.s.pooler.router.Explain(j.routingRequest(write), j.s.pooler.candidates(j.route.Service, j.want()))
+		cause = j.session.pooler.router.Explain(j.routingRequest(write), j.session.pooler.candidates(j.route.Service, j.criteria()))
 	}
 	return &unavailableError{cause}
 }
 
 // acquireConnection waits for a database that can run the job and borrows a connection to it.
 func (j *job) acquireConnection(write bool) (*dbconn.Conn, readrouting.Choice, error) {
-	d := j.s.pooler
+	p := j.session.pooler
 	for {
-		if d.terminating() {
+		if p.terminating() {
 			return nil, readrouting.Choice{}, j.unavailable(causeShutdown, write)
 		}
-		changed, healthChanged := d.control.Changed(), d.health.Changed()
-		choice, ok := d.pickDatabase(j.routingRequest(write), j.want())
+		changed, healthChanged := p.control.Changed(), p.health.Changed()
+		choice, ok := p.pickDatabase(j.routingRequest(write), j.criteria())
 		until := j.waitDeadline
 		key := outageKey{j.route.Service, write || j.route.Type == routeconfig.Primary}
 		if ok {
-			d.outages.clear(key)
-			conn, err := d.pool.Borrow(choice.Database.ID, priority(j.tenant, j.route), j.want(), min(j.waitDeadline, j.deadline)-j.now())
+			p.outages.clear(key)
+			conn, err := p.pool.Borrow(choice.Database.ID, priority(j.tenant, j.route), j.criteria(), min(j.waitDeadline, j.deadline)-j.now())
 			if err == nil {
 				return conn, choice, nil
 			}
-			j.s.trace.addAttempt(choice.Database.ID, j.now(), errors.Join(errNotSent, err), nil)
+			j.session.trace.addAttempt(choice.Database.ID, j.now(), errors.Join(errNotSent, err), nil)
 			switch {
 			case errors.Is(err, connpool.ErrPoolExhausted):
 				return nil, choice, j.unavailable(causeQueueFull, write)
@@ -161,21 +168,21 @@
 			j.exclude(choice.Database.ID)
 		}
 		if !ok {
-			until = min(until, d.outages.waitDeadline(key, j.now(), j.received))
+			until = min(until, p.outages.waitDeadline(key, j.now(), j.received))
 		}
 		wait := min(until-j.now(), 200*kernel.Millisecond)
 		if wait <= 0 {
 			return nil, choice, j.unavailable("", write)
 		}
 		if ok && !choice.Primary {
-			continue // another replica, or the primary
+			continue // try another replica, or the primary
 		}
 		clear(j.excluded)
 		t := time.NewTimer(wait.Duration())
 		select {
 		case <-changed:
 		case <-healthChanged:
-		case <-d.terminate:
+		case <-p.terminate:
 		case <-t.C:
 		}
 		t.Stop()
@@ -198,128 +205,129 @@
 // errNotSent marks a failure that occurred before the statement was sent completely.
 var errNotSent = errors.New("pooler: not sent")
 
-// phase is the position of a statement in a transaction.
-type phase int
+// statementPhase is the position of a statement in a transaction.
+type statementPhase int
 
 const (
-	phaseBegin phase = iota // outside a transaction, or BEGIN: the conditions of the choice must hold
-	phaseFirst              // the first statement after BEGIN
+	phaseBegin statementPhase = iota // a statement outside a transaction, or BEGIN: the conditions of the database choice must hold
+	phaseFirst                       // the first statement after BEGIN
 	phaseLater
 )
 
-// roundTrip sends the text on a borrowed connection and waits for the response. To a primary it
-// sends only under the read lease, unless the statement continues a transaction that was begun under
-// it. To a draining database it sends nothing that starts there after the drain period.
-func (j *job) roundTrip(conn *dbconn.Conn, choice readrouting.Choice, b *health.Binding, text string, stage phase) (*lineprotocol.Answer, error) {
-	d := j.s.pooler
-	if !choice.Primary && stage == phaseBegin && choice.MinPosition != (lineprotocol.Position{}) {
+// roundTrip sends the text on a borrowed connection and waits for the response. A statement to a
+// primary is sent only under the read lease, unless it continues a transaction that began under the
+// lease. Once the drain period of a draining database is over, only transactions that have already
+// run a statement there are continued.
+func (j *job) roundTrip(conn *dbconn.Conn, choice readrouting.Choice, binding *health.Binding, text string, phase statementPhase) (*lineprotocol.Answer, error) {
+	p := j.session.pooler
+	if !choice.Primary && phase == phaseBegin && choice.MinPosition != (lineprotocol.Position{}) {
 		text = "WAITPOS " + choice.MinPosition.String() + " " + text
 	}
 	msg := lineprotocol.AppendMessage(nil, "QUERY", j.statement.ID, text)
 	sent := j.now()
-	gated := choice.Primary && stage == phaseBegin
+	needsLease := choice.Primary && phase == phaseBegin
 	gate := func(write func() error) (err error) {
-		counted := func() error {
+		writeWithinQuota := func() error {
 			if err := j.permit.Check(); err != nil {
 				return err
 			}
 			j.permit.Spend()
 			return write()
 		}
-		if gated {
-			sent, err = d.control.Send(j.route.Service, choice.Database.ID, counted)
+		if needsLease {
+			sent, err = p.control.Send(j.route.Service, choice.Database.ID, writeWithinQuota)
 			return err
 		}
-		if err = d.control.MaySend(choice.Database.ID); err != nil {
+		if err = p.control.MaySend(choice.Database.ID); err != nil {
 			return err
 		}
-		return counted()
+		return writeWithinQuota()
 	}
-	if stage == phaseLater {
+	if phase == phaseLater {
 		gate = nil
 	}
 	if err := conn.Send(msg, j.remaining(), gate); err != nil {
 		return nil, errors.Join(errNotSent, err)
 	}
-	watch := dbconn.Watch{ShuttingDown: d.terminate, DelayThreshold: max(d.cfg.SuspicionTimeout, suspicionFactor*d.router.TypicalLatency(j.route.Host)), OnDelay: func() bool {
-		_, gen := b.Bound()
-		d.health.Report(choice.Database.ID, min(gen, conn.Generation), false)
-		return !j.mayResend || !d.resends.withdraw()
+	watch := dbconn.Watch{ShuttingDown: p.terminate, DelayThreshold: max(p.cfg.SuspicionTimeout, suspicionFactor*p.router.TypicalLatency(j.route.Host)), OnDelay: func() bool {
+		_, generation := binding.Bound()
+		p.health.Report(choice.Database.ID, min(generation, conn.Generation), false)
+		return !j.mayResend || !p.resends.withdraw()
 	}}
 	if !j.write && j.statement.Verb != lineprotocol.Commit {
-		// A read is retried elsewhere as soon as the database is considered down; the outcome of
-		// a write is known only from its response.
-		watch.MarkedDown = b.Unbound()
+		// A read is retried at another database as soon as this one is marked down. The outcome of
+		// a write is known only from its response, so it keeps waiting.
+		watch.MarkedDown = binding.Unbound()
 	}
-	a, err := conn.Receive(j.remaining(), watch)
+	answer, err := conn.Receive(j.remaining(), watch)
 	if err != nil {
 		return nil, err
 	}
-	if a.Code == "" && !j.write && (j.statement.Verb == lineprotocol.Fetch || j.statement.Verb == lineprotocol.Run) {
-		d.router.RecordLatency(j.route.Host, choice.Database.ID, j.now()-sent)
+	if answer.Code == "" && !j.write && (j.statement.Verb == lineprotocol.Fetch || j.statement.Verb == lineprotocol.Run) {
+		p.router.RecordLatency(j.route.Host, choice.Database.ID, j.now()-sent)
 	}
-	if gated && a.Code == "" {
-		if pos, ok := lineprotocol.ParsePosition(a.Pos); ok {
-			d.router.Observe(j.route.Service, sent, pos)
-			d.control.Observe(j.route.Service, sent, pos)
+	if needsLease && answer.Code == "" {
+		if pos, ok := lineprotocol.ParsePosition(answer.Pos); ok {
+			p.router.Observe(j.route.Service, sent, pos)
+			p.control.Observe(j.route.Service, sent, pos)
 		}
 	}
-	return a, nil
+	return answer, nil
 }
 
 // executeSingle executes a statement outside a transaction, with retries.
-func (s *session) executeSingle(q lineprotocol.Statement) *lineprotocol.Answer {
-	j, a := s.newJob(q)
-	if a != nil {
-		return a
+func (s *session) executeSingle(statement lineprotocol.Statement) *lineprotocol.Answer {
+	j, answer := s.newJob(statement)
+	if answer != nil {
+		return answer
 	}
 	defer j.permit.Release()
 	for {
-		if a := j.acquireQuota(); a != nil {
-			return a
+		if answer := j.acquireQuota(); answer != nil {
+			return answer
 		}
 		conn, choice, err := j.acquireConnection(j.write)
 		if err != nil {
 			return j.refuse(err)
 		}
-		if a := j.checkDeadline(j.attempt(conn, choice)); a != nil {
-			return a
+		if answer := j.checkDeadline(j.attempt(conn, choice)); answer != nil {
+			return answer
 		}
 		s.pooler.retries.Add(1)
 	}
 }
 
-// checkDeadline returns the response for the client after an attempt: that of the attempt or, if it
-// has none and no time is left for another attempt, a refusal. It is called after every attempt,
-// because the process may have stalled between any two checks of the time.
-func (j *job) checkDeadline(a *lineprotocol.Answer) *lineprotocol.Answer {
-	if a == nil && j.remaining() <= 0 {
+// checkDeadline returns the response for the client after an attempt: that of the attempt or, if
+// there is none and no time is left for another attempt, a refusal. It is called after every attempt
+// because the process may have stalled since the time was last checked.
+func (j *job) checkDeadline(answer *lineprotocol.Answer) *lineprotocol.Answer {
+	if answer == nil && j.remaining() <= 0 {
 		return j.refuse(errDeadlinePassed)
 	}
-	return a
+	return answer
 }
 
 // attempt runs the statement once on conn and releases conn. It returns the response for the client,
 // or nil if another attempt may be made in the remaining time.
-func (j *job) attempt(conn *dbconn.Conn, choice readrouting.Choice) (a *lineprotocol.Answer) {
-	d, id := j.s.pooler, choice.Database.ID
+func (j *job) attempt(conn *dbconn.Conn, choice readrouting.Choice) (answer *lineprotocol.Answer) {
+	p, id := j.session.pooler, choice.Database.ID
 	j.checkSentOnce(id)
-	b := d.health.Bind(id)
+	binding := p.health.Bind(id)
 	var snapshot distribution.PrimarySnapshot
 	if choice.Primary {
-		snapshot = d.control.Begin(j.route.Service)
+		snapshot = p.control.Begin(j.route.Service)
 	}
 	release := func() {
-		d.pool.Return(conn)
-		d.health.Release(id, b)
+		p.pool.Return(conn)
+		p.health.Release(id, binding)
 		if choice.Primary {
-			d.control.Done(j.route.Service)
+			p.control.Done(j.route.Service)
 		}
 	}
 	// A read whose response is considered lost is sent once more, to another database if possible,
 	// and the first attempt is left to time out.
 	j.mayResend = !j.write && j.tries == 0
-	err := conn.SetValues(j.s.values, j.timeout())
+	err := conn.SetValues(j.session.values, j.timeout())
 	var text string
 	if err == nil {
 		text, err = j.statementText(conn)
@@ -327,11 +335,11 @@
 	if err != nil {
 		err = errors.Join(errNotSent, err)
 	} else {
-		a, err = j.roundTrip(conn, choice, b, text, phaseBegin)
+		answer, err = j.roundTrip(conn, choice, binding, text, phaseBegin)
 	}
-	j.mayHaveRun = j.write && (err == nil && !guaranteesNoEffect(a.Code) || err != nil && !errors.Is(err, errNotSent))
-	if err != nil || a.Code != "" {
-		j.s.trace.addAttempt(id, j.now(), err, a)
+	j.mayHaveRun = j.write && (err == nil && !guaranteesNoEffect(answer.Code) || err != nil && !errors.Is(err, errNotSent))
+	if err != nil || answer.Code != "" {
+		j.session.trace.addAttempt(id, j.now(), err, answer)
 	}
 	if errors.Is(err, dbconn.ErrNoAnswerYet) {
 		j.abandonAttempt(conn, choice, release)
@@ -339,18 +347,18 @@
 	}
 	defer release()
 	if err != nil {
-		return j.handleAttemptError(conn, b, err)
+		return j.handleAttemptError(conn, binding, err)
 	}
-	if j.write && a.Code == "" && !d.control.Acknowledge(j.route.Service, id, snapshot, a.Pos) {
-		return j.s.leaderChangedResponse(id)
+	if j.write && answer.Code == "" && !p.control.Acknowledge(j.route.Service, id, snapshot, answer.Pos) {
+		return j.session.leaderChangedResponse(id)
 	}
-	return j.handleResponse(conn, choice, a)
+	return j.handleResponse(conn, choice, answer)
 }
 
 // abandonAttempt waits in the background for a response that is considered lost, and then releases
 // the connection.
 func (j *job) abandonAttempt(conn *dbconn.Conn, choice readrouting.Choice, release func()) {
-	j.s.pooler.k.Counters.Add("pooler.sent_twice", 1)
+	j.session.pooler.k.Counters.Add("pooler.sent_twice", 1)
 	j.tries++
 	if !choice.Primary {
 		j.exclude(choice.Database.ID)
@@ -364,8 +372,8 @@
 	}()
 }
 
-// leaderChangedResponse returns the response to a write that its database acknowledged after this
-// pooler had released that primary: whether the write persists is unknown.
+// leaderChangedResponse returns the response to a write that its database acknowledged when it was no
+// longer the primary that this pooler held a lease on: whether the write persists is unknown.
 func (s *session) leaderChangedResponse(id string) *lineprotocol.Answer {
 	s.pooler.k.Counters.Add("pooler.left_meanwhile", 1)
 	s.trace.setCause(causeLeaderChanged)
@@ -374,11 +382,11 @@
 
 // handleAttemptError handles an attempt that got no response; it returns nil if another attempt may
 // be made.
-func (j *job) handleAttemptError(conn *dbconn.Conn, b *health.Binding, err error) *lineprotocol.Answer {
-	d, id := j.s.pooler, conn.DB.ID
+func (j *job) handleAttemptError(conn *dbconn.Conn, binding *health.Binding, err error) *lineprotocol.Answer {
+	p, id := j.session.pooler, conn.DB.ID
 	if silent := errors.Is(err, connpool.ErrUnresponsive); silent || errors.Is(err, connpool.ErrBroken) {
-		_, gen := b.Bound()
-		d.health.Report(id, min(gen, conn.Generation), silent)
+		_, generation := binding.Bound()
+		p.health.Report(id, min(generation, conn.Generation), silent)
 	}
 	if !blockedLocally(err) {
 		conn.Close()
@@ -386,15 +394,15 @@
 	notSent := errors.Is(err, errNotSent)
 	switch {
 	case j.write && !notSent:
-		d.k.Counters.Add("pooler.unknown", 1)
-		j.s.trace.setCause(causeNoResponse)
+		p.k.Counters.Add("pooler.unknown", 1)
+		j.session.trace.setCause(causeNoResponse)
 		return errorResponse(lineprotocol.Unknown, "no answer from "+id, 'I')
 	case j.remaining() <= 0:
 		if notSent {
 			return j.refuse(err)
 		}
-		d.k.Counters.Add("pooler.expired", 1)
-		j.s.trace.setCause(causeDeadline)
+		p.k.Counters.Add("pooler.expired", 1)
+		j.session.trace.setCause(causeDeadline)
 		return errorResponse(lineprotocol.Expired, "deadline passed", 'I')
 	}
 	if !blockedLocally(err) {
@@ -403,26 +411,26 @@
 	return nil
 }
 
-// blockedLocally reports whether a statement was not sent for a reason that is not the database's
-// fault: no lease, or no quota.
+// blockedLocally reports whether the pooler itself held the statement back, for lack of a lease or of
+// quota, so that the database is not at fault.
 func blockedLocally(err error) bool {
 	return errors.Is(err, distribution.ErrNoLease) || errors.Is(err, quota.ErrAdmissionEnded)
 }
 
 // handleResponse handles a database's response outside a transaction; it returns nil if another
 // attempt may be made.
-func (j *job) handleResponse(conn *dbconn.Conn, choice readrouting.Choice, a *lineprotocol.Answer) *lineprotocol.Answer {
-	d, id := j.s.pooler, choice.Database.ID
-	switch a.Code {
+func (j *job) handleResponse(conn *dbconn.Conn, choice readrouting.Choice, answer *lineprotocol.Answer) *lineprotocol.Answer {
+	p, id := j.session.pooler, choice.Database.ID
+	switch answer.Code {
 	case "":
 		if j.write {
-			if pos, ok := lineprotocol.ParsePosition(a.Pos); ok && j.s.lastCommit.Less(pos) {
-				j.s.lastCommit = pos
+			if pos, ok := lineprotocol.ParsePosition(answer.Pos); ok && j.session.lastCommit.Less(pos) {
+				j.session.lastCommit = pos
 			}
 		}
-		return a
+		return answer
 	case lineprotocol.Lagging:
-		d.router.MarkLagging(id)
+		p.router.MarkLagging(id)
 		j.exclude(id)
 		return nil
 	case lineprotocol.NoSuch:
@@ -432,20 +440,20 @@
 			j.exclude(id)
 		}
 	}
-	if guaranteesNoEffect(a.Code) || a.Code == lineprotocol.Failed && !j.write {
+	if guaranteesNoEffect(answer.Code) || answer.Code == lineprotocol.Failed && !j.write {
 		j.tries++
-		if j.tries <= j.route.Tries && j.backOff(a.Code) {
+		if j.tries <= j.route.Tries && j.backOff(answer.Code) {
 			return nil
 		}
-		if a.Code != lineprotocol.Failed {
+		if answer.Code != lineprotocol.Failed {
 			return j.refuse(errTriesExhausted)
 		}
 	}
-	return a
+	return answer
 }
 
-// backOff waits briefly after errors that an immediate retry would meet again. It reports whether
-// there is time for another attempt.
+// backOff waits briefly after an error that an immediate retry would probably get again. It reports
+// whether there is time for another attempt.
 func (j *job) backOff(code string) bool {
 	var wait kernel.Micros
 	switch code {
@@ -462,23 +470,23 @@
 }
 
 // errTriesExhausted reports that a statement was sent as often as its route allows.
-var errTriesExhausted = errors.New("pooler: sent as often as the route allows")
+var errTriesExhausted = errors.New("pooler: all tries that the route allows are used up")
 
 // errDeadlinePassed reports that no time is left for another attempt.
-var errDeadlinePassed = errors.New("pooler: no time is left")
+var errDeadlinePassed = errors.New("pooler: deadline passed")
 
 // refuse returns a RETRY response with a retry-after for a statement that was not run, and records
 // the cause.
 func (j *job) refuse(cause error) *lineprotocol.Answer {
-	j.s.pooler.k.Counters.Add("pooler.refused", 1)
+	j.session.pooler.k.Counters.Add("pooler.refused", 1)
 	unavailable := new(unavailableError)
 	switch {
 	case errors.As(cause, &unavailable):
-		j.s.trace.setCause(unavailable.cause)
+		j.session.trace.setCause(unavailable.cause)
 	case errors.Is(cause, errTriesExhausted):
-		j.s.trace.setCause(causeTriesExhausted)
+		j.session.trace.setCause(causeTriesExhausted)
 	default:
-		j.s.trace.setCause(causeDeadline)
+		j.session.trace.setCause(causeDeadline)
 	}
-	return errorResponse(lineprotocol.Retry, retryAfter(200*kernel.Millisecond), j.s.state())
+	return errorResponse(lineprotocol.Retry, retryAfter(200*kernel.Millisecond), j.session.state())
 }
--- a/internal/pooler/memory.go
+++ b/internal/pooler/memory.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// uncountedBytes of each session are not counted: most sessions need no more.
+	// uncountedBytes is how much of each session's memory is not charged to the memory budget: most
+	// sessions need no more.
 	uncountedBytes = 16 << 10
 	// messageCopies is how many copies of a long message are in memory while it is processed: the
 	// bytes received, the text, and the message to the database.
@@ -26,17 +27,17 @@
 )
 
 // errMessageTimeout reports that a long message was not received completely in time.
-var errMessageTimeout = errors.New("pooler: a long message did not come in time")
+var errMessageTimeout = errors.New("pooler: long message not received in time")
 
 // reserveMessage reserves memory for the bytes received so far of a message that arrives in parts,
-// and reports whether there is enough. The reader calls it; 0 starts the next message.
+// and reports whether there is enough. The reader calls it, with 0 when the next message begins.
 func (s *session) reserveMessage(bytes int) bool {
 	s.messageBytes = bytes
 	if !s.memory.Resize(s.memoryBytes()) {
 		return false
 	}
-	if loggedIn := s.database != ""; loggedIn && bytes > uncountedBytes && s.readUntil == 0 {
-		s.readUntil = s.pooler.k.Clock.Now() + longMessageTimeout
+	if loggedIn := s.database != ""; loggedIn && bytes > uncountedBytes && s.messageDeadline == 0 {
+		s.messageDeadline = s.pooler.k.Clock.Now() + longMessageTimeout
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !s.draining {
@@ -49,11 +50,14 @@
 // memoryBytes returns how many bytes of the process's memory the session uses.
 func (s *session) memoryBytes() int64 { return int64(s.storedBytes + messageCopies*s.messageBytes) }
 
-// overdue reports whether the time to receive a long message is over.
-func (s *session) overdue() bool { return s.readUntil > 0 && s.pooler.k.Clock.Now() >= s.readUntil }
+// messageOverdue reports whether the time to receive a long message is over.
+func (s *session) messageOverdue() bool {
+	return s.messageDeadline > 0 && s.pooler.k.Clock.Now() >= s.messageDeadline
+}
 
-// growStored increases the size of what the session stores by the given number of bytes, which may
-// be negative. It returns an error response if a limit would be exceeded, nil otherwise.
+// growStored adds the given number of bytes, which may be negative, to the size of the session's
+// values and prepared statements. It returns an error response if a limit would be exceeded, nil
+// otherwise.
 func (s *session) growStored(bytes int) *lineprotocol.Answer {
 	if bytes > 0 && s.storedBytes+bytes > maxStoredBytes {
 		return errorResponse(lineprotocol.Malformed, "too many values and prepared names", s.state())
@@ -85,16 +89,17 @@
 	return preparedSize(name, statement)
 }
 
+// entrySize returns the number of bytes counted for a value or a prepared name.
 func entrySize(name, text string) int { return len(name) + len(text) + entryOverhead }
 
 func preparedSize(name string, statement dbconn.Prepared) int { return entrySize(name, statement.Text) }
 
 // checkMemoryReleased checks, when no session is left, that all memory has been released.
-func (d *Pooler) checkMemoryReleased() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.sessions) == 0 {
-		used := d.memory.Used()
-		d.k.Invariants.Check(used == 0, invariant.MemoryReleased, "%d bytes are taken by nobody", used)
+func (p *Pooler) checkMemoryReleased() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.sessions) == 0 {
+		used := p.memory.Used()
+		p.k.Invariants.Check(used == 0, invariant.MemoryReleased, "%d bytes are still reserved with no session left", used)
 	}
 }
--- a/internal/pooler/outage.go
+++ b/internal/pooler/outage.go
@@ -6,9 +6,10 @@
 	"indigowalk/internal/kernel"
 )
 
-// outages records since when no database could run statements, by service and kind of statement. A
-// failover takes about a second, and statements wait for that. A longer outage may last for long:
-// statements that arrive later are refused with a retry-after instead of waiting.
+// outages records when each current outage began, by service and kind of statement: the time since
+// when no database could run such statements. Statements wait during a failover, which takes about a
+// second. After that the outage may last much longer, so statements are refused with a retry-after
+// instead of waiting.
 type outages struct {
 	mu    sync.Mutex
 	since map[outageKey]kernel.Micros
@@ -21,14 +22,14 @@
 }
 
 const (
-	// failoverWait is how long after the start of an outage statements wait for its end.
+	// failoverWait is the time from the start of an outage during which statements wait for its end.
 	failoverWait = 1500 * kernel.Millisecond
-	// minWait is how long a statement waits even in a long outage, in case a database becomes
-	// available for a moment.
+	// minWait is how long a statement waits even in a longer outage, in case a database becomes
+	// available briefly.
 	minWait = 50 * kernel.Millisecond
 )
 
-// clear records that a database is available again.
+// clear records that the outage is over: a database is available.
 func (o *outages) clear(key outageKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/pooler/outage_test.go
+++ b/internal/pooler/outage_test.go
@@ -6,7 +6,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// Statements wait for the end of a short outage, such as a failover, but hardly in a long one.
+// Statements wait for the end of a short outage, such as a failover, but only for minWait in a longer
+// one. Each kind of statement, and each outage, counts on its own.
 func TestStatementsDoNotWaitInLongOutages(t *testing.T) {
 	var o outages
 	at := kernel.Micros(1_000_000)
--- a/internal/pooler/plugin.go
+++ b/internal/pooler/plugin.go
@@ -26,7 +26,7 @@
 			if s.ReadyAddr == "" {
 				return &settings.Error{Key: "listen.ready_addr", Reason: "a pooler needs it"}
 			}
-			d := New(k, Config{
+			p := New(k, Config{
 				ClientAddr: s.ClientAddr, Zone: s.Zone, SuspicionTimeout: settings.FromMillis(s.QuietMs),
 				GracePeriod: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
 			}, Services{
@@ -39,11 +39,11 @@
 				Stalls:   kernel.Need[*kernel.StallDetector](k),
 				Memory:   kernel.Need[*memorybudget.Budget](k),
 			})
-			k.Counters.Observable("pooler.sessions_open", d.openSessions)
-			k.Supervise("pooler", d.Serve)
-			k.OnShutdown(d.Drain)
+			k.Counters.Observable("pooler.sessions_open", p.openSessions)
+			k.Supervise("pooler", p.Serve)
+			k.OnShutdown(p.Drain)
 			k.Supervise("ready", func(ctx context.Context) error {
-				return kernel.ServeReady(ctx, k.Net, s.ReadyAddr, d.Ready)
+				return kernel.ServeReady(ctx, k.Net, s.ReadyAddr, p.Ready)
 			})
 			return nil
 		},
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -40,7 +40,7 @@
 	pool    *dbconn.Pool
 	health  *health.Monitor
 	quota   *quota.Client
-	// failures logs the statements that were not served.
+	// failures logs the statements that got an error response.
 	failures *failurelog.Log
 	stalls   *kernel.StallDetector
 
@@ -85,23 +85,23 @@
 }
 
 // Ready reports whether clients should be routed to this pooler.
-func (d *Pooler) Ready() bool { return !d.draining.Load() && d.control.Ready() }
+func (p *Pooler) Ready() bool { return !p.draining.Load() && p.control.Ready() }
 
 // Serve accepts sessions until ctx ends.
-func (d *Pooler) Serve(ctx context.Context) error {
-	ln, err := d.k.Net.Listen(d.cfg.ClientAddr)
+func (p *Pooler) Serve(ctx context.Context) error {
+	ln, err := p.k.Net.Listen(p.cfg.ClientAddr)
 	if err != nil {
 		return fmt.Errorf("pooler: %w", err)
 	}
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	defer ln.Close()
-	d.mu.Lock()
-	d.listener = ln
-	d.mu.Unlock()
+	p.mu.Lock()
+	p.listener = ln
+	p.mu.Unlock()
 	for {
 		c, err := ln.Accept()
 		if err != nil {
-			if d.draining.Load() {
+			if p.draining.Load() {
 				<-ctx.Done()
 			}
 			if ctx.Err() != nil {
@@ -113,27 +113,27 @@
 			}
 			return fmt.Errorf("pooler: %w", err)
 		}
-		d.k.Counters.Add("pooler.sessions", 1)
-		s := d.addSession(c)
+		p.k.Counters.Add("pooler.sessions", 1)
+		s := p.addSession(c)
 		go func() {
 			s.run()
-			d.mu.Lock()
-			delete(d.sessions, s)
-			d.mu.Unlock()
-			d.checkMemoryReleased()
-			d.sessionEnded.NotifyAll()
+			p.mu.Lock()
+			delete(p.sessions, s)
+			p.mu.Unlock()
+			p.checkMemoryReleased()
+			p.sessionEnded.NotifyAll()
 		}()
 	}
 }
 
 // addSession registers a session for an accepted connection. A session that starts while the
 // pooler drains takes over the drain state, because it missed the notification to the others.
-func (d *Pooler) addSession(c net.Conn) *session {
-	s := newSession(d, c)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s.draining, s.closing = d.draining.Load(), d.closing
-	d.sessions[s] = struct{}{}
+func (p *Pooler) addSession(c net.Conn) *session {
+	s := newSession(p, c)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s.draining, s.closing = p.draining.Load(), p.closing
+	p.sessions[s] = struct{}{}
 	return s
 }
 
@@ -151,12 +151,12 @@
 
 // maxWait bounds how long a statement waits for a database that can run it, so that a statement
 // received before a draining pooler closes its sessions gets its response before the process ends.
-func (d *Pooler) maxWait() kernel.Micros { return max(0, d.cfg.GracePeriod()/2-responseReserve) }
+func (p *Pooler) maxWait() kernel.Micros { return max(0, p.cfg.GracePeriod()/2-responseReserve) }
 
 // terminating reports whether pending waits are canceled because the process is about to end.
-func (d *Pooler) terminating() bool {
+func (p *Pooler) terminating() bool {
 	select {
-	case <-d.terminate:
+	case <-p.terminate:
 		return true
 	default:
 		return false
@@ -166,33 +166,33 @@
 // Drain shuts the pooler down gracefully: it reports not ready at once, closes idle sessions, lets
 // running statements finish, and gives open transactions half of the grace period. Statements that
 // still wait at its end, less the reserve for responses, are canceled and get an error response.
-func (d *Pooler) Drain(ctx context.Context) {
-	start := d.k.Clock.Now()
-	d.draining.Store(true)
-	d.k.Log.Info("leaving")
-	gracePeriod := d.stalls.Remaining(d.cfg.GracePeriod())
+func (p *Pooler) Drain(ctx context.Context) {
+	start := p.k.Clock.Now()
+	p.draining.Store(true)
+	p.k.Log.Info("leaving")
+	gracePeriod := p.stalls.Remaining(p.cfg.GracePeriod())
 	half, terminateAt := start+gracePeriod/2, start+max(0, gracePeriod-responseReserve)
-	d.forEachSession((*session).drain)
+	p.forEachSession((*session).drain)
 	var listenerClosed, sessionsClosed bool
 	for {
-		changed := d.sessionEnded.Wait()
-		now := d.k.Clock.Now()
-		d.mu.Lock()
-		remaining := len(d.sessions)
-		d.mu.Unlock()
+		changed := p.sessionEnded.Wait()
+		now := p.k.Clock.Now()
+		p.mu.Lock()
+		remaining := len(p.sessions)
+		p.mu.Unlock()
 		if now >= min(start+listenerCloseDelay, half) && !listenerClosed {
 			listenerClosed = true
-			d.closeListener()
+			p.closeListener()
 		}
 		if now >= half && !sessionsClosed {
 			sessionsClosed = true
-			d.closeSessions()
+			p.closeSessions()
 		}
-		if now >= terminateAt && !d.terminating() {
-			close(d.terminate)
+		if now >= terminateAt && !p.terminating() {
+			close(p.terminate)
 		}
 		if remaining == 0 && now >= min(start+listenerCloseDelay, terminateAt) || now >= terminateAt+writeReserve || ctx.Err() != nil {
-			d.checkNoneUnanswered(start)
+			p.checkNoneUnanswered(start)
 			return
 		}
 		t := time.NewTimer((100 * kernel.Millisecond).Duration())
@@ -205,58 +205,59 @@
 }
 
 // openSessions returns the number of open sessions.
-func (d *Pooler) openSessions() int64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return int64(len(d.sessions))
+func (p *Pooler) openSessions() int64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return int64(len(p.sessions))
 }
 
 // closeListener stops accepting sessions.
-func (d *Pooler) closeListener() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.listener != nil {
-		d.listener.Close()
+func (p *Pooler) closeListener() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener != nil {
+		p.listener.Close()
 	}
 }
 
 // closeSessions makes all sessions, including those that start later, close as soon as their
 // response is sent.
-func (d *Pooler) closeSessions() {
-	d.mu.Lock()
-	d.closing = true
-	d.mu.Unlock()
-	d.forEachSession((*session).closeAfterResponse)
+func (p *Pooler) closeSessions() {
+	p.mu.Lock()
+	p.closing = true
+	p.mu.Unlock()
+	p.forEachSession((*session).closeAfterResponse)
 }
 
-func (d *Pooler) forEachSession(f func(*session)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for s := range d.sessions {
+func (p *Pooler) forEachSession(f func(*session)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for s := range p.sessions {
 		f(s)
 	}
 }
 
 // route returns the route and service of a database name, and the configuration they are from.
-func (d *Pooler) route(name string) (*routeconfig.Route, *routeconfig.Service, *routeconfig.Index) {
-	conf := d.control.Config()
-	r, svc := conf.Find(name)
-	return r, svc, conf
+func (p *Pooler) route(name string) (*routeconfig.Route, *routeconfig.Service, *routeconfig.Index) {
+	conf := p.control.Config()
+	route, svc := conf.Find(name)
+	return route, svc, conf
 }
 
-// candidates returns the databases of a service that can be chosen from, with their current state.
-func (d *Pooler) candidates(service string, want dbconn.Want) readrouting.Candidates {
-	databases, leader := d.control.Databases(service)
-	_, err := d.control.Primary(service)
+// candidates returns the databases of a service among which the router chooses, with their current
+// state.
+func (p *Pooler) candidates(service string, criteria dbconn.Want) readrouting.Candidates {
+	databases, leader := p.control.Databases(service)
+	_, err := p.control.Primary(service)
 	return readrouting.Candidates{
-		Databases: databases, Leader: leader, Leased: err == nil, Zone: d.cfg.Zone,
-		Up: d.health.Up, Busy: d.pool.Busy, Idle: func(id string) bool { return d.pool.Idle(id, want) },
+		Databases: databases, Leader: leader, Leased: err == nil, Zone: p.cfg.Zone,
+		Up: p.health.Up, Busy: p.pool.Busy, Idle: func(id string) bool { return p.pool.Idle(id, criteria) },
 	}
 }
 
 // pickDatabase picks a database for the request from the current candidates.
-func (d *Pooler) pickDatabase(q readrouting.Request, want dbconn.Want) (readrouting.Choice, bool) {
-	return d.router.Pick(q, d.candidates(q.Service, want))
+func (p *Pooler) pickDatabase(request readrouting.Request, criteria dbconn.Want) (readrouting.Choice, bool) {
+	return p.router.Pick(request, p.candidates(request.Service, criteria))
 }
 
 // errorResponse returns an error response that the pooler itself generates.
--- a/internal/pooler/retry_test.go
+++ b/internal/pooler/retry_test.go
@@ -12,12 +12,12 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// atDeadline returns a job whose deadline has passed, with a connection to a database.
-func atDeadline(t *testing.T) (*job, *dbconn.Conn, readrouting.Choice) {
+// jobPastDeadline returns a job whose deadline has passed, with a connection to a database.
+func jobPastDeadline(t *testing.T) (*job, *dbconn.Conn, readrouting.Choice) {
 	t.Helper()
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 	s := &session{pooler: &Pooler{k: k, router: readrouting.New(k.Clock)}}
-	j := &job{s: s, statement: lineprotocol.Statement{ID: "s1.1", Verb: lineprotocol.Fetch}, route: &routeconfig.Route{}}
+	j := &job{session: s, statement: lineprotocol.Statement{ID: "s1.1", Verb: lineprotocol.Fetch}, route: &routeconfig.Route{}}
 	j.route.Tries = 3
 	j.deadline = j.now() - kernel.Millisecond
 	s.trace.reset(k.Clock.Now())
@@ -27,20 +27,20 @@
 }
 
 // A database's error response that is read only after the deadline, for example because the process
-// stalled, must still lead to a response for the client, as for any other statement that times out.
+// stalled, must still lead to a response for the client, as with any other timeout.
 func TestErrorsAtDeadlineGetResponse(t *testing.T) {
 	for _, code := range []string{lineprotocol.Lagging, lineprotocol.Retry, lineprotocol.ReadOnly, lineprotocol.NoSuch} {
-		j, conn, choice := atDeadline(t)
-		if a := j.checkDeadline(j.handleResponse(conn, choice, &lineprotocol.Answer{Code: code, State: 'I'})); a == nil || a.Code != lineprotocol.Retry {
-			t.Errorf("%s outside a transaction: answered %v", code, a)
+		j, conn, choice := jobPastDeadline(t)
+		if answer := j.checkDeadline(j.handleResponse(conn, choice, &lineprotocol.Answer{Code: code, State: 'I'})); answer == nil || answer.Code != lineprotocol.Retry {
+			t.Errorf("%s outside a transaction: response %v", code, answer)
 		}
 	}
-	for ran, want := range map[int]string{0: lineprotocol.Retry, 2: lineprotocol.RolledBack} {
-		j, _, _ := atDeadline(t)
-		open := &transaction{s: j.s, executed: ran}
-		j.s.tx = open
-		if a := j.checkTransactionDeadline(open, nil); a == nil || a.Code != want || a.State != 'I' || j.s.tx != nil {
-			t.Errorf("in a transaction with %d statements: answered %v", ran, a)
+	for executed, want := range map[int]string{0: lineprotocol.Retry, 2: lineprotocol.RolledBack} {
+		j, _, _ := jobPastDeadline(t)
+		tx := &transaction{session: j.session, executed: executed}
+		j.session.tx = tx
+		if answer := j.checkTransactionDeadline(tx, nil); answer == nil || answer.Code != want || answer.State != 'I' || j.session.tx != nil {
+			t.Errorf("in a transaction with %d statements: response %v", executed, answer)
 		}
 	}
 }
--- a/internal/pooler/session.go
+++ b/internal/pooler/session.go
@@ -13,17 +13,17 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// Bounds of one session.
+// Limits and timeouts of one session.
 const (
-	maxEntries   = 4096 // of values, and of prepared statements
+	maxEntries   = 4096 // maximum number of session values, and of prepared statements
 	loginTimeout = 3 * kernel.Second
 	// drainIdleTimeout is how long a session must be idle before a draining pooler closes it.
 	drainIdleTimeout = 150 * kernel.Millisecond
-	// closeIdleTimeout replaces it once the pooler closes its sessions.
+	// closeIdleTimeout applies instead of drainIdleTimeout once the pooler closes its sessions.
 	closeIdleTimeout  = 30 * kernel.Millisecond
 	writeTimeout      = 5 * kernel.Second
-	configurationWait = kernel.Second            // at login, for the first configuration
-	rollbackTimeout   = 300 * kernel.Millisecond // for a rollback; closing the connection rolls back as well
+	configurationWait = kernel.Second            // how long a login waits for the first configuration
+	rollbackTimeout   = 300 * kernel.Millisecond // after that the connection is closed, which rolls back as well
 )
 
 // session is the session of one client connection.
@@ -41,10 +41,10 @@
 	out        []byte
 	trace      trace
 
-	memory       *memorybudget.Reservation
-	messageBytes int           // size of the current message, if it arrived in parts
-	storedBytes  int           // size of values and prepared statements
-	readUntil    kernel.Micros // deadline for receiving a long message; 0 if there is none
+	memory          *memorybudget.Reservation
+	messageBytes    int           // size of the current message, if it arrived in parts
+	storedBytes     int           // size of values and prepared statements
+	messageDeadline kernel.Micros // deadline for receiving a long message; 0 if there is none
 
 	mu   sync.Mutex
 	busy bool // the login or a statement is being processed
@@ -54,10 +54,10 @@
 	closing    bool // close even in an open transaction, without waiting for the client
 }
 
-func newSession(d *Pooler, c net.Conn) *session {
+func newSession(p *Pooler, c net.Conn) *session {
 	s := &session{
-		pooler: d, conn: c, reader: lineprotocol.NewReader(c), values: map[string]string{}, prepared: map[string]dbconn.Prepared{}, busy: true,
-		memory: d.memory.NewReservation(uncountedBytes),
+		pooler: p, conn: c, reader: lineprotocol.NewReader(c), values: map[string]string{}, prepared: map[string]dbconn.Prepared{}, busy: true,
+		memory: p.memory.NewReservation(uncountedBytes),
 	}
 	s.reader.ReserveMemory = s.reserveMessage
 	return s
@@ -82,17 +82,17 @@
 			return
 		}
 		word, rest := lineprotocol.Word(line)
-		var a *lineprotocol.Answer
+		var answer *lineprotocol.Answer
 		switch string(word) {
 		case "QUIT":
 			return
 		case "QUERY":
 			id, text := lineprotocol.Word(rest)
-			a = s.query(string(id), string(text))
+			answer = s.query(string(id), string(text))
 		default:
-			a = errorResponse(lineprotocol.Malformed, "unknown message", s.state())
+			answer = errorResponse(lineprotocol.Malformed, "unknown message", s.state())
 		}
-		if !s.respond(a) {
+		if !s.respond(answer) {
 			return
 		}
 	}
@@ -115,12 +115,13 @@
 	defer s.mu.Unlock()
 	s.draining, s.closing = true, true
 	if !s.busy {
-		// The deadline is not now: a message that has arrived must still be read, and a read past
-		// its deadline returns nothing.
+		// The deadline lies a little ahead: a message that has already arrived must still be read,
+		// and a read after its deadline returns no data.
 		s.conn.SetReadDeadline(time.Now().Add(closeIdleTimeout.Duration()))
 	}
 }
 
+// login handles the LOGIN message. It returns false if the session is to be closed.
 func (s *session) login() bool {
 	s.conn.SetReadDeadline(time.Now().Add(loginTimeout.Duration()))
 	line, err := s.reader.Line()
@@ -145,8 +146,8 @@
 		}
 		t.Stop()
 	}
-	r, _, conf := s.pooler.route(s.database)
-	if r == nil {
+	route, _, conf := s.pooler.route(s.database)
+	if route == nil {
 		if !s.pooler.control.Ready() {
 			s.trace.setCause(causeNotReady)
 			s.sendFinalError(lineprotocol.Retry, retryAfter(kernel.Second))
@@ -156,7 +157,7 @@
 		}
 		return false
 	}
-	if _, code := s.authorize(r, conf); code != "" {
+	if _, code := s.authorize(route, conf); code != "" {
 		s.sendFinalError(code, retryAfter(kernel.Second))
 		return false
 	}
@@ -231,7 +232,7 @@
 			if s.shouldClose(progressed) {
 				return nil, net.ErrClosed
 			}
-			if s.overdue() {
+			if s.messageOverdue() {
 				return nil, errMessageTimeout
 			}
 			if progressed {
@@ -246,7 +247,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.readUntil = 0
+		s.messageDeadline = 0
 		s.mu.Lock()
 		s.busy = true
 		s.mu.Unlock()
@@ -254,8 +255,9 @@
 	}
 }
 
-// prepareRead marks the session idle and sets the read deadline for the next message, none if
-// idleTimeout is 0 and nothing else bounds it. It returns false if the session is to close now.
+// prepareRead marks the session idle and sets the read deadline for the next message. There is no
+// deadline if idleTimeout is 0, the pooler is not draining and no long message is being received.
+// It returns false if the session is to close now.
 func (s *session) prepareRead(idleTimeout kernel.Micros) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,8 +269,8 @@
 		idleTimeout = drainIdleTimeout
 	}
 	deadline := time.Time{}
-	if s.readUntil > 0 {
-		remaining := s.readUntil - s.pooler.k.Clock.Now()
+	if s.messageDeadline > 0 {
+		remaining := s.messageDeadline - s.pooler.k.Clock.Now()
 		if idleTimeout == 0 || remaining < idleTimeout {
 			idleTimeout = max(remaining, 1)
 		}
@@ -289,14 +291,16 @@
 }
 
 // respond sends a response to the client and reports whether it was written.
-func (s *session) respond(a *lineprotocol.Answer) bool {
-	s.out = a.Append(s.out[:0])
+func (s *session) respond(answer *lineprotocol.Answer) bool {
+	s.out = answer.Append(s.out[:0])
 	s.mu.Lock()
 	s.responding = true
 	s.mu.Unlock()
 	return s.flush()
 }
 
+// flush writes the output buffer to the client and reports whether that succeeded. It frees a buffer
+// that has grown beyond what is uncounted.
 func (s *session) flush() bool {
 	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout.Duration()))
 	_, err := s.conn.Write(s.out)
@@ -318,69 +322,69 @@
 	return 'T'
 }
 
-// query executes one statement and adds it to the failure log if it failed.
+// query executes one statement, and adds it to the failure log if the response is an error.
 func (s *session) query(id, text string) *lineprotocol.Answer {
 	s.pooler.statements.Add(1)
 	s.pooler.resends.deposit()
 	s.trace.reset(s.pooler.k.Clock.Now())
-	a := s.execute(lineprotocol.ParseStatement(id, text))
-	if a.Code != "" {
-		s.recordFailure(id, a)
+	answer := s.execute(lineprotocol.ParseStatement(id, text))
+	if answer.Code != "" {
+		s.recordFailure(id, answer)
 	}
 	s.checkAnsweredInTime(id)
-	return a
+	return answer
 }
 
-// execute dispatches a statement to the open transaction, a database, or the session itself.
-func (s *session) execute(q lineprotocol.Statement) *lineprotocol.Answer {
-	if q.ID == "" || q.Verb == lineprotocol.Invalid {
+// execute runs a statement in the open transaction, at a database, or in the session itself.
+func (s *session) execute(statement lineprotocol.Statement) *lineprotocol.Answer {
+	if statement.ID == "" || statement.Verb == lineprotocol.Invalid {
 		s.pooler.k.Counters.Add("pooler.malformed", 1)
 		s.trace.setCause(causeMalformed)
 		return errorResponse(lineprotocol.Malformed, "unknown text", s.state())
 	}
 	if s.tx != nil {
-		return s.executeInTransaction(q)
+		return s.executeInTransaction(statement)
 	}
-	switch q.Verb {
+	switch statement.Verb {
 	case lineprotocol.Begin, lineprotocol.BeginFetch:
-		t, a := s.beginTransaction(q)
+		t, answer := s.beginTransaction(statement)
 		s.tx = t
-		return a
+		return answer
 	case lineprotocol.Commit, lineprotocol.Abort:
 		return errorResponse(lineprotocol.Malformed, "no transaction", 'I')
 	case lineprotocol.Fetch, lineprotocol.Put, lineprotocol.Run:
-		return s.executeSingle(q)
+		return s.executeSingle(statement)
 	}
-	return s.executeLocal(q)
+	return s.executeLocal(statement)
 }
 
 // executeLocal executes a statement that concerns only the session's values and prepared
 // statements.
-func (s *session) executeLocal(q lineprotocol.Statement) *lineprotocol.Answer {
-	switch q.Verb {
+func (s *session) executeLocal(statement lineprotocol.Statement) *lineprotocol.Answer {
+	switch statement.Verb {
 	case lineprotocol.Option:
-		if _, ok := s.values[q.Name]; !ok && len(s.values) >= maxEntries {
+		if _, ok := s.values[statement.Name]; !ok && len(s.values) >= maxEntries {
 			return errorResponse(lineprotocol.Malformed, "too many values", s.state())
 		}
-		if a := s.growStored(entrySize(q.Name, q.Rest) - s.storedValueSize(q.Name)); a != nil {
-			return a
+		if answer := s.growStored(entrySize(statement.Name, statement.Rest) - s.storedValueSize(statement.Name)); answer != nil {
+			return answer
 		}
-		s.values[q.Name] = q.Rest
+		s.values[statement.Name] = statement.Rest
 	case lineprotocol.Parse:
 		if len(s.prepared) >= maxEntries {
 			return errorResponse(lineprotocol.Malformed, "too many prepared names", s.state())
 		}
-		statement := dbconn.Prepared{Kind: q.Kind, Text: q.Rest}
-		if a := s.growStored(preparedSize(q.Name, statement) - s.storedPreparedSize(q.Name)); a != nil {
-			return a
+		prepared := dbconn.Prepared{Kind: statement.Kind, Text: statement.Rest}
+		if answer := s.growStored(preparedSize(statement.Name, prepared) - s.storedPreparedSize(statement.Name)); answer != nil {
+			return answer
 		}
-		s.prepared[q.Name] = statement
+		s.prepared[statement.Name] = prepared
 	case lineprotocol.Close:
-		if _, ok := s.prepared[q.Name]; !ok {
-			return errorResponse(lineprotocol.NoSuch, q.Name, s.state())
+		if _, ok := s.prepared[statement.Name]; !ok {
+			return errorResponse(lineprotocol.NoSuch, statement.Name, s.state())
 		}
-		s.growStored(-s.storedPreparedSize(q.Name))
-		delete(s.prepared, q.Name)
+		s.growStored(-s.storedPreparedSize(statement.Name))
+		delete(s.prepared, statement.Name)
 	}
 	return &lineprotocol.Answer{Seal: "-", State: s.state()}
 }
--- a/internal/pooler/tenant.go
+++ b/internal/pooler/tenant.go
@@ -14,46 +14,45 @@
 const routePriorities = 1000
 
 // priority returns the priority of a tenant's statements on a route; lower values are more urgent.
-func priority(t *routeconfig.PublishedTenant, r *routeconfig.Route) int {
-	if t == nil {
-		return r.Prio
+func priority(tenant *routeconfig.PublishedTenant, route *routeconfig.Route) int {
+	if tenant == nil {
+		return route.Prio
 	}
-	return t.Prio*routePriorities + min(r.Prio, routePriorities-1)
+	return tenant.Prio*routePriorities + min(route.Prio, routePriorities-1)
 }
 
 // authorize returns the tenant that the session's key currently belongs to: nil on a public route,
 // or if no tenants are configured. code is an error code if the client may not use the route, "" if
 // it may.
-func (s *session) authorize(r *routeconfig.Route, conf *routeconfig.Index) (t *routeconfig.PublishedTenant, code string) {
-	if r.Public || !conf.HasTenants() {
+func (s *session) authorize(route *routeconfig.Route, conf *routeconfig.Index) (tenant *routeconfig.PublishedTenant, code string) {
+	if route.Public || !conf.HasTenants() {
 		return nil, ""
 	}
-	if t = conf.Tenant(s.key); t == nil {
+	if tenant = conf.Tenant(s.key); tenant == nil {
 		s.pooler.k.Counters.Add("pooler.denied", 1)
 		s.trace.setCause(causeDenied)
 		return nil, lineprotocol.Denied
 	}
 	if !s.pooler.control.KeysKnown() {
-		// This pooler cannot tell whether the key is still valid: it neither serves the client
-		// nor denies it.
+		// This pooler cannot tell whether the key is still valid, so it asks the client to retry.
 		s.pooler.k.Counters.Add("pooler.keys_unknown", 1)
 		s.trace.setCause(causeKeysStale)
 		return nil, lineprotocol.Retry
 	}
-	return t, ""
+	return tenant, ""
 }
 
 // nameFor returns the tenant name that is sent to databases, "" for no tenant.
-func nameFor(t *routeconfig.PublishedTenant) string {
-	if t == nil {
+func nameFor(tenant *routeconfig.PublishedTenant) string {
+	if tenant == nil {
 		return ""
 	}
-	return t.Name
+	return tenant.Name
 }
 
 const (
-	// quotaWaitShare is the share of its target latency for which a statement waits for its
-	// tenant's quota. A client that is refused early can retry in time.
+	// quotaWaitShare is the fraction of its target latency for which a statement waits for its
+	// tenant's quota: a client that is refused early still has time to retry.
 	quotaWaitShare = 0.2
 	// maxQuotaWait bounds this wait.
 	maxQuotaWait = 150 * kernel.Millisecond
@@ -65,7 +64,7 @@
 	if j.tenant == nil {
 		return nil
 	}
-	return j.s.pooler.quota.NewPermit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
+	return j.session.pooler.quota.NewPermit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
 }
 
 // acquireQuota acquires quota for the next attempt to send the statement. It returns an error
@@ -80,7 +79,7 @@
 	if !errors.As(err, &exhausted) {
 		return nil
 	}
-	j.s.pooler.k.Counters.Add("pooler.over_quota", 1)
-	j.s.trace.setCause(causeQuota)
-	return errorResponse(lineprotocol.Retry, retryAfter(exhausted.RetryAfter), j.s.state())
+	j.session.pooler.k.Counters.Add("pooler.over_quota", 1)
+	j.session.trace.setCause(causeQuota)
+	return errorResponse(lineprotocol.Retry, retryAfter(exhausted.RetryAfter), j.session.state())
 }
--- a/internal/pooler/trace.go
+++ b/internal/pooler/trace.go
@@ -12,7 +12,7 @@
 	"indigowalk/internal/quota"
 )
 
-// Causes of failure of statements that were not served, besides those of readrouting.
+// Causes of error responses, for the failure log, besides those that readrouting determines.
 const (
 	causeMalformed        = "malformed"
 	causeNoMemory         = "no_memory_for_message"
@@ -32,8 +32,8 @@
 	causeDatabaseError    = "answer_of_database"
 )
 
-// trace collects what the failure log needs about the statement that a session is processing. Only
-// failed attempts are collected.
+// trace collects what the failure log records about the statement that a session is processing: its
+// cause of failure and its failed attempts.
 type trace struct {
 	started  kernel.Micros
 	job      *job
@@ -46,20 +46,20 @@
 	*t = trace{started: now, attempts: t.attempts[:0]}
 }
 
-// setCause sets the cause for which the statement is not served, replacing any earlier one.
+// setCause sets the cause of the statement's failure, replacing any earlier one.
 func (t *trace) setCause(cause string) { t.cause = cause }
 
 // addAttempt records a failed attempt: an error or, if err is nil, a database's error response.
-func (t *trace) addAttempt(database string, now kernel.Micros, err error, a *lineprotocol.Answer) {
+func (t *trace) addAttempt(database string, now kernel.Micros, err error, answer *lineprotocol.Answer) {
 	result := describeError(err)
 	if err == nil {
-		result = a.Code
+		result = answer.Code
 	}
 	t.attempts = append(t.attempts, failurelog.Attempt{Database: database, After: now - t.started, Result: result})
 }
 
-// describeError describes for the failure log why an attempt got no response, and whether the
-// statement had been sent.
+// describeError returns the text for the failure log: whether the statement was sent, and why the
+// attempt got no response.
 func describeError(err error) string {
 	sent := "sent: "
 	if errors.Is(err, errNotSent) {
@@ -85,11 +85,11 @@
 	return sent + err.Error()
 }
 
-// recordFailure adds a statement that was not served to the failure log.
-func (s *session) recordFailure(id string, a *lineprotocol.Answer) {
+// recordFailure adds a statement that got an error response to the failure log.
+func (s *session) recordFailure(id string, answer *lineprotocol.Answer) {
 	t := &s.trace
 	failure := failurelog.Failure{
-		ID: id, Route: s.database, Response: a.Code, Cause: t.cause, Duration: s.pooler.k.Clock.Now() - t.started, Attempts: t.attempts,
+		ID: id, Route: s.database, Response: answer.Code, Cause: t.cause, Duration: s.pooler.k.Clock.Now() - t.started, Attempts: t.attempts,
 	}
 	if failure.Cause == "" {
 		failure.Cause = causeDatabaseError
