--- a/internal/pooler/invariants.go
+++ b/internal/pooler/invariants.go
@@ -23,7 +23,7 @@
 
 // checkSentOnce checks that a write is not sent again after a database may have executed it.
 func (j *job) checkSentOnce(database string) {
-	j.session.pooler.k.Invariants.Check(!j.mayHaveRun, invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.statement.ID, database)
+	j.s.pooler.k.Invariants.Check(!j.mayHaveRun, invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.statement.ID, database)
 }
 
 // checkNoneUnanswered checks, at the end of draining, that every statement that was read has been
--- a/internal/pooler/invariants_test.go
+++ b/internal/pooler/invariants_test.go
@@ -37,7 +37,7 @@
 		p := &Pooler{k: k, memory: memorybudget.New(0)}
 		s := &session{pooler: p, busy: true, memory: p.memory.NewReservation(0)}
 		p.sessions = map[*session]struct{}{s: {}}
-		j := &job{session: s, statement: lineprotocol.Statement{ID: "s1.1"}}
+		j := &job{s: s, statement: lineprotocol.Statement{ID: "s1.1"}}
 		s.trace.reset(k.Clock.Now())
 		s.trace.job = j
 		c.run(s, j)
--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -18,7 +18,7 @@
 
 // job is the processing of one statement, or of the start of a transaction, at a database.
 type job struct {
-	session      *session
+	s            *session
 	statement    lineprotocol.Statement
 	prepared     dbconn.Prepared // the prepared statement of a RUN
 	write        bool
@@ -59,7 +59,7 @@
 // newJob returns the job of a statement, with its route and tenant. It returns an error response
 // instead if the statement can't be run.
 func (s *session) newJob(statement lineprotocol.Statement) (*job, *lineprotocol.Answer) {
-	j := &job{session: s, statement: statement, received: s.pooler.k.Clock.Now()}
+	j := &job{s: s, statement: statement, received: s.pooler.k.Clock.Now()}
 	var conf *routeconfig.Index
 	if j.route, _, conf = s.pooler.route(s.database); j.route == nil {
 		s.trace.setCause(causeNoRoute)
@@ -87,33 +87,29 @@
 	case lineprotocol.Put:
 		j.write = true
 	case lineprotocol.Run:
-		prepared, ok := j.session.prepared[j.statement.Name]
+		prepared, ok := j.s.prepared[j.statement.Name]
 		if !ok {
-			return errorResponse(lineprotocol.NoSuch, j.statement.Name, j.session.state())
+			return errorResponse(lineprotocol.NoSuch, j.statement.Name, j.s.state())
 		}
 		j.prepared, j.write = prepared, prepared.Kind == lineprotocol.Put
 	}
 	return nil
 }
 
-func (j *job) now() kernel.Micros       { return j.session.pooler.k.Clock.Now() }
+func (j *job) now() kernel.Micros       { return j.s.pooler.k.Clock.Now() }
 func (j *job) remaining() kernel.Micros { return j.deadline - j.now() }
 
 // timeout returns the time limit for the pooler's own statements that must run before this one.
-func (j *job) timeout() dbconn.WaitLimit {
-	return dbconn.NewLimit(j.remaining(), j.session.pooler.terminate)
-}
+func (j *job) timeout() dbconn.WaitLimit { return dbconn.NewLimit(j.remaining(), j.s.pooler.terminate) }
 
-// criteria returns what the statement requires or prefers of a connection.
-func (j *job) criteria() dbconn.Want {
-	return dbconn.Want{Tenant: nameFor(j.tenant), Values: j.session.values}
-}
+// want returns what the statement requires or prefers of a connection.
+func (j *job) want() dbconn.Want { return dbconn.Want{Tenant: nameFor(j.tenant), Values: j.s.values} }
 
 func (j *job) routingRequest(write bool) readrouting.Request {
 	return readrouting.Request{
 		Service: j.route.Service, Type: j.route.Type,
 		MaxStaleness: j.route.MaxStaleness(),
-		Received:     j.received, LastCommit: j.session.lastCommit, Write: write, Avoid: j.excluded,
+		Received:     j.received, LastCommit: j.s.lastCommit, Write: write, Avoid: j.excluded,
 	}
 }
 
@@ -128,37 +124,35 @@
 // unavailableError reports that no database can run the statement at present, and why.
 type unavailableError struct{ cause string }
 
-func (e *unavailableError) Error() string {
-	return "pooler: no database can run the statement now: " + e.cause
-}
+func (e *unavailableError) Error() string { return "pooler: no database can run it now: " + e.cause }
 
 // unavailable returns the error for a statement that no database can run, for the given cause or, if
 // that is empty, for the cause that the router determines.
 func (j *job) unavailable(cause string, write bool) error {
 	if cause == "" {
-		cause = j.session.pooler.router.Explain(j.routingRequest(write), j.session.pooler.candidates(j.route.Service, j.criteria()))
+		cause = j.s.pooler.router.Explain(j.routingRequest(write), j.s.pooler.candidates(j.route.Service, j.want()))
 	}
 	return &unavailableError{cause}
 }
 
 // acquireConnection waits for a database that can run the job and borrows a connection to it.
 func (j *job) acquireConnection(write bool) (*dbconn.Conn, readrouting.Choice, error) {
-	p := j.session.pooler
+	p := j.s.pooler
 	for {
 		if p.terminating() {
 			return nil, readrouting.Choice{}, j.unavailable(causeShutdown, write)
 		}
 		changed, healthChanged := p.control.Changed(), p.health.Changed()
-		choice, ok := p.pickDatabase(j.routingRequest(write), j.criteria())
+		choice, ok := p.pickDatabase(j.routingRequest(write), j.want())
 		until := j.waitDeadline
 		key := outageKey{j.route.Service, write || j.route.Type == routeconfig.Primary}
 		if ok {
 			p.outages.clear(key)
-			conn, err := p.pool.Borrow(choice.Database.ID, priority(j.tenant, j.route), j.criteria(), min(j.waitDeadline, j.deadline)-j.now())
+			conn, err := p.pool.Borrow(choice.Database.ID, priority(j.tenant, j.route), j.want(), min(j.waitDeadline, j.deadline)-j.now())
 			if err == nil {
 				return conn, choice, nil
 			}
-			j.session.trace.addAttempt(choice.Database.ID, j.now(), errors.Join(errNotSent, err), nil)
+			j.s.trace.addAttempt(choice.Database.ID, j.now(), errors.Join(errNotSent, err), nil)
 			switch {
 			case errors.Is(err, connpool.ErrPoolExhausted):
 				return nil, choice, j.unavailable(causeQueueFull, write)
@@ -219,7 +213,7 @@
 // lease. Once the drain period of a draining database is over, only transactions that have already
 // run a statement there are continued.
 func (j *job) roundTrip(conn *dbconn.Conn, choice readrouting.Choice, binding *health.Binding, text string, phase statementPhase) (*lineprotocol.Answer, error) {
-	p := j.session.pooler
+	p := j.s.pooler
 	if !choice.Primary && phase == phaseBegin && choice.MinPosition != (lineprotocol.Position{}) {
 		text = "WAITPOS " + choice.MinPosition.String() + " " + text
 	}
@@ -310,7 +304,7 @@
 // attempt runs the statement once on conn and releases conn. It returns the response for the client,
 // or nil if another attempt may be made in the remaining time.
 func (j *job) attempt(conn *dbconn.Conn, choice readrouting.Choice) (answer *lineprotocol.Answer) {
-	p, id := j.session.pooler, choice.Database.ID
+	p, id := j.s.pooler, choice.Database.ID
 	j.checkSentOnce(id)
 	binding := p.health.Bind(id)
 	var snapshot distribution.PrimarySnapshot
@@ -327,7 +321,7 @@
 	// A read whose response is considered lost is sent once more, to another database if possible,
 	// and the first attempt is left to time out.
 	j.mayResend = !j.write && j.tries == 0
-	err := conn.SetValues(j.session.values, j.timeout())
+	err := conn.SetValues(j.s.values, j.timeout())
 	var text string
 	if err == nil {
 		text, err = j.statementText(conn)
@@ -339,7 +333,7 @@
 	}
 	j.mayHaveRun = j.write && (err == nil && !guaranteesNoEffect(answer.Code) || err != nil && !errors.Is(err, errNotSent))
 	if err != nil || answer.Code != "" {
-		j.session.trace.addAttempt(id, j.now(), err, answer)
+		j.s.trace.addAttempt(id, j.now(), err, answer)
 	}
 	if errors.Is(err, dbconn.ErrNoAnswerYet) {
 		j.abandonAttempt(conn, choice, release)
@@ -350,7 +344,7 @@
 		return j.handleAttemptError(conn, binding, err)
 	}
 	if j.write && answer.Code == "" && !p.control.Acknowledge(j.route.Service, id, snapshot, answer.Pos) {
-		return j.session.leaderChangedResponse(id)
+		return j.s.leaderChangedResponse(id)
 	}
 	return j.handleResponse(conn, choice, answer)
 }
@@ -358,7 +352,7 @@
 // abandonAttempt waits in the background for a response that is considered lost, and then releases
 // the connection.
 func (j *job) abandonAttempt(conn *dbconn.Conn, choice readrouting.Choice, release func()) {
-	j.session.pooler.k.Counters.Add("pooler.sent_twice", 1)
+	j.s.pooler.k.Counters.Add("pooler.sent_twice", 1)
 	j.tries++
 	if !choice.Primary {
 		j.exclude(choice.Database.ID)
@@ -383,7 +377,7 @@
 // handleAttemptError handles an attempt that got no response; it returns nil if another attempt may
 // be made.
 func (j *job) handleAttemptError(conn *dbconn.Conn, binding *health.Binding, err error) *lineprotocol.Answer {
-	p, id := j.session.pooler, conn.DB.ID
+	p, id := j.s.pooler, conn.DB.ID
 	if silent := errors.Is(err, connpool.ErrUnresponsive); silent || errors.Is(err, connpool.ErrBroken) {
 		_, generation := binding.Bound()
 		p.health.Report(id, min(generation, conn.Generation), silent)
@@ -395,14 +389,14 @@
 	switch {
 	case j.write && !notSent:
 		p.k.Counters.Add("pooler.unknown", 1)
-		j.session.trace.setCause(causeNoResponse)
+		j.s.trace.setCause(causeNoResponse)
 		return errorResponse(lineprotocol.Unknown, "no answer from "+id, 'I')
 	case j.remaining() <= 0:
 		if notSent {
 			return j.refuse(err)
 		}
 		p.k.Counters.Add("pooler.expired", 1)
-		j.session.trace.setCause(causeDeadline)
+		j.s.trace.setCause(causeDeadline)
 		return errorResponse(lineprotocol.Expired, "deadline passed", 'I')
 	}
 	if !blockedLocally(err) {
@@ -420,12 +414,12 @@
 // handleResponse handles a database's response outside a transaction; it returns nil if another
 // attempt may be made.
 func (j *job) handleResponse(conn *dbconn.Conn, choice readrouting.Choice, answer *lineprotocol.Answer) *lineprotocol.Answer {
-	p, id := j.session.pooler, choice.Database.ID
+	p, id := j.s.pooler, choice.Database.ID
 	switch answer.Code {
 	case "":
 		if j.write {
-			if pos, ok := lineprotocol.ParsePosition(answer.Pos); ok && j.session.lastCommit.Less(pos) {
-				j.session.lastCommit = pos
+			if pos, ok := lineprotocol.ParsePosition(answer.Pos); ok && j.s.lastCommit.Less(pos) {
+				j.s.lastCommit = pos
 			}
 		}
 		return answer
@@ -478,15 +472,15 @@
 // refuse returns a RETRY response with a retry-after for a statement that was not run, and records
 // the cause.
 func (j *job) refuse(cause error) *lineprotocol.Answer {
-	j.session.pooler.k.Counters.Add("pooler.refused", 1)
+	j.s.pooler.k.Counters.Add("pooler.refused", 1)
 	unavailable := new(unavailableError)
 	switch {
 	case errors.As(cause, &unavailable):
-		j.session.trace.setCause(unavailable.cause)
+		j.s.trace.setCause(unavailable.cause)
 	case errors.Is(cause, errTriesExhausted):
-		j.session.trace.setCause(causeTriesExhausted)
+		j.s.trace.setCause(causeTriesExhausted)
 	default:
-		j.session.trace.setCause(causeDeadline)
+		j.s.trace.setCause(causeDeadline)
 	}
-	return errorResponse(lineprotocol.Retry, retryAfter(200*kernel.Millisecond), j.session.state())
+	return errorResponse(lineprotocol.Retry, retryAfter(200*kernel.Millisecond), j.s.state())
 }
--- a/internal/pooler/memory.go
+++ b/internal/pooler/memory.go
@@ -36,8 +36,8 @@
 	if !s.memory.Resize(s.memoryBytes()) {
 		return false
 	}
-	if loggedIn := s.database != ""; loggedIn && bytes > uncountedBytes && s.messageDeadline == 0 {
-		s.messageDeadline = s.pooler.k.Clock.Now() + longMessageTimeout
+	if loggedIn := s.database != ""; loggedIn && bytes > uncountedBytes && s.readUntil == 0 {
+		s.readUntil = s.pooler.k.Clock.Now() + longMessageTimeout
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !s.draining {
@@ -50,10 +50,8 @@
 // memoryBytes returns how many bytes of the process's memory the session uses.
 func (s *session) memoryBytes() int64 { return int64(s.storedBytes + messageCopies*s.messageBytes) }
 
-// messageOverdue reports whether the time to receive a long message is over.
-func (s *session) messageOverdue() bool {
-	return s.messageDeadline > 0 && s.pooler.k.Clock.Now() >= s.messageDeadline
-}
+// overdue reports whether the time to receive a long message is over.
+func (s *session) overdue() bool { return s.readUntil > 0 && s.pooler.k.Clock.Now() >= s.readUntil }
 
 // growStored adds the given number of bytes, which may be negative, to the size of the session's
 // values and prepared statements. It returns an error response if a limit would be exceeded, nil
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -246,18 +246,18 @@
 
 // candidates returns the databases of a service among which the router chooses, with their current
 // state.
-func (p *Pooler) candidates(service string, criteria dbconn.Want) readrouting.Candidates {
+func (p *Pooler) candidates(service string, want dbconn.Want) readrouting.Candidates {
 	databases, leader := p.control.Databases(service)
 	_, err := p.control.Primary(service)
 	return readrouting.Candidates{
 		Databases: databases, Leader: leader, Leased: err == nil, Zone: p.cfg.Zone,
-		Up: p.health.Up, Busy: p.pool.Busy, Idle: func(id string) bool { return p.pool.Idle(id, criteria) },
+		Up: p.health.Up, Busy: p.pool.Busy, Idle: func(id string) bool { return p.pool.Idle(id, want) },
 	}
 }
 
 // pickDatabase picks a database for the request from the current candidates.
-func (p *Pooler) pickDatabase(request readrouting.Request, criteria dbconn.Want) (readrouting.Choice, bool) {
-	return p.router.Pick(request, p.candidates(request.Service, criteria))
+func (p *Pooler) pickDatabase(request readrouting.Request, want dbconn.Want) (readrouting.Choice, bool) {
+	return p.router.Pick(request, p.candidates(request.Service, want))
 }
 
 // errorResponse returns an error response that the pooler itself generates.
--- a/internal/pooler/retry_test.go
+++ b/internal/pooler/retry_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 	s := &session{pooler: &Pooler{k: k, router: readrouting.New(k.Clock)}}
-	j := &job{session: s, statement: lineprotocol.Statement{ID: "s1.1", Verb: lineprotocol.Fetch}, route: &routeconfig.Route{}}
+	j := &job{s: s, statement: lineprotocol.Statement{ID: "s1.1", Verb: lineprotocol.Fetch}, route: &routeconfig.Route{}}
 	j.route.Tries = 3
 	j.deadline = j.now() - kernel.Millisecond
 	s.trace.reset(k.Clock.Now())
@@ -37,9 +37,9 @@
 	}
 	for executed, want := range map[int]string{0: lineprotocol.Retry, 2: lineprotocol.RolledBack} {
 		j, _, _ := jobPastDeadline(t)
-		tx := &transaction{session: j.session, executed: executed}
-		j.session.tx = tx
-		if answer := j.checkTransactionDeadline(tx, nil); answer == nil || answer.Code != want || answer.State != 'I' || j.session.tx != nil {
+		tx := &transaction{s: j.s, executed: executed}
+		j.s.tx = tx
+		if answer := j.checkTransactionDeadline(tx, nil); answer == nil || answer.Code != want || answer.State != 'I' || j.s.tx != nil {
 			t.Errorf("in a transaction with %d statements: response %v", executed, answer)
 		}
 	}
--- a/internal/pooler/session.go
+++ b/internal/pooler/session.go
@@ -41,10 +41,10 @@
 	out        []byte
 	trace      trace
 
-	memory          *memorybudget.Reservation
-	messageBytes    int           // size of the current message, if it arrived in parts
-	storedBytes     int           // size of values and prepared statements
-	messageDeadline kernel.Micros // deadline for receiving a long message; 0 if there is none
+	memory       *memorybudget.Reservation
+	messageBytes int           // size of the current message, if it arrived in parts
+	storedBytes  int           // size of values and prepared statements
+	readUntil    kernel.Micros // deadline for receiving a long message; 0 if there is none
 
 	mu   sync.Mutex
 	busy bool // the login or a statement is being processed
@@ -232,7 +232,7 @@
 			if s.shouldClose(progressed) {
 				return nil, net.ErrClosed
 			}
-			if s.messageOverdue() {
+			if s.overdue() {
 				return nil, errMessageTimeout
 			}
 			if progressed {
@@ -247,7 +247,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.messageDeadline = 0
+		s.readUntil = 0
 		s.mu.Lock()
 		s.busy = true
 		s.mu.Unlock()
@@ -269,8 +269,8 @@
 		idleTimeout = drainIdleTimeout
 	}
 	deadline := time.Time{}
-	if s.messageDeadline > 0 {
-		remaining := s.messageDeadline - s.pooler.k.Clock.Now()
+	if s.readUntil > 0 {
+		remaining := s.readUntil - s.pooler.k.Clock.Now()
 		if idleTimeout == 0 || remaining < idleTimeout {
 			idleTimeout = max(remaining, 1)
 		}
--- a/internal/pooler/tenant.go
+++ b/internal/pooler/tenant.go
@@ -64,7 +64,7 @@
 	if j.tenant == nil {
 		return nil
 	}
-	return j.session.pooler.quota.NewPermit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
+	return j.s.pooler.quota.NewPermit(j.tenant.Name, quota.Limit{PerS: j.tenant.RatePerS, Burst: j.tenant.Burst})
 }
 
 // acquireQuota acquires quota for the next attempt to send the statement. It returns an error
@@ -79,7 +79,7 @@
 	if !errors.As(err, &exhausted) {
 		return nil
 	}
-	j.session.pooler.k.Counters.Add("pooler.over_quota", 1)
-	j.session.trace.setCause(causeQuota)
-	return errorResponse(lineprotocol.Retry, retryAfter(exhausted.RetryAfter), j.session.state())
+	j.s.pooler.k.Counters.Add("pooler.over_quota", 1)
+	j.s.trace.setCause(causeQuota)
+	return errorResponse(lineprotocol.Retry, retryAfter(exhausted.RetryAfter), j.s.state())
 }
--- a/internal/pooler/transaction.go
+++ b/internal/pooler/transaction.go
@@ -15,7 +15,7 @@
 // transaction is a client's open transaction. It acquires a connection only with its first statement
 // and keeps it until it ends.
 type transaction struct {
-	session        *session
+	s              *session
 	beginStatement lineprotocol.Statement
 	readWrite      bool
 	conn           *dbconn.Conn
@@ -40,7 +40,7 @@
 	if _, code := s.authorize(route, conf); code != "" {
 		return nil, errorResponse(code, retryAfter(kernel.Second), 'I')
 	}
-	return &transaction{session: s, beginStatement: statement, readWrite: statement.Verb == lineprotocol.Begin}, &lineprotocol.Answer{Seal: "-", State: 'T'}
+	return &transaction{s: s, beginStatement: statement, readWrite: statement.Verb == lineprotocol.Begin}, &lineprotocol.Answer{Seal: "-", State: 'T'}
 }
 
 // rollBack rolls the transaction back on the pooler's initiative.
@@ -56,11 +56,11 @@
 		return
 	}
 	if rollBack && t.conn.Alive() && t.conn.State() != 'I' {
-		if answer, err := t.conn.Execute("ABORT", dbconn.NewLimit(rollbackTimeout, t.session.pooler.terminate)); err != nil || answer.State != 'I' {
+		if answer, err := t.conn.Execute("ABORT", dbconn.NewLimit(rollbackTimeout, t.s.pooler.terminate)); err != nil || answer.State != 'I' {
 			t.conn.Close()
 		}
 	}
-	p := t.session.pooler
+	p := t.s.pooler
 	p.health.Release(t.conn.DB.ID, t.binding)
 	p.pool.Return(t.conn)
 	if t.choice.Primary {
@@ -128,7 +128,7 @@
 		if answer := j.checkTransactionDeadline(t, j.attemptInTransaction(t)); answer != nil {
 			return answer
 		}
-		j.session.pooler.retries.Add(1)
+		j.s.pooler.retries.Add(1)
 	}
 }
 
@@ -139,10 +139,10 @@
 		return answer
 	}
 	if t.executed > 0 {
-		j.session.trace.setCause(causeDeadline)
-		return j.session.abortTransaction("deadline passed")
+		j.s.trace.setCause(causeDeadline)
+		return j.s.abortTransaction("deadline passed")
 	}
-	j.session.tx = nil
+	j.s.tx = nil
 	t.release(true)
 	return j.refuse(errDeadlinePassed)
 }
@@ -161,15 +161,15 @@
 // startTransaction borrows a connection and begins the transaction on it. It returns an error
 // response, or nil: then the transaction has a connection, or else another attempt may be made.
 func (j *job) startTransaction(t *transaction) *lineprotocol.Answer {
-	p := j.session.pooler
+	p := j.s.pooler
 	if answer := j.acquireQuota(); answer != nil {
-		j.session.tx = nil
+		j.s.tx = nil
 		answer.State = 'I'
 		return answer
 	}
 	conn, choice, err := j.acquireConnection(t.readWrite)
 	if err != nil {
-		j.session.tx = nil
+		j.s.tx = nil
 		return j.refuse(err)
 	}
 	t.conn, t.choice, t.service, t.tenant = conn, choice, j.route.Service, nameFor(j.tenant)
@@ -180,7 +180,7 @@
 	beginJob := *j
 	beginJob.statement = t.beginStatement
 	var answer *lineprotocol.Answer
-	err = conn.SetValues(j.session.values, j.timeout())
+	err = conn.SetValues(j.s.values, j.timeout())
 	if err != nil {
 		err = errors.Join(errNotSent, err)
 	} else {
@@ -189,7 +189,7 @@
 	if err == nil && answer.Code == "" && answer.State == 'T' {
 		return nil
 	}
-	j.session.trace.addAttempt(conn.DB.ID, j.now(), err, answer)
+	j.s.trace.addAttempt(conn.DB.ID, j.now(), err, answer)
 	if err != nil {
 		j.handleConnectionError(t, err)
 	} else {
@@ -203,7 +203,7 @@
 	}
 	t.release(true)
 	if j.tries > j.route.Tries || err == nil && !j.backOff(answer.Code) || j.remaining() <= 0 {
-		j.session.tx = nil
+		j.s.tx = nil
 		return j.refuse(errTriesExhausted)
 	}
 	return nil
@@ -215,7 +215,7 @@
 func (j *job) handleConnectionError(t *transaction, err error) {
 	if silent := errors.Is(err, connpool.ErrUnresponsive); silent || errors.Is(err, connpool.ErrBroken) {
 		_, generation := t.binding.Bound()
-		j.session.pooler.health.Report(t.conn.DB.ID, min(generation, t.conn.Generation), silent)
+		j.s.pooler.health.Report(t.conn.DB.ID, min(generation, t.conn.Generation), silent)
 		j.exclude(t.conn.DB.ID)
 	}
 	t.conn.Close()
@@ -228,7 +228,7 @@
 func (j *job) executeStatement(t *transaction) *lineprotocol.Answer {
 	if db, _ := t.binding.Bound(); db == "" && t.executed > 0 {
 		t.conn.Close()
-		return j.session.abortTransaction("the database failed")
+		return j.s.abortTransaction("the database failed")
 	}
 	commit := j.statement.Verb == lineprotocol.Commit
 	// The first statement may restart the transaction on another connection: the abandoned one is
@@ -236,7 +236,7 @@
 	j.mayResend = t.executed == 0 && !commit && j.tries == 0
 	answer, err := j.sendInTransaction(t)
 	if err != nil || answer.Code != "" {
-		j.session.trace.addAttempt(t.conn.DB.ID, j.now(), err, answer)
+		j.s.trace.addAttempt(t.conn.DB.ID, j.now(), err, answer)
 	}
 	switch {
 	case errors.Is(err, dbconn.ErrNoAnswerYet):
@@ -262,7 +262,7 @@
 
 // sendInTransaction sends the statement to the transaction's database and returns the response.
 func (j *job) sendInTransaction(t *transaction) (*lineprotocol.Answer, error) {
-	if err := t.conn.SetValues(j.session.values, j.timeout()); err != nil {
+	if err := t.conn.SetValues(j.s.values, j.timeout()); err != nil {
 		return nil, errors.Join(errNotSent, err)
 	}
 	text, err := j.statementText(t.conn)
@@ -279,7 +279,7 @@
 // handleNoResponse handles a statement of the transaction that got no response; it returns nil if
 // another attempt may be made.
 func (j *job) handleNoResponse(t *transaction, commit bool, err error) *lineprotocol.Answer {
-	s := j.session
+	s := j.s
 	notSent := errors.Is(err, errNotSent)
 	j.handleConnectionError(t, err)
 	t.release(false)
@@ -299,7 +299,7 @@
 // finishTransaction handles a response that ended the transaction, and returns the response for the
 // client.
 func (j *job) finishTransaction(t *transaction, commit bool, answer *lineprotocol.Answer) *lineprotocol.Answer {
-	s := j.session
+	s := j.s
 	s.tx = nil
 	if commit && t.wrote && !s.pooler.control.Acknowledge(t.service, t.conn.DB.ID, t.snapshot, answer.Pos) {
 		answer = s.leaderChangedResponse(t.conn.DB.ID)
@@ -315,7 +315,7 @@
 // handleTransactionError handles a database's error response in the transaction; it returns nil if
 // another attempt may be made.
 func (j *job) handleTransactionError(t *transaction, answer *lineprotocol.Answer) *lineprotocol.Answer {
-	s := j.session
+	s := j.s
 	j.tries++
 	mayRetry := j.tries <= j.route.Tries && j.remaining() > 0
 	switch {
