--- a/internal/connpool/dial.go
+++ b/internal/connpool/dial.go
@@ -20,7 +20,7 @@
 // Dial opens a connection. It first waits for a slot, if slots is not nil; the connect time limit
 // starts after that. A database that accepts no connection within the limit is unresponsive,
 // unless the process itself stalled; then one more attempt decides.
-func Dial(ctx context.Context, network kernel.Network, slots chan struct{}, addr string, connect, unresponsiveTimeout kernel.Micros) (net.Conn, error) {
+func Dial(ctx context.Context, network kernel.Network, slots chan struct{}, addr string, connectTimeout, unresponsiveTimeout kernel.Micros) (net.Conn, error) {
 	if slots != nil {
 		select {
 		case slots <- struct{}{}:
@@ -30,9 +30,9 @@
 		}
 	}
 	began := time.Now()
-	conn, err := dialHedged(ctx, network, addr, connect, unresponsiveTimeout)
-	if err != nil && time.Since(began) >= stallFactor*connect.Duration() {
-		conn, err = dialHedged(ctx, network, addr, connect, unresponsiveTimeout)
+	conn, err := dialHedged(ctx, network, addr, connectTimeout, unresponsiveTimeout)
+	if err != nil && time.Since(began) >= stallFactor*connectTimeout.Duration() {
+		conn, err = dialHedged(ctx, network, addr, connectTimeout, unresponsiveTimeout)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnresponsive, err)
@@ -43,38 +43,38 @@
 // dialHedged starts a second attempt when the first has had no response for a quarter of the time
 // limit, since a single lost packet does not make a database unresponsive. The first result
 // counts.
-func dialHedged(ctx context.Context, network kernel.Network, addr string, connect, unresponsiveTimeout kernel.Micros) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, connect.Duration())
+func dialHedged(ctx context.Context, network kernel.Network, addr string, connectTimeout, unresponsiveTimeout kernel.Micros) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout.Duration())
 	type result struct {
-		c   net.Conn
-		err error
+		conn net.Conn
+		err  error
 	}
 	results := make(chan result, 2)
 	dial := func() {
-		c, err := network.Dial(ctx, addr, unresponsiveTimeout)
-		results <- result{c, err}
+		conn, err := network.Dial(ctx, addr, unresponsiveTimeout)
+		results <- result{conn, err}
 	}
 	go dial()
 	attempts := 1
-	timer := time.NewTimer((connect / 4).Duration())
+	timer := time.NewTimer((connectTimeout / 4).Duration())
 	defer timer.Stop()
-	var r result
+	var first result
 	select {
-	case r = <-results:
+	case first = <-results:
 	case <-timer.C:
 		attempts++
 		go dial()
-		r = <-results
+		first = <-results
 	}
 	if attempts == 2 {
 		go func() { // the other attempt is not needed
 			defer cancel()
-			if o := <-results; o.c != nil {
-				o.c.Close()
+			if second := <-results; second.conn != nil {
+				second.conn.Close()
 			}
 		}()
 	} else {
 		cancel()
 	}
-	return r.c, r.err
+	return first.conn, first.err
 }
--- a/internal/connpool/dial_test.go
+++ b/internal/connpool/dial_test.go
@@ -35,7 +35,7 @@
 // A database counts as unresponsive only if it did not respond while the process was running; a
 // stall of the process itself must not mark it so.
 func TestDialIgnoresProcessStall(t *testing.T) {
-	const connect = 150 * kernel.Millisecond
+	const connectTimeout = 150 * kernel.Millisecond
 	for name, c := range map[string]struct {
 		stall        time.Duration
 		failures     int
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				conn, err := Dial(t.Context(), &frozenNetwork{stall: c.stall, failures: c.failures}, nil, "10.0.0.1:1", connect, 0)
+				conn, err := Dial(t.Context(), &frozenNetwork{stall: c.stall, failures: c.failures}, nil, "10.0.0.1:1", connectTimeout, 0)
 				if unresponsive := errors.Is(err, ErrUnresponsive); unresponsive != c.unresponsive {
 					t.Errorf("reported as unresponsive: %t, want %t (%v)", unresponsive, c.unresponsive, err)
 				}
--- a/internal/connpool/open.go
+++ b/internal/connpool/open.go
@@ -10,9 +10,9 @@
 )
 
 // openForWaiters starts opening connections for waiters, within the share.
-func (s *Pools[W, C]) openForWaiters(p *pool[W, C], share int) {
-	if s.k.Clock.Now() < p.atLimitUntil {
-		share = max(1, p.open)
+func (ps *Pools[Want, C]) openForWaiters(p *pool[Want, C], maxOpen int) {
+	if ps.k.Clock.Now() < p.atLimitUntil {
+		maxOpen = max(1, p.open)
 	}
 	// Grow gradually: a connection that becomes free serves a waiter sooner than one that
 	// all proxies open at the same time.
@@ -20,75 +20,75 @@
 		switch {
 		case w.opening:
 			continue
-		case p.opening >= max(1, p.open), p.open+p.opening >= share && !s.evictIdle(p), !s.makeRoom():
+		case p.opening >= max(1, p.open), p.open+p.opening >= maxOpen && !ps.evictIdle(p), !ps.makeRoom():
 			return
 		}
 		w.opening = true
 		p.opening++
-		go s.openFor(p, w)
+		go ps.openFor(p, w)
 	}
 }
 
 // evictIdle closes the longest-idle connection to the database, to make room for one that suits a
 // waiter. It reports whether there was one to close.
-func (s *Pools[W, C]) evictIdle(p *pool[W, C]) bool {
-	if !s.cfg.Evict || len(p.idle) == 0 {
+func (ps *Pools[Want, C]) evictIdle(p *pool[Want, C]) bool {
+	if !ps.cfg.Evict || len(p.idle) == 0 {
 		return false
 	}
-	s.k.Counters.Add("connpool.evicted", 1)
-	s.closeConn(p, p.idle[0].c)
+	ps.k.Counters.Add("connpool.evicted", 1)
+	ps.closeConn(p, p.idle[0].c)
 	p.idle = p.idle[1:]
 	return true
 }
 
 // makeRoom reports whether one more connection may be opened within the overall limit. At the
 // limit it closes the longest-idle connection to any database.
-func (s *Pools[W, C]) makeRoom() bool {
-	if s.cfg.MaxConnections == 0 || len(s.origins) < s.cfg.MaxConnections {
+func (ps *Pools[Want, C]) makeRoom() bool {
+	if ps.cfg.MaxConnections == 0 || len(ps.origins) < ps.cfg.MaxConnections {
 		return true
 	}
-	var oldest *pool[W, C]
-	for _, p := range s.pools {
-		if len(p.idle) > 0 && (oldest == nil || p.idle[0].since < oldest.idle[0].since) {
-			oldest = p
+	var longestIdle *pool[Want, C]
+	for _, p := range ps.pools {
+		if len(p.idle) > 0 && (longestIdle == nil || p.idle[0].since < longestIdle.idle[0].since) {
+			longestIdle = p
 		}
 	}
-	if oldest == nil {
-		s.k.Counters.Add("connpool.no_room", 1)
+	if longestIdle == nil {
+		ps.k.Counters.Add("connpool.no_room", 1)
 		return false
 	}
-	s.closeConn(oldest, oldest.idle[0].c)
-	oldest.idle = oldest.idle[1:]
+	ps.closeConn(longestIdle, longestIdle.idle[0].c)
+	longestIdle.idle = longestIdle.idle[1:]
 	return true
 }
 
 // openFor opens a connection as one waiter needs it. Once open, it goes to the most urgent
 // waiter that it suits.
-func (s *Pools[W, C]) openFor(p *pool[W, C], w *waiter[W, C]) {
-	s.mu.Lock()
-	ctx, db := s.ctx, p.db
-	s.mu.Unlock()
-	_, gen := s.health.State(db.ID)
-	c, err := s.cfg.Open(ctx, db, w.want, s.cfg.OpenTimeout)
-	s.k.Counters.Add("connpool.opened", 1)
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (ps *Pools[Want, C]) openFor(p *pool[Want, C], w *waiter[Want, C]) {
+	ps.mu.Lock()
+	ctx, db := ps.ctx, p.db
+	ps.mu.Unlock()
+	_, generation := ps.health.State(db.ID)
+	c, err := ps.cfg.Open(ctx, db, w.want, ps.cfg.OpenTimeout)
+	ps.k.Counters.Add("connpool.opened", 1)
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
 	p.opening--
 	w.opening = false
 	if err != nil {
-		s.openFailed(p, db.ID, gen, err)
+		ps.openFailed(p, db.ID, generation, err)
 		return
 	}
-	s.admit(p, c, gen)
-	s.openForWaiters(p, max(1, s.cfg.Share(p.db.Service)))
+	ps.admit(p, c, generation)
+	ps.openForWaiters(p, max(1, ps.cfg.Share(p.db.Service)))
 }
 
 // openFailed handles a failed attempt to open a connection. A database at its connection limit, a
 // rejection and a slow log-in are not reported to the health monitor; other failures are.
-func (s *Pools[W, C]) openFailed(p *pool[W, C], id string, gen int64, err error) {
+func (ps *Pools[Want, C]) openFailed(p *pool[Want, C], id string, generation int64, err error) {
 	if errors.Is(err, ErrConnectionLimit) {
-		s.k.Counters.Add("connpool.capped", 1)
-		p.atLimitUntil = s.k.Clock.Now() + 500*kernel.Millisecond
+		ps.k.Counters.Add("connpool.capped", 1)
+		p.atLimitUntil = ps.k.Clock.Now() + 500*kernel.Millisecond
 		if p.open > 0 {
 			return // the waiters share the connections that are open
 		}
@@ -96,59 +96,59 @@
 		return
 	}
 	if errors.Is(err, ErrRejected) {
-		s.k.Counters.Add("connpool.rejected", 1)
+		ps.k.Counters.Add("connpool.rejected", 1)
 		p.failWaiters(ErrRejected)
 		return
 	}
 	if errors.Is(err, ErrNotReady) {
-		s.k.Counters.Add("connpool.slow_logins", 1)
-		s.openForWaiters(p, max(1, s.cfg.Share(p.db.Service)))
+		ps.k.Counters.Add("connpool.slow_logins", 1)
+		ps.openForWaiters(p, max(1, ps.cfg.Share(p.db.Service)))
 		return
 	}
-	s.k.Counters.Add("connpool.open_failed", 1)
+	ps.k.Counters.Add("connpool.open_failed", 1)
 	unresponsive := errors.Is(err, ErrUnresponsive)
-	if unresponsive && s.cfg.SuspectOwnLink && !errors.Is(err, syscall.ECONNREFUSED) && s.unresponsive.Record(s.k.Clock.Now(), id) {
-		s.k.Counters.Add("connpool.silence_doubted", 1)
+	if unresponsive && ps.cfg.SuspectOwnLink && !errors.Is(err, syscall.ECONNREFUSED) && ps.unresponsive.Record(ps.k.Clock.Now(), id) {
+		ps.k.Counters.Add("connpool.silence_doubted", 1)
 		unresponsive = false
 	}
-	s.health.Report(id, gen, unresponsive)
+	ps.health.Report(id, generation, unresponsive)
 	p.failWaiters(ErrBroken)
 }
 
 // grantOrIdle hands a connection to the most urgent waiter that it suits, or makes it idle.
-func (s *Pools[W, C]) grantOrIdle(p *pool[W, C], c C) {
+func (ps *Pools[Want, C]) grantOrIdle(p *pool[Want, C], c C) {
 	for i, w := range p.waiting {
 		if c.Fit(w.want, 0) >= 0 {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
-			s.markLent(p, c)
-			w.ch <- grant[C]{c: c}
+			ps.markBorrowed(p, c)
+			w.result <- grant[C]{c: c}
 			return
 		}
 	}
-	p.idle = append(p.idle, idleConn[C]{c, s.k.Clock.Now()})
+	p.idle = append(p.idle, idleConn[C]{c, ps.k.Clock.Now()})
 }
 
 // Check tests whether the database accepts a new connection, and adds that connection to the pool.
-func (s *Pools[W, C]) Check(ctx context.Context, id string) error {
-	s.mu.Lock()
-	p := s.pools[id]
+func (ps *Pools[Want, C]) Check(ctx context.Context, id string) error {
+	ps.mu.Lock()
+	p := ps.pools[id]
 	if p == nil {
-		s.mu.Unlock()
+		ps.mu.Unlock()
 		return ErrBroken
 	}
 	db := p.db
-	s.mu.Unlock()
-	up, gen := s.health.State(id)
-	c, err := s.cfg.Probe(ctx, db, s.cfg.CheckTimeout)
+	ps.mu.Unlock()
+	up, generation := ps.health.State(id)
+	c, err := ps.cfg.Probe(ctx, db, ps.cfg.CheckTimeout)
 	if err != nil {
 		return err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
 	if !up {
-		gen++ // a successful check begins the next generation
+		generation++ // a successful check begins the next generation
 	}
-	s.admit(p, c, gen)
+	ps.admit(p, c, generation)
 	return nil
 }
 
@@ -159,14 +159,14 @@
 }
 
 // admit adds a new connection to its pool.
-func (s *Pools[W, C]) admit(p *pool[W, C], c C, gen int64) {
+func (ps *Pools[Want, C]) admit(p *pool[Want, C], c C, generation int64) {
 	p.open++
-	s.origins[c] = origin[W, C]{pool: p, id: p.db.ID, address: p.db.Address, generation: gen}
-	c.Attach(gen, func(byUs, unresponsive bool) { s.handleBroken(c, byUs, unresponsive) })
-	if s.pools[p.db.ID] != p || !c.Alive() {
-		s.closeConn(p, c)
+	ps.origins[c] = origin[Want, C]{pool: p, id: p.db.ID, address: p.db.Address, generation: generation}
+	c.Attach(generation, func(byUs, unresponsive bool) { ps.handleBroken(c, byUs, unresponsive) })
+	if ps.pools[p.db.ID] != p || !c.Alive() {
+		ps.closeConn(p, c)
 		p.failWaiters(ErrBroken)
 		return
 	}
-	s.grantOrIdle(p, c)
+	ps.grantOrIdle(p, c)
 }
--- a/internal/connpool/unresponsive_test.go
+++ b/internal/connpool/unresponsive_test.go
@@ -10,14 +10,14 @@
 // node's own link may be saturated, and the database is tried again.
 func TestRecordReportsOtherUnresponsiveDatabases(t *testing.T) {
 	var tracker UnresponsiveTracker
-	at := kernel.Second
-	if tracker.Record(at, "a") || tracker.Record(at+unresponsiveWindow/2, "a") {
+	start := kernel.Second
+	if tracker.Record(start, "a") || tracker.Record(start+unresponsiveWindow/2, "a") {
 		t.Error("a single database is counted as several")
 	}
-	if !tracker.Record(at+unresponsiveWindow, "b") {
+	if !tracker.Record(start+unresponsiveWindow, "b") {
 		t.Error("a second database is not counted")
 	}
-	if tracker.Record(at+3*unresponsiveWindow, "c") {
+	if tracker.Record(start+3*unresponsiveWindow, "c") {
 		t.Error("databases recorded long ago still count")
 	}
 }
