--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -34,9 +34,9 @@
 	Close()
 	// Reusable reports whether the connection can be handed to another borrower now.
 	Reusable() bool
-	// Fit scores how well a connection that has been idle for the given time suits a borrower. A
+	// Score scores how well a connection that has been idle for the given time suits a borrower. A
 	// negative score means that it must not be used.
-	Fit(want Want, idle kernel.Micros) int
+	Score(want Want, idle kernel.Micros) int
 	// Attach sets the database generation under which the connection was opened, and the callback
 	// to run when it breaks.
 	Attach(generation int64, onBroken func(byUs, unresponsive bool))
@@ -59,7 +59,7 @@
 	CheckTimeout   kernel.Micros                                                                   // time limit of the log-in of a health check
 	IdleTimeout    kernel.Micros                                                                   // after which an idle connection is closed, if others are left
 	UnusedTimeout  kernel.Micros                                                                   // after which the last idle connections to a database are closed too
-	Share          func(service string) int
+	MaxPerDatabase func(service string) int
 	MaxConnections int  // maximum connections to all databases together, 0 for no limit
 	Evict          bool // close an idle connection that suits no waiter to open one that does
 	SuspectOwnLink bool // if several databases are unresponsive, suspect the node's own link first
@@ -205,12 +205,12 @@
 	return 0
 }
 
-// Idle reports whether an idle connection to the database suits the borrower.
-func (ps *Pools[Want, C]) Idle(id string, want Want) bool {
+// HasIdle reports whether an idle connection to the database suits the borrower.
+func (ps *Pools[Want, C]) HasIdle(id string, want Want) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	p := ps.pools[id]
-	return p != nil && slices.ContainsFunc(p.idle, func(idle idleConn[C]) bool { return idle.c.Fit(want, 0) >= 0 })
+	return p != nil && slices.ContainsFunc(p.idle, func(idle idleConn[C]) bool { return idle.c.Score(want, 0) >= 0 })
 }
 
 // Counts returns the numbers of open and idle connections by database.
@@ -242,7 +242,7 @@
 		ps.mu.Unlock()
 		return c, nil
 	}
-	maxOpen := max(1, ps.cfg.Share(p.db.Service))
+	maxOpen := max(1, ps.cfg.MaxPerDatabase(p.db.Service))
 	if len(p.waiting) >= queueFactor*maxOpen && !p.displaceWaiter(priority) {
 		ps.mu.Unlock()
 		ps.k.Counters.Add("connpool.queue_full", 1)
@@ -296,7 +296,7 @@
 	bestIndex, bestScore := -1, -1
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		idle := p.idle[i]
-		if score := idle.c.Fit(want, now-idle.since); idle.c.Alive() && score > bestScore {
+		if score := idle.c.Score(want, now-idle.since); idle.c.Alive() && score > bestScore {
 			bestIndex, bestScore = i, score
 		}
 	}
@@ -315,15 +315,15 @@
 	defer ps.mu.Unlock()
 	origin := ps.markReturned(c)
 	p := origin.pool
-	surplus := p.open > max(1, ps.cfg.Share(p.db.Service)) // the share shrank as more proxies joined
+	surplus := p.open > max(1, ps.cfg.MaxPerDatabase(p.db.Service)) // the share shrank as more proxies joined
 	if surplus || ps.pools[origin.id] != p || !c.Reusable() || !c.Alive() || p.db.Address != origin.address {
 		ps.closeConn(p, c)
-		ps.openForWaiters(p, max(1, ps.cfg.Share(p.db.Service)))
+		ps.openForWaiters(p, max(1, ps.cfg.MaxPerDatabase(p.db.Service)))
 		return
 	}
 	ps.grantOrIdle(p, c)
 	if len(p.waiting) > 0 {
-		ps.openForWaiters(p, max(1, ps.cfg.Share(p.db.Service)))
+		ps.openForWaiters(p, max(1, ps.cfg.MaxPerDatabase(p.db.Service)))
 	}
 }
 
@@ -392,7 +392,7 @@
 func (ps *Pools[Want, C]) closeSurplus() {
 	now := ps.k.Clock.Now()
 	for _, p := range ps.pools {
-		maxOpen := max(1, ps.cfg.Share(p.db.Service))
+		maxOpen := max(1, ps.cfg.MaxPerDatabase(p.db.Service))
 		if n := len(p.idle); n > 0 && n == p.open && now-p.idle[n-1].since > ps.cfg.UnusedTimeout {
 			ps.closeIdle(p)
 		}
--- a/internal/connpool/invariants_test.go
+++ b/internal/connpool/invariants_test.go
@@ -18,7 +18,7 @@
 func (c *fakeConnection) Alive() bool                                 { return !c.closed }
 func (c *fakeConnection) Close()                                      { c.closed = true }
 func (c *fakeConnection) Reusable() bool                              { return true }
-func (c *fakeConnection) Fit(struct{}, kernel.Micros) int             { return 0 }
+func (c *fakeConnection) Score(struct{}, kernel.Micros) int           { return 0 }
 func (c *fakeConnection) Attach(int64, func(byUs, unresponsive bool)) {}
 
 // fakePools returns pools of such connections to one database, "a".
@@ -28,7 +28,7 @@
 		Open: func(context.Context, discovery.Database, struct{}, kernel.Micros) (*fakeConnection, error) {
 			return &fakeConnection{}, nil
 		},
-		Share: func(string) int { return 4 },
+		MaxPerDatabase: func(string) int { return 4 },
 	}, health.New(k, health.Config{}))
 	ps.SetDatabases(map[string]discovery.Database{"a": {ID: "a", Address: "10.0.0.1:1"}})
 	return k, ps
--- a/internal/connpool/open.go
+++ b/internal/connpool/open.go
@@ -80,7 +80,7 @@
 		return
 	}
 	ps.admit(p, c, generation)
-	ps.openForWaiters(p, max(1, ps.cfg.Share(p.db.Service)))
+	ps.openForWaiters(p, max(1, ps.cfg.MaxPerDatabase(p.db.Service)))
 }
 
 // openFailed handles a failed attempt to open a connection. A database at its connection limit, a
@@ -102,7 +102,7 @@
 	}
 	if errors.Is(err, ErrNotReady) {
 		ps.k.Counters.Add("connpool.slow_logins", 1)
-		ps.openForWaiters(p, max(1, ps.cfg.Share(p.db.Service)))
+		ps.openForWaiters(p, max(1, ps.cfg.MaxPerDatabase(p.db.Service)))
 		return
 	}
 	ps.k.Counters.Add("connpool.open_failed", 1)
@@ -118,7 +118,7 @@
 // grantOrIdle hands a connection to the most urgent waiter that it suits, or makes it idle.
 func (ps *Pools[Want, C]) grantOrIdle(p *pool[Want, C], c C) {
 	for i, w := range p.waiting {
-		if c.Fit(w.want, 0) >= 0 {
+		if c.Score(w.want, 0) >= 0 {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
 			ps.markBorrowed(p, c)
 			w.result <- grant[C]{c: c}
--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -46,15 +46,15 @@
 	LoginPosition string // position that the database reported at the log-in
 	tenant        string // tenant sent at the log-in
 
-	c            net.Conn
+	conn         net.Conn
 	answers      chan *lineprotocol.Answer
 	broken       chan struct{}
 	unresponsive bool // set before broken is closed: the database stopped responding
 
 	// The following fields belong to the current borrower.
-	values map[string]string
-	names  map[string]string // server-side name by kind and text
-	state  byte
+	values        map[string]string
+	preparedNames map[string]string // server-side name by kind and text
+	state         byte
 	// preparedBytes is an upper bound of the size of the texts in names.
 	preparedBytes int
 
@@ -127,84 +127,84 @@
 		return nil, connpool.ErrNotReady
 	}
 	_, position := lineprotocol.Word(rest)
-	s := &Conn{
-		DB: db, LoginPosition: string(position), tenant: tenant, c: conn, answers: make(chan *lineprotocol.Answer, 1), broken: make(chan struct{}),
-		values: map[string]string{}, names: map[string]string{}, state: 'I',
+	c := &Conn{
+		DB: db, LoginPosition: string(position), tenant: tenant, conn: conn, answers: make(chan *lineprotocol.Answer, 1), broken: make(chan struct{}),
+		values: map[string]string{}, preparedNames: map[string]string{}, state: 'I',
 	}
-	go s.readAnswers(reader)
-	return s, nil
+	go c.readAnswers(reader)
+	return c, nil
 }
 
 // readAnswers reads answers until the connection breaks or an answer arrives that no statement
 // asked for, then closes the connection and runs the callback.
-func (s *Conn) readAnswers(reader *lineprotocol.Reader) {
+func (c *Conn) readAnswers(reader *lineprotocol.Reader) {
 	for {
 		answer, err := lineprotocol.ReadAnswer(reader)
 		if err != nil {
-			s.unresponsive = errors.Is(err, syscall.ETIMEDOUT)
+			c.unresponsive = errors.Is(err, syscall.ETIMEDOUT)
 			break
 		}
-		s.mu.Lock()
-		requested := s.outstanding && !s.answered
-		s.answered, s.desynchronized = true, s.desynchronized || !requested || reader.Buffered()
-		s.mu.Unlock()
+		c.mu.Lock()
+		requested := c.outstanding && !c.answered
+		c.answered, c.desynchronized = true, c.desynchronized || !requested || reader.Buffered()
+		c.mu.Unlock()
 		if !requested {
 			break // an unsolicited answer: the stream can't be trusted any more
 		}
-		s.answers <- answer
+		c.answers <- answer
 	}
-	close(s.broken)
-	s.c.Close()
-	s.mu.Lock()
-	onBroken, byUs := s.onBroken, s.closed
-	s.mu.Unlock()
+	close(c.broken)
+	c.conn.Close()
+	c.mu.Lock()
+	onBroken, byUs := c.onBroken, c.closed
+	c.mu.Unlock()
 	if onBroken != nil {
-		onBroken(byUs, s.unresponsive)
+		onBroken(byUs, c.unresponsive)
 	}
 }
 
 // Attach implements connpool.Connection.
-func (s *Conn) Attach(generation int64, onBroken func(byUs, unresponsive bool)) {
-	s.Generation = generation
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.onBroken = onBroken
+func (c *Conn) Attach(generation int64, onBroken func(byUs, unresponsive bool)) {
+	c.Generation = generation
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.onBroken = onBroken
 }
 
 // Reusable implements connpool.Connection: it reports whether the connection is in state I and every answer
 // has been taken.
-func (s *Conn) Reusable() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.state == 'I' && !s.outstanding && !s.desynchronized && !s.closed
+func (c *Conn) Reusable() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state == 'I' && !c.outstanding && !c.desynchronized && !c.closed
 }
 
-// Fit implements connpool.Connection: the tenant must be the same; a connection with the same values is
+// Score implements connpool.Connection: the tenant must be the same; a connection with the same values is
 // best, one without any values next.
-func (s *Conn) Fit(want Want, _ kernel.Micros) int {
+func (c *Conn) Score(want Want, _ kernel.Micros) int {
 	switch {
-	case s.tenant != want.Tenant:
+	case c.tenant != want.Tenant:
 		return -1
-	case maps.Equal(s.values, want.Values):
+	case maps.Equal(c.values, want.Values):
 		return 2
-	case len(s.values) == 0:
+	case len(c.values) == 0:
 		return 1
 	}
 	return 0
 }
 
 // brokenError returns how a broken connection ended.
-func (s *Conn) brokenError() error {
-	if s.unresponsive {
+func (c *Conn) brokenError() error {
+	if c.unresponsive {
 		return connpool.ErrUnresponsive
 	}
 	return connpool.ErrBroken
 }
 
 // Alive reports whether the connection has not broken yet.
-func (s *Conn) Alive() bool {
+func (c *Conn) Alive() bool {
 	select {
-	case <-s.broken:
+	case <-c.broken:
 		return false
 	default:
 		return true
@@ -227,15 +227,15 @@
 // Send writes a statement within the time limit, its end through the gate if there is one. An
 // error means that the statement was not sent in full; the database does not run a statement whose
 // end is missing.
-func (s *Conn) Send(msg []byte, wait kernel.Micros, gate Gate) error {
-	s.mu.Lock()
-	ready := !s.outstanding && !s.desynchronized
-	s.mu.Unlock()
+func (c *Conn) Send(msg []byte, wait kernel.Micros, gate Gate) error {
+	c.mu.Lock()
+	ready := !c.outstanding && !c.desynchronized
+	c.mu.Unlock()
 	switch {
-	case !s.Alive():
-		return s.brokenError()
+	case !c.Alive():
+		return c.brokenError()
 	case !ready:
-		s.Close()
+		c.Close()
 		return fmt.Errorf("%w: an answer is outstanding, or unexpected data arrived", connpool.ErrBroken)
 	case wait <= 0:
 		return connpool.ErrDeadline
@@ -245,19 +245,19 @@
 	if gate == nil {
 		head = len(msg)
 	}
-	s.setOutstanding(head == len(msg))
+	c.setOutstanding(head == len(msg))
 	if head > 0 {
-		if _, err := s.writeBy(msg[:head], deadline); err != nil {
-			s.Close()
+		if _, err := c.writeBy(msg[:head], deadline); err != nil {
+			c.Close()
 			return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 		}
 	}
 	if gate == nil {
 		return nil
 	}
-	if err := s.sendTail(msg[head:], deadline, gate); err != nil {
+	if err := c.sendTail(msg[head:], deadline, gate); err != nil {
 		if head > 0 || !errors.Is(err, errGateRefused) {
-			s.Close()
+			c.Close()
 		}
 		return err
 	}
@@ -266,10 +266,10 @@
 
 // setOutstanding records whether a complete statement is outstanding. It is called with true
 // before the end of the statement is written, since the answer may arrive as soon as that is done.
-func (s *Conn) setOutstanding(outstanding bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.outstanding, s.answered = outstanding, false
+func (c *Conn) setOutstanding(outstanding bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.outstanding, c.answered = outstanding, false
 }
 
 // errGateRefused means that a gate refused before any of the end was written.
@@ -277,17 +277,17 @@
 
 // sendTail writes the end of a statement through the gate. It never blocks within the gate: while
 // the database accepts no data, it leaves the gate and calls it again later.
-func (s *Conn) sendTail(tail []byte, deadline time.Time, gate Gate) error {
+func (c *Conn) sendTail(tail []byte, deadline time.Time, gate Gate) error {
 	// The deadline of the previous write, which may have been long ago, is still set.
-	if err := s.c.SetWriteDeadline(deadline); err != nil {
+	if err := c.conn.SetWriteDeadline(deadline); err != nil {
 		return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 	}
 	for size := len(tail); ; {
 		var writeErr error
 		err := gate(func() error {
-			s.setOutstanding(true)
+			c.setOutstanding(true)
 			var n int
-			n, writeErr = s.tryWrite(tail)
+			n, writeErr = c.tryWrite(tail)
 			tail = tail[n:]
 			return writeErr
 		})
@@ -295,7 +295,7 @@
 		case writeErr != nil:
 			return fmt.Errorf("%w: %v", connpool.ErrBroken, writeErr)
 		case err != nil && len(tail) == size:
-			s.setOutstanding(false)
+			c.setOutstanding(false)
 			return fmt.Errorf("%w: %w", errGateRefused, err)
 		case err != nil || len(tail) == 0:
 			return err
@@ -307,27 +307,27 @@
 }
 
 // tryWrite writes as much as can be written without blocking, if the connection supports that.
-func (s *Conn) tryWrite(b []byte) (int, error) {
-	if w, ok := s.c.(kernel.TryWriter); ok {
+func (c *Conn) tryWrite(b []byte) (int, error) {
+	if w, ok := c.conn.(kernel.TryWriter); ok {
 		return w.TryWrite(b)
 	}
-	return s.c.Write(b)
+	return c.conn.Write(b)
 }
 
 // writeBy writes b before the deadline.
-func (s *Conn) writeBy(b []byte, deadline time.Time) (int, error) {
-	if err := s.c.SetWriteDeadline(deadline); err != nil {
+func (c *Conn) writeBy(b []byte, deadline time.Time) (int, error) {
+	if err := c.conn.SetWriteDeadline(deadline); err != nil {
 		return 0, err
 	}
-	return s.c.Write(b)
+	return c.conn.Write(b)
 }
 
 // takeAnswer records that the answer was taken, and returns it.
-func (s *Conn) takeAnswer(a *lineprotocol.Answer) *lineprotocol.Answer {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.state, s.outstanding, s.answered = a.State, false, false
-	return a
+func (c *Conn) takeAnswer(answer *lineprotocol.Answer) *lineprotocol.Answer {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.state, c.outstanding, c.answered = answer.State, false, false
+	return answer
 }
 
 // Watch configures what may end the wait for an answer early.
@@ -339,41 +339,41 @@
 }
 
 // Receive waits for the next answer, for at most the given time.
-func (s *Conn) Receive(wait kernel.Micros, w Watch) (*lineprotocol.Answer, error) {
+func (c *Conn) Receive(wait kernel.Micros, watch Watch) (*lineprotocol.Answer, error) {
 	select {
-	case a := <-s.answers:
-		return s.takeAnswer(a), nil
+	case answer := <-c.answers:
+		return c.takeAnswer(answer), nil
 	default:
 	}
-	if w.OnDelay != nil && w.DelayThreshold < wait {
-		a, err := s.receive(w.DelayThreshold, w)
+	if watch.OnDelay != nil && watch.DelayThreshold < wait {
+		answer, err := c.receive(watch.DelayThreshold, watch)
 		if !errors.Is(err, connpool.ErrDeadline) {
-			return a, err
+			return answer, err
 		}
-		if !w.OnDelay() {
+		if !watch.OnDelay() {
 			return nil, ErrNoAnswerYet
 		}
-		wait -= w.DelayThreshold
+		wait -= watch.DelayThreshold
 	}
-	return s.receive(wait, w)
+	return c.receive(wait, watch)
 }
 
-func (s *Conn) receive(wait kernel.Micros, w Watch) (*lineprotocol.Answer, error) {
+func (c *Conn) receive(wait kernel.Micros, watch Watch) (*lineprotocol.Answer, error) {
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
 	select {
-	case a := <-s.answers:
-		return s.takeAnswer(a), nil
-	case <-w.MarkedDown:
+	case answer := <-c.answers:
+		return c.takeAnswer(answer), nil
+	case <-watch.MarkedDown:
 		return nil, ErrMarkedDown
-	case <-w.ShuttingDown:
+	case <-watch.ShuttingDown:
 		return nil, ErrShuttingDown
-	case <-s.broken:
+	case <-c.broken:
 		select {
-		case a := <-s.answers: // it arrived just before the connection broke
-			return s.takeAnswer(a), nil
+		case answer := <-c.answers: // it arrived just before the connection broke
+			return c.takeAnswer(answer), nil
 		default:
-			return nil, s.brokenError()
+			return nil, c.brokenError()
 		}
 	case <-t.C:
 		return nil, connpool.ErrDeadline
@@ -392,23 +392,25 @@
 	return WaitLimit{time.Now().Add(timeout.Duration()), shuttingDown}
 }
 
-func (p WaitLimit) left() kernel.Micros { return kernel.Micros(time.Until(p.Until) / time.Microsecond) }
+func (limit WaitLimit) left() kernel.Micros {
+	return kernel.Micros(time.Until(limit.Until) / time.Microsecond)
+}
 
 // Execute executes a statement of the pool's own and returns its answer.
-func (s *Conn) Execute(text string, p WaitLimit) (*lineprotocol.Answer, error) {
-	if err := s.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), p.left(), nil); err != nil {
+func (c *Conn) Execute(text string, limit WaitLimit) (*lineprotocol.Answer, error) {
+	if err := c.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), limit.left(), nil); err != nil {
 		return nil, err
 	}
-	return s.Receive(p.left(), Watch{ShuttingDown: p.ShuttingDown})
+	return c.Receive(limit.left(), Watch{ShuttingDown: limit.ShuttingDown})
 }
 
 // State returns the transaction state that the database last reported: I, T or E.
-func (s *Conn) State() byte { return s.state }
+func (c *Conn) State() byte { return c.state }
 
 // Close closes the connection; the database rolls back what is uncommitted.
-func (s *Conn) Close() {
-	s.mu.Lock()
-	s.closed = true
-	s.mu.Unlock()
-	s.c.Close()
+func (c *Conn) Close() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+	c.conn.Close()
 }
--- a/internal/dbconn/plugin.go
+++ b/internal/dbconn/plugin.go
@@ -19,17 +19,17 @@
 		Name: "dbconn", Rank: 50, Roles: []string{"pooler"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			d := &Dialer{
+			dialer := &Dialer{
 				Net: k.Net, ClientName: s.NodeName, ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
 				DialSlots: make(chan struct{}, connpool.MaxConcurrentDials),
 			}
 			pools := connpool.New[Want](k, connpool.Config[Want, *Conn]{
 				Open: func(ctx context.Context, db discovery.Database, want Want, wait kernel.Micros) (*Conn, error) {
-					return d.OpenForTenant(ctx, db, want.Tenant, wait)
+					return dialer.OpenForTenant(ctx, db, want.Tenant, wait)
 				},
 				Evict:       true,
 				OpenTimeout: 2 * kernel.Second, CheckTimeout: settings.FromMillis(s.CheckWaitMs), IdleTimeout: 15 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
-				Share: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
+				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
 			}, kernel.Need[*health.Monitor](k))
 			kernel.Offer(k, pools)
 			kernel.Offer(k, connpool.Updater(pools.SetDatabases))
@@ -43,14 +43,14 @@
 		Name: "dbconn-check", Rank: 50, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			v := kernel.Need[*controlstate.Replica](k)
-			d := &Dialer{
+			replica := kernel.Need[*controlstate.Replica](k)
+			dialer := &Dialer{
 				Net: k.Net, ClientName: "control", ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
 				DialSlots: make(chan struct{}, connpool.MaxConcurrentDials),
 			}
 			unresponsive := &connpool.UnresponsiveTracker{}
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
-				return probe(ctx, k, v, d, unresponsive, id)
+				return probe(ctx, k, replica, dialer, unresponsive, id)
 			})
 			return nil
 		},
--- a/internal/dbconn/values.go
+++ b/internal/dbconn/values.go
@@ -25,30 +25,30 @@
 // SetValues sets exactly the given session values on the connection. It discards all values and
 // prepared names first if a value is set that is not wanted, or if there are too many prepared
 // names.
-func (s *Conn) SetValues(want map[string]string, p WaitLimit) error {
-	if s.hasUnwantedValue(want) || s.tooManyPrepared() {
-		if err := s.mustExecute("DISCARD", p); err != nil {
+func (c *Conn) SetValues(want map[string]string, limit WaitLimit) error {
+	if c.hasUnwantedValue(want) || c.tooManyPrepared() {
+		if err := c.mustExecute("DISCARD", limit); err != nil {
 			return err
 		}
-		clear(s.values)
-		clear(s.names)
-		s.preparedBytes = 0
+		clear(c.values)
+		clear(c.preparedNames)
+		c.preparedBytes = 0
 	}
 	for name, value := range want {
-		if have, ok := s.values[name]; ok && have == value {
+		if have, ok := c.values[name]; ok && have == value {
 			continue
 		}
-		if err := s.mustExecute("OPTION "+name+" "+value, p); err != nil {
+		if err := c.mustExecute("OPTION "+name+" "+value, limit); err != nil {
 			return err
 		}
-		s.values[name] = value
+		c.values[name] = value
 	}
 	return nil
 }
 
 // hasUnwantedValue reports whether a value is set that is not wanted.
-func (s *Conn) hasUnwantedValue(want map[string]string) bool {
-	for name := range s.values {
+func (c *Conn) hasUnwantedValue(want map[string]string) bool {
+	for name := range c.values {
 		if _, ok := want[name]; !ok {
 			return true
 		}
@@ -58,34 +58,34 @@
 
 // tooManyPrepared reports whether the connection has more prepared names than are kept and is in
 // no transaction, which might need them.
-func (s *Conn) tooManyPrepared() bool {
-	return s.state == 'I' && (len(s.names) >= maxPrepared || s.preparedBytes > maxPreparedBytes)
+func (c *Conn) tooManyPrepared() bool {
+	return c.state == 'I' && (len(c.preparedNames) >= maxPrepared || c.preparedBytes > maxPreparedBytes)
 }
 
 // Prepare returns the name under which the statement is prepared on this connection, and prepares it
 // first if needed. Equal statements get equal names on all connections, unless hashes collide.
-func (s *Conn) Prepare(statement Prepared, p WaitLimit) (string, error) {
+func (c *Conn) Prepare(statement Prepared, limit WaitLimit) (string, error) {
 	key := statement.key()
-	if name, ok := s.names[key]; ok {
+	if name, ok := c.preparedNames[key]; ok {
 		return name, nil
 	}
 	h := fnv.New64a()
 	h.Write([]byte(key))
 	name := "p" + strconv.FormatUint(h.Sum64(), 36)
-	for taken := s.nameTaken(name); taken; taken = s.nameTaken(name) {
+	for taken := c.nameTaken(name); taken; taken = c.nameTaken(name) {
 		name += "x"
 	}
-	if err := s.mustExecute("PARSE "+name+" "+key, p); err != nil {
+	if err := c.mustExecute("PARSE "+name+" "+key, limit); err != nil {
 		return "", err
 	}
-	s.names[key] = name
-	s.preparedBytes += len(key)
+	c.preparedNames[key] = name
+	c.preparedBytes += len(key)
 	return name, nil
 }
 
 // nameTaken reports whether the name is in use for another statement.
-func (s *Conn) nameTaken(name string) bool {
-	for _, n := range s.names {
+func (c *Conn) nameTaken(name string) bool {
+	for _, n := range c.preparedNames {
 		if n == name {
 			return true
 		}
@@ -94,17 +94,17 @@
 }
 
 // ForgetPrepared removes a prepared name that the database no longer knows.
-func (s *Conn) ForgetPrepared(statement Prepared) { delete(s.names, statement.key()) }
+func (c *Conn) ForgetPrepared(statement Prepared) { delete(c.preparedNames, statement.key()) }
 
 // mustExecute executes a statement that only a broken connection can refuse. After any other
 // answer the state of the connection is unknown, and it is closed.
-func (s *Conn) mustExecute(text string, p WaitLimit) error {
-	a, err := s.Execute(text, p)
+func (c *Conn) mustExecute(text string, limit WaitLimit) error {
+	answer, err := c.Execute(text, limit)
 	if err != nil {
 		return err
 	}
-	if a.Code != "" {
-		s.Close()
+	if answer.Code != "" {
+		c.Close()
 		return connpool.ErrRejected
 	}
 	return nil
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -54,7 +54,7 @@
 	// recentUse is how long a connection may have been idle and still carry a request that must
 	// not run twice: a connection that the far end has dropped shows it only when it is written
 	// to.
-	recentUse = 100 * kernel.Millisecond
+	freshIdleTime = 100 * kernel.Millisecond
 )
 
 // Pools hold a gateway's connections to all databases.
@@ -102,9 +102,9 @@
 type Conn struct {
 	DB discovery.Database
 
-	c       net.Conn
+	conn    net.Conn
 	limiter *headerLimiter
-	in      *bufio.Reader
+	reader  *bufio.Reader
 	done    chan struct{}
 
 	mu                sync.Mutex
@@ -116,7 +116,7 @@
 	sent              int                         // number of requests
 	idleTimeout       kernel.Micros               // after which the database closes it; 0 if not announced
 	unresponsive      bool
-	onClose           func(byUs, silent bool)
+	onBroken          func(byUs, unresponsive bool)
 }
 
 // headerLimiter limits how much is read of a response's header.
@@ -125,28 +125,28 @@
 	left int64 // negative for no limit
 }
 
-func (m *headerLimiter) Read(b []byte) (int, error) {
-	if m.left == 0 {
+func (l *headerLimiter) Read(b []byte) (int, error) {
+	if l.left == 0 {
 		return 0, ErrMalformed
 	}
-	if m.left > 0 && int64(len(b)) > m.left {
-		b = b[:m.left]
+	if l.left > 0 && int64(len(b)) > l.left {
+		b = b[:l.left]
 	}
-	n, err := m.r.Read(b)
-	if m.left > 0 {
-		m.left -= int64(n)
+	n, err := l.r.Read(b)
+	if l.left > 0 {
+		l.left -= int64(n)
 	}
 	return n, err
 }
 
 // Dialer opens connections.
 type Dialer struct {
-	Net            kernel.Network
-	ConnectTimeout kernel.Micros
-	SilenceTimeout kernel.Micros
-	DialSlots      chan struct{} // limits the number of dials in progress
-	HealthPath     func(service string) string
-	Wrap           Wrap // applied to every connection
+	Net                 kernel.Network
+	ConnectTimeout      kernel.Micros
+	UnresponsiveTimeout kernel.Micros
+	DialSlots           chan struct{} // limits the number of dials in progress
+	HealthPath          func(service string) string
+	Wrap                Wrap // applied to every connection
 }
 
 // Wrap wraps a new connection before use.
@@ -154,15 +154,15 @@
 
 // Open establishes a connection.
 func (d *Dialer) Open(ctx context.Context, db discovery.Database, _ kernel.Micros) (*Conn, error) {
-	c, err := connpool.Dial(ctx, d.Net, d.DialSlots, db.Address, d.ConnectTimeout, d.SilenceTimeout)
+	conn, err := connpool.Dial(ctx, d.Net, d.DialSlots, db.Address, d.ConnectTimeout, d.UnresponsiveTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c = d.Wrap(c)
-	m := &headerLimiter{r: c, left: -1}
-	s := &Conn{DB: db, c: c, limiter: m, in: bufio.NewReaderSize(m, readBufferSize), done: make(chan struct{})}
-	go s.readLoop()
-	return s, nil
+	conn = d.Wrap(conn)
+	l := &headerLimiter{r: conn, left: -1}
+	c := &Conn{DB: db, conn: conn, limiter: l, reader: bufio.NewReaderSize(l, readBufferSize), done: make(chan struct{})}
+	go c.readLoop()
+	return c, nil
 }
 
 // Probe opens a connection and requests the database's health. Any response that comes from that
@@ -170,50 +170,50 @@
 // database that accepts the connection and does not respond in time is slow, which is not a
 // failure.
 func (d *Dialer) Probe(ctx context.Context, db discovery.Database, wait kernel.Micros) (*Conn, error) {
-	s, err := d.Open(ctx, db, wait)
+	c, err := d.Open(ctx, db, wait)
 	if err != nil {
 		return nil, err
 	}
-	q, err := http.NewRequest(http.MethodGet, "http://"+db.Address+d.HealthPath(db.Service), nil)
+	request, err := http.NewRequest(http.MethodGet, "http://"+db.Address+d.HealthPath(db.Service), nil)
 	if err != nil {
-		s.Close()
+		c.Close()
 		return nil, fmt.Errorf("%w: %v", connpool.ErrRejected, err)
 	}
-	q.Header["User-Agent"] = nil
-	ch, err := s.Send(q, "", wait)
+	request.Header["User-Agent"] = nil
+	results, err := c.Send(request, "", wait)
 	if err != nil {
-		s.Close()
+		c.Close()
 		return nil, err
 	}
-	r, err := Await(ch, wait, nil, nil)
+	reply, err := Await(results, wait, nil, nil)
 	switch {
 	case errors.Is(err, ErrNoResponse):
-		s.Close()
+		c.Close()
 		return nil, connpool.ErrNotReady
 	case err != nil:
-		s.Close()
+		c.Close()
 		return nil, err
-	case r.Status == http.StatusMisdirectedRequest, r.Header.Get(Instance) != "" && r.Header.Get(Instance) != db.ID:
-		s.Close()
+	case reply.Status == http.StatusMisdirectedRequest, reply.Header.Get(Instance) != "" && reply.Header.Get(Instance) != db.ID:
+		c.Close()
 		return nil, fmt.Errorf("%w: another database responds at its address", connpool.ErrRejected)
 	}
-	return s, nil
+	return c, nil
 }
 
 // Await waits for the result of a request that was sent. It returns ErrNoResponse if there is none
 // within wait, or when draining or disconnected is closed.
-func Await(ch <-chan Result, wait kernel.Micros, draining, disconnected <-chan struct{}) (*Reply, error) {
+func Await(results <-chan Result, wait kernel.Micros, draining, disconnected <-chan struct{}) (*Reply, error) {
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
 	select {
-	case r := <-ch:
+	case r := <-results:
 		return r.Reply, r.Err
 	case <-t.C:
 	case <-draining:
 	case <-disconnected:
 	}
 	select {
-	case r := <-ch: // it arrived just before the end
+	case r := <-results: // it arrived just before the end
 		return r.Reply, r.Err
 	default:
 		return nil, ErrNoResponse
@@ -224,53 +224,53 @@
 // refuses a request whose ID was sent on this connection recently, because a surplus response to
 // the earlier one could not be told from its own. A body that is not entirely in memory is
 // streamed. Writing, and reading the remainder of a long response, must end within wait.
-func (s *Conn) Send(q *http.Request, id string, wait kernel.Micros) (<-chan Result, error) {
+func (c *Conn) Send(request *http.Request, id string, wait kernel.Micros) (<-chan Result, error) {
 	deadline := time.Now().Add(wait.Duration())
-	p := &pendingRequest{q, id, deadline, make(chan Result, 1)}
-	s.mu.Lock()
-	if s.pending != nil || s.closed || s.tainted || !s.Alive() {
-		s.mu.Unlock()
+	pending := &pendingRequest{request, id, deadline, make(chan Result, 1)}
+	c.mu.Lock()
+	if c.pending != nil || c.closed || c.tainted || !c.Alive() {
+		c.mu.Unlock()
 		return nil, ErrUnsent
 	}
-	if id != "" && slices.Contains(s.recentIDs[:], id) {
-		s.tainted = true
-		s.mu.Unlock()
+	if id != "" && slices.Contains(c.recentIDs[:], id) {
+		c.tainted = true
+		c.mu.Unlock()
 		return nil, ErrUnsent
 	}
-	s.recentIDs[s.sent%len(s.recentIDs)] = id
-	s.sent++
-	s.pending = p
-	s.mu.Unlock()
-	if err := s.c.SetWriteDeadline(deadline); err != nil {
-		s.Close()
+	c.recentIDs[c.sent%len(c.recentIDs)] = id
+	c.sent++
+	c.pending = pending
+	c.mu.Unlock()
+	if err := c.conn.SetWriteDeadline(deadline); err != nil {
+		c.Close()
 		return nil, ErrUnsent
 	}
-	writer := &requestWriter{c: s.c}
-	if err := q.Write(writer); err == nil {
+	writer := &requestWriter{conn: c.conn}
+	if err := request.Write(writer); err == nil {
 		err = writer.flush()
 		if err == nil {
-			return p.result, nil
+			return pending.result, nil
 		}
 	}
 	// A partly written request may have been read by the database.
-	s.Close()
+	c.Close()
 	if writer.sent == 0 {
 		return nil, ErrUnsent
 	}
-	return p.result, nil
+	return pending.result, nil
 }
 
 // requestWriter buffers a small request so that it is sent in one piece, and counts the bytes sent.
 type requestWriter struct {
-	c    net.Conn
+	conn net.Conn
 	buf  bytes.Buffer
 	sent int64
 }
 
-func (o *requestWriter) Write(b []byte) (int, error) {
-	o.buf.Write(b)
-	if o.buf.Len() >= maxBufferedBody {
-		if err := o.flush(); err != nil {
+func (w *requestWriter) Write(b []byte) (int, error) {
+	w.buf.Write(b)
+	if w.buf.Len() >= maxBufferedBody {
+		if err := w.flush(); err != nil {
 			return 0, err
 		}
 	}
@@ -278,37 +278,37 @@
 }
 
 // WriteByte implements io.ByteWriter, so that http.Request.Write adds no buffer of its own.
-func (o *requestWriter) WriteByte(b byte) error {
-	_, err := o.Write([]byte{b})
+func (w *requestWriter) WriteByte(b byte) error {
+	_, err := w.Write([]byte{b})
 	return err
 }
 
-func (o *requestWriter) flush() error {
-	if o.buf.Len() == 0 {
+func (w *requestWriter) flush() error {
+	if w.buf.Len() == 0 {
 		return nil
 	}
-	n, err := o.c.Write(o.buf.Bytes())
-	o.sent += int64(n)
-	o.buf.Reset()
+	n, err := w.conn.Write(w.buf.Bytes())
+	w.sent += int64(n)
+	w.buf.Reset()
 	return err
 }
 
 // readLoop reads responses until the connection fails.
-func (s *Conn) readLoop() {
-	err := s.readResponses()
-	s.mu.Lock()
-	p := s.pending
-	s.pending = nil
-	s.unresponsive = errors.Is(err, syscall.ETIMEDOUT)
-	onClose, byUs, unresponsive := s.onClose, s.closed || s.tainted, s.unresponsive
-	s.mu.Unlock()
-	close(s.done)
-	s.c.Close()
-	if p != nil {
-		p.result <- Result{Err: closeError(err)}
+func (c *Conn) readLoop() {
+	err := c.readResponses()
+	c.mu.Lock()
+	pending := c.pending
+	c.pending = nil
+	c.unresponsive = errors.Is(err, syscall.ETIMEDOUT)
+	onBroken, byUs, unresponsive := c.onBroken, c.closed || c.tainted, c.unresponsive
+	c.mu.Unlock()
+	close(c.done)
+	c.conn.Close()
+	if pending != nil {
+		pending.result <- Result{Err: closeError(err)}
 	}
-	if onClose != nil {
-		onClose(byUs, unresponsive)
+	if onBroken != nil {
+		onBroken(byUs, unresponsive)
 	}
 }
 
@@ -323,138 +323,138 @@
 	return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 }
 
-func (s *Conn) readResponses() error {
+func (c *Conn) readResponses() error {
 	for surplus := 0; ; {
-		if _, err := s.in.Peek(1); err != nil {
+		if _, err := c.reader.Peek(1); err != nil {
 			return err
 		}
-		s.mu.Lock()
-		p := s.pending
-		s.tainted = s.tainted || p == nil
-		s.mu.Unlock()
-		if p == nil {
+		c.mu.Lock()
+		pending := c.pending
+		c.tainted = c.tainted || pending == nil
+		c.mu.Unlock()
+		if pending == nil {
 			return ErrMalformed // a response without a request
 		}
-		s.limiter.left = maxHeaderBytes
-		r, err := http.ReadResponse(s.in, p.request)
-		s.limiter.left = -1
+		c.limiter.left = maxHeaderBytes
+		response, err := http.ReadResponse(c.reader, pending.request)
+		c.limiter.left = -1
 		if err != nil {
 			if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ETIMEDOUT) {
 				return err
 			}
 			return fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
-		matches := p.id == "" || r.Header.Get(RequestID) == p.id
-		if r.StatusCode < 200 || !matches {
+		matches := pending.id == "" || response.Header.Get(RequestID) == pending.id
+		if response.StatusCode < 200 || !matches {
 			if surplus++; surplus > maxSurplusResponses {
 				return ErrMalformed
 			}
-			if r.StatusCode >= 200 {
-				s.taint()
+			if response.StatusCode >= 200 {
+				c.taint()
 			}
-			if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			if _, err := io.Copy(io.Discard, response.Body); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := s.deliver(p, r); err != nil {
+		if err := c.deliver(pending, response); err != nil {
 			return err
 		}
 		surplus = 0
-		if s.closeIfSpent() {
+		if c.closeIfNotReusable() {
 			return io.EOF
 		}
 	}
 }
 
 // taint marks the connection as not to be reused.
-func (s *Conn) taint() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.tainted = true
+func (c *Conn) taint() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.tainted = true
 }
 
 // deadlineReader reads the remainder of a long response, until its deadline.
 type deadlineReader struct {
 	r        io.Reader
-	c        net.Conn
+	conn     net.Conn
 	deadline time.Time
 }
 
-func (p deadlineReader) Read(b []byte) (int, error) {
-	if err := p.c.SetReadDeadline(p.deadline); err != nil {
+func (d deadlineReader) Read(b []byte) (int, error) {
+	if err := d.conn.SetReadDeadline(d.deadline); err != nil {
 		return 0, err
 	}
-	return p.r.Read(b)
+	return d.r.Read(b)
 }
 
 // finishRequest ends the request in progress. The connection is not reused if more data followed
 // the response.
-func (s *Conn) finishRequest() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.pending = nil
-	s.tainted = s.tainted || s.in.Buffered() > 0
+func (c *Conn) finishRequest() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending = nil
+	c.tainted = c.tainted || c.reader.Buffered() > 0
 }
 
 // deliver passes the response on, small ones in full.
-func (s *Conn) deliver(p *pendingRequest, r *http.Response) error {
-	reply := &Reply{Status: r.StatusCode, Header: r.Header, Length: r.ContentLength}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
+func (c *Conn) deliver(pending *pendingRequest, response *http.Response) error {
+	reply := &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength}
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBody+1))
 	if err != nil {
 		return err
 	}
 	reply.Body = body
-	var done chan struct{}
+	var closed chan struct{}
 	if len(body) > maxBufferedBody {
-		done = make(chan struct{})
+		closed = make(chan struct{})
 		released := make(chan struct{})
 		defer close(released)
-		reply.Remainder, reply.done, reply.Released = deadlineReader{r.Body, s.c, p.deadline}, done, released
+		reply.Remainder, reply.done, reply.Released = deadlineReader{response.Body, c.conn, pending.deadline}, closed, released
 	}
-	s.recordKeepAlive(r)
-	if done == nil {
-		s.finishRequest()
+	c.recordKeepAlive(response)
+	if closed == nil {
+		c.finishRequest()
 	}
-	p.result <- Result{Reply: reply}
-	if done != nil {
-		<-done
-		if n, err := io.Copy(io.Discard, io.LimitReader(deadlineReader{r.Body, s.c, p.deadline}, maxBufferedBody)); err != nil || n == maxBufferedBody {
+	pending.result <- Result{Reply: reply}
+	if closed != nil {
+		<-closed
+		if n, err := io.Copy(io.Discard, io.LimitReader(deadlineReader{response.Body, c.conn, pending.deadline}, maxBufferedBody)); err != nil || n == maxBufferedBody {
 			return fmt.Errorf("%w: response body not read to the end", connpool.ErrBroken)
 		}
-		s.finishRequest()
-		return s.c.SetReadDeadline(time.Time{})
+		c.finishRequest()
+		return c.conn.SetReadDeadline(time.Time{})
 	}
 	return nil
 }
 
 // recordKeepAlive records what the response says about the reuse of the connection.
-func (s *Conn) recordKeepAlive(r *http.Response) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.closeAfterPending = s.closeAfterPending || r.Close
-	for part := range strings.SplitSeq(r.Header.Get("Keep-Alive"), ",") {
+func (c *Conn) recordKeepAlive(response *http.Response) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closeAfterPending = c.closeAfterPending || response.Close
+	for part := range strings.SplitSeq(response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if sec, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			s.idleTimeout = kernel.Micros(sec) * kernel.Second
+			c.idleTimeout = kernel.Micros(sec) * kernel.Second
 		}
 	}
 }
 
 // closeIfSpent marks a connection that can't be reused as closed, and reports whether it is closed.
-func (s *Conn) closeIfSpent() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.closeAfterPending || s.tainted {
-		s.closed = true
+func (c *Conn) closeIfNotReusable() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closeAfterPending || c.tainted {
+		c.closed = true
 	}
-	return s.closed
+	return c.closed
 }
 
 // Alive implements connpool.Connection.
-func (s *Conn) Alive() bool {
+func (c *Conn) Alive() bool {
 	select {
-	case <-s.done:
+	case <-c.done:
 		return false
 	default:
 		return true
@@ -462,33 +462,33 @@
 }
 
 // Reusable implements connpool.Connection.
-func (s *Conn) Reusable() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.pending == nil && !s.closed && !s.closeAfterPending && !s.tainted
+func (c *Conn) Reusable() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.pending == nil && !c.closed && !c.closeAfterPending && !c.tainted
 }
 
-// Fit implements connpool.Connection.
-func (s *Conn) Fit(want Want, idle kernel.Micros) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if want.Fresh && idle > recentUse || s.idleTimeout > 0 && idle > s.idleTimeout-idleCloseMargin || s.tainted {
+// Score implements connpool.Connection.
+func (c *Conn) Score(want Want, idle kernel.Micros) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if want.Fresh && idle > freshIdleTime || c.idleTimeout > 0 && idle > c.idleTimeout-idleCloseMargin || c.tainted {
 		return -1
 	}
 	return 0
 }
 
 // Attach implements connpool.Connection.
-func (s *Conn) Attach(_ int64, onClose func(byUs, silent bool)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.onClose = onClose
+func (c *Conn) Attach(_ int64, onBroken func(byUs, unresponsive bool)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.onBroken = onBroken
 }
 
 // Close closes the connection.
-func (s *Conn) Close() {
-	s.mu.Lock()
-	s.closed = true
-	s.mu.Unlock()
-	s.c.Close()
+func (c *Conn) Close() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+	c.conn.Close()
 }
--- a/internal/httpconn/fuzz_test.go
+++ b/internal/httpconn/fuzz_test.go
@@ -22,7 +22,7 @@
 	c net.Conn
 }
 
-func (w pipeNet) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return w.c, nil }
+func (n pipeNet) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return n.c, nil }
 
 // Whatever a database sends, however it is split, a response carries the ID of the request that it
 // is delivered to, and its bytes come from the stream. Data sent after both responses, or while no
@@ -48,41 +48,41 @@
 				t.Fatal(err)
 			}
 			all := append(bytes.Clone(first), second...)
-			ask := func(id string, piece []byte) {
-				clean := c.Reusable() && c.Alive()
-				q, err := http.NewRequest(http.MethodPost, "http://d/", strings.NewReader("x"))
+			exchange := func(id string, piece []byte) {
+				reusable := c.Reusable() && c.Alive()
+				request, err := http.NewRequest(http.MethodPost, "http://d/", strings.NewReader("x"))
 				if err != nil {
 					t.Fatal(err)
 				}
-				ch, err := c.Send(q, id, kernel.Second)
-				if err == nil && !clean {
+				ch, err := c.Send(request, id, kernel.Second)
+				if err == nil && !reusable {
 					t.Errorf("%s is sent on a connection that must not be reused", id)
 				}
 				go remote.Write(piece)
 				if err != nil {
 					return
 				}
-				r, err := httpconn.Await(ch, kernel.Second, nil, nil)
+				reply, err := httpconn.Await(ch, kernel.Second, nil, nil)
 				if err != nil {
 					c.Close()
 					return
 				}
-				defer r.Close()
-				body := r.Body
-				if r.Remainder != nil {
-					rest, _ := io.ReadAll(io.LimitReader(r.Remainder, 1<<20))
+				defer reply.Close()
+				body := reply.Body
+				if reply.Remainder != nil {
+					rest, _ := io.ReadAll(io.LimitReader(reply.Remainder, 1<<20))
 					body = append(bytes.Clone(body), rest...)
 				}
-				if r.Header.Get(httpconn.RequestID) != id || r.Status < 200 {
-					t.Errorf("%s got %d %v", id, r.Status, r.Header)
+				if reply.Header.Get(httpconn.RequestID) != id || reply.Status < 200 {
+					t.Errorf("%s got %d %v", id, reply.Status, reply.Header)
 				}
-				if r.Header.Get("Transfer-Encoding") == "" && r.Length >= 0 && !bytes.Contains(all, body) {
+				if reply.Header.Get("Transfer-Encoding") == "" && reply.Length >= 0 && !bytes.Contains(all, body) {
 					t.Errorf("%s got %q, which the database did not send", id, body)
 				}
 			}
-			ask("a", first)
+			exchange("a", first)
 			synctest.Wait()
-			ask("b", second)
+			exchange("b", second)
 			synctest.Wait()
 			remote.Close()
 			time.Sleep(time.Minute)
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -33,7 +33,7 @@
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
 			dialer := &Dialer{
-				Net: k.Net, ConnectTimeout: connectTimeoutFactor * settings.FromMillis(s.CheckWaitMs), SilenceTimeout: settings.FromMillis(s.PeerTimeoutMs),
+				Net: k.Net, ConnectTimeout: connectTimeoutFactor * settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
 				DialSlots:  make(chan struct{}, connpool.MaxConcurrentDials),
 				Wrap:       func(c net.Conn) net.Conn { return kernel.Need[Wrap](k)(c) },
 				HealthPath: func(svc string) string { return kernel.Need[HealthPath](k)(svc) },
@@ -47,7 +47,7 @@
 				Probe:       dialer.Probe,
 				OpenTimeout: kernel.Second, CheckTimeout: settings.FromMillis(s.CheckWaitMs),
 				IdleTimeout: 8 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
-				Share:          func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
+				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
 				MaxConnections: maxConnections(s.MaxFDs),
 				SuspectOwnLink: true,
 			}, kernel.Need[*health.Monitor](k))
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -251,7 +251,7 @@
 	_, err := p.control.Primary(service)
 	return readrouting.Candidates{
 		Databases: databases, Leader: leader, Leased: err == nil, Zone: p.cfg.Zone,
-		Up: p.health.Up, Busy: p.pool.Busy, Idle: func(id string) bool { return p.pool.Idle(id, want) },
+		Up: p.health.Up, Busy: p.pool.Busy, Idle: func(id string) bool { return p.pool.HasIdle(id, want) },
 	}
 }
 
