--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,6 +1,6 @@
-// Package connpool pools a process's connections to databases, independent of the protocol they
-// speak. The pools are capped, shared between sessions and grown gradually; a free connection goes
-// to the most urgent waiter it suits.
+// Package connpool implements pools of a process's connections to databases, whatever protocol the
+// connections use. The size of each pool is limited and grows gradually. Connections are shared
+// between sessions: one that becomes free goes to the most urgent waiter that it suits.
 package connpool
 
 import (
@@ -15,7 +15,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// Errors of connecting to a database and of borrowing a connection.
+// Errors returned when connecting to a database or borrowing a connection fails.
 var (
 	ErrBroken          = errors.New("connpool: connection broken")
 	ErrUnresponsive    = errors.New("connpool: database unresponsive or refusing connections")
@@ -26,29 +26,30 @@
 	ErrRejected        = errors.New("connpool: database rejected the connection")
 )
 
-// Connection is a connection as the pools use it. W describes what a borrower requires or prefers of a
-// connection.
+// Connection is a connection that can be pooled. Want is the type that describes what a borrower
+// requires or prefers of a connection.
 type Connection[Want any] interface {
 	comparable
 	Alive() bool
 	Close()
 	// Reusable reports whether the connection can be handed to another borrower now.
 	Reusable() bool
-	// Score scores how well a connection that has been idle for the given time suits a borrower. A
-	// negative score means that it must not be used.
+	// Score rates how well the connection suits a borrower after it has been idle for the given
+	// time. A higher score is better; with a negative one the borrower must not use it.
 	Score(want Want, idle kernel.Micros) int
 	// Attach sets the database generation under which the connection was opened, and the callback
-	// to run when it breaks.
+	// for when it breaks. byUs tells the callback that this process closed the connection itself,
+	// unresponsive that the database stopped responding.
 	Attach(generation int64, onBroken func(byUs, unresponsive bool))
 }
 
-// Share returns how many connections this process may hold to one database of a service.
+// MaxPerDatabase returns how many connections this process may hold to each database of a service.
 type Share func(service string) int
 
-// Counts returns the numbers of open and idle connections by database.
+// ConnectionCounts returns the numbers of open and idle connections by database.
 type Counts func() map[string][2]int
 
-// Updater receives the current set of databases by ID.
+// DatabaseUpdater receives the current set of databases, by ID.
 type Updater func(map[string]discovery.Database)
 
 // Config configures the pools.
--- a/internal/connpool/dial.go
+++ b/internal/connpool/dial.go
@@ -9,12 +9,12 @@
 	"indigowalk/internal/kernel"
 )
 
-// MaxConcurrentDials limits concurrent calls of Dial. With more at once on a small machine none would
-// complete in time, and every database would seem unresponsive.
+// MaxConcurrentDials limits concurrent calls of Dial. With more of them at once on a small machine,
+// none would complete in time and every database would seem unresponsive.
 const MaxConcurrentDials = 16
 
-// stallFactor is how many times its time limit an attempt must take before the process itself is
-// assumed to have stalled: the limit then expired before any response could be read.
+// stallFactor is the multiple of its time limit that a failed attempt must take for the process itself
+// to be assumed to have stalled, so that the limit expired before a response could be read.
 const stallFactor = 2
 
 // Dial opens a connection. It first waits for a slot, if slots is not nil; the connect time limit
@@ -41,8 +41,8 @@
 }
 
 // dialHedged starts a second attempt when the first has had no response for a quarter of the time
-// limit, since a single lost packet does not make a database unresponsive. The first result
-// counts.
+// limit, since a single lost packet does not make a database unresponsive. It returns the result of
+// the attempt that ends first.
 func dialHedged(ctx context.Context, network kernel.Network, addr string, connectTimeout, unresponsiveTimeout kernel.Micros) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout.Duration())
 	type result struct {
--- a/internal/connpool/dial_test.go
+++ b/internal/connpool/dial_test.go
@@ -12,8 +12,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// frozenNetwork fails the given number of calls: each such attempt ends when its time is up, or
-// later by the length of a stall of the process. Later calls connect.
+// frozenNetwork is a network on which the given number of Dial calls fail, as if the process stalled:
+// each ends only when its time limit and then the stall are over. Later calls succeed.
 type frozenNetwork struct {
 	kernel.Network
 	stall    time.Duration
@@ -32,8 +32,8 @@
 	return nil, ctx.Err()
 }
 
-// A database counts as unresponsive only if it did not respond while the process was running; a
-// stall of the process itself must not mark it so.
+// A database counts as unresponsive only if it did not respond while the process was running: a stall
+// of the process itself must not count against the database.
 func TestDialIgnoresProcessStall(t *testing.T) {
 	const connectTimeout = 150 * kernel.Millisecond
 	for name, c := range map[string]struct {
--- a/internal/connpool/invariants.go
+++ b/internal/connpool/invariants.go
@@ -2,7 +2,7 @@
 
 import "indigowalk/internal/invariant"
 
-// markLent records that a connection is borrowed. The caller holds the lock.
+// markBorrowed records that a connection is borrowed. The caller holds the lock.
 func (ps *Pools[Want, C]) markBorrowed(p *pool[Want, C], c C) {
 	origin := ps.origins[c]
 	ps.k.Invariants.Check(!origin.borrowed, invariant.LentOnce, "a connection to %s was lent twice", origin.id)
@@ -19,7 +19,7 @@
 	ps.origins[c] = origin
 	origin.pool.borrowed--
 	p := origin.pool
-	// The returned connection counts as neither idle nor lent at this moment.
+	// At this point the returned connection is counted as neither idle nor borrowed.
 	ps.k.Invariants.Check(p.open == len(p.idle)+p.borrowed+1, invariant.ConnectionsCounted,
 		"%d connections to %s are open, %d idle and %d lent", p.open, origin.id, len(p.idle), p.borrowed+1)
 	return origin
--- a/internal/connpool/invariants_test.go
+++ b/internal/connpool/invariants_test.go
@@ -12,7 +12,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// fakeLine is a connection that never breaks.
+// fakeConnection is a connection that never breaks.
 type fakeConnection struct{ closed bool }
 
 func (c *fakeConnection) Alive() bool                                 { return !c.closed }
@@ -21,7 +21,7 @@
 func (c *fakeConnection) Score(struct{}, kernel.Micros) int           { return 0 }
 func (c *fakeConnection) Attach(int64, func(byUs, unresponsive bool)) {}
 
-// fakePools returns pools of such connections to one database, "a".
+// fakePools returns pools of fake connections to one database, "a".
 func fakePools() (*kernel.Kernel, *Pools[struct{}, *fakeConnection]) {
 	k := kernel.NewKernel("pooler", nil, slog.New(slog.DiscardHandler))
 	ps := New[struct{}](k, Config[struct{}, *fakeConnection]{
@@ -34,8 +34,8 @@
 	return k, ps
 }
 
-// The invariants detect connections that are lent twice or missing from the count, and unknown
-// databases that are marked down.
+// The invariant checks detect a connection that is lent twice or missing from the count, and an
+// unknown database that stays marked down.
 func TestPoolInvariantsAreChecked(t *testing.T) {
 	borrow := func(ps *Pools[struct{}, *fakeConnection]) *fakeConnection {
 		c, err := ps.Borrow("a", 0, struct{}{}, kernel.Second)
@@ -76,7 +76,7 @@
 		k, ps := fakePools()
 		c.run(ps)
 		if got := k.Invariants.Violated(); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: violations %v", name, got)
 		}
 	}
 }
--- a/internal/connpool/open.go
+++ b/internal/connpool/open.go
@@ -9,13 +9,14 @@
 	"indigowalk/internal/kernel"
 )
 
-// openForWaiters starts opening connections for waiters, within the share.
+// openForWaiters starts opening connections for waiters, up to maxOpen connections to the database.
+// The caller holds the lock.
 func (ps *Pools[Want, C]) openForWaiters(p *pool[Want, C], maxOpen int) {
 	if ps.k.Clock.Now() < p.atLimitUntil {
 		maxOpen = max(1, p.open)
 	}
-	// Grow gradually: a connection that becomes free serves a waiter sooner than one that
-	// all proxies open at the same time.
+	// Grow gradually, at most doubling the pool: a connection that becomes free serves a waiter sooner
+	// than one of many that all proxies open at the same time.
 	for _, w := range p.waiting {
 		switch {
 		case w.opening:
@@ -62,8 +63,8 @@
 	return true
 }
 
-// openFor opens a connection as one waiter needs it. Once open, it goes to the most urgent
-// waiter that it suits.
+// openFor opens a connection that suits the given waiter. Once open, it goes to the most urgent
+// waiter that it suits, which may be another one.
 func (ps *Pools[Want, C]) openFor(p *pool[Want, C], w *waiter[Want, C]) {
 	ps.mu.Lock()
 	ctx, db := ps.ctx, p.db
@@ -83,8 +84,9 @@
 	ps.openForWaiters(p, max(1, ps.cfg.MaxPerDatabase(p.db.Service)))
 }
 
-// openFailed handles a failed attempt to open a connection. A database at its connection limit, a
-// rejection and a slow log-in are not reported to the health monitor; other failures are.
+// openFailed handles a failed attempt to open a connection. It reports the failure to the health
+// monitor, unless the database was at its connection limit, rejected the connection, or was slow to
+// log in.
 func (ps *Pools[Want, C]) openFailed(p *pool[Want, C], id string, generation int64, err error) {
 	if errors.Is(err, ErrConnectionLimit) {
 		ps.k.Counters.Add("connpool.capped", 1)
@@ -115,7 +117,7 @@
 	p.failWaiters(ErrBroken)
 }
 
-// grantOrIdle hands a connection to the most urgent waiter that it suits, or makes it idle.
+// grantOrIdle lends a connection to the most urgent waiter that it suits, or makes it idle.
 func (ps *Pools[Want, C]) grantOrIdle(p *pool[Want, C], c C) {
 	for i, w := range p.waiting {
 		if c.Score(w.want, 0) >= 0 {
--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -1,5 +1,5 @@
-// Package dbconn implements connections that send statements to databases in the line protocol,
-// and tracks the state of each.
+// Package dbconn implements connections to databases that speak the line protocol. It tracks the state
+// of each connection: its session values, prepared statements and transaction state.
 package dbconn
 
 import (
@@ -37,9 +37,9 @@
 	Values map[string]string // preferred: the session values that are set already
 }
 
-// Conn is one connection to a database. At most one statement is outstanding: until its answer has
-// been taken no other is sent, so that a late answer is never taken for that of another statement.
-// Nothing is sent after an unsolicited answer, or after one that was followed by more data.
+// Conn is one connection to a database. At most one statement is outstanding: no other is sent until
+// its answer has been received, so that a late answer is never taken for that of another statement.
+// Nothing is sent any more after an unsolicited answer, or after one that was followed by more data.
 type Conn struct {
 	DB            discovery.Database
 	Generation    int64  // generation of the database when the connection was opened
@@ -53,15 +53,15 @@
 
 	// The following fields belong to the current borrower.
 	values        map[string]string
-	preparedNames map[string]string // server-side name by kind and text
+	preparedNames map[string]string // names under which statements are prepared, by Prepared.key
 	state         byte
-	// preparedBytes is an upper bound of the size of the texts in names.
+	// preparedBytes is an upper bound of the size of the statements in preparedNames.
 	preparedBytes int
 
 	mu             sync.Mutex
-	outstanding    bool // a statement was sent and its answer has not been taken
-	answered       bool // that answer has arrived
-	desynchronized bool // data arrived that no statement accounts for
+	outstanding    bool // a statement was sent and its answer has not been received by the borrower
+	answered       bool // the answer to the outstanding statement has arrived
+	desynchronized bool // data arrived that does not belong to the answer of a statement
 	onBroken       func(byUs, unresponsive bool)
 	closed         bool
 }
@@ -78,8 +78,9 @@
 }
 
 // Open connects to the database and logs in, stating the expected database ID. A database that
-// accepts no connection within d.ConnectTimeout is unresponsive (ErrUnresponsive). One that accepts it but does
-// not answer the log-in within wait is slow (ErrNotReady), which is not a failure.
+// accepts no connection within d.ConnectTimeout is unresponsive (ErrUnresponsive). One that accepts
+// the connection but does not answer the log-in within wait is slow (ErrNotReady), which is not a
+// failure.
 func (d *Dialer) Open(ctx context.Context, db discovery.Database, wait kernel.Micros) (*Conn, error) {
 	return d.OpenForTenant(ctx, db, "", wait)
 }
@@ -135,8 +136,8 @@
 	return c, nil
 }
 
-// readAnswers reads answers until the connection breaks or an answer arrives that no statement
-// asked for, then closes the connection and runs the callback.
+// readAnswers reads answers until the connection breaks or an unsolicited answer arrives, then closes
+// the connection and runs the callback.
 func (c *Conn) readAnswers(reader *lineprotocol.Reader) {
 	for {
 		answer, err := lineprotocol.ReadAnswer(reader)
@@ -149,7 +150,7 @@
 		c.answered, c.desynchronized = true, c.desynchronized || !requested || reader.Buffered()
 		c.mu.Unlock()
 		if !requested {
-			break // an unsolicited answer: the stream can't be trusted any more
+			break // after an unsolicited answer, later ones can't be matched to statements
 		}
 		c.answers <- answer
 	}
@@ -171,16 +172,16 @@
 	c.onBroken = onBroken
 }
 
-// Reusable implements connpool.Connection: it reports whether the connection is in state I and every answer
-// has been taken.
+// Reusable implements connpool.Connection: it reports whether no transaction is open, every answer has
+// been received, and no unexpected data has arrived.
 func (c *Conn) Reusable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state == 'I' && !c.outstanding && !c.desynchronized && !c.closed
 }
 
-// Score implements connpool.Connection: the tenant must be the same; a connection with the same values is
-// best, one without any values next.
+// Score implements connpool.Connection: the tenant must be the same. A connection with the same
+// session values is best, one without any values is second best.
 func (c *Conn) Score(want Want, _ kernel.Micros) int {
 	switch {
 	case c.tenant != want.Tenant:
@@ -193,7 +194,7 @@
 	return 0
 }
 
-// brokenError returns how a broken connection ended.
+// brokenError returns the error for the way in which the connection broke.
 func (c *Conn) brokenError() error {
 	if c.unresponsive {
 		return connpool.ErrUnresponsive
@@ -211,22 +212,22 @@
 	}
 }
 
-// Gate decides whether a statement may be written: it calls write, or refuses with an error. It
-// may be called several times for one statement.
+// Gate decides whether a statement may be written: it either calls write or returns an error. It may
+// be called several times for one statement.
 type Gate func(write func() error) error
 
 const (
 	// gatedTailBytes is the most that is written through a gate. The beginning of a longer
-	// statement is written before; the database runs nothing until the end arrives.
+	// statement is written before that, since the database runs nothing until the end arrives.
 	gatedTailBytes = 1 << 10
 	// gateRetryInterval is the pause before the gate is called again when the database accepts no
 	// data.
 	gateRetryInterval = 5 * kernel.Millisecond
 )
 
-// Send writes a statement within the time limit, its end through the gate if there is one. An
-// error means that the statement was not sent in full; the database does not run a statement whose
-// end is missing.
+// Send writes a statement within the time limit. If there is a gate, the end of the statement is
+// written through it. An error means that the statement was not sent completely, so the database does
+// not run it.
 func (c *Conn) Send(msg []byte, wait kernel.Micros, gate Gate) error {
 	c.mu.Lock()
 	ready := !c.outstanding && !c.desynchronized
@@ -265,14 +266,14 @@
 }
 
 // setOutstanding records whether a complete statement is outstanding. It is called with true
-// before the end of the statement is written, since the answer may arrive as soon as that is done.
+// before the end of the statement is written, since the answer may arrive right after that.
 func (c *Conn) setOutstanding(outstanding bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outstanding, c.answered = outstanding, false
 }
 
-// errGateRefused means that a gate refused before any of the end was written.
+// errGateRefused means that the gate refused the statement before any byte of its end was written.
 var errGateRefused = errors.New("dbconn: statement refused before it was written")
 
 // sendTail writes the end of a statement through the gate. It never blocks within the gate: while
@@ -322,7 +323,7 @@
 	return c.conn.Write(b)
 }
 
-// takeAnswer records that the answer was taken, and returns it.
+// takeAnswer records that the answer to the outstanding statement has been received, and returns it.
 func (c *Conn) takeAnswer(answer *lineprotocol.Answer) *lineprotocol.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -332,8 +333,8 @@
 
 // Watch configures what may end the wait for an answer early.
 type Watch struct {
-	DelayThreshold kernel.Micros   // after this time without an answer OnDelay is called, once
-	OnDelay        func() bool     // reports whether to go on waiting; if not, the wait ends with ErrNoAnswerYet
+	DelayThreshold kernel.Micros   // OnDelay is called once, after this time without an answer
+	OnDelay        func() bool     // reports whether to continue the wait; if not, it ends with ErrNoAnswerYet
 	MarkedDown     <-chan struct{} // when closed, the wait ends with ErrMarkedDown
 	ShuttingDown   <-chan struct{} // when closed, the wait ends with ErrShuttingDown
 }
@@ -380,7 +381,8 @@
 	}
 }
 
-// WaitLimit bounds the total wait for the answers to a sequence of statements of the pool's own.
+// WaitLimit limits the total wait for the answers to a sequence of statements that this process sends
+// on its own account.
 type WaitLimit struct {
 	Until        time.Time
 	ShuttingDown <-chan struct{} // when closed, the wait ends with ErrShuttingDown
@@ -392,11 +394,9 @@
 	return WaitLimit{time.Now().Add(timeout.Duration()), shuttingDown}
 }
 
-func (limit WaitLimit) left() kernel.Micros {
-	return kernel.Micros(time.Until(limit.Until) / time.Microsecond)
-}
+func (l WaitLimit) left() kernel.Micros { return kernel.Micros(time.Until(l.Until) / time.Microsecond) }
 
-// Execute executes a statement of the pool's own and returns its answer.
+// Execute executes a statement that this process sends on its own account, and returns its answer.
 func (c *Conn) Execute(text string, limit WaitLimit) (*lineprotocol.Answer, error) {
 	if err := c.Send(lineprotocol.AppendMessage(nil, "QUERY", "-", text), limit.left(), nil); err != nil {
 		return nil, err
@@ -407,7 +407,7 @@
 // State returns the transaction state that the database last reported: I, T or E.
 func (c *Conn) State() byte { return c.state }
 
-// Close closes the connection; the database rolls back what is uncommitted.
+// Close closes the connection. The database then rolls an open transaction back.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/dbconn/conn_test.go
+++ b/internal/dbconn/conn_test.go
@@ -21,13 +21,14 @@
 
 const answerA, answerB = "COMPLETE a\r\nIDLE I -\r\n", "COMPLETE b\r\nIDLE I -\r\n"
 
-// connect runs a test on a connection to a scripted database, which answers the log-in with the
-// first text and each statement after 100 ms with the next, then counts the complete lines that
-// still arrive until the connection ends.
+// connect runs f with a connection to a scripted database. The database answers the log-in with the
+// first text, and each statement with the next text after 100 ms. It then counts the complete lines
+// that still arrive until the connection ends, and sends their number on extraLines.
 func connect(t *testing.T, wrap func(kernel.Network) kernel.Network, texts []string, f func(c *dbconn.Conn, err error, extraLines <-chan int)) {
 	connectOn(t, wrap, texts, func(_ *simulation.Net, c *dbconn.Conn, err error, extraLines <-chan int) { f(c, err, extraLines) })
 }
 
+// connectOn is like connect, and also passes the simulated network to f.
 func connectOn(t *testing.T, wrap func(kernel.Network) kernel.Network, texts []string, f func(n *simulation.Net, c *dbconn.Conn, err error, extraLines <-chan int)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := simulation.NewNet(1)
@@ -67,10 +68,11 @@
 	})
 }
 
+// plain leaves the network as it is.
 func plain(n kernel.Network) kernel.Network { return n }
 
-// An answer is matched only to the statement that it answers, and a connection on which that is
-// uncertain is neither used nor lent again.
+// An answer is returned only for the statement that it answers. A connection on which the two can't be
+// matched with certainty is neither used nor lent again.
 func TestAnswersMatchTheirStatements(t *testing.T) {
 	const tooShort, longEnough = 50 * kernel.Millisecond, 200 * kernel.Millisecond
 	for name, c := range map[string]struct {
@@ -104,7 +106,7 @@
 				}
 				time.Sleep(200 * time.Millisecond) // late answers arrive meanwhile
 				if reusable := conn.Reusable() && conn.Alive(); reusable != c.reusable {
-					t.Errorf("may be lent again: %v", reusable)
+					t.Errorf("the connection may be lent again: %v", reusable)
 				}
 				if got := seal(conn.Execute("PUT 2 x", dbconn.NewLimit(longEnough, nil))); got != c.nextSeal {
 					t.Errorf("next answer %q", got)
@@ -115,13 +117,13 @@
 	}
 	connect(t, plain, []string{"IDLE I -\r\nIDLE I -\r\n"}, func(_ *dbconn.Conn, err error, _ <-chan int) {
 		if !errors.Is(err, connpool.ErrBroken) {
-			t.Errorf("log-in answered twice: %v", err)
+			t.Errorf("log-in that is answered twice: %v", err)
 		}
 	})
 }
 
-// halved is a network whose connections, after the log-in, write half of the data that they are
-// given and then fail.
+// halfWritingNetwork is a network whose connections, after the log-in, write half of the data that
+// they are given and then fail.
 type halfWritingNetwork struct{ kernel.Network }
 
 type halfWritingConn struct {
@@ -142,8 +144,8 @@
 	return n, errors.Join(err, syscall.ECONNRESET)
 }
 
-// A partly written statement counts as unsent, because its end never follows: the connection is
-// closed, and nothing more is sent on it.
+// A partly written statement counts as unsent, because its end is never sent: the connection is closed
+// and nothing more is written to it.
 func TestPartlySentStatementIsNeverCompleted(t *testing.T) {
 	wrap := func(n kernel.Network) kernel.Network { return halfWritingNetwork{n} }
 	connect(t, wrap, []string{"IDLE I -\r\n"}, func(conn *dbconn.Conn, err error, extraLines <-chan int) {
@@ -152,18 +154,18 @@
 		}
 		for range 2 {
 			if err := conn.Send(lineprotocol.AppendMessage(nil, "QUERY", "a", "PUT x y"), kernel.Second, nil); !errors.Is(err, connpool.ErrBroken) {
-				t.Errorf("sent in part: %v", err)
+				t.Errorf("statement sent in part: %v", err)
 			}
 		}
 		if n := <-extraLines; n > 0 || conn.Reusable() {
-			t.Errorf("%d complete lines arrived, may be lent again: %v", n, conn.Reusable())
+			t.Errorf("%d complete lines arrived, the connection may be lent again: %v", n, conn.Reusable())
 		}
 	})
 }
 
-// The gate is never held while the database accepts no data, and is called anew for each attempt;
-// only the end of a long statement goes through it. The database never receives the whole of a
-// refused statement.
+// Send never blocks inside the gate while the database accepts no data: it calls the gate anew for each
+// attempt to write. Only the end of a long statement goes through the gate, and the database never
+// receives a refused statement completely.
 func TestGateIsNotHeldWhileDatabaseAcceptsNoData(t *testing.T) {
 	for name, c := range map[string]struct {
 		size         int
@@ -211,7 +213,7 @@
 					t.Errorf("answer %+v, %v", a, err)
 				}
 				if conn.Reusable() != c.reusable {
-					t.Errorf("clean: %v", conn.Reusable())
+					t.Errorf("the connection may be lent again: %v", conn.Reusable())
 				}
 				conn.Close()
 			})
@@ -219,8 +221,8 @@
 	}
 }
 
-// A statement sent on a connection that was idle must not fail on the expired write deadline of
-// the statement before.
+// A statement sent on a connection that was idle must not fail because the write deadline of the
+// previous statement has expired.
 func TestIdleConnectionAcceptsNextStatement(t *testing.T) {
 	connect(t, plain, []string{"IDLE I -\r\n", answerA, answerB}, func(c *dbconn.Conn, err error, _ <-chan int) {
 		if err != nil {
@@ -237,7 +239,7 @@
 			t.Fatal(err)
 		}
 		if a, err := c.Receive(limit, dbconn.Watch{}); err != nil || a.Seal != "b" {
-			t.Errorf("%v %v", a, err)
+			t.Errorf("answer %v, %v", a, err)
 		}
 	})
 }
--- a/internal/dbconn/plugin.go
+++ b/internal/dbconn/plugin.go
@@ -57,13 +57,13 @@
 	})
 }
 
-// probe tests, for a control node, whether a database accepts a connection. If several don't
-// respond at once, the control node's own link may be saturated: before that leads to a leader
-// change, they are tried again, with twice the time limit.
+// probe tests, for a control node, whether a database accepts a connection. If several databases are
+// unresponsive at about the same time, the control node's own link may be saturated: they are tried
+// again with twice the time limit, before the failure leads to a failover.
 func probe(ctx context.Context, k *kernel.Kernel, replica *controlstate.Replica, dialer *Dialer, unresponsive *connpool.UnresponsiveTracker, id string) bool {
 	raw, err := replica.Read(discovery.Key(id))
 	if err != nil || raw == nil {
-		return true // no longer the primary, or the database was removed: nothing to decide
+		return true // this node is no longer the primary, or the database was removed: no decision is needed
 	}
 	var db discovery.Database
 	if err := json.Unmarshal(raw, &db); err != nil {
--- a/internal/dbconn/values.go
+++ b/internal/dbconn/values.go
@@ -8,23 +8,23 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Prepared is the statement that a prepared name stands for.
+// Prepared is a prepared statement.
 type Prepared struct {
 	Kind lineprotocol.Verb // Fetch or Put
 	Text string
 }
 
+// key identifies the statement: it is the same for equal statements only.
 func (p Prepared) key() string { return lineprotocol.KindName(p.Kind) + " " + p.Text }
 
-// Limits of the prepared names that a connection keeps for later sessions.
+// Limits of the prepared statements that a connection keeps for later sessions.
 const (
 	maxPrepared      = 512
 	maxPreparedBytes = 128 << 10
 )
 
-// SetValues sets exactly the given session values on the connection. It discards all values and
-// prepared names first if a value is set that is not wanted, or if there are too many prepared
-// names.
+// SetValues sets the given session values on the connection, and no others. If another value is set, or
+// if there are too many prepared statements, it first discards all values and prepared statements.
 func (c *Conn) SetValues(want map[string]string, limit WaitLimit) error {
 	if c.hasUnwantedValue(want) || c.tooManyPrepared() {
 		if err := c.mustExecute("DISCARD", limit); err != nil {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// hasUnwantedValue reports whether a value is set that is not wanted.
+// hasUnwantedValue reports whether a session value is set that is not among the given ones.
 func (c *Conn) hasUnwantedValue(want map[string]string) bool {
 	for name := range c.values {
 		if _, ok := want[name]; !ok {
@@ -56,8 +56,8 @@
 	return false
 }
 
-// tooManyPrepared reports whether the connection has more prepared names than are kept and is in
-// no transaction, which might need them.
+// tooManyPrepared reports whether the connection has reached a limit of its prepared statements and
+// is in no transaction, which might still need them.
 func (c *Conn) tooManyPrepared() bool {
 	return c.state == 'I' && (len(c.preparedNames) >= maxPrepared || c.preparedBytes > maxPreparedBytes)
 }
@@ -93,11 +93,11 @@
 	return false
 }
 
-// ForgetPrepared removes a prepared name that the database no longer knows.
+// ForgetPrepared removes a prepared statement that the database no longer has.
 func (c *Conn) ForgetPrepared(statement Prepared) { delete(c.preparedNames, statement.key()) }
 
-// mustExecute executes a statement that only a broken connection can refuse. After any other
-// answer the state of the connection is unknown, and it is closed.
+// mustExecute executes a statement that the database has no reason to refuse. If it does, the state of
+// the connection is unknown, so the connection is closed.
 func (c *Conn) mustExecute(text string, limit WaitLimit) error {
 	answer, err := c.Execute(text, limit)
 	if err != nil {
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -52,7 +52,7 @@
 			time.Sleep(time.Second)
 		}()
 		d := httpconn.Dialer{
-			Net: n.Host("10.0.0.1"), ConnectTimeout: kernel.Second, SilenceTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return c },
+			Net: n.Host("10.0.0.1"), ConnectTimeout: kernel.Second, UnresponsiveTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return c },
 		}
 		c, err := d.Open(t.Context(), discovery.Database{ID: "d", Address: "10.0.0.2:1"}, kernel.Second)
 		if err != nil {
@@ -157,7 +157,7 @@
 			local, remote := net.Pipe()
 			go io.Copy(io.Discard, remote)
 			d := httpconn.Dialer{
-				Net: pipeNet{c: local}, ConnectTimeout: kernel.Second, SilenceTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return &failingConn{c, writable} },
+				Net: pipeNet{c: local}, ConnectTimeout: kernel.Second, UnresponsiveTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return &failingConn{c, writable} },
 			}
 			c, err := d.Open(t.Context(), discovery.Database{ID: "d", Address: "d"}, kernel.Second)
 			if err != nil {
--- a/internal/httpconn/fuzz_test.go
+++ b/internal/httpconn/fuzz_test.go
@@ -42,7 +42,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			local, remote := net.Pipe()
 			go io.Copy(io.Discard, remote)
-			d := httpconn.Dialer{Net: pipeNet{c: local}, ConnectTimeout: kernel.Second, SilenceTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return c }}
+			d := httpconn.Dialer{Net: pipeNet{c: local}, ConnectTimeout: kernel.Second, UnresponsiveTimeout: kernel.Second, Wrap: func(c net.Conn) net.Conn { return c }}
 			c, err := d.Open(t.Context(), discovery.Database{ID: "d", Address: "d"}, kernel.Second)
 			if err != nil {
 				t.Fatal(err)
