--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -72,8 +72,8 @@
 
 // clientFromRequest returns the connection a request arrived on, or nil in tests that call a handler
 // directly.
-func clientFromRequest(q *http.Request) *clientConn {
-	c, _ := q.Context().Value(connKey{}).(*clientConn)
+func clientFromRequest(request *http.Request) *clientConn {
+	c, _ := request.Context().Value(connKey{}).(*clientConn)
 	return c
 }
 
@@ -107,7 +107,7 @@
 	if !j.idempotent() {
 		disconnected = nil
 	}
-	reply, err := httpconn.Await(a.result, wait, j.t.drainExpired, disconnected)
+	reply, err := httpconn.Await(a.result, wait, j.gateway.drainExpired, disconnected)
 	if errors.Is(err, httpconn.ErrNoResponse) && disconnected != nil && j.clientDisconnected() {
 		return nil, errClientDisconnected
 	}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -18,31 +18,31 @@
 	responding bool
 }
 
-func (t *Gateway) trackState(c net.Conn, state http.ConnState) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (g *Gateway) trackState(c net.Conn, state http.ConnState) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	switch state {
 	case http.StateClosed, http.StateHijacked:
-		delete(t.clients, c)
+		delete(g.clients, c)
 	default:
-		t.clients[c] = &clientState{connState: state, since: t.k.Clock.Now()}
+		g.clients[c] = &clientState{connState: state, since: g.k.Clock.Now()}
 	}
 }
 
 // setBusy records that a connection's request has been read, or has completed.
-func (t *Gateway) setBusy(c *clientConn, busy bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if state := t.clients[net.Conn(c)]; state != nil {
-		state.busy, state.responding, state.since = busy, false, t.k.Clock.Now()
+func (g *Gateway) setBusy(c *clientConn, busy bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if state := g.clients[net.Conn(c)]; state != nil {
+		state.busy, state.responding, state.since = busy, false, g.k.Clock.Now()
 	}
 }
 
 // openRequests returns the number of requests in progress.
-func (t *Gateway) openRequests() (n int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, state := range t.clients {
+func (g *Gateway) openRequests() (n int64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, state := range g.clients {
 		if state.busy {
 			n++
 		}
@@ -51,17 +51,17 @@
 }
 
 // openConnections returns the number of client connections.
-func (t *Gateway) openConnections() int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return int64(len(t.clients))
+func (g *Gateway) openConnections() int64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return int64(len(g.clients))
 }
 
 // setResponding records that the response to a connection's request is being written.
-func (t *Gateway) setResponding(c *clientConn) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if state := t.clients[net.Conn(c)]; state != nil {
+func (g *Gateway) setResponding(c *clientConn) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if state := g.clients[net.Conn(c)]; state != nil {
 		state.responding = true
 	}
 }
@@ -72,9 +72,9 @@
 	defaultIdleTimeout   = 60 * kernel.Second
 )
 
-func (t *Gateway) clientTimeouts() (header, idle kernel.Micros) {
+func (g *Gateway) clientTimeouts() (header, idle kernel.Micros) {
 	header, idle = defaultHeaderTimeout, defaultIdleTimeout
-	if conf := t.control.Config(); conf != nil {
+	if conf := g.control.Config(); conf != nil {
 		if ms := conf.Limits.HeaderTimeoutMs; ms > 0 {
 			header = kernel.Micros(ms) * kernel.Millisecond
 		}
@@ -87,13 +87,13 @@
 
 // enforceClientTimeouts closes connections that stay idle, or take to send a request header, for
 // longer than the configured timeout.
-func (t *Gateway) enforceClientTimeouts(ctx context.Context) {
+func (g *Gateway) enforceClientTimeouts(ctx context.Context) {
 	for kernel.Sleep(ctx, 250*kernel.Millisecond) {
-		header, idle := t.clientTimeouts()
-		now := t.k.Clock.Now()
+		header, idle := g.clientTimeouts()
+		now := g.k.Clock.Now()
 		var expired []*clientConn
-		t.mu.Lock()
-		for c, state := range t.clients {
+		g.mu.Lock()
+		for c, state := range g.clients {
 			limit := header
 			if state.connState == http.StateIdle {
 				limit = idle
@@ -102,9 +102,9 @@
 				expired = append(expired, client)
 			}
 		}
-		t.mu.Unlock()
+		g.mu.Unlock()
 		for _, c := range expired {
-			t.k.Counters.Add("gateway.clients_late", 1)
+			g.k.Counters.Add("gateway.clients_late", 1)
 			c.stopReading()
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -89,16 +89,16 @@
 
 // New returns a gateway.
 func New(k *kernel.Kernel, cfg Config, services Services) *Gateway {
-	t := &Gateway{
+	g := &Gateway{
 		k: k, cfg: cfg, control: services.Control, conns: services.Conns, balancer: services.Balancer, health: services.Health, ring: services.Ring,
 		retries: services.Retries, quota: services.Quota, failures: services.Failures, stalls: services.Stalls, memory: services.Memory,
 		clients: map[net.Conn]*clientState{}, drainExpired: make(chan struct{}), meter: newLinkMeter(k.Clock, cfg.NetMbps),
 	}
-	t.srv = &http.Server{
-		Handler: t, MaxHeaderBytes: maxHeaderBytes, ConnState: t.trackState,
+	g.srv = &http.Server{
+		Handler: g, MaxHeaderBytes: maxHeaderBytes, ConnState: g.trackState,
 		ErrorLog: log.New(countingWriter{k.Counters.Counter("gateway.server_notes")}, "", 0),
 	}
-	return t
+	return g
 }
 
 // countingWriter counts the HTTP server's log messages, which are about clients connecting and
@@ -114,8 +114,8 @@
 const maxHeaderBytes = 256 << 10
 
 // Ready reports whether clients should be sent to this gateway.
-func (t *Gateway) Ready() bool {
-	return !t.draining.Load() && t.control.Ready() && !t.saturated.Load()
+func (g *Gateway) Ready() bool {
+	return !g.draining.Load() && g.control.Ready() && !g.saturated.Load()
 }
 
 // A gateway whose link utilization exceeds saturatedAbove reports not ready until utilization
@@ -131,36 +131,36 @@
 )
 
 // updateSaturation keeps saturated up to date.
-func (t *Gateway) updateSaturation(ctx context.Context) {
+func (g *Gateway) updateSaturation(ctx context.Context) {
 	var lastSaturated kernel.Micros
 	for kernel.Sleep(ctx, 100*kernel.Millisecond) {
-		_, utilization := t.meter.load()
-		now := t.k.Clock.Now()
-		switch saturated := t.saturated.Load(); {
+		_, utilization := g.meter.load()
+		now := g.k.Clock.Now()
+		switch saturated := g.saturated.Load(); {
 		case !saturated && utilization > saturatedAbove && now-lastSaturated > 2*maxSaturatedTime:
 			lastSaturated = now
-			t.saturated.Store(true)
-			t.k.Log.Info("link saturated, reporting not ready", "use", utilization)
+			g.saturated.Store(true)
+			g.k.Log.Info("link saturated, reporting not ready", "use", utilization)
 		case saturated && (utilization < saturatedBelow || now-lastSaturated > maxSaturatedTime):
-			t.saturated.Store(false)
-			t.k.Log.Info("link no longer saturated, reporting ready", "use", utilization)
+			g.saturated.Store(false)
+			g.k.Log.Info("link no longer saturated, reporting ready", "use", utilization)
 		}
 	}
 }
 
 // Serve accepts requests until ctx is done.
-func (t *Gateway) Serve(ctx context.Context) error {
-	ln, err := t.k.Net.Listen(t.cfg.ClientAddr)
+func (g *Gateway) Serve(ctx context.Context) error {
+	ln, err := g.k.Net.Listen(g.cfg.ClientAddr)
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	defer context.AfterFunc(ctx, func() { t.srv.Close() })()
-	t.mu.Lock()
-	t.listener = ln
-	t.mu.Unlock()
-	go t.enforceClientTimeouts(ctx)
-	go t.updateSaturation(ctx)
-	if err := t.srv.Serve(clientListener{ln, t.meter}); err != nil && !errors.Is(err, http.ErrServerClosed) && !t.draining.Load() {
+	defer context.AfterFunc(ctx, func() { g.srv.Close() })()
+	g.mu.Lock()
+	g.listener = ln
+	g.mu.Unlock()
+	go g.enforceClientTimeouts(ctx)
+	go g.updateSaturation(ctx)
+	if err := g.srv.Serve(clientListener{ln, g.meter}); err != nil && !errors.Is(err, http.ErrServerClosed) && !g.draining.Load() {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	<-ctx.Done()
@@ -171,21 +171,21 @@
 type connKey struct{}
 
 // ServeHTTP implements http.Handler.
-func (t *Gateway) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	client := clientFromRequest(q)
-	t.setBusy(client, true)
-	defer t.setBusy(client, false)
-	t.k.Counters.Add("gateway.requests", 1)
+func (g *Gateway) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	client := clientFromRequest(request)
+	g.setBusy(client, true)
+	defer g.setBusy(client, false)
+	g.k.Counters.Add("gateway.requests", 1)
 	h := w.Header()
-	if t.draining.Load() {
+	if g.draining.Load() {
 		h.Set("Connection", "close")
-	} else if _, idle := t.clientTimeouts(); idle > 2*kernel.Second {
+	} else if _, idle := g.clientTimeouts(); idle > 2*kernel.Second {
 		h.Set("Keep-Alive", "timeout="+strconv.FormatInt(int64(idle/kernel.Second)-1, 10))
 	}
-	if t.saturated.Load() {
+	if g.saturated.Load() {
 		h.Set("Connection", "close")
 	}
-	j, refused := t.newJob(w, q)
+	j, refused := g.newJob(w, request)
 	defer j.memory.Release()
 	defer j.watchDisconnect(client)()
 	var reply *httpconn.Reply
@@ -193,11 +193,11 @@
 		reply, refused = j.serve()
 	}
 	j.checkAnsweredInTime()
-	t.setResponding(client)
+	g.setResponding(client)
 	if refused != nil {
 		j.logFailure(strconv.Itoa(refused.status), refused.text)
 		j.limitUnreadBody(w)
-		t.writeRefusal(w, refused)
+		g.writeRefusal(w, refused)
 		return
 	}
 	if reply.Status >= http.StatusInternalServerError {
@@ -207,7 +207,7 @@
 		client.writeUntil(time.Now().Add(j.remaining().Duration()))
 		defer client.writeUntil(time.Time{})
 	}
-	t.forwardResponse(w, reply)
+	g.forwardResponse(w, reply)
 }
 
 // hopByHop are the headers that apply to a single connection only.
@@ -229,28 +229,28 @@
 }
 
 // forwardResponse forwards a database's response to the client.
-func (t *Gateway) forwardResponse(w http.ResponseWriter, r *httpconn.Reply) {
-	defer r.Close()
+func (g *Gateway) forwardResponse(w http.ResponseWriter, reply *httpconn.Reply) {
+	defer reply.Close()
 	h := w.Header()
-	removeHopByHop(r.Header)
-	for name, values := range r.Header {
+	removeHopByHop(reply.Header)
+	for name, values := range reply.Header {
 		h[name] = values
 	}
-	if r.Header["Content-Type"] == nil {
+	if reply.Header["Content-Type"] == nil {
 		h["Content-Type"] = nil // prevents net/http from guessing one
 	}
-	if r.Length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(r.Length, 10))
-	} else if r.Remainder == nil {
-		h.Set("Content-Length", strconv.Itoa(len(r.Body)))
+	if reply.Length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(reply.Length, 10))
+	} else if reply.Remainder == nil {
+		h.Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	}
-	w.WriteHeader(r.Status)
-	_, err := w.Write(r.Body)
-	if err == nil && r.Remainder != nil {
-		_, err = io.Copy(w, r.Remainder)
+	w.WriteHeader(reply.Status)
+	_, err := w.Write(reply.Body)
+	if err == nil && reply.Remainder != nil {
+		_, err = io.Copy(w, reply.Remainder)
 	}
 	if err != nil {
-		t.k.Counters.Add("gateway.answers_cut", 1)
+		g.k.Counters.Add("gateway.answers_cut", 1)
 		panic(http.ErrAbortHandler) // the client must not take the response for complete
 	}
 }
@@ -262,8 +262,8 @@
 	retryAfter kernel.Micros // value of Retry-After; 0 for none
 }
 
-func (t *Gateway) writeRefusal(w http.ResponseWriter, refused *refusal) {
-	t.k.Counters.Add("gateway.answered_"+strconv.Itoa(refused.status), 1)
+func (g *Gateway) writeRefusal(w http.ResponseWriter, refused *refusal) {
+	g.k.Counters.Add("gateway.answered_"+strconv.Itoa(refused.status), 1)
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if refused.retryAfter > 0 {
@@ -271,6 +271,6 @@
 	}
 	w.WriteHeader(refused.status)
 	if _, err := io.WriteString(w, refused.text+"\n"); err != nil {
-		t.k.Counters.Add("gateway.answers_cut", 1)
+		g.k.Counters.Add("gateway.answers_cut", 1)
 	}
 }
--- a/internal/gateway/invariants.go
+++ b/internal/gateway/invariants.go
@@ -12,30 +12,30 @@
 // late, unless the process was stalled in the meantime.
 func (j *job) checkAnsweredInTime() {
 	late := j.now() - j.deadline
-	if j.deadline > 0 && late > deadlineTolerance && !j.t.stalls.StalledSince(j.received) {
-		j.t.k.Invariants.Check(false, invariant.AnsweredInTime, "%s is answered %d ms after its deadline", j.id, late.Millis())
+	if j.deadline > 0 && late > deadlineTolerance && !j.gateway.stalls.StalledSince(j.received) {
+		j.gateway.k.Invariants.Check(false, invariant.AnsweredInTime, "%s is answered %d ms after its deadline", j.id, late.Millis())
 	}
 }
 
 // checkSentOnce checks that a request that must not run twice is not sent again after it may have run,
 // and that the request is sent to no more databases than the route allows.
 func (j *job) checkSentOnce(database string) {
-	j.t.k.Invariants.Check(!j.mayHaveRun || j.idempotent(), invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.id, database)
-	j.t.k.Invariants.Check(j.attempts <= max(1, j.route.Tries), invariant.TriesBounded, "%s is sent to database %d of %d", j.id, j.attempts, j.route.Tries)
+	j.gateway.k.Invariants.Check(!j.mayHaveRun || j.idempotent(), invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.id, database)
+	j.gateway.k.Invariants.Check(j.attempts <= max(1, j.route.Tries), invariant.TriesBounded, "%s is sent to database %d of %d", j.id, j.attempts, j.route.Tries)
 }
 
 // checkNoneUnanswered checks that every request that was read has been answered, or that its
 // response is being written to the client.
-func (t *Gateway) checkNoneUnanswered(since kernel.Micros) {
-	t.mu.Lock()
+func (g *Gateway) checkNoneUnanswered(since kernel.Micros) {
+	g.mu.Lock()
 	unanswered := 0
-	for _, state := range t.clients {
+	for _, state := range g.clients {
 		if state.busy && !state.responding {
 			unanswered++
 		}
 	}
-	t.mu.Unlock()
-	if unanswered > 0 && !t.stalls.StalledSince(since) {
-		t.k.Invariants.Check(false, invariant.NothingUnanswered, "%d requests wait for an answer", unanswered)
+	g.mu.Unlock()
+	if unanswered > 0 && !g.stalls.StalledSince(since) {
+		g.k.Invariants.Check(false, invariant.NothingUnanswered, "%d requests wait for an answer", unanswered)
 	}
 }
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -24,13 +24,13 @@
 		"sent too often":           {func(j *job) { j.attempts = 3; j.checkSentOnce("a") }, []invariant.Invariant{invariant.TriesBounded}},
 		"sent after it may have run": {func(j *job) { j.mayHaveRun = true; j.checkSentOnce("a") },
 			[]invariant.Invariant{invariant.NoUnsafeRetry}},
-		"response in progress at shutdown": {func(j *job) { j.t.clients[nil].responding = true; j.t.checkNoneUnanswered(0) }, nil},
-		"unanswered at shutdown":           {func(j *job) { j.t.checkNoneUnanswered(0) }, []invariant.Invariant{invariant.NothingUnanswered}},
+		"response in progress at shutdown": {func(j *job) { j.gateway.clients[nil].responding = true; j.gateway.checkNoneUnanswered(0) }, nil},
+		"unanswered at shutdown":           {func(j *job) { j.gateway.checkNoneUnanswered(0) }, []invariant.Invariant{invariant.NothingUnanswered}},
 	} {
 		k := kernel.NewKernel("gateway", nil, slog.New(slog.DiscardHandler))
 		g := &Gateway{k: k, clients: map[net.Conn]*clientState{nil: {busy: true}}}
 		route := &routeconfig.Route{Manner: routeconfig.Manner{Type: routeconfig.Mutating, Tries: 2}}
-		c.run(&job{t: g, id: "r1", route: route})
+		c.run(&job{gateway: g, id: "r1", route: route})
 		if got := k.Invariants.Violated(); !slices.Equal(got, c.want) {
 			t.Errorf("%s: violations %v", name, got)
 		}
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -48,7 +48,7 @@
 
 // job is one request on its way to a database.
 type job struct {
-	t              *Gateway
+	gateway        *Gateway
 	incoming       *http.Request
 	target         *url.URL
 	id             string
@@ -73,7 +73,7 @@
 	disconnected <-chan struct{} // closed when the client closes its connection
 }
 
-func (j *job) now() kernel.Micros { return j.t.k.Clock.Now() }
+func (j *job) now() kernel.Micros { return j.gateway.k.Clock.Now() }
 
 func (j *job) remaining() kernel.Micros { return j.deadline - j.now() }
 
@@ -87,14 +87,14 @@
 	if h["User-Agent"] == nil {
 		h["User-Agent"] = nil // prevents net/http from adding its own
 	}
-	q := &http.Request{Method: j.incoming.Method, URL: j.target, Host: j.incoming.Host, Header: h, ProtoMajor: 1, ProtoMinor: 1}
+	request := &http.Request{Method: j.incoming.Method, URL: j.target, Host: j.incoming.Host, Header: h, ProtoMajor: 1, ProtoMinor: 1}
 	switch {
 	case j.streamed != nil:
-		q.Body, q.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(j.body), j.streamed)), j.incoming.ContentLength
+		request.Body, request.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(j.body), j.streamed)), j.incoming.ContentLength
 	case len(j.body) > 0:
-		q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(j.body)), int64(len(j.body))
+		request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(j.body)), int64(len(j.body))
 	}
-	return q
+	return request
 }
 
 // unavailable returns the response to a request that has not run and will not run.
@@ -127,7 +127,7 @@
 	db         discovery.Database
 	conn       *httpconn.Conn
 	generation int64
-	began      kernel.Micros
+	startedAt  kernel.Micros
 	result     <-chan httpconn.Result
 }
 
@@ -143,8 +143,8 @@
 		reply, hedge, err := j.awaitOrHedge(a)
 		if hedge {
 			// The first attempt continues; the first usable response of the two is taken.
-			if b, ok := j.anotherAttempt(hedgeBudgetReserve); ok {
-				a, reply, err = j.race(a, b)
+			if another, ok := j.anotherAttempt(hedgeBudgetReserve); ok {
+				a, reply, err = j.race(a, another)
 			} else {
 				reply, err = j.awaitResult(a, j.remaining())
 			}
@@ -167,33 +167,33 @@
 		if j.clientDisconnected() {
 			return nil, j.disconnectedRefusal(sent)
 		}
-		b, ok := j.anotherAttempt(0)
+		another, ok := j.anotherAttempt(0)
 		if !ok {
 			if sent {
-				if reply != nil && reply.Remainder == nil && !promisesNotRun(reply.Status) {
+				if reply != nil && reply.Remainder == nil && !impliesNotRun(reply.Status) {
 					return reply, nil // the database's own response is more useful than ours
 				}
 				return nil, j.outcomeUnknown()
 			}
 			return nil, j.unavailable("every database that was asked is busy")
 		}
-		a = b
+		a = another
 	}
 }
 
 // firstAttempt sends the request to a database, waiting for one to become available if necessary.
 func (j *job) firstAttempt() (*attempt, *refusal) {
 	for {
-		if j.t.isDrainExpired() {
+		if j.gateway.isDrainExpired() {
 			return nil, j.unavailable("this node ends")
 		}
 		if j.clientDisconnected() {
 			return nil, j.disconnectedRefusal(false)
 		}
-		changed, health := j.t.control.Changed(), j.t.health.Changed()
+		changed, healthChanged := j.gateway.control.Changed(), j.gateway.health.Changed()
 		a, err := j.send()
 		if err == nil {
-			j.t.retries.CountRequest(j.service)
+			j.gateway.retries.CountRequest(j.service)
 			return a, nil
 		}
 		if exhausted := new(quota.ExhaustedError); errors.As(err, &exhausted) {
@@ -207,8 +207,8 @@
 			t := time.NewTimer(min(j.waitUntil-j.now(), 50*kernel.Millisecond).Duration())
 			select {
 			case <-changed:
-			case <-health:
-			case <-j.t.drainExpired:
+			case <-healthChanged:
+			case <-j.gateway.drainExpired:
 			case <-j.disconnected:
 			case <-t.C:
 			}
@@ -223,12 +223,12 @@
 // anotherAttempt sends the request again, to another database, if that is allowed. It leaves the
 // fraction reserve of the retry budget unused.
 func (j *job) anotherAttempt(reserve float64) (*attempt, bool) {
-	if j.streamed != nil || j.attempts >= j.route.Tries || j.remaining() < 4*returnMargin || j.t.isDrainExpired() || j.clientDisconnected() || !j.t.retries.AllowRetry(j.service, reserve) {
+	if j.streamed != nil || j.attempts >= j.route.Tries || j.remaining() < 4*returnMargin || j.gateway.isDrainExpired() || j.clientDisconnected() || !j.gateway.retries.AllowRetry(j.service, reserve) {
 		return nil, false
 	}
 	for range 3 {
 		if a, err := j.send(); err == nil {
-			j.t.k.Counters.Add("gateway.sent_again", 1)
+			j.gateway.k.Counters.Add("gateway.sent_again", 1)
 			return a, true
 		} else if errors.Is(err, errNoDatabase) {
 			break
@@ -239,43 +239,43 @@
 
 // send picks a database and sends the request to it.
 func (j *job) send() (*attempt, error) {
-	t := j.t
+	g := j.gateway
 	if err := j.acquireQuota(); err != nil {
 		return nil, err
 	}
-	db, ok := t.balancer.Pick(j.route.Host+j.route.Prefix, t.candidates(j.service, j.excluded))
+	db, ok := g.balancer.Pick(j.route.Host+j.route.Prefix, g.candidates(j.service, j.excluded))
 	if !ok {
 		return nil, errNoDatabase
 	}
-	linkWait, _ := t.meter.load()
-	began := t.balancer.Begin(db.ID)
-	conn, err := t.conns.Borrow(db.ID, j.priority, httpconn.Want{Fresh: !j.idempotent()}, min(borrowTimeout+2*linkWait, j.remaining()/4))
+	linkWait, _ := g.meter.load()
+	startedAt := g.balancer.Begin(db.ID)
+	conn, err := g.conns.Borrow(db.ID, j.priority, httpconn.Want{Fresh: !j.idempotent()}, min(borrowTimeout+2*linkWait, j.remaining()/4))
 	if err != nil {
 		j.excluded = append(j.excluded, db.ID)
-		t.balancer.End("", db.ID, began, loadbalance.Full)
+		g.balancer.End("", db.ID, startedAt, loadbalance.Full)
 		return nil, err
 	}
-	var ch <-chan httpconn.Result
-	if err = errors.Join(t.control.MaySend(db.ID), j.permit.Check()); err == nil {
+	var results <-chan httpconn.Result
+	if err = errors.Join(g.control.MaySend(db.ID), j.permit.Check()); err == nil {
 		j.permit.Spend()
-		ch, err = conn.Send(j.upstreamRequest(db.ID), j.id, j.remaining())
+		results, err = conn.Send(j.upstreamRequest(db.ID), j.id, j.remaining())
 	}
 	if err != nil {
-		t.conns.Return(conn)
-		t.balancer.End("", db.ID, began, loadbalance.Unused)
+		g.conns.Return(conn)
+		g.balancer.End("", db.ID, startedAt, loadbalance.Unused)
 		return nil, err
 	}
 	j.attempts++
 	j.checkSentOnce(db.ID)
 	j.excluded = append(j.excluded, db.ID)
-	return &attempt{db, conn, t.conns.Generation(conn), began, ch}, nil
+	return &attempt{db, conn, g.conns.Generation(conn), startedAt, results}, nil
 }
 
 // candidates returns the input for the selection of a database.
-func (t *Gateway) candidates(service string, avoid []string) loadbalance.Candidates {
+func (g *Gateway) candidates(service string, avoid []string) loadbalance.Candidates {
 	return loadbalance.Candidates{
-		Service: service, Databases: t.control.Serving(service), Zone: t.cfg.Zone,
-		Self: t.ring.Self().Addr, Peers: t.ring.ZonePeers(), Up: t.health.Up, Avoid: avoid,
+		Service: service, Databases: g.control.Serving(service), Zone: g.cfg.Zone,
+		Self: g.ring.Self().Addr, Peers: g.ring.ZonePeers(), Up: g.health.Up, Avoid: avoid,
 	}
 }
 
@@ -294,7 +294,7 @@
 // hedgeDelay returns how long to wait for a response before a second database is tried too, and
 // false if the request must not be hedged.
 func (j *job) hedgeDelay() (kernel.Micros, bool) {
-	typical := j.t.balancer.TypicalLatency(j.route.Host + j.route.Prefix)
+	typical := j.gateway.balancer.TypicalLatency(j.route.Host + j.route.Prefix)
 	if !j.idempotent() || j.attempts >= j.route.Tries || typical <= 0 {
 		return 0, false
 	}
@@ -307,33 +307,33 @@
 func (j *job) race(a, b *attempt) (*attempt, *httpconn.Reply, error) {
 	t := time.NewTimer(j.remaining().Duration())
 	defer t.Stop()
-	var r httpconn.Result
+	var result httpconn.Result
 	var finished, other *attempt
 	select {
-	case r = <-a.result:
+	case result = <-a.result:
 		finished, other = a, b
-	case r = <-b.result:
+	case result = <-b.result:
 		finished, other = b, a
 	case <-t.C:
 		j.discard(b)
 		return a, nil, httpconn.ErrNoResponse
-	case <-j.t.drainExpired:
+	case <-j.gateway.drainExpired:
 		j.discard(b)
 		return a, nil, httpconn.ErrNoResponse
 	case <-j.disconnected: // only idempotent requests are sent twice
 		j.discard(b)
 		return a, nil, errClientDisconnected
 	}
-	outcome, verdict := j.classify(r.Reply, r.Err)
+	outcome, verdict := j.classify(result.Reply, result.Err)
 	if verdict == final {
 		j.discard(other)
-		return finished, r.Reply, r.Err
+		return finished, result.Reply, result.Err
 	}
 	// The other attempt decides.
-	j.recordAttempt(finished, outcome, r.Reply, r.Err)
-	j.finish(finished, outcome, r.Reply, r.Err)
-	if r.Reply != nil {
-		r.Reply.Close()
+	j.recordAttempt(finished, outcome, result.Reply, result.Err)
+	j.finish(finished, outcome, result.Reply, result.Err)
+	if result.Reply != nil {
+		result.Reply.Close()
 	}
 	reply, err := j.awaitResult(other, j.remaining())
 	return other, reply, err
@@ -362,7 +362,7 @@
 )
 
 // classify returns how an attempt ended.
-func (j *job) classify(r *httpconn.Reply, err error) (loadbalance.Outcome, verdict) {
+func (j *job) classify(reply *httpconn.Reply, err error) (loadbalance.Outcome, verdict) {
 	switch {
 	case errors.Is(err, httpconn.ErrUnsent):
 		return loadbalance.Unused, notRun
@@ -370,15 +370,15 @@
 		return loadbalance.Unused, mayHaveRun // the database is not at fault
 	case err != nil:
 		return loadbalance.Failed, mayHaveRun
-	case r.Status == http.StatusMisdirectedRequest:
+	case reply.Status == http.StatusMisdirectedRequest:
 		return loadbalance.Failed, notRun
-	case r.Header.Get(httpconn.NotRun) != "":
+	case reply.Header.Get(httpconn.NotRun) != "":
 		return loadbalance.Full, notRun
-	case promisesNotRun(r.Status), r.Status < 300 && (r.Header.Get(seal) == "" || r.Header.Get("Content-Encoding") != ""):
+	case impliesNotRun(reply.Status), reply.Status < 300 && (reply.Header.Get(seal) == "" || reply.Header.Get("Content-Encoding") != ""):
 		return loadbalance.Failed, mayHaveRun // must not be forwarded: it would mislead the client
-	case r.Status >= 500 && r.Status != http.StatusGatewayTimeout && j.idempotent():
+	case reply.Status >= 500 && reply.Status != http.StatusGatewayTimeout && j.idempotent():
 		return loadbalance.Failed, mayHaveRun
-	case r.Status >= 500:
+	case reply.Status >= 500:
 		return loadbalance.Failed, final
 	}
 	return loadbalance.Served, final
@@ -389,7 +389,7 @@
 
 // promisesNotRun reports whether a client takes the status as a guarantee that the request has
 // not run.
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -398,28 +398,28 @@
 }
 
 // finish returns an attempt's connection to the pool and records how the database performed.
-func (j *job) finish(a *attempt, outcome loadbalance.Outcome, r *httpconn.Reply, err error) {
-	t := j.t
+func (j *job) finish(a *attempt, outcome loadbalance.Outcome, reply *httpconn.Reply, err error) {
+	g := j.gateway
 	if errors.Is(err, errClientDisconnected) {
-		t.k.Counters.Add("gateway.client_gone", 1)
+		g.k.Counters.Add("gateway.client_gone", 1)
 		a.conn.Close()
 	} else if err != nil && !errors.Is(err, httpconn.ErrUnsent) {
-		t.k.Counters.Add("gateway.unanswered", 1)
+		g.k.Counters.Add("gateway.unanswered", 1)
 		if unresponsive := errors.Is(err, connpool.ErrUnresponsive); unresponsive || errors.Is(err, connpool.ErrBroken) {
-			t.health.Report(a.db.ID, a.generation, unresponsive)
+			g.health.Report(a.db.ID, a.generation, unresponsive)
 		}
 		a.conn.Close()
 	}
-	if r != nil && r.Status == http.StatusMisdirectedRequest {
-		t.k.Counters.Add("gateway.misdirected", 1)
+	if reply != nil && reply.Status == http.StatusMisdirectedRequest {
+		g.k.Counters.Add("gateway.misdirected", 1)
 	}
-	if r == nil || r.Remainder == nil {
-		t.conns.Return(a.conn)
+	if reply == nil || reply.Remainder == nil {
+		g.conns.Return(a.conn)
 	} else {
 		go func() { // the body is still being forwarded
-			<-r.Released
-			t.conns.Return(a.conn)
+			<-reply.Released
+			g.conns.Return(a.conn)
 		}()
 	}
-	t.balancer.End(j.route.Host+j.route.Prefix, a.db.ID, a.began, outcome)
+	g.balancer.End(j.route.Host+j.route.Prefix, a.db.ID, a.startedAt, outcome)
 }
--- a/internal/gateway/leave.go
+++ b/internal/gateway/leave.go
@@ -23,55 +23,55 @@
 // response that the connection closes, stops accepting connections after a delay, closes idle
 // ones, and lets requests in progress finish. Requests still pending when the drain period
 // expires are answered with what is known by then.
-func (t *Gateway) Drain(ctx context.Context) {
-	start := t.k.Clock.Now()
-	t.draining.Store(true)
-	t.k.Log.Info("leaving")
-	deadline := start + max(0, t.stalls.Remaining(t.cfg.GracePeriod())-finalResponseTime)
+func (g *Gateway) Drain(ctx context.Context) {
+	start := g.k.Clock.Now()
+	g.draining.Store(true)
+	g.k.Log.Info("leaving")
+	deadline := start + max(0, g.stalls.Remaining(g.cfg.GracePeriod())-finalResponseTime)
 	if !kernel.Sleep(ctx, min(listenerCloseDelay, deadline-start)) {
 		return
 	}
-	t.closeListener()
-	defer t.checkNoneUnanswered(start)
-	for t.stopReadingIdle() > 0 {
-		now := t.k.Clock.Now()
-		if now >= deadline && !t.isDrainExpired() {
-			close(t.drainExpired)
+	g.closeListener()
+	defer g.checkNoneUnanswered(start)
+	for g.stopReadingIdle() > 0 {
+		now := g.k.Clock.Now()
+		if now >= deadline && !g.isDrainExpired() {
+			close(g.drainExpired)
 		}
 		if now >= deadline+finalWriteTime || !kernel.Sleep(ctx, drainPollInterval) {
-			t.k.Counters.Add("gateway.cut_at_end", 1)
+			g.k.Counters.Add("gateway.cut_at_end", 1)
 			return
 		}
 	}
 }
 
-func (t *Gateway) closeListener() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.listener != nil {
-		t.listener.Close()
+func (g *Gateway) closeListener() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.listener != nil {
+		g.listener.Close()
 	}
 }
 
 // stopReadingIdle ends the idle connections and returns how many connections are still open,
 // including the ones just ended.
-func (t *Gateway) stopReadingIdle() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for c, state := range t.clients {
+func (g *Gateway) stopReadingIdle() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for c, state := range g.clients {
 		if !state.busy && (state.connState == http.StateIdle || state.connState == http.StateNew) {
 			if client, ok := c.(*clientConn); ok {
 				client.stopReading()
 			}
 		}
 	}
-	return len(t.clients)
+	return len(g.clients)
 }
 
 // isDrainExpired reports whether the drain period has expired and pending waits are abandoned.
-func (t *Gateway) isDrainExpired() bool {
+func (g *Gateway) isDrainExpired() bool {
 	select {
-	case <-t.drainExpired:
+	case <-g.drainExpired:
 		return true
 	default:
 		return false
--- a/internal/gateway/plugin.go
+++ b/internal/gateway/plugin.go
@@ -37,7 +37,7 @@
 				return "/healthz"
 			}))
 			retries := retrybudget.New(k.Clock, func() float64 { return live.Now().RetryRatio }, kernel.Micros(s.RetryWindowS)*kernel.Second)
-			t := New(k, Config{
+			g := New(k, Config{
 				ClientAddr: s.ClientAddr, Zone: s.Zone, NetMbps: s.NetMbps,
 				GracePeriod: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
 			}, Services{
@@ -52,15 +52,15 @@
 				Stalls:   kernel.Need[*kernel.StallDetector](k),
 				Memory:   kernel.Need[*memorybudget.Budget](k),
 			})
-			kernel.Offer[httpconn.Wrap](k, func(c net.Conn) net.Conn { return &meteredConn{c, t.meter} })
-			t.srv.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
+			kernel.Offer[httpconn.Wrap](k, func(c net.Conn) net.Conn { return &meteredConn{c, g.meter} })
+			g.srv.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 				return context.WithValue(ctx, connKey{}, c)
 			}
-			k.Counters.Observable("gateway.requests_open", t.openRequests)
-			k.Counters.Observable("gateway.connections_open", t.openConnections)
-			k.Supervise("gateway", t.Serve)
-			k.OnShutdown(t.Drain)
-			k.Supervise("ready", func(ctx context.Context) error { return kernel.ServeReady(ctx, k.Net, s.ReadyAddr, t.Ready) })
+			k.Counters.Observable("gateway.requests_open", g.openRequests)
+			k.Counters.Observable("gateway.connections_open", g.openConnections)
+			k.Supervise("gateway", g.Serve)
+			k.OnShutdown(g.Drain)
+			k.Supervise("ready", func(ctx context.Context) error { return kernel.ServeReady(ctx, k.Net, s.ReadyAddr, g.Ready) })
 			return nil
 		},
 	})
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -23,27 +23,27 @@
 
 // newJob parses a request against a single configuration revision. It returns a job even if the
 // request is refused.
-func (t *Gateway) newJob(w http.ResponseWriter, q *http.Request) (*job, *refusal) {
-	j := &job{t: t, incoming: q, received: t.k.Clock.Now(), id: q.Header.Get(httpconn.RequestID), memory: t.memory.NewReservation(uncountedBodyBytes)}
+func (g *Gateway) newJob(w http.ResponseWriter, request *http.Request) (*job, *refusal) {
+	j := &job{gateway: g, incoming: request, received: g.k.Clock.Now(), id: request.Header.Get(httpconn.RequestID), memory: g.memory.NewReservation(uncountedBodyBytes)}
 	conf := j.configuration()
 	if conf == nil {
 		return j, &refusal{http.StatusServiceUnavailable, "no configuration yet", noConfigRetryAfter}
 	}
 	j.revision = conf.Rev
-	if q.Method == http.MethodConnect || q.RequestURI == "*" {
+	if request.Method == http.MethodConnect || request.RequestURI == "*" {
 		return j, malformed("no such request is served")
 	}
-	if n := conf.Limits.MaxHeaderBytes; n > 0 && headerSize(q) > n {
+	if n := conf.Limits.MaxHeaderBytes; n > 0 && headerSize(request) > n {
 		return j, &refusal{status: http.StatusRequestHeaderFieldsTooLarge, text: "head over " + strconv.FormatInt(n, 10) + " bytes"}
 	}
 	if j.id == "" {
 		return j, malformed(httpconn.RequestID + " is missing")
 	}
 	var ok bool
-	if j.target, ok = requestTarget(q); !ok {
+	if j.target, ok = requestTarget(request); !ok {
 		return j, malformed("the path can't be read")
 	}
-	host, _, _ := strings.Cut(strings.ToLower(q.Host), ":")
+	host, _, _ := strings.Cut(strings.ToLower(request.Host), ":")
 	if j.route = conf.Match(host, routePath(j.target)); j.route == nil {
 		return j, &refusal{status: http.StatusNotFound, text: "no route"}
 	}
@@ -51,13 +51,13 @@
 	if refused := j.authenticate(conf); refused != nil {
 		return j, refused
 	}
-	if wait, _ := t.meter.load(); wait > linkWaitLimitFor(j.route.Prio) {
-		t.k.Counters.Add("gateway.link_full", 1)
+	if wait, _ := g.meter.load(); wait > linkWaitLimitFor(j.route.Prio) {
+		g.k.Counters.Add("gateway.link_full", 1)
 		return j, j.unavailable("this node's link is full")
 	}
 	j.service = j.route.PickService(rand.Float64())
 	timeout := kernel.Micros(j.route.DeadlineMs) * kernel.Millisecond
-	if text := q.Header.Get(httpconn.DeadlineMs); text != "" {
+	if text := request.Header.Get(httpconn.DeadlineMs); text != "" {
 		ms, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		if err != nil || !(ms > 0) {
 			return j, malformed(httpconn.DeadlineMs + " is no number of milliseconds")
@@ -82,8 +82,8 @@
 func (j *job) configuration() *routeconfig.Index {
 	deadline := j.received + configWait
 	for {
-		changed := j.t.control.Changed()
-		conf, wait := j.t.control.Config(), deadline-j.now()
+		changed := j.gateway.control.Changed()
+		conf, wait := j.gateway.control.Config(), deadline-j.now()
 		if conf != nil || wait <= 0 {
 			return conf
 		}
@@ -102,9 +102,9 @@
 	return linkWaitLimit * kernel.Micros(2+max(0, 2-prio)) / 2
 }
 
-func headerSize(q *http.Request) (n int64) {
-	n = int64(len(q.Method) + len(q.RequestURI) + len(q.Host))
-	for name, values := range q.Header {
+func headerSize(request *http.Request) (n int64) {
+	n = int64(len(request.Method) + len(request.RequestURI) + len(request.Host))
+	for name, values := range request.Header {
 		for _, v := range values {
 			n += int64(len(name) + len(v) + 4)
 		}
@@ -113,15 +113,15 @@
 }
 
 // requestTarget returns the request target, byte for byte as the client sent it.
-func requestTarget(q *http.Request) (*url.URL, bool) {
+func requestTarget(request *http.Request) (*url.URL, bool) {
 	switch {
-	case strings.HasPrefix(q.RequestURI, "//"):
+	case strings.HasPrefix(request.RequestURI, "//"):
 		// Such a path would be parsed as a host.
-		return q.URL, q.URL.Host == "" && q.URL.RequestURI() == q.RequestURI
-	case strings.HasPrefix(q.RequestURI, "/"):
-		return &url.URL{Opaque: q.RequestURI}, true
+		return request.URL, request.URL.Host == "" && request.URL.RequestURI() == request.RequestURI
+	case strings.HasPrefix(request.RequestURI, "/"):
+		return &url.URL{Opaque: request.RequestURI}, true
 	}
-	u := *q.URL
+	u := *request.URL
 	u.Scheme, u.Host = "", ""
 	return &u, strings.HasPrefix(u.RequestURI(), "/")
 }
@@ -150,13 +150,13 @@
 		body = http.MaxBytesReader(w, j.incoming.Body, limit)
 	}
 	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(j.remaining().Duration())); err != nil {
-		j.t.k.Counters.Add("gateway.no_read_deadline", 1)
+		j.gateway.k.Counters.Add("gateway.no_read_deadline", 1)
 	}
 	raw, err := j.memory.ReadAll(io.LimitReader(body, maxBufferedBody+1), 1)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, memorybudget.ErrFull):
-		j.t.k.Counters.Add("gateway.memory_full", 1)
+		j.gateway.k.Counters.Add("gateway.memory_full", 1)
 		return j.unavailable("no memory for the body")
 	case errors.As(err, &tooLarge):
 		return &refusal{status: http.StatusRequestEntityTooLarge, text: "body over " + strconv.FormatInt(limit, 10) + " bytes"}
@@ -166,9 +166,9 @@
 		return malformed("the body can't be read in full")
 	}
 	if j.body = raw; len(raw) > maxBufferedBody {
-		j.streamed = &limitRecorder{r: body}
+		j.streamed = &limitRecorder{reader: body}
 	} else if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
-		j.t.k.Counters.Add("gateway.no_read_deadline", 1)
+		j.gateway.k.Counters.Add("gateway.no_read_deadline", 1)
 	}
 	return nil
 }
@@ -184,18 +184,18 @@
 		return
 	}
 	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout.Duration())); err != nil {
-		j.t.k.Counters.Add("gateway.no_read_deadline", 1)
+		j.gateway.k.Counters.Add("gateway.no_read_deadline", 1)
 	}
 }
 
 // limitRecorder records whether a body that is streamed turned out to exceed the size limit.
 type limitRecorder struct {
-	r       io.Reader
+	reader  io.Reader
 	tooLong bool
 }
 
-func (b *limitRecorder) Read(p []byte) (int, error) {
-	n, err := b.r.Read(p)
-	b.tooLong = b.tooLong || errors.As(err, new(*http.MaxBytesError))
+func (r *limitRecorder) Read(p []byte) (int, error) {
+	n, err := r.reader.Read(p)
+	r.tooLong = r.tooLong || errors.As(err, new(*http.MaxBytesError))
 	return n, err
 }
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -25,14 +25,14 @@
 	}
 	tenant := conf.Tenant(routeconfig.DigestOf(j.incoming.Header.Get(httpconn.APIKey)))
 	if tenant == nil {
-		j.t.k.Counters.Add("gateway.denied", 1)
+		j.gateway.k.Counters.Add("gateway.denied", 1)
 		return &refusal{status: http.StatusUnauthorized, text: "no such key"}
 	}
-	if !j.t.control.KeysKnown() {
+	if !j.gateway.control.KeysKnown() {
 		return j.unavailable("whether the key holds is not known here")
 	}
 	j.tenant = tenant
-	j.permit = j.t.quota.NewPermit(tenant.Name, quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
+	j.permit = j.gateway.quota.NewPermit(tenant.Name, quota.Limit{PerS: tenant.RatePerS, Burst: tenant.Burst})
 	j.priority = tenant.Prio*routePriorities + min(j.route.Prio, routePriorities-1)
 	return nil
 }
@@ -59,7 +59,7 @@
 
 // quotaExceeded returns the response to a request whose tenant's quota is exhausted. The request
 // has not run and will not run.
-func (j *job) quotaExceeded(e *quota.ExhaustedError) *refusal {
-	j.t.k.Counters.Add("gateway.over_quota", 1)
-	return &refusal{http.StatusTooManyRequests, "over the tenant's limit", e.RetryAfter}
+func (j *job) quotaExceeded(exhausted *quota.ExhaustedError) *refusal {
+	j.gateway.k.Counters.Add("gateway.over_quota", 1)
+	return &refusal{http.StatusTooManyRequests, "over the tenant's limit", exhausted.RetryAfter}
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -15,7 +15,7 @@
 const causeDatabase = "answer_of_database"
 
 // recordAttempt records a failed attempt for the failure log.
-func (j *job) recordAttempt(a *attempt, outcome loadbalance.Outcome, r *httpconn.Reply, err error) {
+func (j *job) recordAttempt(a *attempt, outcome loadbalance.Outcome, reply *httpconn.Reply, err error) {
 	if outcome == loadbalance.Served {
 		return
 	}
@@ -33,25 +33,25 @@
 		result = "sent: malformed answer"
 	case err != nil:
 		result = "sent: connection broken"
-	case r.Header.Get(httpconn.NotRun) != "":
-		result = "not run: " + strconv.Itoa(r.Status)
+	case reply.Header.Get(httpconn.NotRun) != "":
+		result = "not run: " + strconv.Itoa(reply.Status)
 	default:
-		result = "answered " + strconv.Itoa(r.Status)
+		result = "answered " + strconv.Itoa(reply.Status)
 	}
 	j.failedAttempts = append(j.failedAttempts, failurelog.Attempt{Database: a.db.ID, After: j.now() - j.received, Result: result})
 }
 
 // logFailure adds a request that was not served to the failure log.
 func (j *job) logFailure(response, cause string) {
-	f := failurelog.Failure{
+	failure := failurelog.Failure{
 		ID: j.id, Route: j.incoming.Host, Service: j.service, Response: response, Cause: strings.ReplaceAll(cause, " ", "_"),
 		Duration: j.now() - j.received, Revision: j.revision, Attempts: j.failedAttempts,
 	}
 	if j.route != nil {
-		f.Route = j.route.Host + j.route.Prefix
+		failure.Route = j.route.Host + j.route.Prefix
 	}
 	if j.tenant != nil {
-		f.Tenant = j.tenant.Name
+		failure.Tenant = j.tenant.Name
 	}
-	j.t.failures.Add(f)
+	j.gateway.failures.Add(failure)
 }
