--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -55,15 +55,15 @@
 // Config configures the pools.
 type Config[Want, C any] struct {
 	Open           func(ctx context.Context, db discovery.Database, want Want, wait kernel.Micros) (C, error)
-	Probe          func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) // nil: Open with the zero W
+	Probe          func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) // nil: Open with the zero Want
 	OpenTimeout    kernel.Micros                                                                   // time limit of a log-in
-	CheckTimeout   kernel.Micros                                                                   // time limit of the log-in of a health check
-	IdleTimeout    kernel.Micros                                                                   // after which an idle connection is closed, if others are left
-	UnusedTimeout  kernel.Micros                                                                   // after which the last idle connections to a database are closed too
+	CheckTimeout   kernel.Micros                                                                   // time limit of Probe, for a health check
+	IdleTimeout    kernel.Micros                                                                   // an idle connection is closed after this time, unless it is the last idle one
+	UnusedTimeout  kernel.Micros                                                                   // all connections to a database are closed once none was used for this time
 	MaxPerDatabase func(service string) int
 	MaxConnections int  // maximum connections to all databases together, 0 for no limit
-	Evict          bool // close an idle connection that suits no waiter to open one that does
-	SuspectOwnLink bool // if several databases are unresponsive, suspect the node's own link first
+	Evict          bool // at the maximum, close an idle connection that suits no waiter to open one that does
+	SuspectOwnLink bool // if several databases are unresponsive at once, suspect the node's own link first
 }
 
 // Pools holds the connections of this process to all databases.
@@ -81,7 +81,8 @@
 	downUnknown map[string]bool
 }
 
-// origin records the pool, database and generation that an open connection belongs to.
+// origin records the pool, database and generation that an open connection belongs to, and whether it
+// is borrowed.
 type origin[Want, C any] struct {
 	pool       *pool[Want, C]
 	borrowed   bool
@@ -98,10 +99,10 @@
 	borrowed     int
 	opening      int
 	waiting      []*waiter[Want, C]
-	atLimitUntil kernel.Micros // the database was at its connection limit; until then the pool grows at most to one connection
+	atLimitUntil kernel.Micros // set when the database is at its connection limit: until then an empty pool opens one connection, others none
 }
 
-// idleConn is an idle connection and the time since when it has been idle.
+// idleConn is an idle connection, with the time at which it became idle.
 type idleConn[C any] struct {
 	c     C
 	since kernel.Micros
@@ -121,7 +122,7 @@
 	err error
 }
 
-// New returns empty pools and registers the number of open connections as an observed value.
+// New returns empty pools, and registers the number of open connections as a metric.
 func New[Want any, C Connection[Want]](k *kernel.Kernel, cfg Config[Want, C], health *health.Monitor) *Pools[Want, C] {
 	if cfg.Probe == nil {
 		cfg.Probe = func(ctx context.Context, db discovery.Database, wait kernel.Micros) (C, error) {
@@ -144,8 +145,9 @@
 	return int64(len(ps.origins))
 }
 
-// SetDatabases sets the databases. Idle connections to databases that were removed or have moved are
-// closed at once, borrowed ones when they are returned.
+// SetDatabases sets the databases that connections can be borrowed to. Idle connections to databases
+// that were removed, or whose address or service changed, are closed at once, borrowed ones when they
+// are returned.
 func (ps *Pools[Want, C]) SetDatabases(dbs map[string]discovery.Database) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -174,6 +176,7 @@
 	ps.health.SetKnown(known)
 }
 
+// closeIdle closes the idle connections of a pool. The caller holds the lock.
 func (ps *Pools[Want, C]) closeIdle(p *pool[Want, C]) {
 	for _, idle := range p.idle {
 		ps.closeConn(p, idle.c)
@@ -225,12 +228,12 @@
 	return out
 }
 
-// queueFactor bounds the number of waiters per connection allowed.
+// queueFactor is the maximum number of waiters per connection that the pool may open.
 const queueFactor = 6
 
-// Borrow returns the connection to the database that suits best, waiting for one up to the given
-// time. ErrPoolExhausted means that the queue is full of requests at least as urgent, ErrDeadline that no
-// connection became free in time.
+// Borrow returns the idle connection to the database that suits best, or waits up to the given time
+// for one. ErrPoolExhausted means that the queue is full of waiters that are at least as urgent,
+// ErrDeadline that no connection became free in time.
 func (ps *Pools[Want, C]) Borrow(id string, priority int, want Want, wait kernel.Micros) (c C, err error) {
 	ps.mu.Lock()
 	p := ps.pools[id]
@@ -274,12 +277,12 @@
 		return c, ErrDeadline
 	}
 	ps.mu.Unlock()
-	grant := <-w.result // it was granted at the last moment
+	grant := <-w.result // a connection was granted just as the time was over
 	return grant.c, grant.err
 }
 
-// displaceWaiter refuses the least urgent waiter to make room in the queue, if it is less urgent
-// than the given priority; a smaller number is more urgent.
+// displaceWaiter makes room in the queue by refusing the least urgent waiter, if that one is less
+// urgent than the given priority, and reports whether it did. A smaller number is more urgent.
 func (p *pool[Want, C]) displaceWaiter(priority int) bool {
 	last := len(p.waiting) - 1
 	if last < 0 || p.waiting[last].priority <= priority {
@@ -309,14 +312,14 @@
 	return c, true
 }
 
-// Return gives a borrowed connection back. It stays open only if it is alive, clean, within the
-// share, and still belongs to a known database at the same address.
+// Return gives a borrowed connection back. It stays open only if it is alive and reusable, the pool
+// has no more connections than it may open, and the database is still known at the same address.
 func (ps *Pools[Want, C]) Return(c C) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	origin := ps.markReturned(c)
 	p := origin.pool
-	surplus := p.open > max(1, ps.cfg.MaxPerDatabase(p.db.Service)) // the share shrank as more proxies joined
+	surplus := p.open > max(1, ps.cfg.MaxPerDatabase(p.db.Service)) // the maximum falls as more proxies join
 	if surplus || ps.pools[origin.id] != p || !c.Reusable() || !c.Alive() || p.db.Address != origin.address {
 		ps.closeConn(p, c)
 		ps.openForWaiters(p, max(1, ps.cfg.MaxPerDatabase(p.db.Service)))
@@ -388,8 +391,8 @@
 	}
 }
 
-// closeSurplus closes idle connections that exceed their idle time or the share of the service.
-// The caller holds the lock.
+// closeSurplus closes connections that were idle for too long, and idle ones beyond the maximum number
+// of connections per database. The caller holds the lock.
 func (ps *Pools[Want, C]) closeSurplus() {
 	now := ps.k.Clock.Now()
 	for _, p := range ps.pools {
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -18,9 +18,8 @@
 // errClientDisconnected reports that the client has closed its connection.
 var errClientDisconnected = errors.New("gateway: client disconnected")
 
-// clientConn is a client's connection. A write that does not complete within a bounded time fails,
-// because a client that reads nothing would otherwise hold its request, and the resources of that
-// request, forever.
+// clientConn is a client's connection. A write fails if it does not complete within a limited time:
+// otherwise a client that reads nothing would occupy its request's resources forever.
 type clientConn struct {
 	meteredConn
 	writeDeadline atomic.Int64 // Unix microseconds; later writes fail; 0 for no limit
@@ -46,9 +45,9 @@
 	}
 }
 
-// stopReading ends a connection that has no request in progress, by expiring its read deadline.
-// Data received but not yet read is discarded. A request that has just been read is still
-// served, which closing the connection from here might prevent.
+// stopReading ends a connection that has no request in progress, by expiring its read deadline. Data
+// received but not yet read is discarded. Unlike closing the connection, this lets a request that has
+// just been read get its response.
 func (c *clientConn) stopReading() {
 	c.readStopped.Store(true)
 	if err := c.SetReadDeadline(time.Unix(1, 0)); err != nil {
@@ -99,9 +98,9 @@
 	}
 }
 
-// awaitResult waits for the result of an attempt, at most until the drain period expires. The wait
-// for an idempotent request also ends when its client disconnects; any other request runs
-// on, whether or not its client is still connected.
+// awaitResult waits for the result of an attempt, at most until the drain period expires. For an
+// idempotent request the wait also ends when the client disconnects; any other request runs to its
+// end even if the client has disconnected.
 func (j *job) awaitResult(a *attempt, wait kernel.Micros) (*httpconn.Reply, error) {
 	disconnected := j.disconnected
 	if !j.idempotent() {
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -18,6 +18,8 @@
 	responding bool
 }
 
+// trackState implements the ConnState callback of the HTTP server: it records the state of a client's
+// connection.
 func (g *Gateway) trackState(c net.Conn, state http.ConnState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,6 +74,8 @@
 	defaultIdleTimeout   = 60 * kernel.Second
 )
 
+// clientTimeouts returns the configured timeouts for receiving a request header and for an idle
+// connection.
 func (g *Gateway) clientTimeouts() (header, idle kernel.Micros) {
 	header, idle = defaultHeaderTimeout, defaultIdleTimeout
 	if conf := g.control.Config(); conf != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway implements the HTTP gateway: it forwards client requests to services whose
-// databases each run only a few requests at a time.
+// Package gateway implements the API gateway: an HTTP proxy that forwards client requests to services
+// whose databases each run only a few requests at a time.
 package gateway
 
 import (
@@ -65,7 +65,7 @@
 
 	saturated    atomic.Bool
 	draining     atomic.Bool
-	drainExpired chan struct{} // closed when the drain period expires and pending waits are abandoned
+	drainExpired chan struct{} // closed when the drain period expires; pending waits then end
 	srv          *http.Server
 
 	mu       sync.Mutex
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// connKey is the context key of a request's connection.
+// connKey is the context key of the client connection on which a request arrived.
 type connKey struct{}
 
 // ServeHTTP implements http.Handler.
@@ -262,6 +262,7 @@
 	retryAfter kernel.Micros // value of Retry-After; 0 for none
 }
 
+// writeRefusal writes the gateway's own response to the client.
 func (g *Gateway) writeRefusal(w http.ResponseWriter, refused *refusal) {
 	g.k.Counters.Add("gateway.answered_"+strconv.Itoa(refused.status), 1)
 	h := w.Header()
--- a/internal/gateway/invariants.go
+++ b/internal/gateway/invariants.go
@@ -24,8 +24,8 @@
 	j.gateway.k.Invariants.Check(j.attempts <= max(1, j.route.Tries), invariant.TriesBounded, "%s is sent to database %d of %d", j.id, j.attempts, j.route.Tries)
 }
 
-// checkNoneUnanswered checks that every request that was read has been answered, or that its
-// response is being written to the client.
+// checkNoneUnanswered checks, at the end of draining, that every request that was read has been
+// answered or its response is being written, unless the process stalled since draining began.
 func (g *Gateway) checkNoneUnanswered(since kernel.Micros) {
 	g.mu.Lock()
 	unanswered := 0
@@ -36,6 +36,6 @@
 	}
 	g.mu.Unlock()
 	if unanswered > 0 && !g.stalls.StalledSince(since) {
-		g.k.Invariants.Check(false, invariant.NothingUnanswered, "%d requests wait for an answer", unanswered)
+		g.k.Invariants.Check(false, invariant.NothingUnanswered, "%d requests still wait for a response at the end of draining", unanswered)
 	}
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -37,16 +37,17 @@
 	noConfigRetryAfter = kernel.Second
 	// returnMargin is the part of the deadline reserved for returning the response.
 	returnMargin = 5 * kernel.Millisecond
-	// A request is hedged, that is sent to a second database too, once its response takes this
-	// multiple of the typical latency or this fraction of the latency target.
+	// A request is hedged, that is, also sent to a second database, once its response has taken
+	// hedgeLatencyFactor times the typical latency, or the fraction hedgeTargetShare of the
+	// latency target, whichever is less.
 	hedgeLatencyFactor = 2.5
 	hedgeTargetShare   = 0.55
-	// hedgeBudgetReserve is the fraction of the retry budget that hedging leaves for requests
-	// that got no response.
+	// hedgeBudgetReserve is the fraction of the retry budget that hedging leaves to retries of
+	// requests that got no response.
 	hedgeBudgetReserve = 0.5
 )
 
-// job is one request on its way to a database.
+// job is the processing of one client request.
 type job struct {
 	gateway        *Gateway
 	incoming       *http.Request
@@ -63,12 +64,12 @@
 	service        string
 	received       kernel.Micros
 	deadline       kernel.Micros
-	waitUntil      kernel.Micros // how long to wait for a database
-	attempts       int           // databases that the request was sent to
+	waitUntil      kernel.Micros // until when to wait for a database
+	attempts       int           // how many times the request was sent to a database
 	excluded       []string
 	revision       int64 // of the configuration that the request is served with
 	failedAttempts []failurelog.Attempt
-	// mayHaveRun reports that a database may have run the request.
+	// mayHaveRun is set if a database may have run the request already.
 	mayHaveRun   bool
 	disconnected <-chan struct{} // closed when the client closes its connection
 }
@@ -113,8 +114,8 @@
 	return &refusal{status: http.StatusBadGateway, text: "no whole answer"}
 }
 
-// disconnectedRefusal returns the response to a request abandoned because its client disconnected;
-// a client that has only closed its sending side still receives it.
+// disconnectedRefusal returns the response to a request that was abandoned because its client
+// disconnected. A client that has closed only its sending side still receives it.
 func (j *job) disconnectedRefusal(sent bool) *refusal {
 	if sent {
 		return j.outcomeUnknown()
@@ -122,7 +123,7 @@
 	return j.unavailable("the client has gone")
 }
 
-// attempt is the sending of a request to one database.
+// attempt is one attempt to get a response to the request from a database.
 type attempt struct {
 	db         discovery.Database
 	conn       *httpconn.Conn
@@ -142,7 +143,7 @@
 	for {
 		reply, hedge, err := j.awaitOrHedge(a)
 		if hedge {
-			// The first attempt continues; the first usable response of the two is taken.
+			// The first attempt continues; the first usable response to either is returned.
 			if another, ok := j.anotherAttempt(hedgeBudgetReserve); ok {
 				a, reply, err = j.race(a, another)
 			} else {
@@ -171,7 +172,7 @@
 		if !ok {
 			if sent {
 				if reply != nil && reply.Remainder == nil && !impliesNotRun(reply.Status) {
-					return reply, nil // the database's own response is more useful than ours
+					return reply, nil // the database's own response tells the client more than ours
 				}
 				return nil, j.outcomeUnknown()
 			}
@@ -218,7 +219,7 @@
 }
 
 // errNoDatabase reports that no database is available to send the request to.
-var errNoDatabase = errors.New("gateway: no database can take it now")
+var errNoDatabase = errors.New("gateway: no database available for the request")
 
 // anotherAttempt sends the request again, to another database, if that is allowed. It leaves the
 // fraction reserve of the retry budget unused.
@@ -303,7 +304,7 @@
 	return max(delay, returnMargin), delay < j.remaining()
 }
 
-// race waits for the first usable response of two attempts and discards the other.
+// race waits for the first usable response of two attempts, and discards the other attempt.
 func (j *job) race(a, b *attempt) (*attempt, *httpconn.Reply, error) {
 	t := time.NewTimer(j.remaining().Duration())
 	defer t.Stop()
@@ -329,7 +330,7 @@
 		j.discard(other)
 		return finished, result.Reply, result.Err
 	}
-	// The other attempt decides.
+	// The result is not usable: that of the other attempt is returned.
 	j.recordAttempt(finished, outcome, result.Reply, result.Err)
 	j.finish(finished, outcome, result.Reply, result.Err)
 	if result.Reply != nil {
@@ -352,16 +353,16 @@
 	}()
 }
 
-// verdict is what the result of an attempt means for the request.
+// verdict says what the result of an attempt means for the request.
 type verdict int
 
 const (
-	final      verdict = iota
-	notRun             // the database guarantees that the request has not run
-	mayHaveRun         // the request may have run
+	final      verdict = iota // the result is the response to the client
+	notRun                    // the database guarantees that the request has not run
+	mayHaveRun                // the request may have run
 )
 
-// classify returns how an attempt ended.
+// classify returns what the result of an attempt means for the load balancer and for the request.
 func (j *job) classify(reply *httpconn.Reply, err error) (loadbalance.Outcome, verdict) {
 	switch {
 	case errors.Is(err, httpconn.ErrUnsent):
@@ -387,8 +388,7 @@
 // seal is the header that marks a successful response from a database.
 const seal = "X-Indigowalk-Seal"
 
-// promisesNotRun reports whether a client takes the status as a guarantee that the request has
-// not run.
+// impliesNotRun reports whether clients take the status as a guarantee that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/gateway/leave.go
+++ b/internal/gateway/leave.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// listenerCloseDelay is how long a draining gateway still accepts connections: the entry
-	// load balancer checks readiness every second and needs two failed checks.
+	// listenerCloseDelay is how long a draining gateway still accepts connections: the load
+	// balancer in front probes readiness every second and needs two failed probes.
 	listenerCloseDelay = 2200 * kernel.Millisecond
-	// finalResponseTime is the part of the grace period reserved for responding to abandoned
-	// requests and for process exit; finalWriteTime of it is for the responses.
+	// finalResponseTime is the part of the grace period reserved for the responses to requests
+	// that are still pending and for the end of the process. finalWriteTime is the part of
+	// finalResponseTime for writing these responses.
 	finalResponseTime = 600 * kernel.Millisecond
 	finalWriteTime    = 200 * kernel.Millisecond
 	// drainPollInterval is the interval between checks of the remaining connections.
 	drainPollInterval = 50 * kernel.Millisecond
 )
 
-// Drain shuts the gateway down gracefully: it reports not ready at once, announces with every
-// response that the connection closes, stops accepting connections after a delay, closes idle
-// ones, and lets requests in progress finish. Requests still pending when the drain period
-// expires are answered with what is known by then.
+// Drain shuts the gateway down gracefully. It reports not ready at once, sends "Connection: close"
+// with every response, stops accepting connections after listenerCloseDelay, then closes idle ones,
+// and lets requests in progress finish. The drain period is the grace period less finalResponseTime:
+// when it expires, requests that are still pending are answered with what is known of their outcome.
 func (g *Gateway) Drain(ctx context.Context) {
 	start := g.k.Clock.Now()
 	g.draining.Store(true)
@@ -45,6 +46,7 @@
 	}
 }
 
+// closeListener stops accepting connections.
 func (g *Gateway) closeListener() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -53,8 +55,8 @@
 	}
 }
 
-// stopReadingIdle ends the idle connections and returns how many connections are still open,
-// including the ones just ended.
+// stopReadingIdle stops reading from idle connections, which closes them shortly after. It returns the
+// number of open connections, including those.
 func (g *Gateway) stopReadingIdle() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -68,7 +70,7 @@
 	return len(g.clients)
 }
 
-// isDrainExpired reports whether the drain period has expired and pending waits are abandoned.
+// isDrainExpired reports whether the drain period has expired.
 func (g *Gateway) isDrainExpired() bool {
 	select {
 	case <-g.drainExpired:
--- a/internal/gateway/linkmeter.go
+++ b/internal/gateway/linkmeter.go
@@ -8,9 +8,9 @@
 	"indigowalk/internal/kernel"
 )
 
-// linkMeter estimates the utilization of the machine's own link from what this process sends
-// and receives. Traffic queued at a saturated link is delayed by seconds, updates of the control
-// state included, so a gateway accepts no more than its link can carry.
+// linkMeter estimates the utilization of the machine's own link from what this process sends and
+// receives. A saturated link delays all traffic by seconds, updates of the control state included, so
+// a gateway refuses requests beyond what its link can carry.
 type linkMeter struct {
 	clock   kernel.Clock
 	rate    float64 // usable bytes per microsecond; 0 if unknown
@@ -24,7 +24,7 @@
 	mu          sync.Mutex
 	updatedAt   kernel.Micros
 	counted     int64
-	backlog     float64 // bytes that must still be queued
+	backlog     float64 // estimated bytes that are queued at the link
 	utilization float64 // recent average, as a fraction of the rate
 }
 
--- a/internal/gateway/linkmeter_test.go
+++ b/internal/gateway/linkmeter_test.go
@@ -6,11 +6,13 @@
 	"indigowalk/internal/kernel"
 )
 
+// clock is a clock that the test sets.
 type clock struct{ now kernel.Micros }
 
 func (c *clock) Now() kernel.Micros { return c.now }
 
-// Data sent faster than the link can carry it is queued, and the queue drains.
+// Data sent faster than the link can carry counts as queued, and the queue drains at the rate of the
+// link.
 func TestLinkMeter(t *testing.T) {
 	c := &clock{kernel.Second}
 	m := newLinkMeter(c, 2) // 2 Mbit/s: 212 usable bytes per millisecond
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -16,9 +16,10 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// uncountedBodyBytes is how much of a body is not charged to the memory budget.
+// uncountedBodyBytes is how much of each body is not charged to the memory budget.
 const uncountedBodyBytes = 4 << 10
 
+// malformed returns the response to an invalid request.
 func malformed(text string) *refusal { return &refusal{status: http.StatusBadRequest, text: text} }
 
 // newJob parses a request against a single configuration revision. It returns a job even if the
@@ -102,6 +103,7 @@
 	return linkWaitLimit * kernel.Micros(2+max(0, 2-prio)) / 2
 }
 
+// headerSize returns the approximate size of the request header in bytes.
 func headerSize(request *http.Request) (n int64) {
 	n = int64(len(request.Method) + len(request.RequestURI) + len(request.Host))
 	for name, values := range request.Header {
@@ -135,7 +137,8 @@
 	return path
 }
 
-// readBody reads the body, up to the size that is buffered.
+// readBody reads a body of up to maxBufferedBody bytes completely. Of a longer one it reads the
+// beginning, and sets j.streamed for the rest.
 func (j *job) readBody(w http.ResponseWriter, limit int64) *refusal {
 	j.header = j.incoming.Header.Clone()
 	removeHopByHop(j.header)
@@ -177,8 +180,9 @@
 // on which it has arrived in full can be kept open.
 const unreadBodyTimeout = 20 * kernel.Millisecond
 
-// limitUnreadBody keeps a refusal from waiting for the rest of the body, which the HTTP server
-// reads before it responds: if the rest has not arrived, the connection closes after the response.
+// limitUnreadBody keeps a refusal from being delayed by the HTTP server, which reads the rest of the
+// body before it responds: if the rest does not arrive within unreadBodyTimeout, the connection closes
+// after the response.
 func (j *job) limitUnreadBody(w http.ResponseWriter) {
 	if j.incoming.ContentLength == 0 {
 		return
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -13,9 +13,9 @@
 // precedence over that of the route.
 const routePriorities = 1000
 
-// authenticate determines the tenant that a request belongs to, once its route is known. Where
-// clients have API keys, databases receive the tenant's name, whatever name the client sent, and
-// never the key.
+// authenticate determines the tenant that a request belongs to by its API key, once its route is
+// known. If tenants are configured, databases receive the name of this tenant, whatever name the
+// client sent, and never the key.
 func (j *job) authenticate(conf *routeconfig.Index) *refusal {
 	if !conf.HasTenants() {
 		return nil
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -49,7 +49,8 @@
 	maxBufferedBody     = 64 << 10 // bodies up to this size are read in full before they are forwarded
 	maxSurplusResponses = 8        // responses to other requests, or interim ones, that are skipped
 	readBufferSize      = 4 << 10
-	// idleCloseMargin is how long before the database closes an idle connection its use stops.
+	// idleCloseMargin is the time before the database closes an idle connection in which the
+	// connection is no longer used.
 	idleCloseMargin = 500 * kernel.Millisecond
 	// recentUse is how long a connection may have been idle and still carry a request that must
 	// not run twice: a connection that the far end has dropped shows it only when it is written
@@ -57,12 +58,12 @@
 	freshIdleTime = 100 * kernel.Millisecond
 )
 
-// Pools hold a gateway's connections to all databases.
+// Pools holds a gateway's connections to all databases.
 type Pools = connpool.Pools[Want, *Conn]
 
-// Want is what a borrower requires of a connection.
+// Want describes what a borrower requires of a connection.
 type Want struct {
-	Fresh bool // new, or used a moment ago
+	Fresh bool // new, or idle for at most freshIdleTime
 }
 
 // Reply is a database's response. Body holds the whole body, or its beginning if Remainder is set.
@@ -109,12 +110,12 @@
 
 	mu                sync.Mutex
 	pending           *pendingRequest
-	closeAfterPending bool // not reused after the request in progress
+	closeAfterPending bool // the database closes the connection after the request in progress
 	closed            bool
-	tainted           bool                        // an unexpected response arrived, or might: not reused
-	recentIDs         [maxSurplusResponses]string // of the most recent requests
-	sent              int                         // number of requests
-	idleTimeout       kernel.Micros               // after which the database closes it; 0 if not announced
+	tainted           bool                        // not to be reused: an unexpected response arrived, or may arrive
+	recentIDs         [maxSurplusResponses]string // IDs of the most recent requests
+	sent              int                         // number of requests sent
+	idleTimeout       kernel.Micros               // the database closes the connection when idle for this time; 0 if not announced
 	unresponsive      bool
 	onBroken          func(byUs, unresponsive bool)
 }
@@ -165,10 +166,10 @@
 	return c, nil
 }
 
-// Probe opens a connection and requests the database's health. Any response that comes from that
-// database counts, whatever health it reports, because the report may be wrong either way. A
-// database that accepts the connection and does not respond in time is slow, which is not a
-// failure.
+// Probe opens a connection and requests the database's health endpoint. Any response from that
+// database means success, whatever health it reports, because the report may be wrong either way. A
+// database that accepts the connection but does not respond in time is slow (connpool.ErrNotReady),
+// which is not a failure.
 func (d *Dialer) Probe(ctx context.Context, db discovery.Database, wait kernel.Micros) (*Conn, error) {
 	c, err := d.Open(ctx, db, wait)
 	if err != nil {
@@ -220,9 +221,9 @@
 	}
 }
 
-// Send writes a request, and delivers its response or the error on the returned channel. It
-// refuses a request whose ID was sent on this connection recently, because a surplus response to
-// the earlier one could not be told from its own. A body that is not entirely in memory is
+// Send writes a request, and returns a channel that delivers its response or error. It refuses a
+// request whose ID was sent on this connection recently, because a surplus response to the earlier
+// request could not be told from the response to this one. A body that is not entirely in memory is
 // streamed. Writing, and reading the remainder of a long response, must end within wait.
 func (c *Conn) Send(request *http.Request, id string, wait kernel.Micros) (<-chan Result, error) {
 	deadline := time.Now().Add(wait.Duration())
@@ -252,7 +253,7 @@
 			return pending.result, nil
 		}
 	}
-	// A partly written request may have been read by the database.
+	// The database may have read, and run, a request that was written in part.
 	c.Close()
 	if writer.sent == 0 {
 		return nil, ErrUnsent
@@ -323,6 +324,8 @@
 	return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 }
 
+// readResponses reads responses and delivers them to the requests that they belong to. It returns the
+// error that ends the connection.
 func (c *Conn) readResponses() error {
 	for surplus := 0; ; {
 		if _, err := c.reader.Peek(1); err != nil {
@@ -374,7 +377,7 @@
 	c.tainted = true
 }
 
-// deadlineReader reads the remainder of a long response, until its deadline.
+// deadlineReader reads the remainder of a long response. Reads fail after the deadline.
 type deadlineReader struct {
 	r        io.Reader
 	conn     net.Conn
@@ -397,7 +400,8 @@
 	c.tainted = c.tainted || c.reader.Buffered() > 0
 }
 
-// deliver passes the response on, small ones in full.
+// deliver delivers the response to the request in progress. A short response is read completely first;
+// of a long one the remainder is read by the receiver, and deliver waits until that is done.
 func (c *Conn) deliver(pending *pendingRequest, response *http.Response) error {
 	reply := &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBody+1))
@@ -441,7 +445,8 @@
 	}
 }
 
-// closeIfSpent marks a connection that can't be reused as closed, and reports whether it is closed.
+// closeIfNotReusable marks a connection that can't be reused as closed. It reports whether the
+// connection is closed.
 func (c *Conn) closeIfNotReusable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -19,7 +19,7 @@
 	"indigowalk/internal/simulation"
 )
 
-// reply returns the raw response to a request.
+// reply returns the raw response to the request with the given ID.
 func reply(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", httpconn.RequestID, id, len(body), body)
 }
@@ -65,7 +65,8 @@
 	})
 }
 
-// ask sends a request and returns the body of its response, "" if there is none.
+// exchange sends a request and returns the body of its response, "" if there is none. For a long
+// response it returns the length of the body and the error of reading it.
 func exchange(c *httpconn.Conn, id string, wait kernel.Micros) string {
 	request, err := http.NewRequest(http.MethodPost, "http://d/", strings.NewReader("x"))
 	if err != nil {
@@ -87,8 +88,8 @@
 	return string(r.Body)
 }
 
-// A response is delivered only to the request that it belongs to, and a connection on which that is
-// uncertain is not used or lent again.
+// A response is delivered only to the request that it belongs to. A connection on which the two can't
+// be matched with certainty is neither used nor lent again.
 func TestResponsesMatchTheirRequests(t *testing.T) {
 	const tooShort, longEnough = 50 * kernel.Millisecond, 300 * kernel.Millisecond
 	long := strings.Repeat("y", 100<<10)
@@ -117,7 +118,7 @@
 				if got := exchange(conn, c.ids[0], c.wait); got != c.firstBody {
 					t.Errorf("first response %.20q", got)
 				} else if got != "" && conn.Reusable() && !c.reusable {
-					t.Error("the connection may be reused at once")
+					t.Error("the connection may be reused right after the response")
 				}
 				time.Sleep(200 * time.Millisecond) // a late response arrives
 				if reusable := conn.Reusable() && conn.Alive(); reusable != c.reusable {
@@ -173,11 +174,11 @@
 			}
 			if !unsent {
 				if _, err := httpconn.Await(ch, kernel.Second, nil, nil); err == nil || errors.Is(err, httpconn.ErrNoResponse) {
-					t.Errorf("%d bytes sent, then %v", writable, err)
+					t.Errorf("%d bytes sent: result %v", writable, err)
 				}
 			}
 			if synctest.Wait(); c.Reusable() || c.Alive() {
-				t.Errorf("%d bytes sent, and the connection may be reused", writable)
+				t.Errorf("%d bytes sent: the connection may be reused", writable)
 			}
 			remote.Close()
 			time.Sleep(time.Minute)
--- a/internal/httpconn/fuzz_test.go
+++ b/internal/httpconn/fuzz_test.go
@@ -24,9 +24,9 @@
 
 func (n pipeNet) Dial(context.Context, string, kernel.Micros) (net.Conn, error) { return n.c, nil }
 
-// Whatever a database sends, however it is split, a response carries the ID of the request that it
-// is delivered to, and its bytes come from the stream. Data sent after both responses, or while no
-// request is in progress, ends the connection.
+// Whatever bytes a database sends, and however they are split, a delivered response carries the ID of
+// its request and contains only bytes that the database sent. Data that arrives after both responses,
+// or while no request is in progress, ends the connection.
 func FuzzUpstream(f *testing.F) {
 	a, b := reply("a", "one"), reply("b", "two")
 	chunked := "HTTP/1.1 200 OK\r\n" + httpconn.RequestID + ": a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"
@@ -56,7 +56,7 @@
 				}
 				ch, err := c.Send(request, id, kernel.Second)
 				if err == nil && !reusable {
-					t.Errorf("%s is sent on a connection that must not be reused", id)
+					t.Errorf("request %s is sent on a connection that must not be reused", id)
 				}
 				go remote.Write(piece)
 				if err != nil {
@@ -74,10 +74,10 @@
 					body = append(bytes.Clone(body), rest...)
 				}
 				if reply.Header.Get(httpconn.RequestID) != id || reply.Status < 200 {
-					t.Errorf("%s got %d %v", id, reply.Status, reply.Header)
+					t.Errorf("request %s got response %d %v", id, reply.Status, reply.Header)
 				}
 				if reply.Header.Get("Transfer-Encoding") == "" && reply.Length >= 0 && !bytes.Contains(all, body) {
-					t.Errorf("%s got %q, which the database did not send", id, body)
+					t.Errorf("request %s got %q, which the database did not send", id, body)
 				}
 			}
 			exchange("a", first)
@@ -87,7 +87,7 @@
 			remote.Close()
 			time.Sleep(time.Minute)
 			if c.Alive() {
-				t.Error("the connection is alive after its far end has closed")
+				t.Error("the connection is alive after the database has closed it")
 			}
 			c.Close()
 			time.Sleep(time.Minute)
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -16,15 +16,16 @@
 // HealthPath returns the path of a service's health endpoint.
 type HealthPath func(service string) string
 
-// connectTimeoutFactor is the connect timeout as a multiple of the health check timeout. Requests
-// do not wait for a slow connection but go to another database, so there is time to tell an
-// unreachable database from a saturated link.
+// connectTimeoutFactor is the connect timeout as a multiple of the health check timeout. Requests go
+// to another database instead of waiting for a slow connection, so the timeout can be long enough to
+// tell an unreachable database from a saturated link.
 const connectTimeoutFactor = 4
 
-// reservedDescriptors are file descriptors reserved for files.
+// reservedDescriptors is the number of file descriptors that are reserved for files.
 const reservedDescriptors = 200
 
-// maxConnections returns the maximum number of connections to databases: half of all sockets.
+// maxConnections returns the maximum number of connections to databases: half of the sockets that the
+// limit on file descriptors allows. There are client connections too.
 func maxConnections(fds int64) int { return int(max(0, fds-reservedDescriptors)) / 2 }
 
 func init() {
@@ -60,8 +61,9 @@
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
 				began := k.Clock.Now()
 				err := pools.Check(ctx, id)
-				// A database at capacity resets a health check as it does a request, so a
-				// request that it served since the check began outranks the failed check.
+				// A database at capacity resets connections, that of a health check included. So
+				// a check that failed in this way passes if the database has served a request
+				// since the check began.
 				return connpool.CheckPassed(err) || errors.Is(err, connpool.ErrBroken) && balancer.LastServed(id) >= began
 			})
 			k.Supervise("httpconn", pools.Serve)
