--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -60,10 +60,10 @@
 	CheckTimeout   kernel.Micros                                                                   // time limit of Probe, for a health check
 	IdleTimeout    kernel.Micros                                                                   // an idle connection is closed after this time, unless it is the last idle one
 	UnusedTimeout  kernel.Micros                                                                   // all connections to a database are closed once none was used for this time
-	MaxPerDatabase func(service string) int
-	MaxConnections int  // maximum connections to all databases together, 0 for no limit
-	Evict          bool // at the maximum, close an idle connection that suits no waiter to open one that does
-	SuspectOwnLink bool // if several databases are unresponsive at once, suspect the node's own link first
+	MaxPerDatabase func(service string) int                                                        // maximum connections to each database of a service
+	MaxConnections int                                                                             // maximum connections to all databases together, 0 for no limit
+	Evict          bool                                                                            // at the maximum, close an idle connection that suits no waiter to open one that does
+	SuspectOwnLink bool                                                                            // if several databases are unresponsive at once, suspect the node's own link first
 }
 
 // Pools holds the connections of this process to all databases.
@@ -98,13 +98,13 @@
 	open         int // all open connections, borrowed ones included
 	borrowed     int
 	opening      int
-	waiting      []*waiter[Want, C]
+	waiters      []*waiter[Want, C]
 	atLimitUntil kernel.Micros // set when the database is at its connection limit: until then an empty pool opens one connection, others none
 }
 
 // idleConn is an idle connection, with the time at which it became idle.
 type idleConn[C any] struct {
-	c     C
+	conn  C
 	since kernel.Micros
 }
 
@@ -118,8 +118,8 @@
 
 // grant is the result passed to a waiter.
 type grant[C any] struct {
-	c   C
-	err error
+	conn C
+	err  error
 }
 
 // New returns empty pools, and registers the number of open connections as a metric.
@@ -179,7 +179,7 @@
 // closeIdle closes the idle connections of a pool. The caller holds the lock.
 func (ps *Pools[Want, C]) closeIdle(p *pool[Want, C]) {
 	for _, idle := range p.idle {
-		ps.closeConn(p, idle.c)
+		ps.closeConn(p, idle.conn)
 	}
 	p.idle = nil
 }
@@ -193,10 +193,10 @@
 
 // failWaiters ends every pending Borrow with the error.
 func (p *pool[Want, C]) failWaiters(err error) {
-	for _, w := range p.waiting {
+	for _, w := range p.waiters {
 		w.result <- grant[C]{err: err}
 	}
-	p.waiting = nil
+	p.waiters = nil
 }
 
 // Busy returns how many connections to the database are borrowed or waited for.
@@ -204,7 +204,7 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	if p := ps.pools[id]; p != nil {
-		return p.open - len(p.idle) + len(p.waiting)
+		return p.open - len(p.idle) + len(p.waiters)
 	}
 	return 0
 }
@@ -214,7 +214,7 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	p := ps.pools[id]
-	return p != nil && slices.ContainsFunc(p.idle, func(idle idleConn[C]) bool { return idle.c.Score(want, 0) >= 0 })
+	return p != nil && slices.ContainsFunc(p.idle, func(idle idleConn[C]) bool { return idle.conn.Score(want, 0) >= 0 })
 }
 
 // Counts returns the numbers of open and idle connections by database.
@@ -247,19 +247,19 @@
 		return c, nil
 	}
 	maxOpen := max(1, ps.cfg.MaxPerDatabase(p.db.Service))
-	if len(p.waiting) >= queueFactor*maxOpen && !p.displaceWaiter(priority) {
+	if len(p.waiters) >= queueFactor*maxOpen && !p.displaceWaiter(priority) {
 		ps.mu.Unlock()
 		ps.k.Counters.Add("connpool.queue_full", 1)
 		return c, ErrPoolExhausted
 	}
 	w := &waiter[Want, C]{priority: priority, want: want, result: make(chan grant[C], 1)}
-	position, _ := slices.BinarySearchFunc(p.waiting, priority, func(other *waiter[Want, C], priority int) int {
+	position, _ := slices.BinarySearchFunc(p.waiters, priority, func(other *waiter[Want, C], priority int) int {
 		if other.priority <= priority {
 			return -1
 		}
 		return 1
 	})
-	p.waiting = slices.Insert(p.waiting, position, w)
+	p.waiters = slices.Insert(p.waiters, position, w)
 	ps.openForWaiters(p, maxOpen)
 	ps.mu.Unlock()
 
@@ -267,29 +267,29 @@
 	defer timer.Stop()
 	select {
 	case grant := <-w.result:
-		return grant.c, grant.err
+		return grant.conn, grant.err
 	case <-timer.C:
 	}
 	ps.mu.Lock()
-	if i := slices.Index(p.waiting, w); i >= 0 {
-		p.waiting = slices.Delete(p.waiting, i, i+1)
+	if i := slices.Index(p.waiters, w); i >= 0 {
+		p.waiters = slices.Delete(p.waiters, i, i+1)
 		ps.mu.Unlock()
 		return c, ErrDeadline
 	}
 	ps.mu.Unlock()
 	grant := <-w.result // a connection was granted just as the time was over
-	return grant.c, grant.err
+	return grant.conn, grant.err
 }
 
 // displaceWaiter makes room in the queue by refusing the least urgent waiter, if that one is less
 // urgent than the given priority, and reports whether it did. A smaller number is more urgent.
 func (p *pool[Want, C]) displaceWaiter(priority int) bool {
-	last := len(p.waiting) - 1
-	if last < 0 || p.waiting[last].priority <= priority {
+	last := len(p.waiters) - 1
+	if last < 0 || p.waiters[last].priority <= priority {
 		return false
 	}
-	p.waiting[last].result <- grant[C]{err: ErrPoolExhausted}
-	p.waiting = p.waiting[:last]
+	p.waiters[last].result <- grant[C]{err: ErrPoolExhausted}
+	p.waiters = p.waiters[:last]
 	return true
 }
 
@@ -300,14 +300,14 @@
 	bestIndex, bestScore := -1, -1
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		idle := p.idle[i]
-		if score := idle.c.Score(want, now-idle.since); idle.c.Alive() && score > bestScore {
+		if score := idle.conn.Score(want, now-idle.since); idle.conn.Alive() && score > bestScore {
 			bestIndex, bestScore = i, score
 		}
 	}
 	if bestIndex < 0 {
 		return c, false
 	}
-	c = p.idle[bestIndex].c
+	c = p.idle[bestIndex].conn
 	p.idle = slices.Delete(p.idle, bestIndex, bestIndex+1)
 	return c, true
 }
@@ -326,7 +326,7 @@
 		return
 	}
 	ps.grantOrIdle(p, c)
-	if len(p.waiting) > 0 {
+	if len(p.waiters) > 0 {
 		ps.openForWaiters(p, max(1, ps.cfg.MaxPerDatabase(p.db.Service)))
 	}
 }
@@ -342,7 +342,7 @@
 		return
 	}
 	p := origin.pool
-	if i := slices.IndexFunc(p.idle, func(idle idleConn[C]) bool { return idle.c == c }); i >= 0 {
+	if i := slices.IndexFunc(p.idle, func(idle idleConn[C]) bool { return idle.conn == c }); i >= 0 {
 		p.idle = slices.Delete(p.idle, i, i+1)
 		ps.closeConn(p, c)
 	}
@@ -401,7 +401,7 @@
 			ps.closeIdle(p)
 		}
 		for len(p.idle) > 1 && now-p.idle[0].since > ps.cfg.IdleTimeout || len(p.idle) > 0 && p.open > maxOpen {
-			ps.closeConn(p, p.idle[0].c)
+			ps.closeConn(p, p.idle[0].conn)
 			p.idle = p.idle[1:]
 		}
 	}
--- a/internal/connpool/dial.go
+++ b/internal/connpool/dial.go
@@ -29,9 +29,9 @@
 			return nil, ctx.Err()
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	conn, err := dialHedged(ctx, network, addr, connectTimeout, unresponsiveTimeout)
-	if err != nil && time.Since(began) >= stallFactor*connectTimeout.Duration() {
+	if err != nil && time.Since(start) >= stallFactor*connectTimeout.Duration() {
 		conn, err = dialHedged(ctx, network, addr, connectTimeout, unresponsiveTimeout)
 	}
 	if err != nil {
--- a/internal/connpool/open.go
+++ b/internal/connpool/open.go
@@ -17,7 +17,7 @@
 	}
 	// Grow gradually, at most doubling the pool: a connection that becomes free serves a waiter sooner
 	// than one of many that all proxies open at the same time.
-	for _, w := range p.waiting {
+	for _, w := range p.waiters {
 		switch {
 		case w.opening:
 			continue
@@ -37,7 +37,7 @@
 		return false
 	}
 	ps.k.Counters.Add("connpool.evicted", 1)
-	ps.closeConn(p, p.idle[0].c)
+	ps.closeConn(p, p.idle[0].conn)
 	p.idle = p.idle[1:]
 	return true
 }
@@ -58,7 +58,7 @@
 		ps.k.Counters.Add("connpool.no_room", 1)
 		return false
 	}
-	ps.closeConn(longestIdle, longestIdle.idle[0].c)
+	ps.closeConn(longestIdle, longestIdle.idle[0].conn)
 	longestIdle.idle = longestIdle.idle[1:]
 	return true
 }
@@ -119,11 +119,11 @@
 
 // grantOrIdle lends a connection to the most urgent waiter that it suits, or makes it idle.
 func (ps *Pools[Want, C]) grantOrIdle(p *pool[Want, C], c C) {
-	for i, w := range p.waiting {
+	for i, w := range p.waiters {
 		if c.Score(w.want, 0) >= 0 {
-			p.waiting = slices.Delete(p.waiting, i, i+1)
+			p.waiters = slices.Delete(p.waiters, i, i+1)
 			ps.markBorrowed(p, c)
-			w.result <- grant[C]{c: c}
+			w.result <- grant[C]{conn: c}
 			return
 		}
 	}
--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -48,13 +48,13 @@
 
 	conn         net.Conn
 	answers      chan *lineprotocol.Answer
-	broken       chan struct{}
-	unresponsive bool // set before broken is closed: the database stopped responding
+	broken       chan struct{} // closed when the connection has broken
+	unresponsive bool          // set before broken is closed: the database stopped responding
 
 	// The following fields belong to the current borrower.
 	values        map[string]string
 	preparedNames map[string]string // names under which statements are prepared, by Prepared.key
-	state         byte
+	state         byte              // transaction state that the database last reported
 	// preparedBytes is an upper bound of the size of the statements in preparedNames.
 	preparedBytes int
 
--- a/internal/dbconn/conn_test.go
+++ b/internal/dbconn/conn_test.go
@@ -29,10 +29,10 @@
 }
 
 // connectOn is like connect, and also passes the simulated network to f.
-func connectOn(t *testing.T, wrap func(kernel.Network) kernel.Network, texts []string, f func(n *simulation.Net, c *dbconn.Conn, err error, extraLines <-chan int)) {
+func connectOn(t *testing.T, wrap func(kernel.Network) kernel.Network, texts []string, f func(network *simulation.Net, c *dbconn.Conn, err error, extraLines <-chan int)) {
 	synctest.Test(t, func(t *testing.T) {
-		n := simulation.NewNet(1)
-		listener, err := n.Host("10.0.0.2").Listen("10.0.0.2:1")
+		network := simulation.NewNet(1)
+		listener, err := network.Host("10.0.0.2").Listen("10.0.0.2:1")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,10 +60,10 @@
 			}
 			extraLines <- n
 		}()
-		d := dbconn.Dialer{Net: wrap(n.Host("10.0.0.1")), ClientName: "w", ConnectTimeout: kernel.Second, UnresponsiveTimeout: kernel.Second}
+		d := dbconn.Dialer{Net: wrap(network.Host("10.0.0.1")), ClientName: "w", ConnectTimeout: kernel.Second, UnresponsiveTimeout: kernel.Second}
 		c, err := d.Open(t.Context(), discovery.Database{ID: "d", Service: "s", Address: "10.0.0.2:1"}, kernel.Second)
-		f(n, c, err, extraLines)
-		n.Reset("10.0.0.2")
+		f(network, c, err, extraLines)
+		network.Reset("10.0.0.2")
 		time.Sleep(15 * time.Second)
 	})
 }
@@ -131,8 +131,8 @@
 	writes int
 }
 
-func (n halfWritingNetwork) Dial(ctx context.Context, addr string, silence kernel.Micros) (net.Conn, error) {
-	c, err := n.Network.Dial(ctx, addr, silence)
+func (n halfWritingNetwork) Dial(ctx context.Context, addr string, unresponsiveTimeout kernel.Micros) (net.Conn, error) {
+	c, err := n.Network.Dial(ctx, addr, unresponsiveTimeout)
 	return &halfWritingConn{Conn: c}, err
 }
 
@@ -184,13 +184,13 @@
 		"long, full for a while before": {100_000, 400 * time.Millisecond, 0, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			connectOn(t, plain, []string{"IDLE I -\r\n", answerA}, func(net *simulation.Net, conn *dbconn.Conn, err error, extraLines <-chan int) {
+			connectOn(t, plain, []string{"IDLE I -\r\n", answerA}, func(network *simulation.Net, conn *dbconn.Conn, err error, extraLines <-chan int) {
 				if err != nil {
 					t.Fatal(err)
 				}
 				start := time.Now()
-				net.Full("10.0.0.2", c.fullFor > 0)
-				time.AfterFunc(c.fullFor, func() { net.Full("10.0.0.2", false) })
+				network.Full("10.0.0.2", c.fullFor > 0)
+				time.AfterFunc(c.fullFor, func() { network.Full("10.0.0.2", false) })
 				longestHeld := time.Duration(0)
 				gate := func(write func() error) error {
 					entered := time.Now()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,7 +52,7 @@
 	k        *kernel.Kernel
 	cfg      Config
 	control  ControlState
-	conns    *httpconn.Pools
+	pools    *httpconn.Pools
 	balancer *loadbalance.Balancer
 	health   *health.Monitor
 	ring     *membership.Memberlist
@@ -66,7 +66,7 @@
 	saturated    atomic.Bool
 	draining     atomic.Bool
 	drainExpired chan struct{} // closed when the drain period expires; pending waits then end
-	srv          *http.Server
+	server       *http.Server
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -90,11 +90,11 @@
 // New returns a gateway.
 func New(k *kernel.Kernel, cfg Config, services Services) *Gateway {
 	g := &Gateway{
-		k: k, cfg: cfg, control: services.Control, conns: services.Conns, balancer: services.Balancer, health: services.Health, ring: services.Ring,
+		k: k, cfg: cfg, control: services.Control, pools: services.Conns, balancer: services.Balancer, health: services.Health, ring: services.Ring,
 		retries: services.Retries, quota: services.Quota, failures: services.Failures, stalls: services.Stalls, memory: services.Memory,
 		clients: map[net.Conn]*clientState{}, drainExpired: make(chan struct{}), meter: newLinkMeter(k.Clock, cfg.NetMbps),
 	}
-	g.srv = &http.Server{
+	g.server = &http.Server{
 		Handler: g, MaxHeaderBytes: maxHeaderBytes, ConnState: g.trackState,
 		ErrorLog: log.New(countingWriter{k.Counters.Counter("gateway.server_notes")}, "", 0),
 	}
@@ -154,13 +154,13 @@
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	defer context.AfterFunc(ctx, func() { g.srv.Close() })()
+	defer context.AfterFunc(ctx, func() { g.server.Close() })()
 	g.mu.Lock()
 	g.listener = ln
 	g.mu.Unlock()
 	go g.enforceClientTimeouts(ctx)
 	go g.updateSaturation(ctx)
-	if err := g.srv.Serve(clientListener{ln, g.meter}); err != nil && !errors.Is(err, http.ErrServerClosed) && !g.draining.Load() {
+	if err := g.server.Serve(clientListener{ln, g.meter}); err != nil && !errors.Is(err, http.ErrServerClosed) && !g.draining.Load() {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	<-ctx.Done()
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -29,7 +29,7 @@
 	databaseWaitShare = 0.2
 	// borrowTimeout is how long to wait for a connection to one database before trying another.
 	borrowTimeout = 40 * kernel.Millisecond
-	// retryAfterBase is the minimum Retry-After of a refused client; up to half as much again is added.
+	// retryAfterBase is the minimum Retry-After of a refusal. Up to half as much is added at random.
 	retryAfterBase = 150 * kernel.Millisecond
 	// configWait is how long a request waits for the configuration on a node that has just
 	// started; noConfigRetryAfter is the Retry-After if that is not long enough.
@@ -116,8 +116,8 @@
 
 // disconnectedRefusal returns the response to a request that was abandoned because its client
 // disconnected. A client that has closed only its sending side still receives it.
-func (j *job) disconnectedRefusal(sent bool) *refusal {
-	if sent {
+func (j *job) disconnectedRefusal(possiblyRun bool) *refusal {
+	if possiblyRun {
 		return j.outcomeUnknown()
 	}
 	return j.unavailable("the client has gone")
@@ -139,7 +139,7 @@
 	if refused != nil {
 		return nil, refused
 	}
-	sent := false // a database may have run the request
+	possiblyRun := false // whether a database may have run the request
 	for {
 		reply, hedge, err := j.awaitOrHedge(a)
 		if hedge {
@@ -157,7 +157,7 @@
 		case final:
 			return reply, nil
 		case mayHaveRun:
-			sent, j.mayHaveRun = true, true
+			possiblyRun, j.mayHaveRun = true, true
 		}
 		if reply != nil {
 			reply.Close()
@@ -166,11 +166,11 @@
 			return nil, j.outcomeUnknown()
 		}
 		if j.clientDisconnected() {
-			return nil, j.disconnectedRefusal(sent)
+			return nil, j.disconnectedRefusal(possiblyRun)
 		}
 		another, ok := j.anotherAttempt(0)
 		if !ok {
-			if sent {
+			if possiblyRun {
 				if reply != nil && reply.Remainder == nil && !impliesNotRun(reply.Status) {
 					return reply, nil // the database's own response tells the client more than ours
 				}
@@ -250,7 +250,7 @@
 	}
 	linkWait, _ := g.meter.load()
 	startedAt := g.balancer.Begin(db.ID)
-	conn, err := g.conns.Borrow(db.ID, j.priority, httpconn.Want{Fresh: !j.idempotent()}, min(borrowTimeout+2*linkWait, j.remaining()/4))
+	conn, err := g.pools.Borrow(db.ID, j.priority, httpconn.Want{Fresh: !j.idempotent()}, min(borrowTimeout+2*linkWait, j.remaining()/4))
 	if err != nil {
 		j.excluded = append(j.excluded, db.ID)
 		g.balancer.End("", db.ID, startedAt, loadbalance.Full)
@@ -262,14 +262,14 @@
 		results, err = conn.Send(j.upstreamRequest(db.ID), j.id, j.remaining())
 	}
 	if err != nil {
-		g.conns.Return(conn)
+		g.pools.Return(conn)
 		g.balancer.End("", db.ID, startedAt, loadbalance.Unused)
 		return nil, err
 	}
 	j.attempts++
 	j.checkSentOnce(db.ID)
 	j.excluded = append(j.excluded, db.ID)
-	return &attempt{db, conn, g.conns.Generation(conn), startedAt, results}, nil
+	return &attempt{db, conn, g.pools.Generation(conn), startedAt, results}, nil
 }
 
 // candidates returns the input for the selection of a database.
@@ -305,25 +305,25 @@
 }
 
 // race waits for the first usable response of two attempts, and discards the other attempt.
-func (j *job) race(a, b *attempt) (*attempt, *httpconn.Reply, error) {
+func (j *job) race(first, second *attempt) (*attempt, *httpconn.Reply, error) {
 	t := time.NewTimer(j.remaining().Duration())
 	defer t.Stop()
 	var result httpconn.Result
 	var finished, other *attempt
 	select {
-	case result = <-a.result:
-		finished, other = a, b
-	case result = <-b.result:
-		finished, other = b, a
+	case result = <-first.result:
+		finished, other = first, second
+	case result = <-second.result:
+		finished, other = second, first
 	case <-t.C:
-		j.discard(b)
-		return a, nil, httpconn.ErrNoResponse
+		j.discard(second)
+		return first, nil, httpconn.ErrNoResponse
 	case <-j.gateway.drainExpired:
-		j.discard(b)
-		return a, nil, httpconn.ErrNoResponse
+		j.discard(second)
+		return first, nil, httpconn.ErrNoResponse
 	case <-j.disconnected: // only idempotent requests are sent twice
-		j.discard(b)
-		return a, nil, errClientDisconnected
+		j.discard(second)
+		return first, nil, errClientDisconnected
 	}
 	outcome, verdict := j.classify(result.Reply, result.Err)
 	if verdict == final {
@@ -414,11 +414,11 @@
 		g.k.Counters.Add("gateway.misdirected", 1)
 	}
 	if reply == nil || reply.Remainder == nil {
-		g.conns.Return(a.conn)
+		g.pools.Return(a.conn)
 	} else {
 		go func() { // the body is still being forwarded
 			<-reply.Released
-			g.conns.Return(a.conn)
+			g.pools.Return(a.conn)
 		}()
 	}
 	g.balancer.End(j.route.Host+j.route.Prefix, a.db.ID, a.startedAt, outcome)
--- a/internal/gateway/plugin.go
+++ b/internal/gateway/plugin.go
@@ -53,7 +53,7 @@
 				Memory:   kernel.Need[*memorybudget.Budget](k),
 			})
 			kernel.Offer[httpconn.Wrap](k, func(c net.Conn) net.Conn { return &meteredConn{c, g.meter} })
-			g.srv.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
+			g.server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 				return context.WithValue(ctx, connKey{}, c)
 			}
 			k.Counters.Observable("gateway.requests_open", g.openRequests)
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -52,9 +52,8 @@
 	// idleCloseMargin is the time before the database closes an idle connection in which the
 	// connection is no longer used.
 	idleCloseMargin = 500 * kernel.Millisecond
-	// recentUse is how long a connection may have been idle and still carry a request that must
-	// not run twice: a connection that the far end has dropped shows it only when it is written
-	// to.
+	// freshIdleTime is how long a connection may have been idle and still carry a request that must
+	// not run twice: that the database has dropped a connection shows only when it is written to.
 	freshIdleTime = 100 * kernel.Millisecond
 )
 
@@ -122,8 +121,8 @@
 
 // headerLimiter limits how much is read of a response's header.
 type headerLimiter struct {
-	r    io.Reader
-	left int64 // negative for no limit
+	source io.Reader
+	left   int64 // negative for no limit
 }
 
 func (l *headerLimiter) Read(b []byte) (int, error) {
@@ -133,7 +132,7 @@
 	if l.left > 0 && int64(len(b)) > l.left {
 		b = b[:l.left]
 	}
-	n, err := l.r.Read(b)
+	n, err := l.source.Read(b)
 	if l.left > 0 {
 		l.left -= int64(n)
 	}
@@ -160,7 +159,7 @@
 		return nil, err
 	}
 	conn = d.Wrap(conn)
-	l := &headerLimiter{r: conn, left: -1}
+	l := &headerLimiter{source: conn, left: -1}
 	c := &Conn{DB: db, conn: conn, limiter: l, reader: bufio.NewReaderSize(l, readBufferSize), done: make(chan struct{})}
 	go c.readLoop()
 	return c, nil
@@ -324,8 +323,7 @@
 	return fmt.Errorf("%w: %v", connpool.ErrBroken, err)
 }
 
-// readResponses reads responses and delivers them to the requests that they belong to. It returns the
-// error that ends the connection.
+// readResponses reads and delivers responses until an error, which it returns, ends the connection.
 func (c *Conn) readResponses() error {
 	for surplus := 0; ; {
 		if _, err := c.reader.Peek(1); err != nil {
@@ -379,7 +377,7 @@
 
 // deadlineReader reads the remainder of a long response. Reads fail after the deadline.
 type deadlineReader struct {
-	r        io.Reader
+	source   io.Reader
 	conn     net.Conn
 	deadline time.Time
 }
@@ -388,7 +386,7 @@
 	if err := d.conn.SetReadDeadline(d.deadline); err != nil {
 		return 0, err
 	}
-	return d.r.Read(b)
+	return d.source.Read(b)
 }
 
 // finishRequest ends the request in progress. The connection is not reused if more data followed
@@ -400,8 +398,8 @@
 	c.tainted = c.tainted || c.reader.Buffered() > 0
 }
 
-// deliver delivers the response to the request in progress. A short response is read completely first;
-// of a long one the remainder is read by the receiver, and deliver waits until that is done.
+// deliver delivers the response to the request in progress. A short response is read completely
+// first; the remainder of a long one is read by the receiver, and deliver waits for its end.
 func (c *Conn) deliver(pending *pendingRequest, response *http.Response) error {
 	reply := &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBody+1))
--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -16,7 +16,7 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// job is the processing of one statement, or of the start of a transaction, at a database.
+// job is the processing of one client statement, or of the start of a transaction, at a database.
 type job struct {
 	s            *session
 	statement    lineprotocol.Statement
@@ -105,6 +105,7 @@
 // want returns what the statement requires or prefers of a connection.
 func (j *job) want() dbconn.Want { return dbconn.Want{Tenant: nameFor(j.tenant), Values: j.s.values} }
 
+// routingRequest returns what the router needs to choose a database for the statement.
 func (j *job) routingRequest(write bool) readrouting.Request {
 	return readrouting.Request{
 		Service: j.route.Service, Type: j.route.Type,
