--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -27,8 +27,8 @@
 	ErrShuttingDown = errors.New("dbconn: the process is shutting down")
 )
 
-// Pool holds the server connections of a pooler to all databases. A borrower names the session
-// values, and preferably gets a connection that has them set already.
+// Pool holds a pooler's connections to all databases. A borrower specifies its tenant and session
+// values, and preferably gets a connection that has the values set already.
 type Pool = connpool.Pools[Want, *Conn]
 
 // Want describes what a borrower requires of a connection and what it prefers.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,7 +63,7 @@
 	meter    *linkMeter
 	memory   *memorybudget.Budget // for request bodies
 
-	saturated    atomic.Bool
+	saturated    atomic.Bool // the gateway reports not ready because its link is saturated
 	draining     atomic.Bool
 	drainExpired chan struct{} // closed when the drain period expires; pending waits then end
 	server       *http.Server
@@ -76,7 +76,7 @@
 // Services are the components of the process that a gateway depends on.
 type Services struct {
 	Control  ControlState
-	Conns    *httpconn.Pools
+	Pools    *httpconn.Pools
 	Balancer *loadbalance.Balancer
 	Health   *health.Monitor
 	Ring     *membership.Memberlist
@@ -90,7 +90,7 @@
 // New returns a gateway.
 func New(k *kernel.Kernel, cfg Config, services Services) *Gateway {
 	g := &Gateway{
-		k: k, cfg: cfg, control: services.Control, pools: services.Conns, balancer: services.Balancer, health: services.Health, ring: services.Ring,
+		k: k, cfg: cfg, control: services.Control, pools: services.Pools, balancer: services.Balancer, health: services.Health, ring: services.Ring,
 		retries: services.Retries, quota: services.Quota, failures: services.Failures, stalls: services.Stalls, memory: services.Memory,
 		clients: map[net.Conn]*clientState{}, drainExpired: make(chan struct{}), meter: newLinkMeter(k.Clock, cfg.NetMbps),
 	}
@@ -130,7 +130,7 @@
 	linkWaitLimit = 120 * kernel.Millisecond
 )
 
-// updateSaturation keeps saturated up to date.
+// updateSaturation updates g.saturated from the link's utilization, until ctx is done.
 func (g *Gateway) updateSaturation(ctx context.Context) {
 	var lastSaturated kernel.Micros
 	for kernel.Sleep(ctx, 100*kernel.Millisecond) {
--- a/internal/gateway/plugin.go
+++ b/internal/gateway/plugin.go
@@ -42,7 +42,7 @@
 				GracePeriod: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
 			}, Services{
 				Control:  subscriber,
-				Conns:    kernel.Need[*httpconn.Pools](k),
+				Pools:    kernel.Need[*httpconn.Pools](k),
 				Balancer: kernel.Need[*loadbalance.Balancer](k),
 				Health:   kernel.Need[*health.Monitor](k),
 				Ring:     kernel.Need[*membership.Memberlist](k),
--- a/internal/pooler/outage.go
+++ b/internal/pooler/outage.go
@@ -6,10 +6,10 @@
 	"indigowalk/internal/kernel"
 )
 
-// outages records when each current outage began, by service and kind of statement: the time since
-// when no database could run such statements. Statements wait during a failover, which takes about a
-// second. After that the outage may last much longer, so statements are refused with a retry-after
-// instead of waiting.
+// outages records when each outage in progress began, by service and kind of statement. During an
+// outage no database can run such statements. A failover takes about a second, and statements wait
+// for that. An outage that lasts longer may last for long, so statements that arrive later are
+// refused with a retry-after instead of waiting.
 type outages struct {
 	mu    sync.Mutex
 	since map[outageKey]kernel.Micros
