--- a/internal/controlapi/controlapi_test.go
+++ b/internal/controlapi/controlapi_test.go
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		world := simulation.NewWorld(t, 1, 3)
 		defer world.Close()
-		world.Group("ledger")
+		world.AddGroup("ledger")
 		world.Boot()
 		world.Configure()
 		replicaOf := func(zone int) *controlstate.Replica {
@@ -34,7 +34,7 @@
 		}
 		isPrimary := func(zone int) bool { replica := replicaOf(zone); _, err := replica.Term(); return err == nil }
 		awaitPrimary := func(zones ...int) (found int) {
-			world.Until("a primary", 6*time.Second, func() bool {
+			world.WaitUntil("a primary", 6*time.Second, func() bool {
 				for _, zone := range zones {
 					if replicaOf(zone) != nil && isPrimary(zone) {
 						found = zone
@@ -70,18 +70,18 @@
 		world.Isolate(first, true)
 		second := awaitPrimary(1+first%3, 1+(first+1)%3)
 		third := 6 - first - second
-		world.Until("a change is accepted", 3*time.Second, func() bool { return world.Replace(second, 1, world.Configuration(2)) == 200 })
+		world.WaitUntil("a change is accepted", 3*time.Second, func() bool { return world.Replace(second, 1, world.Configuration(2)) == 200 })
 		world.Isolate(first, false)
 		world.Process("control", third).Kill()
-		world.Until("the first is a backup", 6*time.Second, func() bool {
+		world.WaitUntil("the first is a backup", 6*time.Second, func() bool {
 			view, known := replicaOf(second).Primary()
 			return known && view.Has(replicaOf(first).Self())
 		})
 		world.Start("control", third, false)
 		time.Sleep(time.Second)
-		world.Process("control", second).Term()
+		world.Process("control", second).Terminate()
 		world.Start("control", second, false)
-		world.Until("the first is the primary again", 6*time.Second, func() bool { return isPrimary(first) })
+		world.WaitUntil("the first is the primary again", 6*time.Second, func() bool { return isPrimary(first) })
 		close(release)
 		<-returned
 
@@ -91,8 +91,8 @@
 		if epoch, left := term.Lease(); term.Valid() || epoch != 0 || left != 0 || term.Context().Err() == nil {
 			t.Errorf("the first term is still valid: epoch %d, %d us, %v", epoch, left, term.Context().Err())
 		}
-		if later, err := replicaOf(first).Term(); err != nil || later.FirstEpoch() <= term.FirstEpoch() || world.Fetch() != 2 {
-			t.Errorf("no later term, or not version 2 of the configuration: error %v, version %d", err, world.Fetch())
+		if later, err := replicaOf(first).Term(); err != nil || later.FirstEpoch() <= term.FirstEpoch() || world.FetchVersion() != 2 {
+			t.Errorf("no later term, or not version 2 of the configuration: error %v, version %d", err, world.FetchVersion())
 		}
 	})
 }
--- a/internal/controlstate/stall_test.go
+++ b/internal/controlstate/stall_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := simulation.NewWorld(t, 1, 4)
 		defer w.Close()
-		w.Group("ledger")
+		w.AddGroup("ledger")
 		w.Boot()
 		w.Configure()
 		replica := func(z int) *controlstate.Replica {
@@ -34,11 +34,11 @@
 		old := primary()
 		release := replica(old).StallDisk()
 		defer release()
-		elapsed := w.Until("another primary", 5*time.Second, func() bool { p := primary(); return p != 0 && p != old })
+		elapsed := w.WaitUntil("another primary", 5*time.Second, func() bool { p := primary(); return p != 0 && p != old })
 		if elapsed > 2*time.Second {
 			t.Errorf("handed over after %v", elapsed)
 		}
-		w.Until("a change is accepted", time.Second, func() bool { return w.Replace(primary(), 1, w.Configuration(2)) == 200 })
+		w.WaitUntil("a change is accepted", time.Second, func() bool { return w.Replace(primary(), 1, w.Configuration(2)) == 200 })
 		release()
 
 		view, _ := replica(primary()).Primary()
@@ -50,7 +50,7 @@
 		}
 		releaseBackup := replica(backup).StallDisk()
 		defer releaseBackup()
-		w.Until("another backup", 4*time.Second, func() bool {
+		w.WaitUntil("another backup", 4*time.Second, func() bool {
 			p := primary()
 			if p == 0 {
 				return false
@@ -63,8 +63,8 @@
 		}
 		releaseBackup()
 		time.Sleep(3 * time.Second)
-		if v, _ := replica(primary()).Primary(); len(v.Witnesses) != 3 || w.Fetch() != 3 {
-			t.Errorf("witnesses %v, version %d", v.Witnesses, w.Fetch())
+		if v, _ := replica(primary()).Primary(); len(v.Witnesses) != 3 || w.FetchVersion() != 3 {
+			t.Errorf("witnesses %v, version %d", v.Witnesses, w.FetchVersion())
 		}
 	})
 }
--- a/internal/controlstate/term_test.go
+++ b/internal/controlstate/term_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := simulation.NewWorld(t, 1, 4)
 		defer w.Close()
-		w.Group("ledger")
+		w.AddGroup("ledger")
 		w.Boot()
 		w.Configure()
 		at := func(z int) *controlstate.Replica {
--- a/internal/dbconn/conn_test.go
+++ b/internal/dbconn/conn_test.go
@@ -62,7 +62,7 @@
 		d := dbconn.Dialer{Net: wrap(n.Host("10.0.0.1")), ClientName: "w", ConnectTimeout: kernel.Second, UnresponsiveTimeout: kernel.Second}
 		c, err := d.Open(t.Context(), discovery.Database{ID: "d", Service: "s", Address: "10.0.0.2:1"}, kernel.Second)
 		f(n, c, err, more)
-		n.Reset("10.0.0.2")
+		n.CloseSockets("10.0.0.2")
 		time.Sleep(15 * time.Second)
 	})
 }
@@ -187,8 +187,8 @@
 					t.Fatal(err)
 				}
 				start := time.Now()
-				net.Full("10.0.0.2", c.full > 0)
-				time.AfterFunc(c.full, func() { net.Full("10.0.0.2", false) })
+				net.SetReceiveBlocked("10.0.0.2", c.full > 0)
+				time.AfterFunc(c.full, func() { net.SetReceiveBlocked("10.0.0.2", false) })
 				longest := time.Duration(0)
 				gate := func(write func() error) error {
 					asked := time.Now()
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -39,7 +39,7 @@
 		f(b)
 		cancel()
 		for _, host := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
-			b.n.Reset(host)
+			b.n.CloseSockets(host)
 		}
 		time.Sleep(10 * time.Second)
 	})
@@ -301,14 +301,14 @@
 		synctest.Wait()
 		e, _ := b.endpoint(self)
 		defer e.CloseConnections()
-		b.n.Cut(host(self), host(other), true)
+		b.n.SetPartitioned(host(self), host(other), true)
 		ctx, cancel := context.WithCancel(b.ctx)
 		time.AfterFunc(10*time.Millisecond, cancel)
 		began := time.Now()
 		if err := e.Call(ctx, other, "op", 1, nil, kernel.Second); !errors.Is(err, rpc.ErrUnreachable) || time.Since(began) > 20*time.Millisecond {
 			b.Error(err, time.Since(began))
 		}
-		b.n.Cut(host(self), host(other), false)
+		b.n.SetPartitioned(host(self), host(other), false)
 		for range 3 {
 			if err := e.Call(b.ctx, other, "op", 1, nil, kernel.Second); err != nil {
 				b.Error(err)
--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -15,7 +15,7 @@
 )
 
 // postToControl makes one POST call to a zone's control node and returns the status.
-func (w *World) post(zone int, path string, header map[string]string, body []byte) int {
+func (w *World) postToControl(zone int, path string, header map[string]string, body []byte) int {
 	code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(zone)+":8782", path, header, body)
 	return code
 }
@@ -24,41 +24,41 @@
 // that has only just become primary. Deregistering it again, or deregistering an unknown database,
 // is acknowledged and changes nothing.
 func TestDeregisteredDatabaseStaysDeregistered(t *testing.T) {
-	core(t, 4, 1, func(w *World, g *Group) {
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
 		database := g.DB(2)
 		g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 		time.Sleep(2 * time.Second)
 		entry := func(id string) string {
-			raw, err := w.Process("control", controlPrimary(w)).replica().Read("database/" + id)
+			raw, err := w.Process("control", controlPrimaryZone(w)).replica().Read("database/" + id)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return string(raw)
 		}
 		heartbeat := fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z3","slots":7,"status":"up","call_seq":1}`, database.Addr)
-		deregister := func(zone int, id string) int { return w.post(zone, "/Servers.Deregister/"+id, nil, nil) }
+		deregister := func(zone int, id string) int { return w.postToControl(zone, "/Servers.Deregister/"+id, nil, nil) }
 		database.Drain()
 		time.Sleep(2 * time.Second)
 		database.Crash(false)
 		if code := deregister(1, database.ID); code != 200 {
 			t.Fatalf("deregistration: status %d, want 200", code)
 		}
-		w.Until("the database is removed", 10*time.Second, func() bool { return entry(database.ID) == "" })
+		w.WaitUntil("the database is removed", 10*time.Second, func() bool { return entry(database.ID) == "" })
 		if code := deregister(2, "unknown"); code != 200 {
 			t.Errorf("deregistration of an unknown database: status %d, want 200", code)
 		}
-		oldPrimaryZone := controlPrimary(w)
+		oldPrimaryZone := controlPrimaryZone(w)
 		w.Process("control", oldPrimaryZone).Kill()
-		w.Until("another control node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 })
+		w.WaitUntil("another control node becomes primary", 5*time.Second, func() bool { return controlPrimaryZone(w) != 0 })
 		for _, id := range []string{database.ID, "unknown"} {
-			if code := w.post(controlPrimary(w), "/Servers.Heartbeat/"+id, nil, heartbeat); code != 200 || entry(id) != "" {
+			if code := w.postToControl(controlPrimaryZone(w), "/Servers.Heartbeat/"+id, nil, heartbeat); code != 200 || entry(id) != "" {
 				t.Errorf("delayed heartbeat of %s: status %d, want 200; its entry is %s, want none", id, code, entry(id))
 			}
 			for other := 1; other <= 4; other++ {
 				if other == oldPrimaryZone {
 					continue
 				}
-				w.Until("the repeated deregistration is acknowledged", 3*time.Second, func() bool {
+				w.WaitUntil("the repeated deregistration is acknowledged", 3*time.Second, func() bool {
 					code := deregister(other, id)
 					if code >= 400 && code < 500 {
 						t.Errorf("repeated deregistration at control node %d: status %d", other, code)
@@ -75,17 +75,17 @@
 // any earlier incarnation, neither at the control node that received all of them nor at another.
 // The same holds for a database of another service at that address.
 func TestDelayedHeartbeatOfEarlierIncarnation(t *testing.T) {
-	core(t, 4, 1, func(w *World, g *Group) {
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
 		database, firstID := g.DB(2), g.DB(2).ID
 		sendDelayed := func(id string) {
 			t.Helper()
 			heartbeat := fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z3","slots":6,"status":"up","call_seq":1}`, database.Addr)
-			if code := w.post(controlPrimary(w), "/Servers.Heartbeat/"+id, nil, heartbeat); code >= 400 && code < 500 {
+			if code := w.postToControl(controlPrimaryZone(w), "/Servers.Heartbeat/"+id, nil, heartbeat); code >= 400 && code < 500 {
 				t.Errorf("delayed heartbeat of %s: status %d", id, code)
 			}
 		}
 		listedIDs := func() (ids []string) {
-			state, err := w.Process("control", controlPrimary(w)).replica().Durable()
+			state, err := w.Process("control", controlPrimaryZone(w)).replica().Durable()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -98,7 +98,7 @@
 		}
 		expectListed := func(id string) {
 			t.Helper()
-			w.Until("a database is listed at the address", 5*time.Second, func() bool { return len(listedIDs()) > 0 })
+			w.WaitUntil("a database is listed at the address", 5*time.Second, func() bool { return len(listedIDs()) > 0 })
 			if got := listedIDs(); len(got) != 1 || got[0] != id {
 				t.Errorf("databases listed at the address: %v, want %s alone", got, id)
 			}
@@ -111,15 +111,15 @@
 		}
 		sendDelayed(firstID)
 		expectListed("third")
-		w.Process("control", controlPrimary(w)).Kill()
-		w.Until("another control node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 })
+		w.Process("control", controlPrimaryZone(w)).Kill()
+		w.WaitUntil("another control node becomes primary", 5*time.Second, func() bool { return controlPrimaryZone(w) != 0 })
 		sendDelayed(firstID)
 		sendDelayed("second")
 		expectListed("third")
 		database.Crash(false)
 		otherService := fmt.Appendf(nil, `{"svc":"lookup","address":%q,"zone":"z3","slots":7,"status":"up","call_seq":9}`, database.Addr)
-		w.Until("the heartbeat of another service's database is acknowledged", 3*time.Second, func() bool {
-			return w.post(controlPrimary(w), "/Servers.Heartbeat/other", nil, otherService) == 200
+		w.WaitUntil("the heartbeat of another service's database is acknowledged", 3*time.Second, func() bool {
+			return w.postToControl(controlPrimaryZone(w), "/Servers.Heartbeat/other", nil, otherService) == 200
 		})
 		sendDelayed("third")
 		expectListed("other")
@@ -129,9 +129,9 @@
 // Checks the status of Conf.Replace calls that are malformed, based on an outdated version,
 // concurrent or repeated, and of calls while no control node can act as primary.
 func TestConfigurationReplaceCalls(t *testing.T) {
-	core(t, 4, 1, func(w *World, g *Group) {
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
 		baseVersion := func(text string) map[string]string { return map[string]string{"X-Indigowalk-Base-Version": text} }
-		primaryZone := controlPrimary(w)
+		primaryZone := controlPrimaryZone(w)
 		counter := func(name string) int64 { return w.Process("control", primaryZone).Kernel.Counters.Snapshot()[name] }
 		for _, c := range []struct {
 			name   string
@@ -149,7 +149,7 @@
 			{"9000 routes, sent again", baseVersion("2"), configurationWithRoutes(3, 9000), 200},
 			{"based on an outdated version", baseVersion("2"), w.Configuration(3), 412},
 		} {
-			if code := w.post(primaryZone, "/Conf.Replace", c.header, c.body); code != c.want {
+			if code := w.postToControl(primaryZone, "/Conf.Replace", c.header, c.body); code != c.want {
 				t.Errorf("%s: status %d, want %d", c.name, code, c.want)
 			}
 		}
@@ -169,7 +169,7 @@
 		replaceConcurrently := func(body func(i int) []byte) map[int]int {
 			codes, got := make(chan int), map[int]int{}
 			for i := range 8 {
-				go func() { codes <- w.post(1+i%4, "/Conf.Replace", baseVersion("3"), body(i)) }()
+				go func() { codes <- w.postToControl(1+i%4, "/Conf.Replace", baseVersion("3"), body(i)) }()
 			}
 			for range 8 {
 				got[<-codes]++
@@ -187,7 +187,7 @@
 		}
 		routes := 0
 		for i := range 8 {
-			if w.post(primaryZone, "/Conf.Replace", baseVersion("3"), configurationWithRoutes(4, 3+i)) == 200 {
+			if w.postToControl(primaryZone, "/Conf.Replace", baseVersion("3"), configurationWithRoutes(4, 3+i)) == 200 {
 				routes = 3 + i
 			}
 		}
@@ -206,7 +206,7 @@
 		}
 		for other := 1; other <= 4; other++ {
 			if other != primaryZone {
-				w.Net.Cut(ip(primaryZone), ip(other), true)
+				w.Net.SetPartitioned(ip(primaryZone), ip(other), true)
 			}
 		}
 		for range 3 {
@@ -218,8 +218,8 @@
 			}
 		}
 		w.Net.Heal()
-		w.Until("the change is acknowledged after the partition", 5*time.Second, func() bool {
-			code := w.post(primaryZone, "/Conf.Replace", baseVersion("4"), configurationWithRoutes(5, 3))
+		w.WaitUntil("the change is acknowledged after the partition", 5*time.Second, func() bool {
+			code := w.postToControl(primaryZone, "/Conf.Replace", baseVersion("4"), configurationWithRoutes(5, 3))
 			if code >= 400 && code < 500 {
 				t.Errorf("a change after the partition: status %d", code)
 			}
@@ -234,7 +234,7 @@
 	for i := range routes {
 		order.Routes[fmt.Sprintf("route-%05d.example", i)] = 2000
 	}
-	return order.Body(ledgerFrame)
+	return order.Body(ledgerTemplate)
 }
 
 // readAll reads from a connection until its end, for 15 s at most, and closes it.
--- a/internal/simulation/carriers_test.go
+++ b/internal/simulation/carriers_test.go
@@ -32,22 +32,22 @@
 // machine that ever existed and no failover waits for it after another control node has become
 // primary. A proxy that was only unreachable registers again before it is granted a lease.
 func TestDepartedProxiesAreRemoved(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		for range 3 {
 			w.Start("pooler", 5, false)
-			w.Until("the new pooler registers", 5*time.Second, func() bool { return len(registeredProxies(t, w)) == 5 })
+			w.WaitUntil("the new pooler registers", 5*time.Second, func() bool { return len(registeredProxies(t, w)) == 5 })
 			w.Process("pooler", 5).Kill()
-			w.Until("the killed pooler is removed", 2*time.Minute, func() bool { return len(registeredProxies(t, w)) == 4 })
+			w.WaitUntil("the killed pooler is removed", 2*time.Minute, func() bool { return len(registeredProxies(t, w)) == 4 })
 		}
-		load := under(w, g, func() {
+		load := withLoad(w, g, func() {
 			w.Isolate(4, true)
 			time.Sleep(90 * time.Second)
 			if n := len(registeredProxies(t, w)); n != 3 {
 				t.Errorf("%d proxies are registered after one of four was isolated for 90 s, want 3", n)
 			}
 			w.Isolate(4, false)
-			w.Until("the isolated pooler registers again", 5*time.Second, func() bool { return len(registeredProxies(t, w)) == 4 })
-			w.Until("the isolated pooler serves a write", 5*time.Second, func() bool {
+			w.WaitUntil("the isolated pooler registers again", 5*time.Second, func() bool { return len(registeredProxies(t, w)) == 4 })
+			w.WaitUntil("the isolated pooler serves a write", 5*time.Second, func() bool {
 				s, _ := w.Login(4, "p.ledger")
 				if s == nil {
 					return false
--- a/internal/simulation/catchup_test.go
+++ b/internal/simulation/catchup_test.go
@@ -15,7 +15,7 @@
 // memberZones returns the zones whose control nodes are members of the current view, that is, its
 // primary and backups.
 func memberZones(w *World) (zones []int) {
-	z := controlPrimary(w)
+	z := controlPrimaryZone(w)
 	if z == 0 {
 		return nil
 	}
@@ -46,7 +46,7 @@
 
 // updateState sets entries at the control primary and reports whether that was acknowledged.
 func updateState(w *World, entries map[string]string) bool {
-	z := controlPrimary(w)
+	z := controlPrimaryZone(w)
 	if z == 0 {
 		return false
 	}
@@ -65,7 +65,7 @@
 
 // durableState returns the durable state of the control primary, or an empty state if it has none.
 func durableState(w *World) controlstate.State {
-	if z := controlPrimary(w); z != 0 {
+	if z := controlPrimaryZone(w); z != 0 {
 		if s, err := w.Process("control", z).replica().Durable(); err == nil {
 			return s
 		}
@@ -80,33 +80,33 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
 		defer w.Close()
-		w.Group("ledger")
+		w.AddGroup("ledger")
 		w.Boot()
 		w.Configure()
-		w.Net.Rate(25_000_000 / 8)
+		w.Net.SetBandwidth(25_000_000 / 8)
 		largeValue := strings.Repeat("x", 1<<19)
 		for i := range 10 {
-			w.Until("a large entry is acknowledged", 3*time.Second, func() bool { return updateState(w, map[string]string{fmt.Sprint("large/", i): largeValue}) })
+			w.WaitUntil("a large entry is acknowledged", 3*time.Second, func() bool { return updateState(w, map[string]string{fmt.Sprint("large/", i): largeValue}) })
 		}
-		primaryZone := controlPrimary(w)
+		primaryZone := controlPrimaryZone(w)
 		backupZone := memberZones(w)[0] + memberZones(w)[1] - primaryZone
 
 		w.Process("control", backupZone).Kill()
-		took := w.Until("another backup joins the view", 10*time.Second, func() bool {
-			if controlPrimary(w) != primaryZone || len(durableState(w).Entries) == 0 {
+		took := w.WaitUntil("another backup joins the view", 10*time.Second, func() bool {
+			if controlPrimaryZone(w) != primaryZone || len(durableState(w).Entries) == 0 {
 				t.Fatal("the primary lost its lease")
 			}
 			return len(memberZones(w)) == 2
 		})
 		t.Logf("another backup joined the view after %v", took)
-		w.Until("a change is acknowledged", time.Second, func() bool { return updateState(w, map[string]string{"small": "1"}) })
+		w.WaitUntil("a change is acknowledged", time.Second, func() bool { return updateState(w, map[string]string{"small": "1"}) })
 		w.Start("control", backupZone, false)
 		time.Sleep(3 * time.Second)
 
 		w.Process("control", primaryZone).Kill()
-		took = w.Until("a backup becomes primary", 10*time.Second, func() bool { return controlPrimary(w) != 0 })
+		took = w.WaitUntil("a backup becomes primary", 10*time.Second, func() bool { return controlPrimaryZone(w) != 0 })
 		t.Logf("a backup became primary after %v", took)
-		w.Until("a change is acknowledged", 3*time.Second, func() bool { return updateState(w, map[string]string{"small": "2"}) })
+		w.WaitUntil("a change is acknowledged", 3*time.Second, func() bool { return updateState(w, map[string]string{"small": "2"}) })
 		if s := durableState(w); len(s.Entries["large/9"]) != len(largeValue)+2 || string(s.Entries["small"]) != `"2"` {
 			t.Errorf("the new primary lacks acknowledged entries; it has %d", len(s.Entries))
 		}
@@ -134,21 +134,21 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := NewWorld(t, 1, 3)
 				defer w.Close()
-				w.Group("ledger")
+				w.AddGroup("ledger")
 				w.Boot()
 				w.Configure()
-				w.Net.Rate(100_000_000 / 8)
+				w.Net.SetBandwidth(100_000_000 / 8)
 				value := strings.Repeat("x", size)
 				initial := map[string]string{}
 				for i := range entries {
 					initial[fmt.Sprint("entry/", i)] = value
 				}
-				w.Until("the entries are acknowledged", time.Second, func() bool { return updateState(w, initial) })
-				w.Until("a change is acknowledged", time.Second, func() bool { return updateState(w, map[string]string{"entry/0": value}) })
-				primaryZone := controlPrimary(w)
+				w.WaitUntil("the entries are acknowledged", time.Second, func() bool { return updateState(w, initial) })
+				w.WaitUntil("a change is acknowledged", time.Second, func() bool { return updateState(w, map[string]string{"entry/0": value}) })
+				primaryZone := controlPrimaryZone(w)
 				awayZone := memberZones(w)[0] + memberZones(w)[1] - primaryZone
 				w.Process("control", awayZone).Kill()
-				w.Until("another backup joins the view", 5*time.Second, func() bool { return len(memberZones(w)) == 2 })
+				w.WaitUntil("another backup joins the view", 5*time.Second, func() bool { return len(memberZones(w)) == 2 })
 				changes := 0
 				makeChange := func() bool {
 					changes++
@@ -172,20 +172,20 @@
 						}
 					}
 				}()
-				before, _ := w.Net.Sent(ip(awayZone))
+				before, _ := w.Net.SentTo(ip(awayZone))
 				w.Start("control", awayZone, false)
 				lostZone := otherControlZone(w, awayZone, primaryZone)
 				if c.losePrimary {
 					lostZone, primaryZone = primaryZone, lostZone
 				}
 				w.Process("control", lostZone).Kill()
-				took := w.Until("the restarted node is a backup again", 5*time.Second, func() bool {
-					if controlPrimary(w) == awayZone {
+				took := w.WaitUntil("the restarted node is a backup again", 5*time.Second, func() bool {
+					if controlPrimaryZone(w) == awayZone {
 						t.Fatal("the restarted node became primary with outdated state")
 					}
 					return len(memberZones(w)) == 2
 				})
-				sent, _ := w.Net.Sent(ip(awayZone))
+				sent, _ := w.Net.SentTo(ip(awayZone))
 				t.Logf("the restarted node was sent %d bytes and was a backup again after %v", sent-before, took)
 				if sent-before > c.maxBytes || took > 3500*time.Millisecond {
 					t.Errorf("the restarted node was sent %d bytes and was a backup again after %v", sent-before, took)
@@ -194,10 +194,10 @@
 				<-stopped
 				w.Start("control", lostZone, false)
 				time.Sleep(3 * time.Second) // until its witness may vote again
-				w.Until("a change is acknowledged", time.Second, makeChange)
+				w.WaitUntil("a change is acknowledged", time.Second, makeChange)
 				want := durableState(w)
 				w.Process("control", primaryZone).Kill()
-				w.Until("the restarted node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) == awayZone })
+				w.WaitUntil("the restarted node becomes primary", 5*time.Second, func() bool { return controlPrimaryZone(w) == awayZone })
 				if got, err := w.Process("control", awayZone).replica().Read(fmt.Sprint("entry/", changes%entries)); err != nil || string(got) != string(want.Entries[fmt.Sprint("entry/", changes%entries)]) {
 					t.Errorf("the new primary lacks the last change; it reads %.40s, %v", got, err)
 				}
--- a/internal/simulation/clients_test.go
+++ b/internal/simulation/clients_test.go
@@ -52,7 +52,7 @@
 func TestClientDisconnects(t *testing.T) {
 	for method, path := range map[string]string{"GET": "/safe/a", "POST": "/unsafe/b"} {
 		t.Run(method, func(t *testing.T) {
-			serveRequests(t, func(w *World, s *Service) {
+			withGatewayCluster(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
 					d.InjectFault(Mute)
 				}
@@ -88,13 +88,13 @@
 		"database stalls in a long response":    {Stalls, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			serveRequests(t, func(w *World, s *Service) {
+			withGatewayCluster(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
 					d.InjectFault(c.fault)
 				}
 				conn := sendRequest(t, w, s, stalledClient, "GET", "/safe/a")
 				defer conn.Close()
-				w.Net.Full(stalledClient, c.clientStalls)
+				w.Net.SetReceiveBlocked(stalledClient, c.clientStalls)
 				time.Sleep(2600 * time.Millisecond)
 				if connectionsInUse(w, 1) != 0 || openRequests(w, 1) != 0 {
 					t.Errorf("600 ms after the deadline %d database connections are in use and %d requests open, want none", connectionsInUse(w, 1), openRequests(w, 1))
@@ -103,7 +103,7 @@
 				if n := clientConnections(w, 1); c.clientStalls && n > 0 {
 					t.Errorf("%d connections of clients that do not read are still open", n)
 				}
-				w.Net.Full(stalledClient, false)
+				w.Net.SetReceiveBlocked(stalledClient, false)
 				time.Sleep(time.Minute)
 			})
 		})
@@ -121,7 +121,7 @@
 		"no id":    {"POST /unsafe/1", "", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			serveRequests(t, func(w *World, _ *Service) {
+			withGatewayCluster(t, func(w *World, _ *Service) {
 				conn, err := w.Net.Host(requestHost).Dial(context.Background(), ip(1)+":8784", 0)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -15,12 +15,12 @@
 
 // withCluster boots and configures a cluster of four zones with one service and runs a
 // scenario on it.
-func play(t *testing.T, scenario func(w *World, g *Group)) {
+func withCluster(t *testing.T, scenario func(w *World, g *Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
 		defer w.Close()
-		g := w.Group("ledger")
+		g := w.AddGroup("ledger")
 		w.Boot()
 		w.Configure()
 		scenario(w, g)
@@ -29,8 +29,8 @@
 
 // withLoad calls f while clients read and write, and returns their load after it has stopped.
 // The load runs for 3 s before f and for 5 s after it.
-func under(w *World, g *Group, f func()) *Load {
-	load := w.NewLoad(g, 7)
+func withLoad(w *World, g *Group, f func()) *Load {
+	load := w.StartLoad(g, 7)
 	time.Sleep(3 * time.Second)
 	f()
 	time.Sleep(5 * time.Second)
@@ -38,9 +38,9 @@
 	return load
 }
 
-// checkServed fails the test unless at least 300 writes were served and no gap between two served
-// writes exceeded the limit.
-func served(t TB, l *Load, limit time.Duration) {
+// checkWritesServed fails the test unless at least 300 writes were served and no gap between two
+// served writes exceeded the limit.
+func checkWritesServed(t TB, l *Load, limit time.Duration) {
 	t.Helper()
 	if l.Served < 300 || l.Slowest > limit {
 		t.Errorf("%d writes served, want at least 300 (%d refused, %d with unknown outcome); longest gap %v", l.Served, l.Refused, l.Unsure, l.Slowest)
@@ -48,9 +48,9 @@
 }
 
 func TestNoErrorsWithoutFaults(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {})
-		served(t, load, 500*time.Millisecond)
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {})
+		checkWritesServed(t, load, 500*time.Millisecond)
 		if load.Refused+load.Unsure > 0 {
 			t.Errorf("without faults %d writes were refused and %d had an unknown outcome", load.Refused, load.Unsure)
 		}
@@ -58,14 +58,14 @@
 }
 
 func TestFailoverFromUnresponsivePrimary(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		oldPrimary := g.Primary()
-		load := under(w, g, func() {
+		load := withLoad(w, g, func() {
 			oldPrimary.Crash(true)
 			time.Sleep(5 * time.Second)
 			oldPrimary.Return("ledger-1b")
 		})
-		served(t, load, 3*time.Second)
+		checkWritesServed(t, load, 3*time.Second)
 		if newPrimary := g.Primary(); newPrimary == oldPrimary || newPrimary == nil {
 			t.Error("no other database was promoted")
 		}
@@ -74,13 +74,13 @@
 
 // A replica that has stopped receiving writes must not be promoted when the primary fails.
 func TestLaggingReplicaIsNotPromoted(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.DB(1).SetReplicationStopped(true)
 			time.Sleep(2 * time.Second)
 			g.Primary().Crash(false)
 		})
-		served(t, load, 3*time.Second)
+		checkWritesServed(t, load, 3*time.Second)
 		if g.Primary() != g.DB(2) {
 			t.Error("the replica that had received every write was not promoted")
 		}
@@ -90,8 +90,8 @@
 // A single reachable replica may lack commits that the other one has received, so neither is
 // promoted until the other replica or the primary is back.
 func TestNoPromotionWithOneReplica(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.DB(1).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(2).Crash(false)
@@ -101,16 +101,16 @@
 				t.Error("a replica that lacks commits was promoted")
 			}
 			g.DB(2).Return("ledger-3b")
-			w.Until("a database is promoted", 5*time.Second, func() bool { return g.Primary() != nil })
+			w.WaitUntil("a database is promoted", 5*time.Second, func() bool { return g.Primary() != nil })
 		})
-		served(t, load, 9*time.Second)
+		checkWritesServed(t, load, 9*time.Second)
 	})
 }
 
 // After a database has returned under a new ID, a failover must not wait for its old ID.
 func TestReturnUnderNewIDDoesNotBlockFailover(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			first := g.Primary()
 			first.Crash(true)
 			time.Sleep(4 * time.Second)
@@ -118,37 +118,37 @@
 			time.Sleep(3 * time.Second)
 			second := g.Primary()
 			second.Crash(true)
-			w.Until("another database is promoted", 4*time.Second, func() bool { p := g.Primary(); return p != nil && p != second })
+			w.WaitUntil("another database is promoted", 4*time.Second, func() bool { p := g.Primary(); return p != nil && p != second })
 		})
-		served(t, load, 3*time.Second)
+		checkWritesServed(t, load, 3*time.Second)
 	})
 }
 
 // The primary and one replica fail, so the other replica cannot be promoted; the primary then
 // returns under a new ID and resumes its role.
 func TestPrimaryReturnsBeforeFailover(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.DB(2).Crash(true)
 			primary := g.Primary()
 			primary.Crash(false)
 			time.Sleep(3 * time.Second)
 			primary.Return("ledger-1b")
 		})
-		served(t, load, 6*time.Second)
+		checkWritesServed(t, load, 6*time.Second)
 	})
 }
 
 func TestPlannedFailoverOnDrain(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		oldPrimary := g.Primary()
-		load := under(w, g, func() {
+		load := withLoad(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 			time.Sleep(2 * time.Second)
 			oldPrimary.Drain()
 			time.Sleep(4 * time.Second)
 		})
-		served(t, load, 1200*time.Millisecond)
+		checkWritesServed(t, load, 1200*time.Millisecond)
 		if g.Primary() == oldPrimary {
 			t.Error("the draining database is still the primary")
 		}
@@ -161,8 +161,8 @@
 // When the primary fails at the same moment as a draining replica stops, the failover must not
 // wait for that replica.
 func TestPrimaryFailsWhileReplicaDrains(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica").SetReplicationStopped(false)
 			time.Sleep(2 * time.Second)
 			g.DB(2).Drain()
@@ -170,26 +170,26 @@
 			oldPrimary := g.Primary()
 			oldPrimary.Crash(true)
 			g.DB(2).Crash(false)
-			w.Until("another database is promoted", 4*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
+			w.WaitUntil("another database is promoted", 4*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
 		})
-		served(t, load, 3*time.Second)
+		checkWritesServed(t, load, 3*time.Second)
 	})
 }
 
 func TestControlPrimaryLostWithItsDisk(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
-			lostZone := controlPrimary(w)
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
+			lostZone := controlPrimaryZone(w)
 			w.Process("control", lostZone).Kill()
-			w.Until("another control node becomes primary", 4*time.Second, func() bool { return controlPrimary(w) != 0 })
-			w.Until("a change is acknowledged", 4*time.Second, func() bool { return w.Replace(1+lostZone%4, 1, w.Configuration(3)) == 200 })
-			process := &Process{w: w, dir: w.dir + "/control node-" + strconv.Itoa(lostZone)}
+			w.WaitUntil("another control node becomes primary", 4*time.Second, func() bool { return controlPrimaryZone(w) != 0 })
+			w.WaitUntil("a change is acknowledged", 4*time.Second, func() bool { return w.Replace(1+lostZone%4, 1, w.Configuration(3)) == 200 })
+			process := &Process{world: w, dir: w.dir + "/control node-" + strconv.Itoa(lostZone)}
 			process.Wipe()
 			w.Start("control", lostZone, false)
 			time.Sleep(4 * time.Second)
 		})
-		served(t, load, 2500*time.Millisecond)
-		if rev := w.Fetch(); rev != 3 {
+		checkWritesServed(t, load, 2500*time.Millisecond)
+		if rev := w.FetchVersion(); rev != 3 {
 			t.Errorf("read back version %d, want 3", rev)
 		}
 	})
@@ -198,24 +198,24 @@
 // The poolers' read leases must not expire before another control node takes over from an
 // unresponsive control primary.
 func TestPoolersServeWithoutControlPrimary(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		primaryZone := controlPrimary(w)
+	withCluster(t, func(w *World, g *Group) {
+		primaryZone := controlPrimaryZone(w)
 		if primaryZone == 1 {
 			g.DB(0).Drain() // so that the zone that becomes unresponsive does not hold the database primary
 			time.Sleep(3 * time.Second)
 		}
-		load := under(w, g, func() {
-			w.Net.Dark(ip(primaryZone), true)
+		load := withLoad(w, g, func() {
+			w.Net.SetSilent(ip(primaryZone), true)
 			time.Sleep(5 * time.Second)
-			w.Net.Dark(ip(primaryZone), false)
+			w.Net.SetSilent(ip(primaryZone), false)
 		})
-		served(t, load, 600*time.Millisecond)
+		checkWritesServed(t, load, 600*time.Millisecond)
 	})
 }
 
-// controlPrimary returns the zone of the control node that holds the primary's lease, or 0 if none
-// does, and fails the test if two hold one.
-func controlPrimary(w *World) int {
+// controlPrimaryZone returns the zone of the control node that holds the primary's lease, or 0 if
+// none does, and fails the test if two hold one.
+func controlPrimaryZone(w *World) int {
 	found := 0
 	for z := 1; z <= w.Zones; z++ {
 		if p := w.Process("control", z); p != nil {
@@ -231,27 +231,27 @@
 }
 
 func TestRollingRestartOfControlNodes(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		rev := int64(1)
-		load := under(w, g, func() {
+		load := withLoad(w, g, func() {
 			for z := 1; z <= 4; z++ {
-				w.Process("control", z).Term()
-				w.Until("a control node is primary after a graceful shutdown", 1500*time.Millisecond, func() bool { return controlPrimary(w) != 0 })
+				w.Process("control", z).Terminate()
+				w.WaitUntil("a control node is primary after a graceful shutdown", 1500*time.Millisecond, func() bool { return controlPrimaryZone(w) != 0 })
 				w.Start("control", z, false)
-				w.Until("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(z, rev, w.Configuration(rev+2)) == 200 })
+				w.WaitUntil("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(z, rev, w.Configuration(rev+2)) == 200 })
 				rev += 2
 				time.Sleep(time.Second)
 			}
 		})
-		served(t, load, 2*time.Second)
-		if got := w.Fetch(); got != rev {
+		checkWritesServed(t, load, 2*time.Second)
+		if got := w.FetchVersion(); got != rev {
 			t.Errorf("read back version %d, want %d", got, rev)
 		}
 	})
 }
 
 func TestAcknowledgedChangeSurvivesKillOfAllControlNodes(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		if code := w.Replace(2, 1, w.Configuration(9)); code != 200 {
 			t.Fatalf("the change was answered with status %d, want 200", code)
 		}
@@ -261,12 +261,12 @@
 		for z := 1; z <= 4; z++ {
 			w.Start("control", z, false)
 		}
-		w.Until("the version is read back", 8*time.Second, func() bool { return w.Fetch() == 9 })
+		w.WaitUntil("the version is read back", 8*time.Second, func() bool { return w.FetchVersion() == 9 })
 	})
 }
 
 func TestConcurrentReplacesOfOneVersion(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		first, second := w.Configuration(5), w.Configuration(6)
 		codes := make(chan int, 2)
 		go func() { codes <- w.Replace(1, 1, first) }()
@@ -276,7 +276,7 @@
 			t.Errorf("statuses %d and %d, want one 200 and one 412", code1, code2)
 		}
 		accepted := first
-		if w.Fetch() == 6 {
+		if w.FetchVersion() == 6 {
 			accepted = second
 		}
 		if code := w.Replace(4, 1, accepted); code != 200 {
@@ -291,10 +291,10 @@
 // A pooler that cannot reach the control nodes must stop serving reads at the primary when its
 // lease ends, and must not delay a promotion beyond that.
 func TestPoolerPartitionedFromControlNodes(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		session, _ := w.Login(4, "p.ledger")
 		for z := 1; z <= 3; z++ {
-			w.Net.Cut(ip(4), ip(z), true)
+			w.Net.SetPartitioned(ip(4), ip(z), true)
 		}
 		w.Process("control", 4).Kill()
 		time.Sleep(3 * time.Second)
@@ -305,7 +305,7 @@
 		oldPrimary := g.Primary()
 		oldPrimary.Crash(false)
 		otherSession, _ := w.Login(1, "p.ledger")
-		w.Until("another pooler serves a write", 6*time.Second, func() bool {
+		w.WaitUntil("another pooler serves a write", 6*time.Second, func() bool {
 			a, _ := otherSession.Query("PUT t1 1")
 			return a.Code == ""
 		})
@@ -314,14 +314,14 @@
 }
 
 func TestPoolerGracefulShutdown(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		idle, _ := w.Login(1, "p.ledger")
 		open, _ := w.Login(1, "p.ledger")
 		open.Query("BEGIN")
 		open.Query("PUT x 1")
 		done := make(chan struct{})
 		start := time.Now()
-		go func() { w.Process("pooler", 1).Term(); close(done) }()
+		go func() { w.Process("pooler", 1).Terminate(); close(done) }()
 		time.Sleep(100 * time.Millisecond)
 		if code, _ := w.Call(w.Net.Host("10.250.0.1"), "GET", ip(1)+":8785", "/readyz", nil, nil); code != 503 {
 			t.Errorf("readiness during shutdown: status %d, want 503", code)
@@ -348,10 +348,10 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			play(t, func(w *World, g *Group) {
+			withCluster(t, func(w *World, g *Group) {
 				rng := w.Net.rng
-				w.Net.Lossy(0.03, 0.05)
-				load := under(w, g, func() {
+				w.Net.SetLoss(0.03, 0.05)
+				load := withLoad(w, g, func() {
 					for round := range 6 {
 						for range seed {
 							rng.Uint64()
@@ -370,20 +370,20 @@
 								d.Return(fmt.Sprint(d.Addr, "-", round))
 							}
 						case 2:
-							w.Net.Cut(ip(z), ip(1+z%4), true)
+							w.Net.SetPartitioned(ip(z), ip(1+z%4), true)
 							time.Sleep(2 * time.Second)
-							w.Net.Cut(ip(z), ip(1+z%4), false)
+							w.Net.SetPartitioned(ip(z), ip(1+z%4), false)
 						case 3:
 							p := w.Process("pooler", z)
 							p.Kill()
 							time.Sleep(time.Second)
 							w.Start("pooler", z, false)
 						}
-						controlPrimary(w)
+						controlPrimaryZone(w)
 						time.Sleep(4 * time.Second)
 					}
 				})
-				served(t, load, 10*time.Second)
+				checkWritesServed(t, load, 10*time.Second)
 			})
 		})
 	}
--- a/internal/simulation/control_test.go
+++ b/internal/simulation/control_test.go
@@ -13,13 +13,13 @@
 
 // withClusterOf boots and configures a cluster with the given number of zones, whose control nodes
 // tolerate the given number of simultaneous losses, and runs a scenario on it.
-func core(t *testing.T, zones, losses int, scenario func(w *World, g *Group)) {
+func withClusterOf(t *testing.T, zones, losses int, scenario func(w *World, g *Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, zones)
-		w.Losses = losses
+		w.TolerateHosts = losses
 		defer w.Close()
-		g := w.Group("ledger")
+		g := w.AddGroup("ledger")
 		w.Boot()
 		w.Configure()
 		scenario(w, g)
@@ -35,9 +35,9 @@
 // tolerated lose their disks and all others restart.
 func TestAcknowledgedChangeSurvivesLostDisks(t *testing.T) {
 	for _, c := range []struct{ zones, losses int }{{3, 1}, {4, 1}, {4, 2}, {5, 2}} {
-		core(t, c.zones, c.losses, func(w *World, g *Group) {
-			primaryZone := controlPrimary(w)
-			w.Until("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(1, 1, w.Configuration(7)) == 200 })
+		withClusterOf(t, c.zones, c.losses, func(w *World, g *Group) {
+			primaryZone := controlPrimaryZone(w)
+			w.WaitUntil("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(1, 1, w.Configuration(7)) == 200 })
 			for i := range c.zones {
 				process := w.Process("control", i+1)
 				process.Kill()
@@ -48,8 +48,8 @@
 			for i := range c.zones {
 				w.Start("control", i+1, false)
 			}
-			took := w.Until("the acknowledged change is read back", 10*time.Second, func() bool { return w.Fetch() == 7 })
-			w.Until("another change is acknowledged", 5*time.Second, func() bool { return w.Replace(1, 7, w.Configuration(8)) == 200 })
+			took := w.WaitUntil("the acknowledged change is read back", 10*time.Second, func() bool { return w.FetchVersion() == 7 })
+			w.WaitUntil("another change is acknowledged", 5*time.Second, func() bool { return w.Replace(1, 7, w.Configuration(8)) == 200 })
 			if took > 6*time.Second {
 				t.Errorf("after %d of %d disks were lost, it took %v until the state was readable", c.losses, c.zones, took)
 			}
@@ -60,8 +60,8 @@
 // Every control node is replaced in turn by an empty one at another address. New nodes must skip seed
 // addresses that no longer respond.
 func TestAllControlNodesReplaced(t *testing.T) {
-	core(t, 4, 1, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			rev := int64(1)
 			for z := 1; z <= 4; z++ {
 				w.Process("control", z).Kill()
@@ -70,10 +70,10 @@
 				w.Zones = z + 4
 				w.Start("control", z+4, false)
 				time.Sleep(6 * time.Second)
-				w.Until("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(z+4, rev, w.Configuration(rev+1)) == 200 })
+				w.WaitUntil("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(z+4, rev, w.Configuration(rev+1)) == 200 })
 				rev++
 			}
-			if replica := w.Process("control", controlPrimary(w)).replica(); len(replica.Witnesses()) != 3 {
+			if replica := w.Process("control", controlPrimaryZone(w)).replica(); len(replica.Witnesses()) != 3 {
 				t.Errorf("witnesses are %v, want 3", replica.Witnesses())
 			}
 			for z := 1; z <= 4; z++ { // restarted poolers discover the current control nodes
@@ -82,8 +82,8 @@
 			}
 			time.Sleep(3 * time.Second)
 		})
-		served(t, load, 2500*time.Millisecond)
-		if got := w.Fetch(); got != 5 {
+		checkWritesServed(t, load, 2500*time.Millisecond)
+		if got := w.FetchVersion(); got != 5 {
 			t.Errorf("read back version %d, want 5", got)
 		}
 	})
@@ -93,12 +93,12 @@
 // version. At most one of the two may be acknowledged, and an acknowledged change must not be lost.
 func TestConcurrentChangesDuringPartition(t *testing.T) {
 	for offset := 1; offset <= 4; offset++ {
-		core(t, 4, 1, func(w *World, g *Group) {
-			primaryZone := controlPrimary(w)
+		withClusterOf(t, 4, 1, func(w *World, g *Group) {
+			primaryZone := controlPrimaryZone(w)
 			primarySide := map[int]bool{primaryZone: true, 1 + (primaryZone-1+offset)%4: true} // the zones on the control primary's side
 			for a := 1; a <= 4; a++ {
 				for b := a + 1; b <= 4; b++ {
-					w.Net.Cut(ip(a), ip(b), primarySide[a] != primarySide[b])
+					w.Net.SetPartitioned(ip(a), ip(b), primarySide[a] != primarySide[b])
 				}
 			}
 			acknowledged := map[int64]bool{}
@@ -112,15 +112,15 @@
 						acknowledged[rev] = true
 					}
 				}
-				controlPrimary(w)
+				controlPrimaryZone(w)
 				time.Sleep(50 * time.Millisecond)
 			}
 			if len(acknowledged) > 1 {
 				t.Fatal("two changes based on the same version were acknowledged")
 			}
 			w.Net.Heal()
-			w.Until("a control node becomes primary", 5*time.Second, func() bool { return controlPrimary(w) != 0 && w.Fetch() != 0 })
-			got := w.Fetch()
+			w.WaitUntil("a control node becomes primary", 5*time.Second, func() bool { return controlPrimaryZone(w) != 0 && w.FetchVersion() != 0 })
+			got := w.FetchVersion()
 			for rev := range acknowledged {
 				if got != rev {
 					t.Errorf("version %d was acknowledged, but %d is read back", rev, got)
@@ -133,11 +133,11 @@
 // An acknowledged draining status is durable: the control node that acknowledged it restarts at once
 // and so loses its memory, and a delayed heartbeat then reports the database as up.
 func TestAcknowledgedDrainSurvivesRestart(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		primaryZone := controlPrimary(w)
+	withCluster(t, func(w *World, g *Group) {
+		primaryZone := controlPrimaryZone(w)
 		database := g.DB(1)
 		heartbeat := func(status string, seq int) int {
-			code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(controlPrimary(w))+":8782", "/Servers.Heartbeat/"+database.ID, nil,
+			code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(controlPrimaryZone(w))+":8782", "/Servers.Heartbeat/"+database.ID, nil,
 				fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z2","slots":7,"status":%q,"target_role":"replica","call_seq":%d}`, database.Addr, status, seq))
 			return code
 		}
@@ -146,9 +146,9 @@
 		}
 		w.Process("control", primaryZone).Kill()
 		w.Start("control", primaryZone, false)
-		w.Until("a control node becomes primary", 3*time.Second, func() bool { return controlPrimary(w) != 0 })
-		w.Until("the delayed heartbeat is acknowledged", time.Second, func() bool { return heartbeat("up", 999) == 200 })
-		raw, err := w.Process("control", controlPrimary(w)).replica().Read("database/" + database.ID)
+		w.WaitUntil("a control node becomes primary", 3*time.Second, func() bool { return controlPrimaryZone(w) != 0 })
+		w.WaitUntil("the delayed heartbeat is acknowledged", time.Second, func() bool { return heartbeat("up", 999) == 200 })
+		raw, err := w.Process("control", controlPrimaryZone(w)).replica().Read("database/" + database.ID)
 		if err != nil || !strings.Contains(string(raw), `"draining":true`) {
 			t.Errorf("the database is not recorded as draining after the restart: %s %v", raw, err)
 		}
@@ -158,7 +158,7 @@
 // After all processes were killed at once and restarted, the control state is available immediately,
 // since the only lease that may still be running is that of the returning primary itself.
 func TestAllProcessesKilledAtOnce(t *testing.T) {
-	core(t, 4, 1, func(w *World, g *Group) {
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
 		for z := 1; z <= 4; z++ {
 			w.Process("control", z).Kill()
 			w.Process("pooler", z).Kill()
@@ -167,7 +167,7 @@
 			w.Start("control", z, false)
 			w.Start("pooler", z, false)
 		}
-		took := w.Until("a write is served", 5*time.Second, func() bool {
+		took := w.WaitUntil("a write is served", 5*time.Second, func() bool {
 			session, _ := w.Login(2, "p.ledger")
 			if session == nil {
 				return false
@@ -185,8 +185,8 @@
 // A control primary that replaces its backup while a failover waits for the lease of an unreachable
 // pooler does not restart that wait, since it knows the leases that it has granted.
 func TestNewViewDoesNotDelayFailover(t *testing.T) {
-	core(t, 5, 1, func(w *World, g *Group) {
-		primaryZone := controlPrimary(w)
+	withClusterOf(t, 5, 1, func(w *World, g *Group) {
+		primaryZone := controlPrimaryZone(w)
 		view, _ := w.Process("control", primaryZone).replica().Primary()
 		backupZone := 0
 		for a := 1; a <= 5; a++ {
@@ -196,7 +196,7 @@
 		}
 		w.Process("control", 5).Kill()
 		for a := 1; a <= 4; a++ {
-			w.Net.Cut(ip(5), ip(a), true) // the pooler of zone 5 can no longer reach a control node
+			w.Net.SetPartitioned(ip(5), ip(a), true) // the pooler of zone 5 can no longer reach a control node
 		}
 		oldPrimary := g.Primary()
 		session, _ := w.Login(primaryZone, "p.ledger")
@@ -205,7 +205,7 @@
 		oldPrimary.Crash(false)
 		time.Sleep(time.Second)
 		w.Process("control", backupZone).Kill()
-		took := w.Until("another database is promoted", 8*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
+		took := w.WaitUntil("another database is promoted", 8*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
 		if took > 2200*time.Millisecond { // the remaining time of a 2.5 s lease, plus the promotion
 			t.Errorf("the failover completed %v after the backup was lost, want 2.2 s at most", took)
 		}
@@ -215,21 +215,21 @@
 // A control node that was a witness and has been lost for good is removed from the witnesses, so that
 // it no longer counts towards the losses that are tolerated.
 func TestLostWitnessIsRemoved(t *testing.T) {
-	core(t, 4, 2, func(w *World, g *Group) {
+	withClusterOf(t, 4, 2, func(w *World, g *Group) {
 		w.Zones = 5
 		w.Start("control", 5, false)
 		expectWitnesses := func(n int) {
-			w.Until(fmt.Sprint(n, " witnesses"), 8*time.Second, func() bool {
-				z := controlPrimary(w)
+			w.WaitUntil(fmt.Sprint(n, " witnesses"), 8*time.Second, func() bool {
+				z := controlPrimaryZone(w)
 				return z != 0 && len(w.Process("control", z).replica().Witnesses()) == n
 			})
 		}
 		expectWitnesses(5)
-		w.Process("control", 1+controlPrimary(w)%4).Kill()
+		w.Process("control", 1+controlPrimaryZone(w)%4).Kill()
 		expectWitnesses(4)
 		time.Sleep(time.Second)
-		w.Until("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(5, 1, w.Configuration(7)) == 200 })
-		primaryZone := controlPrimary(w)
+		w.WaitUntil("a change is acknowledged", 3*time.Second, func() bool { return w.Replace(5, 1, w.Configuration(7)) == 200 })
+		primaryZone := controlPrimaryZone(w)
 		var killed []int
 		for i := range 5 {
 			zone := 1 + (primaryZone-1+i)%5
@@ -243,6 +243,6 @@
 		for _, zone := range killed {
 			w.Start("control", zone, false)
 		}
-		w.Until("the acknowledged change is read back", 8*time.Second, func() bool { return w.Fetch() == 7 })
+		w.WaitUntil("the acknowledged change is read back", 8*time.Second, func() bool { return w.FetchVersion() == 7 })
 	})
 }
--- a/internal/simulation/cutoff_test.go
+++ b/internal/simulation/cutoff_test.go
@@ -28,14 +28,14 @@
 		w := NewWorld(t, 1, 6)
 		w.ControlNodes = 4
 		defer w.Close()
-		g := w.Group("ledger")
+		g := w.AddGroup("ledger")
 		w.Boot()
 		w.Configure()
-		isolated := controlPrimary(w)
+		isolated := controlPrimaryZone(w)
 		if !primary {
 			isolated = 1 + isolated%4
 		}
-		load := w.NewLoad(g, 7, isolated, 6)
+		load := w.StartLoad(g, 7, isolated, 6)
 		time.Sleep(2 * time.Second)
 		w.Isolate(isolated, true, 1, 2, 3, 4)
 		scenario(w, g, isolated)
@@ -61,14 +61,14 @@
 			time.Sleep(4 * time.Second)
 			subscriber := kernel.Need[*distribution.Subscriber](w.Process("pooler", isolated).Kernel)
 			version := func() int64 { _, _, rev, _ := subscriber.Version(); return rev }
-			w.Until("a change is acknowledged", 2*time.Second, func() bool { return w.Replace(1+isolated%4, 1, w.Configuration(2)) == 200 })
-			if took := w.Until("the isolated pooler receives the change", 3*time.Second, func() bool { return version() == 2 }); took > time.Second {
+			w.WaitUntil("a change is acknowledged", 2*time.Second, func() bool { return w.Replace(1+isolated%4, 1, w.Configuration(2)) == 200 })
+			if took := w.WaitUntil("the isolated pooler receives the change", 3*time.Second, func() bool { return version() == 2 }); took > time.Second {
 				t.Errorf("the isolated pooler received a change after %v, want 1 s at most", took)
 			}
 			time.Sleep(2 * time.Second)
 			oldPrimary := g.Primary()
 			oldPrimary.Crash(false)
-			if took := w.Until("another database is promoted", 5*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary }); took > 2*time.Second {
+			if took := w.WaitUntil("another database is promoted", 5*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary }); took > 2*time.Second {
 				t.Errorf("the failover took %v, want 2 s at most", took)
 			}
 			time.Sleep(time.Until(end))
@@ -103,9 +103,9 @@
 		})
 		go controlNode.Serve(ctx)
 		hosts := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-		network.Cut(hosts[1], "10.0.0.9", true)
-		network.Cut(hosts[2], "10.0.0.9", true)
-		network.Cut(hosts[2], hosts[0], true)
+		network.SetPartitioned(hosts[1], "10.0.0.9", true)
+		network.SetPartitioned(hosts[2], "10.0.0.9", true)
+		network.SetPartitioned(hosts[2], hosts[0], true)
 		subscribers, kernels := make([]*distribution.Subscriber, 3), make([]*kernel.Kernel, 3)
 		for i, host := range hosts {
 			k, endpoint := newEndpoint(host, host+":7441")
@@ -142,7 +142,7 @@
 		}
 		cancel()
 		for _, host := range append(hosts, "10.0.0.9") {
-			network.Reset(host)
+			network.CloseSockets(host)
 		}
 		time.Sleep(20 * time.Second)
 	})
@@ -154,12 +154,12 @@
 	// Either the primary itself is partitioned from the other control nodes, or the primary is
 	// unresponsive and a control node outside the view is partitioned from the others.
 	for _, primaryUnresponsive := range []bool{false, true} {
-		core(t, 5, 2, func(w *World, g *Group) {
-			primaryZone := controlPrimary(w)
+		withClusterOf(t, 5, 2, func(w *World, g *Group) {
+			primaryZone := controlPrimaryZone(w)
 			view, _ := w.Process("control", primaryZone).replica().Primary()
 			isolated := primaryZone
 			if primaryUnresponsive {
-				w.Net.Dark(ip(primaryZone), true)
+				w.Net.SetSilent(ip(primaryZone), true)
 				for z := 1; z <= 5; z++ {
 					if z != primaryZone && !view.Has(w.Process("control", z).replica().Self()) {
 						isolated = z
@@ -171,7 +171,7 @@
 			var worstEarly, worstLater time.Duration
 			for rev := int64(2); time.Since(start) < 20*time.Second; rev++ {
 				early := time.Since(start) < 4*time.Second
-				took := w.Until("a change is acknowledged", 5*time.Second, func() bool { return w.Replace(isolated, rev-1, w.Configuration(rev)) == 200 })
+				took := w.WaitUntil("a change is acknowledged", 5*time.Second, func() bool { return w.Replace(isolated, rev-1, w.Configuration(rev)) == 200 })
 				if early {
 					worstEarly = max(worstEarly, took)
 				} else {
@@ -190,8 +190,8 @@
 // Reports of control nodes that are not primary are not shown as the current state, and no plan is
 // based on them.
 func TestReportsWithoutPrimaryAreNotCurrent(t *testing.T) {
-	core(t, 4, 1, func(w *World, g *Group) {
-		isolated := controlPrimary(w)
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
+		isolated := controlPrimaryZone(w)
 		host, addr := w.Net.Host("10.250.0.9"), func(z int) string { return ip(z) + ":7440" }
 		before := tools.CollectReports(context.Background(), host, []string{addr(isolated)}, false)
 		w.Isolate(isolated, true)
--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -10,15 +10,15 @@
 // there after the drain time, however long it keeps running. Clients are served again once another
 // database is promoted.
 func TestNoStatementsAfterDrainTime(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(1).Leave(20*time.Second, true)
 			time.Sleep(5 * time.Second)
 			oldPrimary := g.Primary()
 			oldPrimary.Crash(true)
-			if g.next(oldPrimary, 2*time.Second) != g.DB(1) {
+			if g.awaitNewPrimary(oldPrimary, 2*time.Second) != g.DB(1) {
 				t.Error("the replica with the newest commits was not promoted")
 			}
 			time.Sleep(4 * time.Second) // it is the primary, and no other replica can be promoted yet
@@ -26,8 +26,8 @@
 				t.Error("the draining primary was replaced before another replica could be promoted")
 			}
 			g.DB(2).SetReplicationStopped(false)
-			g.next(g.DB(1), 2*time.Second)
+			g.awaitNewPrimary(g.DB(1), 2*time.Second)
 		})
-		served(t, load, 8*time.Second)
+		checkWritesServed(t, load, 8*time.Second)
 	})
 }
--- a/internal/simulation/explained_test.go
+++ b/internal/simulation/explained_test.go
@@ -37,7 +37,7 @@
 // The failure log has, for each statement that was not served, the cause and the result of each
 // attempt.
 func TestFailureLogOfStatement(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		session, _ := w.Login(1, "p.ledger")
 		defer session.Close()
 		if a, id := session.Query("PUT x 1"); a.Code != "" || len(recentFailures(w.Process("pooler", 1))) > 0 {
@@ -65,16 +65,16 @@
 
 // The failure log has the same for each failed request of a gateway.
 func TestFailureLogOfRequest(t *testing.T) {
-	serveRequests(t, func(w *World, s *Service) {
+	withGatewayCluster(t, func(w *World, s *Service) {
 		for _, d := range s.Workers() {
 			d.InjectFault(Loses)
 		}
-		s.Ask(1, "unsafe-1", false, "body")
+		s.Send(1, "unsafe-1", false, "body")
 		checkFailureLogged(t, w.Process("gateway", 1), "unsafe-1", "no_whole_answer", "connection broken")
 		for _, d := range s.Workers() {
 			d.InjectFault(Sheds)
 		}
-		s.Ask(1, "unsafe-2", false, "body")
+		s.Send(1, "unsafe-2", false, "body")
 		checkFailureLogged(t, w.Process("gateway", 1), "unsafe-2", "every_database_that_was_asked_is_busy", "not run: 503")
 	})
 }
--- a/internal/simulation/full_test.go
+++ b/internal/simulation/full_test.go
@@ -10,7 +10,7 @@
 
 // poolersHaveVersion reports whether every pooler has this version of the configuration, or a newer
 // one.
-func (w *World) taken(rev int64) bool {
+func (w *World) poolersHaveVersion(rev int64) bool {
 	for z := 1; z <= w.Zones; z++ {
 		subscriber := kernel.Need[*distribution.Subscriber](w.Process("pooler", z).Kernel)
 		if _, _, version, _ := subscriber.Version(); version < rev {
@@ -23,16 +23,16 @@
 // A primary that reads no bytes from its connections delays only the clients that send to it. Poolers
 // still receive a new configuration in time and continue their other work.
 func TestStalledPrimaryDoesNotBlockConfiguration(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			primary := g.Primary()
-			w.Net.Full(primary.IP, true)
+			w.Net.SetReceiveBlocked(primary.IP, true)
 			time.Sleep(500 * time.Millisecond)
-			changed(w, 1, 7)
-			w.Until("every pooler has the new configuration", time.Second, func() bool { return w.taken(7) })
+			replaceUntilAccepted(w, 1, 7)
+			w.WaitUntil("every pooler has the new configuration", time.Second, func() bool { return w.poolersHaveVersion(7) })
 			time.Sleep(2 * time.Second)
-			w.Net.Full(primary.IP, false)
+			w.Net.SetReceiveBlocked(primary.IP, false)
 		})
-		served(t, load, 6*time.Second)
+		checkWritesServed(t, load, 6*time.Second)
 	})
 }
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -14,25 +14,25 @@
 	"indigowalk/internal/standin"
 )
 
-// runGatewayScenario runs a scenario on a booted and configured cluster of four zones, whose
-// gateways serve one service with eight databases.
-func serveRequests(t *testing.T, scenario func(w *World, s *Service)) {
+// withGatewayCluster boots and configures a cluster of four zones, whose gateways serve one service
+// with eight databases, and runs a scenario on it.
+func withGatewayCluster(t *testing.T, scenario func(w *World, s *Service)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
 		w.Deploy = "api"
 		defer w.Close()
-		s := w.Service("intake", 2)
+		s := w.AddService("intake", 2)
 		w.Boot()
 		w.Configure()
 		scenario(w, s)
 	})
 }
 
-// runUnderRequestLoad calls run while clients send requests, and returns the results of the
+// withRequestLoad calls run while clients send requests, and returns the results of the
 // requests. The load starts 2 s before run and ends 4 s after it.
-func runUnderRequestLoad(s *Service, run func()) *Requests {
-	requests := s.Load(4, 100*time.Millisecond)
+func withRequestLoad(s *Service, run func()) *Requests {
+	requests := s.StartRequests(4, 100*time.Millisecond)
 	time.Sleep(2 * time.Second)
 	run()
 	time.Sleep(4 * time.Second)
@@ -56,8 +56,8 @@
 }
 
 func TestRequestsWithoutFaults(t *testing.T) {
-	serveRequests(t, func(_ *World, s *Service) {
-		requests := runUnderRequestLoad(s, func() {})
+	withGatewayCluster(t, func(_ *World, s *Service) {
+		requests := withRequestLoad(s, func() {})
 		checkRequestsServed(t, requests, 0)
 		if requests.Slowest > 300*time.Millisecond {
 			t.Errorf("the slowest response took %v, want at most 300ms", requests.Slowest)
@@ -77,7 +77,7 @@
 		{"resets", Resets, 24}, {"errors", Errors, 24}, {"forgetful", Forgetful, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			serveRequests(t, func(_ *World, s *Service) {
+			withGatewayCluster(t, func(_ *World, s *Service) {
 				checkRequestsServed(t, loadWithFaultyDatabases(t, s, c.fault), c.maxFailed)
 			})
 		})
@@ -88,7 +88,7 @@
 // misbehave for 3 s.
 func loadWithFaultyDatabases(t *testing.T, s *Service, fault Fault) *Requests {
 	t.Helper()
-	requests := runUnderRequestLoad(s, func() {
+	requests := withRequestLoad(s, func() {
 		s.DB(0).InjectFault(fault)
 		s.DB(3).InjectFault(fault)
 		time.Sleep(3 * time.Second)
@@ -107,7 +107,7 @@
 func TestRequestsWithOverloadedDatabases(t *testing.T) {
 	var refused []int
 	for range 3 {
-		serveRequests(t, func(_ *World, s *Service) {
+		withGatewayCluster(t, func(_ *World, s *Service) {
 			requests := loadWithFaultyDatabases(t, s, Sheds)
 			unavailable := requests.Statuses[503]
 			refused = append(refused, unavailable)
@@ -123,10 +123,10 @@
 // runs at most once and fails immediately; an idempotent one is tried no more often than its route
 // allows.
 func TestRetriesAfterLostResponses(t *testing.T) {
-	serveRequests(t, func(_ *World, s *Service) {
+	withGatewayCluster(t, func(_ *World, s *Service) {
 		for z := 1; z <= 4; z++ {
 			for n := range 20 {
-				if answer := s.Ask(z, fmt.Sprintf("warm-%d-%d", z, n), true, ""); answer.Status != 200 {
+				if answer := s.Send(z, fmt.Sprintf("warm-%d-%d", z, n), true, ""); answer.Status != 200 {
 					t.Fatalf("status %d", answer.Status)
 				}
 			}
@@ -137,7 +137,7 @@
 		for z := 1; z <= 4; z++ {
 			for n, idempotent := range []bool{false, true, false} {
 				id := fmt.Sprintf("lost-%d-%d", z, n)
-				answer := s.Ask(z, id, idempotent, "")
+				answer := s.Send(z, id, idempotent, "")
 				if runs := s.Runs(id); answer.Status != 502 || answer.Took > 300*time.Millisecond || runs > 2 || runs > 1 && !idempotent {
 					t.Errorf("%s, idempotent %v: status %d after %v, %d runs", id, idempotent, answer.Status, answer.Took, runs)
 				}
@@ -149,12 +149,12 @@
 // A mutating request is not sent on an idle connection that the database may have closed, and
 // hop-by-hop headers are not forwarded.
 func TestIdleConnectionsAndHopByHopHeaders(t *testing.T) {
-	serveRequests(t, func(_ *World, s *Service) {
+	withGatewayCluster(t, func(_ *World, s *Service) {
 		for i := range 8 {
 			s.DB(i).InjectFault(Forgetful)
 		}
 		for n := range 30 {
-			if a := s.Ask(1, fmt.Sprint("rested-", n), false, "x"); a.Status != 200 {
+			if a := s.Send(1, fmt.Sprint("rested-", n), false, "x"); a.Status != 200 {
 				t.Errorf("status %d", a.Status)
 			}
 			time.Sleep(time.Duration(n) * 25 * time.Millisecond)
@@ -174,8 +174,8 @@
 func TestRequestsWithCrashedDatabases(t *testing.T) {
 	for _, hostUnresponsive := range []bool{false, true} {
 		t.Run(fmt.Sprintf("host unresponsive %v", hostUnresponsive), func(t *testing.T) {
-			serveRequests(t, func(_ *World, s *Service) {
-				requests := runUnderRequestLoad(s, func() {
+			withGatewayCluster(t, func(_ *World, s *Service) {
+				requests := withRequestLoad(s, func() {
 					s.DB(0).Crash(hostUnresponsive)
 					s.DB(1).Crash(hostUnresponsive)
 				})
@@ -187,12 +187,12 @@
 
 // Databases whose health checks fail, but which serve their requests, stay in use.
 func TestFalseHealthCheckResponses(t *testing.T) {
-	serveRequests(t, func(_ *World, s *Service) {
+	withGatewayCluster(t, func(_ *World, s *Service) {
 		for i := range 8 {
 			s.DB(i).Health(false)
 		}
 		before := s.DB(0).Count()
-		checkRequestsServed(t, runUnderRequestLoad(s, func() {}), 0)
+		checkRequestsServed(t, withRequestLoad(s, func() {}), 0)
 		if s.DB(0).Count() == before {
 			t.Error("a database that serves requests is not used because its health check fails")
 		}
@@ -202,10 +202,10 @@
 // Databases are drained and removed while new ones are added, one of them at an address that a
 // database of another service had before.
 func TestRequestsWhileDatabasesAreReplaced(t *testing.T) {
-	serveRequests(t, func(w *World, s *Service) {
-		other := w.Service("feed", 0)
+	withGatewayCluster(t, func(w *World, s *Service) {
+		other := w.AddService("feed", 0)
 		var afterDrain int
-		requests := runUnderRequestLoad(s, func() {
+		requests := withRequestLoad(s, func() {
 			for i := range 2 {
 				d := s.DB(i)
 				d.Leave()
@@ -231,20 +231,20 @@
 // A gateway that shuts down completes the requests that it has accepted, and tells clients to close
 // their connections.
 func TestGatewayShutdown(t *testing.T) {
-	serveRequests(t, func(w *World, s *Service) {
+	withGatewayCluster(t, func(w *World, s *Service) {
 		s.DB(0).Work, s.DB(1).Work = 300*time.Millisecond, 300*time.Millisecond
 		answers := make(chan Answer, 6)
 		for i := range 6 {
-			go func() { answers <- s.Ask(1, fmt.Sprint("under-way-", i), false, "x") }()
+			go func() { answers <- s.Send(1, fmt.Sprint("under-way-", i), false, "x") }()
 		}
 		time.Sleep(100 * time.Millisecond)
-		go w.Process("gateway", 1).Term()
+		go w.Process("gateway", 1).Terminate()
 		for range 6 {
 			if answer := <-answers; answer.Status != 200 {
 				t.Errorf("a request in flight during the shutdown ended with status %d", answer.Status)
 			}
 		}
-		answer := s.Ask(1, "late", true, "")
+		answer := s.Send(1, "late", true, "")
 		if answer.Status != 200 || !answer.Closes {
 			t.Errorf("a request during the shutdown: status %d, response closes the connection: %v", answer.Status, answer.Closes)
 		}
@@ -254,7 +254,7 @@
 
 // All processes are killed and restarted from their disks.
 func TestAllProcessesRestartFromDisk(t *testing.T) {
-	serveRequests(t, func(w *World, s *Service) {
+	withGatewayCluster(t, func(w *World, s *Service) {
 		for z := 1; z <= 4; z++ {
 			w.Process("control", z).Kill()
 			w.Process("gateway", z).Kill()
@@ -263,10 +263,10 @@
 			w.Start("control", z, false)
 			w.Start("gateway", z, false)
 		}
-		w.Until("requests are served", 6*time.Second, func() bool {
-			return s.Ask(2, fmt.Sprint("again-", time.Now().UnixMicro()), true, "").Status == 200
+		w.WaitUntil("requests are served", 6*time.Second, func() bool {
+			return s.Send(2, fmt.Sprint("again-", time.Now().UnixMicro()), true, "").Status == 200
 		})
-		if rev := w.Fetch(); rev != 1 {
+		if rev := w.FetchVersion(); rev != 1 {
 			t.Errorf("read back version %d, want 1", rev)
 		}
 	})
@@ -275,7 +275,7 @@
 // A change of individual routes and services is applied once, only on top of the version that it
 // names as its base, and reaches every gateway.
 func TestIncrementalConfigurationUpdate(t *testing.T) {
-	serveRequests(t, func(w *World, s *Service) {
+	withGatewayCluster(t, func(w *World, s *Service) {
 		send := func(base int, body string) int {
 			code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(1)+":8782", "/Conf.Update",
 				map[string]string{"X-Indigowalk-Base-Version": fmt.Sprint(base)}, []byte(body))
@@ -303,10 +303,10 @@
 		}
 		time.Sleep(time.Second)
 		for z := 1; z <= 4; z++ {
-			if a := s.Ask(z, fmt.Sprint("new/", z), true, ""); a.Status != 200 {
+			if a := s.Send(z, fmt.Sprint("new/", z), true, ""); a.Status != 200 {
 				t.Errorf("zone %d: request on the added route: status %d, want 200", z, a.Status)
 			}
-			if a := s.Ask(z, fmt.Sprint("gone-", z), false, "x"); a.Status != 404 {
+			if a := s.Send(z, fmt.Sprint("gone-", z), false, "x"); a.Status != 404 {
 				t.Errorf("zone %d: request on the removed route: status %d, want 404", z, a.Status)
 			}
 		}
@@ -316,7 +316,7 @@
 // Invalid requests get an error response or have their connection closed, and never reach a
 // database. The service would report them there, since their ids are not among the expected ones.
 func TestInvalidRequests(t *testing.T) {
-	serveRequests(t, func(w *World, s *Service) {
+	withGatewayCluster(t, func(w *World, s *Service) {
 		for _, c := range []struct {
 			name, raw    string
 			wantStatuses string // statuses, 0 for a close
@@ -343,7 +343,7 @@
 				t.Errorf("%s: status %d, want %s", c.name, a.Status, c.wantStatuses)
 			}
 		}
-		if a := s.Ask(1, "after", true, ""); a.Status != 200 {
+		if a := s.Send(1, "after", true, ""); a.Status != 200 {
 			t.Errorf("a valid request after the invalid ones: status %d", a.Status)
 		}
 	})
@@ -352,7 +352,7 @@
 // Requests need a known API key, except on public routes. Databases receive the name of the
 // authenticated tenant, whatever the client's own header names, and never the key.
 func TestTenantAuthentication(t *testing.T) {
-	serveRequests(t, func(w *World, s *Service) {
+	withGatewayCluster(t, func(w *World, s *Service) {
 		var configuration routeconfig.Configuration
 		if err := json.Unmarshal(w.Configuration(2), &configuration); err != nil {
 			t.Fatal(err)
@@ -365,7 +365,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Until("a configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, 1, body) == 200 })
+		w.WaitUntil("a configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, 1, body) == 200 })
 		time.Sleep(time.Second)
 		for i, c := range []struct {
 			method, path, key string
--- a/internal/simulation/group.go
+++ b/internal/simulation/group.go
@@ -11,7 +11,7 @@
 // Group is a service of replicated databases in a world.
 type Group struct {
 	*standin.Group
-	w *World
+	world *World
 }
 
 // Database is a stand-in for one database.
@@ -24,7 +24,7 @@
 type Load = standin.Load
 
 // AddGroup adds a service with a primary and two replicas, one in each of the first three zones.
-func (w *World) Group(service string) *Group {
+func (w *World) AddGroup(service string) *Group {
 	g := &Group{standin.NewGroup(environment{w}, service), w}
 	w.Groups[service] = g
 	for z, role := range []string{"primary", "replica", "replica"} {
@@ -33,17 +33,17 @@
 	return g
 }
 
-// clients returns the host of a zone's clients.
-func (w *World) clients(zone int) *Host { return w.Net.Host(fmt.Sprintf("10.250.%d.2", zone)) }
+// clientHost returns the host of a zone's clients.
+func (w *World) clientHost(zone int) *Host { return w.Net.Host(fmt.Sprintf("10.250.%d.2", zone)) }
 
 // Login opens a session at a zone's pooler; if that fails, it returns the error code.
 func (w *World) Login(zone int, database string) (*Session, string) {
-	return standin.Login(w.clients(zone), ip(zone)+":8784", database)
+	return standin.Login(w.clientHost(zone), ip(zone)+":8784", database)
 }
 
 // StartLoad starts writers and readers of the group at the poolers of the given zones, or of all
 // zones if none are given.
-func (w *World) NewLoad(g *Group, seed uint64, zones ...int) *Load {
+func (w *World) StartLoad(g *Group, seed uint64, zones ...int) *Load {
 	if len(zones) == 0 {
 		for z := range w.Zones {
 			zones = append(zones, z+1)
@@ -51,7 +51,7 @@
 	}
 	var poolers []standin.Pooler
 	for _, z := range zones {
-		poolers = append(poolers, standin.Pooler{Number: z, Address: standin.At(ip(z) + ":8784"), Network: w.clients(z)})
+		poolers = append(poolers, standin.Pooler{Number: z, Address: standin.At(ip(z) + ":8784"), Network: w.clientHost(z)})
 	}
 	return standin.NewLoad(g.Group, seed, poolers, nil)
 }
@@ -61,8 +61,8 @@
 
 func (e environment) Network(ip string) kernel.Network { return e.world.Net.Host(ip) }
 func (e environment) Controls() []string               { return e.world.ControlAddrs() }
-func (e environment) Silence(ip string, silent bool)   { e.world.Net.Dark(ip, silent) }
-func (e environment) Reset(ip string)                  { e.world.Net.Reset(ip) }
+func (e environment) Silence(ip string, silent bool)   { e.world.Net.SetSilent(ip, silent) }
+func (e environment) Reset(ip string)                  { e.world.Net.CloseSockets(ip) }
 
 func (e environment) ReachedPeer(net.Conn) bool { return true }
 
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -21,10 +21,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		const poolers, controlNodes, services = 300, 6, 120
 		w := NewWorld(t, 1, poolers)
-		w.ControlNodes, w.Losses, w.MaxConns = controlNodes, 2, 1200
+		w.ControlNodes, w.TolerateHosts, w.MaxConns = controlNodes, 2, 1200
 		defer w.Close()
 		for i := range services {
-			w.Group(fmt.Sprintf("ledger%02d", i))
+			w.AddGroup(fmt.Sprintf("ledger%02d", i))
 		}
 		w.Boot()
 		configuration := map[string]any{}
@@ -43,12 +43,12 @@
 			type sent struct{ bytes, datagrams int }
 			before := map[int]sent{}
 			for z := controlNodes + 1; z <= poolers; z++ {
-				b, d := w.Net.Sent(ip(z))
+				b, d := w.Net.SentTo(ip(z))
 				before[z] = sent{b, d}
 			}
 			time.Sleep(period)
 			for z, earlier := range before {
-				b, d := w.Net.Sent(ip(z))
+				b, d := w.Net.SentTo(ip(z))
 				bytes, datagrams = max(bytes, b-earlier.bytes), max(datagrams, d-earlier.datagrams)
 			}
 			return bytes, datagrams
@@ -59,7 +59,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.Until("a configuration is accepted", 10*time.Second, func() bool { return w.Replace(1, base, body) == 200 })
+			w.WaitUntil("a configuration is accepted", 10*time.Second, func() bool { return w.Replace(1, base, body) == 200 })
 		}
 		replace(1, 0)
 		if maxBytes, _ := maxSentDuring(3 * time.Second); maxBytes > 200_000 {
@@ -101,14 +101,14 @@
 		if bytes, datagrams := maxSentDuring(500 * time.Millisecond); bytes > 10_000 || datagrams > 40 {
 			t.Errorf("a crash that all poolers detected: up to %d bytes in %d datagrams to a pooler", bytes, datagrams)
 		}
-		w.Until("another database is primary", 3*time.Second, func() bool { l := g.Primary(); return l != nil && l != primary })
+		w.WaitUntil("another database is primary", 3*time.Second, func() bool { l := g.Primary(); return l != nil && l != primary })
 		time.Sleep(time.Second)
 		for z := 1; z <= poolers; z++ {
 			if down := kernel.Need[*health.Monitor](w.Process("pooler", z).Kernel).Down(); len(down) != 1 {
 				t.Errorf("pooler %d considers %v down, want one database", z, down)
 			}
 		}
-		if n := w.Calls(); n != 1 {
+		if n := w.PlatformCalls(); n != 1 {
 			t.Errorf("%d calls to the platform for one crash, want 1", n)
 		}
 	})
@@ -124,7 +124,7 @@
 		w.ControlNodes = controlNodes
 		defer w.Close()
 		for i := range 40 {
-			w.Group(fmt.Sprintf("ledger%02d", i))
+			w.AddGroup(fmt.Sprintf("ledger%02d", i))
 		}
 		w.Boot()
 		w.Configure()
@@ -142,11 +142,11 @@
 		maxBytes := 0
 		before := map[int]int{}
 		for z := controlNodes + 1; z <= poolers; z++ {
-			before[z], _ = w.Net.Sent(ip(z))
+			before[z], _ = w.Net.SentTo(ip(z))
 		}
 		time.Sleep(4 * time.Second)
 		for z := controlNodes + 1; z <= poolers; z++ {
-			sent, _ := w.Net.Sent(ip(z))
+			sent, _ := w.Net.SentTo(ip(z))
 			maxBytes = max(maxBytes, sent-before[z])
 			if _, _, rev, _ := kernel.Need[*distribution.Subscriber](w.Process("pooler", z).Kernel).Version(); rev != 2 {
 				t.Errorf("pooler %d has version %d", z, rev)
--- a/internal/simulation/latebeat_test.go
+++ b/internal/simulation/latebeat_test.go
@@ -27,16 +27,16 @@
 // its first heartbeat has arrived. It alone holds acknowledged commits, so no other replica may
 // be promoted, and it must be as soon as it is known.
 func TestCommitsOnReplicaWithLateFirstHeartbeat(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			replacement, _ := replaceWithLateHeartbeats(g, 3*time.Second)
 			primary := g.Primary()
 			primary.Crash(false)
-			if g.next(primary, 5*time.Second) != replacement {
+			if g.awaitNewPrimary(primary, 5*time.Second) != replacement {
 				t.Error("the replica that holds the acknowledged commits was not promoted")
 			}
 		})
-		served(t, load, 5*time.Second)
+		checkWritesServed(t, load, 5*time.Second)
 	})
 }
 
@@ -44,8 +44,8 @@
 // well, and the old primary has the acknowledged commits when it returns, so it must become primary
 // again.
 func TestPrimaryReturnsWhenNoKnownReplicaHasItsCommits(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			replacement, _ := replaceWithLateHeartbeats(g, 3*time.Second)
 			primary := g.Primary()
 			primary.Crash(false)
@@ -55,9 +55,9 @@
 				t.Error("a database that lacks acknowledged commits was promoted")
 			}
 			primary.Return("ledger-1b")
-			w.Until("the returned database is primary again", 3*time.Second, func() bool { return g.Primary() == primary && strings.Contains(w.status(), "1 with a lead") })
+			w.WaitUntil("the returned database is primary again", 3*time.Second, func() bool { return g.Primary() == primary && strings.Contains(w.statusText(), "1 with a lead") })
 		})
-		served(t, load, 11*time.Second)
+		checkWritesServed(t, load, 11*time.Second)
 	})
 }
 
@@ -65,8 +65,8 @@
 // is lost before its first heartbeat arrives. An operator accepts the loss, and the next failover
 // does not wait for these commits either.
 func TestAcceptedLossOfCommitsOnUnregisteredReplica(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := w.NewLoad(g, 7)
+	withCluster(t, func(w *World, g *Group) {
+		load := w.StartLoad(g, 7)
 		time.Sleep(3 * time.Second)
 		replacement, remaining := replaceWithLateHeartbeats(g, 30*time.Second)
 		primary := g.Primary()
@@ -75,7 +75,7 @@
 		time.Sleep(7 * time.Second)
 		load.Stop()
 		host := w.Net.Host("10.250.0.9")
-		blocked, err := tools.CollectReports(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).FindBlocked("ledger")
+		blocked, err := tools.CollectReports(context.Background(), host, []string{ip(controlPrimaryZone(w)) + ":7440"}, true).FindBlocked("ledger")
 		if err != nil || !strings.Contains(blocked.Reason, "an acknowledged commit is on no replica that is known; 1.") || g.Primary() != nil {
 			t.Fatalf("blocked failover: %+v, error %v, primary %v", blocked, err, g.Primary())
 		}
@@ -83,15 +83,15 @@
 		if err := blocked.AcceptLoss(context.Background(), host, blocked.FailoverID, "someone"); err != nil {
 			t.Fatal(err)
 		}
-		w.Until("the remaining replica is primary", 3*time.Second, func() bool { return g.Primary() == remaining })
-		if leader := leadOf(t, w); leader.Waived == "" {
+		w.WaitUntil("the remaining replica is primary", 3*time.Second, func() bool { return g.Primary() == remaining })
+		if leader := recordedLeader(t, w); leader.Waived == "" {
 			t.Errorf("the accepted loss is not recorded: %+v", leader)
 		}
 		primary.Return("ledger-1b")
 		time.Sleep(5 * time.Second) // until the replaced replica has left and its entry has been removed
 		remaining.Crash(false)
-		load = w.NewLoad(g, 8) // so that a pooler detects the crash
+		load = w.StartLoad(g, 8) // so that a pooler detects the crash
 		defer load.Stop()
-		g.next(remaining, 8*time.Second)
+		g.awaitNewPrimary(remaining, 8*time.Second)
 	})
 }
--- a/internal/simulation/leaving_test.go
+++ b/internal/simulation/leaving_test.go
@@ -41,8 +41,8 @@
 		"session option in a transaction": {[]string{"BEGIN", "PUT z 1", "OPTION colour blue"}, "PUT a 1", false, true, "ROLLEDBACK"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(w *World, g *Group) {
-				w.Until("a configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, 1, w.configurationWithLongDeadlines(2)) == 200 })
+			withCluster(t, func(w *World, g *Group) {
+				w.WaitUntil("a configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, 1, w.configurationWithLongDeadlines(2)) == 200 })
 				time.Sleep(time.Second)
 				s, code := w.Login(1, "p.ledger")
 				if s == nil {
@@ -63,7 +63,7 @@
 					occupyConnections(w, 60)
 				}
 				start := time.Now()
-				time.AfterFunc(10*time.Millisecond, w.Process("pooler", 1).Term)
+				time.AfterFunc(10*time.Millisecond, w.Process("pooler", 1).Terminate)
 				a := s.Raw(fmt.Appendf(nil, "QUERY q1 %s\r\n", c.statement), 20*time.Second)
 				if took := time.Since(start); a.Code != c.want || took > shutdownGrace-200*time.Millisecond {
 					t.Errorf("answered %q %q after %v, want %s", a.Code, a.Text, took, c.want)
@@ -78,7 +78,7 @@
 // idle and of those that connect during the shutdown. It ends soon after the time that open
 // transactions have, however many clients connect.
 func TestPoolerShutdownAnswersNewSessions(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		pooler := w.Process("pooler", 1)
 		g.Primary().Slow(50 * time.Millisecond)
 		stop := make(chan struct{})
@@ -88,7 +88,7 @@
 		}
 		time.Sleep(time.Second)
 		start := time.Now()
-		pooler.Term()
+		pooler.Terminate()
 		if took := time.Since(start); took > shutdownGrace/2+500*time.Millisecond {
 			t.Errorf("the shutdown took %v", took)
 		}
@@ -143,8 +143,8 @@
 // A gateway that shuts down answers every request that it has read, even if no database responds,
 // and closes idle connections.
 func TestGatewayShutdownAnswersEveryRequest(t *testing.T) {
-	serveRequests(t, func(w *World, s *Service) {
-		w.Until("a configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, 1, w.configurationWithLongDeadlines(2)) == 200 })
+	withGatewayCluster(t, func(w *World, s *Service) {
+		w.WaitUntil("a configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, 1, w.configurationWithLongDeadlines(2)) == 200 })
 		time.Sleep(time.Second)
 		for i := range 2 * w.Zones {
 			s.DB(i).InjectFault(Mute)
--- a/internal/simulation/memory_test.go
+++ b/internal/simulation/memory_test.go
@@ -13,14 +13,15 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// runWithLittleMemory runs a scenario on a cluster whose processes have a memory limit of 64 MB.
-func runWithLittleMemory(t *testing.T, scenario func(w *World, g *Group)) {
+// withMemoryLimit boots and configures a cluster whose processes have a memory limit of 64 MB, and
+// runs a scenario on it.
+func withMemoryLimit(t *testing.T, scenario func(w *World, g *Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 4)
 		defer w.Close()
 		w.Settings = "limits.mem_mb=64\n"
-		g := w.Group("ledger")
+		g := w.AddGroup("ledger")
 		w.Boot()
 		w.Configure()
 		scenario(w, g)
@@ -52,7 +53,7 @@
 // time, and short statements are served meanwhile.
 func TestMemoryOfIncompleteMessagesIsBounded(t *testing.T) {
 	const clients, length = 30, 900 << 10
-	runWithLittleMemory(t, func(w *World, g *Group) {
+	withMemoryLimit(t, func(w *World, g *Group) {
 		var lines []<-chan string
 		for range clients {
 			s, code := w.Login(1, "p.ledger")
@@ -104,7 +105,7 @@
 // pooler together.
 func TestMemoryOfPreparedStatementsIsBounded(t *testing.T) {
 	const clients, statements, length = 100, 40, 30 << 10
-	runWithLittleMemory(t, func(w *World, g *Group) {
+	withMemoryLimit(t, func(w *World, g *Group) {
 		totalBytes, sessions := 0, []*Session{}
 		for range clients {
 			s, code := w.Login(1, "p.ledger")
@@ -144,7 +145,7 @@
 // bounded number of them.
 func TestPreparedStatementsPerConnectionAreBounded(t *testing.T) {
 	const statements, limit = 1500, 600
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		s, _ := w.Login(1, "p.ledger")
 		defer s.Close()
 		s.Query("OPTION colour red")
@@ -215,12 +216,12 @@
 				w := NewWorld(t, 1, 4)
 				w.Deploy, w.Settings = "api", "limits.mem_mb=64\n"
 				defer w.Close()
-				w.Service("intake", 2)
+				w.AddService("intake", 2)
 				w.Boot()
 				w.Configure()
 				zone := 1
 				if role == "control" {
-					zone = controlPrimary(w)
+					zone = controlPrimaryZone(w)
 				}
 				pending := sendTruncatedBodies(t, w, ip(zone)+":"+c.port, c.head, c.requests, c.length)
 				if heldBytes := pending * c.length; pending == 0 || heldBytes > 16<<20 {
--- a/internal/simulation/net.go
+++ b/internal/simulation/net.go
@@ -50,7 +50,7 @@
 }
 
 // SentTo returns how many bytes and datagrams have been sent to a host so far.
-func (n *Net) Sent(ip string) (bytes, datagrams int) {
+func (n *Net) SentTo(ip string) (bytes, datagrams int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytes[ip], n.datagrams[ip]
@@ -63,14 +63,14 @@
 }
 
 // SetLoss sets the shares of packets that are lost and of datagrams that are duplicated.
-func (n *Net) Lossy(loss, duplication float64) {
+func (n *Net) SetLoss(loss, duplication float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss, n.duplication = loss, duplication
 }
 
 // SetBandwidth limits what each host can send over its connections, in bytes per second.
-func (n *Net) Rate(bandwidth int) {
+func (n *Net) SetBandwidth(bandwidth int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bandwidth = bandwidth
@@ -94,7 +94,7 @@
 
 // SetSilent disconnects a host from the network, without any error at its peers, or connects it
 // again.
-func (n *Net) Dark(ip string, silent bool) {
+func (n *Net) SetSilent(ip string, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.silent[ip] = silent
@@ -102,7 +102,7 @@
 
 // SetReceiveBlocked makes a host receive no more bytes on any connection, as one whose processes
 // do not read, or receive them again.
-func (n *Net) Full(ip string, blocked bool) {
+func (n *Net) SetReceiveBlocked(ip string, blocked bool) {
 	n.mu.Lock()
 	n.blocked[ip] = blocked
 	conns := slices.Collect(maps.Keys(n.conns))
@@ -123,7 +123,7 @@
 }
 
 // SetPartitioned separates two hosts from each other, or reconnects them.
-func (n *Net) Cut(a, b string, partitioned bool) {
+func (n *Net) SetPartitioned(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitions[[2]string{a, b}], n.partitions[[2]string{b, a}] = partitioned, partitioned
@@ -140,7 +140,7 @@
 
 // CloseSockets closes all sockets of a host at the given ports (all if none are given), as happens
 // when a process is killed.
-func (n *Net) Reset(ip string, ports ...string) {
+func (n *Net) CloseSockets(ip string, ports ...string) {
 	matches := matchAddress(ip, ports)
 	n.mu.Lock()
 	var sockets []io.Closer
@@ -167,7 +167,7 @@
 
 // ResetConnections resets a host's connections at the given ports (all if none are given), those
 // it opened and those it accepted. Data in transit is lost; listeners stay open.
-func (n *Net) Break(ip string, ports ...string) {
+func (n *Net) ResetConnections(ip string, ports ...string) {
 	matches := matchAddress(ip, ports)
 	n.mu.Lock()
 	var broken []*conn
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -20,8 +20,8 @@
 	"indigowalk/internal/routeconfig"
 )
 
-// ledgerFrame is the part of the configuration that all orders of these tests share.
-var ledgerFrame = history.Frame{Service: "ledger"}
+// ledgerTemplate is the part of the configuration that all orders of these tests share.
+var ledgerTemplate = history.Frame{Service: "ledger"}
 
 // randomOrder returns an order of an operator that knows the version knownRev. It picks one of only
 // two numbers for the new version, so that concurrent operators often pick the same.
@@ -179,7 +179,7 @@
 	if order.Update {
 		path = "/Conf.Update"
 	}
-	code := w.post(zone, path, map[string]string{"X-Indigowalk-Base-Version": strconv.FormatInt(order.Base, 10)}, order.Body(ledgerFrame))
+	code := w.postToControl(zone, path, map[string]string{"X-Indigowalk-Base-Version": strconv.FormatInt(order.Base, 10)}, order.Body(ledgerTemplate))
 	if code >= 500 || code < 200 || code >= 300 && code < 400 || code == http.StatusRequestTimeout {
 		return 0
 	}
@@ -206,7 +206,7 @@
 // their disks or are all killed at once.
 func TestOrdersAcrossFailovers(t *testing.T) {
 	const seed = 1
-	core(t, 4, 1, func(w *World, g *Group) {
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
 		orders := history.NewOrders()
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
@@ -222,20 +222,20 @@
 		close(stop)
 		wg.Wait()
 		w.Net.Heal()
-		w.Until("the configuration is read back", 10*time.Second, func() bool { _, ok := w.readConfiguration(orders, 1); return ok })
+		w.WaitUntil("the configuration is read back", 10*time.Second, func() bool { _, ok := w.readConfiguration(orders, 1); return ok })
 		acked := 0
 		for n, order := range orders.All() {
 			if slices.Contains(orders.Acknowledged(), n) {
 				acked++
 				asked := orders.Tick()
-				w.Until("an acknowledged order is answered again", 5*time.Second, func() bool {
+				w.WaitUntil("an acknowledged order is answered again", 5*time.Second, func() bool {
 					code := w.sendOrder(1+rng.IntN(4), order)
 					orders.Answered(n, asked, code)
 					return code != 0
 				})
 			}
 		}
-		w.Until("the final configuration is read back", 10*time.Second, func() bool { _, ok := w.readConfiguration(orders, 2); return ok })
+		w.WaitUntil("the final configuration is read back", 10*time.Second, func() bool { _, ok := w.readConfiguration(orders, 2); return ok })
 		for _, breach := range orders.Breaches() {
 			t.Error(breach)
 		}
@@ -284,7 +284,7 @@
 // failControlNodes injects a random fault into one control node, mostly the primary, or kills all of
 // them. It restores them and waits until the others count them as available again.
 func (w *World) failControlNodes(rng *rand.Rand) {
-	z := controlPrimary(w)
+	z := controlPrimaryZone(w)
 	if z == 0 || rng.IntN(4) == 0 {
 		z = 1 + rng.IntN(4)
 	}
@@ -298,12 +298,12 @@
 		time.Sleep(1500 * time.Millisecond)
 		restart(z)
 	case 2:
-		p.Term()
+		p.Terminate()
 		restart(z)
 	case 3:
-		w.Net.Dark(ip(z), true)
+		w.Net.SetSilent(ip(z), true)
 		time.Sleep(3 * time.Second)
-		w.Net.Dark(ip(z), false)
+		w.Net.SetSilent(ip(z), false)
 	case 4:
 		p.Kill()
 		p.Wipe()
@@ -329,11 +329,11 @@
 		killed, wiped int // number of control nodes, counted from the primary
 	}{{"primary killed", 1, 0}, {"all killed", 4, 0}, {"all killed, primary's disk lost", 4, 1}} {
 		var survived, lost int
-		core(t, 4, 1, func(w *World, g *Group) {
+		withClusterOf(t, 4, 1, func(w *World, g *Group) {
 			orders := history.NewOrders()
 			knownRev := int64(1)
 			for step := range 8 {
-				z := controlPrimary(w)
+				z := controlPrimaryZone(w)
 				first, rival := orders.Add(history.Order{Base: knownRev, Rev: knownRev + 1, Routes: map[string]int64{"a": 7}}), orders.Add(history.Order{Base: knownRev, Rev: knownRev + 1, Routes: map[string]int64{"a": 8}})
 				asked, firstCode := orders.Tick(), make(chan int)
 				go func() { firstCode <- w.sendOrder(z, orders.Get(first)) }()
@@ -356,7 +356,7 @@
 				}
 				resend := func(n int) (code int) {
 					asked := orders.Tick()
-					w.Until("an order has a definite answer", 8*time.Second, func() bool { code = w.sendOrder(1+z%4, orders.Get(n)); return code != 0 })
+					w.WaitUntil("an order has a definite answer", 8*time.Second, func() bool { code = w.sendOrder(1+z%4, orders.Get(n)); return code != 0 })
 					orders.Answered(n, asked, code)
 					return code
 				}
@@ -372,7 +372,7 @@
 				if c.killed == 1 {
 					w.Start("control", z, false)
 				}
-				w.Until("the new version is read back", 6*time.Second, func() bool { rev, ok := w.readConfiguration(orders, z); return ok && rev == knownRev })
+				w.WaitUntil("the new version is read back", 6*time.Second, func() bool { rev, ok := w.readConfiguration(orders, z); return ok && rev == knownRev })
 				time.Sleep(4 * time.Second) // until the killed nodes count as available again
 			}
 			for _, breach := range orders.Breaches() {
--- a/internal/simulation/poll_test.go
+++ b/internal/simulation/poll_test.go
@@ -60,7 +60,7 @@
 		}
 		cancel()
 		for _, host := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
-			network.Reset(host)
+			network.CloseSockets(host)
 		}
 		time.Sleep(5 * time.Second)
 	})
--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -152,7 +152,7 @@
 // A tenant that floods every node gets what its limit allows and no more. Other tenants are served
 // as if it did not exist, and the operations of a tenant without a limit are not counted.
 func TestQuotaAcrossNodes(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		operations := recordOperations(g)
 		hot, quiet, free := limitedTenant("hot", 40, 20), limitedTenant("quiet", 40, 20), limitedTenant("free", 0, 0)
 		w.replaceAndAwait(1, w.configurationWithTenants(2, hot, quiet, free))
@@ -165,8 +165,8 @@
 		}
 		freeLoad := w.startTenantLoad(g, 2, "free", 80)
 		time.Sleep(15 * time.Second)
-		w.Until("the status reports the tenant whose stock is empty", 2*time.Second, func() bool {
-			status := w.status()
+		w.WaitUntil("the status reports the tenant whose stock is empty", 2*time.Second, func() bool {
+			status := w.statusText()
 			return strings.Contains(status, "tenants: 3, 2 with a limit, 1 with nothing in stock") && strings.Contains(status, "  tenant hot: 0.")
 		})
 		for i, load := range quietLoads {
@@ -195,7 +195,7 @@
 		w := NewWorld(t, 1, 4)
 		defer w.Close()
 		w.Settings = "tune.record_kb=8192\n"
-		g := w.Group("ledger")
+		g := w.AddGroup("ledger")
 		w.Boot()
 		w.Configure()
 		operations := recordOperations(g)
@@ -246,10 +246,10 @@
 func TestQuotaAfterControlFailover(t *testing.T) {
 	withFloodingTenant(t, func(w *World, hot routeconfig.Tenant, operations *operationTimes) {
 		for range 2 {
-			killed := controlPrimary(w)
+			killed := controlPrimaryZone(w)
 			w.Process("control", killed).Kill()
 			start := time.Now()
-			w.Until("operations run after the failover", 3*time.Second, func() bool {
+			w.WaitUntil("operations run after the failover", 3*time.Second, func() bool {
 				return operations.countBetween("hot", start.Add(1500*time.Millisecond), time.Now()) > 20
 			})
 			w.Start("control", killed, false)
@@ -265,7 +265,7 @@
 // granted only on the primary's side.
 func TestQuotaPartition(t *testing.T) {
 	withFloodingTenant(t, func(w *World, hot routeconfig.Tenant, operations *operationTimes) {
-		for _, isolated := range []int{controlPrimary(w), 1 + controlPrimary(w)%4} {
+		for _, isolated := range []int{controlPrimaryZone(w), 1 + controlPrimaryZone(w)%4} {
 			w.Isolate(isolated, true)
 			time.Sleep(7 * time.Second)
 			w.Isolate(isolated, false)
--- a/internal/simulation/replacement_test.go
+++ b/internal/simulation/replacement_test.go
@@ -13,7 +13,7 @@
 
 // backupZones lists the zones of the backups in the control primary's view.
 func backupZones(w *World) (zones []int) {
-	primary := w.Process("control", controlPrimary(w)).replica()
+	primary := w.Process("control", controlPrimaryZone(w)).replica()
 	view, _ := primary.Primary()
 	for z := 1; z <= w.Zones; z++ {
 		if process := w.Process("control", z); process != nil && process.replica() != primary && view.Has(process.replica().Self()) {
@@ -34,9 +34,9 @@
 
 // replaceUntilAccepted replaces version from of the configuration by version to, and retries at
 // every control node until one accepts it.
-func changed(w *World, from, to int64) {
+func replaceUntilAccepted(w *World, from, to int64) {
 	w.T.Helper()
-	w.Until("a configuration change is accepted", 5*time.Second, func() bool {
+	w.WaitUntil("a configuration change is accepted", 5*time.Second, func() bool {
 		for z := 1; z <= w.Zones; z++ {
 			if w.Process("control", z) != nil && w.Replace(z, from, w.Configuration(to)) == 200 {
 				return true
@@ -50,21 +50,21 @@
 // next.
 func checkDurable(w *World, rev int64) {
 	w.T.Helper()
-	w.Until(fmt.Sprint("configuration version ", rev, " is read back"), 8*time.Second, func() bool { return w.Fetch() == rev })
-	changed(w, rev, rev+1)
+	w.WaitUntil(fmt.Sprint("configuration version ", rev, " is read back"), 8*time.Second, func() bool { return w.FetchVersion() == rev })
+	replaceUntilAccepted(w, rev, rev+1)
 }
 
 // Guards the invariant AcknowledgedSurvives where a backup restarts with an empty disk before its
 // loss is detected. By the time it no longer counts as lost, the state must be on as many disks as
 // before, although nothing was written in the meantime.
 func TestBackupRestartsWithEmptyDisk(t *testing.T) {
-	core(t, 4, 1, func(w *World, g *Group) {
-		changed(w, 1, 7)
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
+		replaceUntilAccepted(w, 1, 7)
 		backup := backupZones(w)[0]
 		w.destroyControlNodes(backup)
 		w.Start("control", backup, false)
 		time.Sleep(catchupTimeout)
-		w.destroyControlNodes(controlPrimary(w))
+		w.destroyControlNodes(controlPrimaryZone(w))
 		checkDurable(w, 7)
 	})
 }
@@ -74,15 +74,15 @@
 // The node must stay until others have the state, but no longer than its grace period.
 func TestLastStateHolderShutsDown(t *testing.T) {
 	for _, role := range []string{"backup", "primary"} {
-		core(t, 4, 1, func(w *World, g *Group) {
-			changed(w, 1, 7)
-			leaving, lost := backupZones(w)[0], controlPrimary(w)
+		withClusterOf(t, 4, 1, func(w *World, g *Group) {
+			replaceUntilAccepted(w, 1, 7)
+			leaving, lost := backupZones(w)[0], controlPrimaryZone(w)
 			if role == "primary" {
 				leaving, lost = lost, leaving
 			}
 			start, shutdownTime := time.Now(), make(chan time.Duration, 1)
 			go func() {
-				w.Process("control", leaving).Term()
+				w.Process("control", leaving).Terminate()
 				shutdownTime <- time.Since(start)
 			}()
 			w.destroyControlNodes(lost)
@@ -99,18 +99,18 @@
 // count as lost.
 func TestBackupsAddedOnceNodesReturn(t *testing.T) {
 	for _, zones := range []int{5, 6} {
-		core(t, zones, 2, func(w *World, g *Group) {
+		withClusterOf(t, zones, 2, func(w *World, g *Group) {
 			for _, z := range backupZones(w) {
 				w.destroyControlNodes(z)
 			}
-			changed(w, 1, 7)
+			replaceUntilAccepted(w, 1, 7)
 			for z := 1; z <= zones; z++ {
 				if w.Process("control", z) == nil {
 					w.Start("control", z, false)
 				}
 			}
 			time.Sleep(catchupTimeout)
-			w.destroyControlNodes(append(backupZones(w)[:1], controlPrimary(w))...)
+			w.destroyControlNodes(append(backupZones(w)[:1], controlPrimaryZone(w))...)
 			time.Sleep(time.Second)
 			for z := 1; z <= zones; z++ {
 				if w.Process("control", z) == nil {
@@ -127,9 +127,9 @@
 // many nodes may be lost permanently again, and a majority of the witnesses must remain.
 func TestWitnessesReplacedBeforeSecondLoss(t *testing.T) {
 	for _, c := range []struct{ zones, losses int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
-		core(t, c.zones, c.losses, func(w *World, g *Group) {
-			changed(w, 1, 7)
-			lost := []int{controlPrimary(w)}
+		withClusterOf(t, c.zones, c.losses, func(w *World, g *Group) {
+			replaceUntilAccepted(w, 1, 7)
+			lost := []int{controlPrimaryZone(w)}
 			if c.losses == 2 {
 				lost = append(lost, backupZones(w)[0])
 			}
@@ -140,7 +140,7 @@
 				w.Start("control", w.Zones, false)
 			}
 			time.Sleep(catchupTimeout)
-			primary := controlPrimary(w)
+			primary := controlPrimaryZone(w)
 			view, _ := w.Process("control", primary).replica().Primary()
 			lost = append(lost[:0], primary)
 			for other := 1; other <= w.Zones && len(lost) < c.losses; other++ {
@@ -159,12 +159,12 @@
 // after the other.
 func TestHalfOfWitnessesReplaced(t *testing.T) {
 	for _, startInterval := range []time.Duration{0, time.Second, 3 * time.Second} {
-		core(t, 4, 2, func(w *World, g *Group) {
+		withClusterOf(t, 4, 2, func(w *World, g *Group) {
 			rev := int64(1)
 			for range 2 {
-				changed(w, rev, rev+6)
+				replaceUntilAccepted(w, rev, rev+6)
 				rev += 6
-				w.destroyControlNodes(controlPrimary(w), backupZones(w)[0])
+				w.destroyControlNodes(controlPrimaryZone(w), backupZones(w)[0])
 				w.Seeds = nil
 				for z := 1; z <= w.Zones; z++ {
 					if w.Process("control", z) != nil {
@@ -189,9 +189,9 @@
 // down, first with its disk intact and then with the disk lost. Once the replacement no longer
 // counts as lost, a third disk is lost. Those three disks were the ones that held the state.
 func TestThirdDiskLost(t *testing.T) {
-	core(t, 4, 2, func(w *World, g *Group) {
-		changed(w, 1, 7)
-		lost, initialBackups := controlPrimary(w), backupZones(w)
+	withClusterOf(t, 4, 2, func(w *World, g *Group) {
+		replaceUntilAccepted(w, 1, 7)
+		lost, initialBackups := controlPrimaryZone(w), backupZones(w)
 		start := time.Now()
 		sleepUntil := func(offset time.Duration) { time.Sleep(time.Until(start.Add(offset))) }
 		w.destroyControlNodes(lost)
@@ -219,9 +219,9 @@
 // than half are running, so changes are accepted.
 func TestNewNodeRestoresMajority(t *testing.T) {
 	for _, variant := range []int{0, 1} {
-		core(t, 4, 2, func(w *World, g *Group) {
-			changed(w, 1, 7)
-			lost, down := controlPrimary(w), backupZones(w)[0]
+		withClusterOf(t, 4, 2, func(w *World, g *Group) {
+			replaceUntilAccepted(w, 1, 7)
+			lost, down := controlPrimaryZone(w), backupZones(w)[0]
 			if variant == 1 {
 				lost, down = down, lost
 			}
@@ -231,7 +231,7 @@
 			w.Zones++
 			w.Start("control", w.Zones, false)
 			time.Sleep(catchupTimeout)
-			changed(w, 7, 8)
+			replaceUntilAccepted(w, 7, 8)
 			w.Start("control", down, false)
 			checkDurable(w, 8)
 		})
@@ -243,9 +243,9 @@
 // counts as lost, another node is lost, which is the last of the tolerated failures.
 func TestPrimaryLostDuringWitnessReplacement(t *testing.T) {
 	for delay := 800 * time.Millisecond; delay <= 3*time.Second; delay += 600 * time.Millisecond {
-		core(t, 5, 2, func(w *World, g *Group) {
-			changed(w, 1, 7)
-			primary, initialBackups := controlPrimary(w), backupZones(w)
+		withClusterOf(t, 5, 2, func(w *World, g *Group) {
+			replaceUntilAccepted(w, 1, 7)
+			primary, initialBackups := controlPrimaryZone(w), backupZones(w)
 			var witness int
 			for z := 1; z <= 5; z++ {
 				if z != primary && !slices.Contains(initialBackups, z) {
@@ -269,20 +269,20 @@
 
 // A control node that shuts down gracefully while all others are running does not wait.
 func TestGracefulShutdownIsFast(t *testing.T) {
-	core(t, 4, 1, func(w *World, g *Group) {
+	withClusterOf(t, 4, 1, func(w *World, g *Group) {
 		for rev := int64(1); rev <= 3; rev++ {
-			zone := controlPrimary(w)
+			zone := controlPrimaryZone(w)
 			if rev > 1 {
 				zone = backupZones(w)[0]
 			}
 			start := time.Now()
-			w.Process("control", zone).Term()
+			w.Process("control", zone).Terminate()
 			if took := time.Since(start); took > 300*time.Millisecond {
 				t.Errorf("shutdown took %v", took)
 			} else {
 				t.Logf("shutdown took %v", took)
 			}
-			changed(w, rev, rev+1)
+			replaceUntilAccepted(w, rev, rev+1)
 			w.Start("control", zone, false)
 			time.Sleep(catchupTimeout)
 		}
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -16,21 +16,21 @@
 )
 
 // awaitNewPrimary waits for a primary other than old and returns it.
-func (g *Group) next(old *Database, limit time.Duration) *Database {
-	g.w.T.Helper()
-	g.w.Until("a new primary is promoted", limit, func() bool { p := g.Primary(); return p != nil && p != old })
+func (g *Group) awaitNewPrimary(old *Database, limit time.Duration) *Database {
+	g.world.T.Helper()
+	g.world.WaitUntil("a new primary is promoted", limit, func() bool { p := g.Primary(); return p != nil && p != old })
 	return g.Primary()
 }
 
 // collectReports collects the status reports of all processes.
 func (w *World) collectReports() *tools.System {
-	return tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true)
+	return tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimaryZone(w)) + ":7440"}, true)
 }
 
 // statusText returns the short output of the status tool.
-func (w *World) status() string {
+func (w *World) statusText() string {
 	var text bytes.Buffer
-	tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimary(w)) + ":7440"}, true).Print(&text, false, "")
+	tools.CollectReports(context.Background(), w.Net.Host("10.250.0.9"), []string{ip(controlPrimaryZone(w)) + ":7440"}, true).Print(&text, false, "")
 	return text.String()
 }
 
@@ -42,14 +42,14 @@
 // they acknowledged, a database that has received as much is promoted at once.
 func TestSecondLossAfterReplacements(t *testing.T) {
 	for _, allPoolersReport := range []bool{true, false} {
-		play(t, func(w *World, g *Group) {
-			load := under(w, g, func() {
+		withCluster(t, func(w *World, g *Group) {
+			load := withLoad(w, g, func() {
 				second, third := replaceThenCrash(g)
 				third.Crash(allPoolersReport)
 				if !allPoolersReport {
 					w.Process("pooler", 4).Kill()
 				} else {
-					g.next(third, 2*time.Second)
+					g.awaitNewPrimary(third, 2*time.Second)
 					second.Return(second.ID + "b")
 					return
 				}
@@ -57,15 +57,15 @@
 				if g.Primary() != nil {
 					t.Error("a database was promoted although two absent ones may hold commits")
 				}
-				if text := w.status(); !strings.Contains(text, "service ledger waits: a replica that does not answer may hold an acknowledged commit; "+second.ID) {
+				if text := w.statusText(); !strings.Contains(text, "service ledger waits: a replica that does not answer may hold an acknowledged commit; "+second.ID) {
 					t.Errorf("unexpected status:\n%s", text)
 				}
 				second.Return(second.ID + "b")
-				g.next(third, 2*time.Second)
+				g.awaitNewPrimary(third, 2*time.Second)
 				w.Start("pooler", 4, false)
 			})
-			served(t, load, 9*time.Second)
-			if text := w.status(); strings.Contains(text, "waits") {
+			checkWritesServed(t, load, 9*time.Second)
+			if text := w.statusText(); strings.Contains(text, "waits") {
 				t.Errorf("unexpected status:\n%s", text)
 			}
 		})
@@ -82,10 +82,10 @@
 	g.Add("ledger-5", "10.1.64.9", "z1", "replica")
 	time.Sleep(time.Second)
 	g.DB(0).Leave(8*time.Second, true)
-	second = g.next(g.DB(0), 2*time.Second)
+	second = g.awaitNewPrimary(g.DB(0), 2*time.Second)
 	time.Sleep(2 * time.Second)
 	second.Crash(false)
-	third = g.next(second, 3*time.Second)
+	third = g.awaitNewPrimary(second, 3*time.Second)
 	time.Sleep(time.Second)
 	for _, d := range g.Databases()[1:] {
 		if d != g.DB(2) && d != second && d != third { // the only replica that is not draining
@@ -102,8 +102,8 @@
 // that is not draining was unreachable in the meantime, because another one held everything that
 // the deregistered one did.
 func TestReplicaDeregisteredWhileOtherUnreachable(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 			time.Sleep(time.Second)
 			g.DB(1).Leave(4*time.Second, true)
@@ -115,9 +115,9 @@
 			primary.Crash(true)
 			time.Sleep(time.Second)
 			g.DB(2).Return("ledger-3b")
-			g.next(primary, 3*time.Second)
+			g.awaitNewPrimary(primary, 3*time.Second)
 		})
-		served(t, load, 5*time.Second)
+		checkWritesServed(t, load, 5*time.Second)
 	})
 }
 
@@ -125,8 +125,8 @@
 // primary when the primary is lost, and hands over to the replica that is not draining once that
 // has caught up.
 func TestOnlyDrainingReplicaHoldsCommits(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			time.Sleep(time.Second)
 			g.DB(1).Leave(12*time.Second, true)
@@ -138,7 +138,7 @@
 			}
 			primary := g.Primary()
 			primary.Crash(true)
-			if g.next(primary, 3*time.Second) != g.DB(1) {
+			if g.awaitNewPrimary(primary, 3*time.Second) != g.DB(1) {
 				t.Error("the replica that had received every commit was not promoted")
 			}
 			time.Sleep(2 * time.Second)
@@ -146,7 +146,7 @@
 				t.Error("the primary was demoted before another replica had caught up")
 			}
 			g.DB(2).SetReplicationStopped(false)
-			if g.next(g.DB(1), 2*time.Second) != g.DB(2) {
+			if g.awaitNewPrimary(g.DB(1), 2*time.Second) != g.DB(2) {
 				t.Error("the replica that is not draining was not promoted")
 			}
 			failovers := int64(0)
@@ -157,7 +157,7 @@
 				t.Errorf("%d failovers were started, want 2", failovers)
 			}
 		})
-		served(t, load, 6*time.Second)
+		checkWritesServed(t, load, 6*time.Second)
 	})
 }
 
@@ -167,8 +167,8 @@
 // promoted for the time that it still runs. The failover does not wait for databases that may have
 // held more.
 func TestPrimaryLostAfterDrainingReplica(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 			time.Sleep(time.Second)
 			g.DB(2).Crash(true)
@@ -178,14 +178,14 @@
 			time.Sleep(3*time.Second + 100*time.Millisecond)
 			primary := g.Primary()
 			primary.Crash(true)
-			if g.next(primary, 2*time.Second) != g.DB(1) {
+			if g.awaitNewPrimary(primary, 2*time.Second) != g.DB(1) {
 				t.Error("the replica that had received every commit was not promoted")
 			}
 			time.Sleep(time.Second)
 			g.DB(2).Return("ledger-3b")
-			g.next(g.DB(1), 3*time.Second)
+			g.awaitNewPrimary(g.DB(1), 3*time.Second)
 		})
-		served(t, load, 4*time.Second)
+		checkWritesServed(t, load, 4*time.Second)
 	})
 }
 
@@ -193,13 +193,13 @@
 // draining, the primary when the other one was unreachable already. A third has received everything
 // that the poolers acknowledged.
 func TestTwoDatabasesLostPermanently(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		served(t, under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		checkWritesServed(t, withLoad(w, g, func() {
 			g.DB(2).Crash(true)
 			time.Sleep(2 * time.Second)
 			primary := g.Primary()
 			primary.Crash(true)
-			if g.next(primary, 2*time.Second) != g.DB(1) {
+			if g.awaitNewPrimary(primary, 2*time.Second) != g.DB(1) {
 				t.Error("the replica that had received every commit was not promoted")
 			}
 			time.Sleep(time.Second)
@@ -212,8 +212,8 @@
 // acknowledged last is not known, so a new primary is promoted only once the crashed replica has
 // returned.
 func TestPoolerLostWithPrimary(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		served(t, under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		checkWritesServed(t, withLoad(w, g, func() {
 			g.DB(2).Crash(false)
 			time.Sleep(2 * time.Second)
 			primary := g.Primary()
@@ -224,7 +224,7 @@
 				t.Error("a database was promoted although the lost pooler may have acknowledged more commits")
 			}
 			g.DB(2).Return("ledger-3b")
-			g.next(primary, 2*time.Second)
+			g.awaitNewPrimary(primary, 2*time.Second)
 			w.Start("pooler", 2, false)
 		}), 9*time.Second)
 	})
@@ -234,15 +234,15 @@
 // later. By then other poolers have seen positions that cover everything that the lost one
 // acknowledged.
 func TestPoolerLostBeforePrimary(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		served(t, under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		checkWritesServed(t, withLoad(w, g, func() {
 			g.DB(2).Crash(true)
 			time.Sleep(2 * time.Second)
 			w.Process("pooler", 2).Kill()
 			time.Sleep(4 * time.Second)
 			primary := g.Primary()
 			primary.Crash(true)
-			if g.next(primary, 2*time.Second) != g.DB(1) {
+			if g.awaitNewPrimary(primary, 2*time.Second) != g.DB(1) {
 				t.Error("the replica that had received every commit was not promoted")
 			}
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica")
@@ -253,15 +253,15 @@
 
 // If every remaining replica is draining, one of them is promoted when the primary is lost.
 func TestOnlyDrainingReplicaRuns(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		served(t, under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		checkWritesServed(t, withLoad(w, g, func() {
 			g.DB(1).Leave(time.Second, true)
 			time.Sleep(3 * time.Second)
 			g.DB(2).Leave(9*time.Second, true)
 			time.Sleep(time.Second)
 			primary := g.Primary()
 			primary.Crash(true)
-			g.next(primary, 3*time.Second)
+			g.awaitNewPrimary(primary, 3*time.Second)
 			primary.Return("ledger-1b")
 		}), 4*time.Second)
 	})
@@ -270,8 +270,8 @@
 // A new database at the address of a drained one that never deregistered is a different database:
 // it does not have the log of the drained one.
 func TestAddressOfDrainingReplicaReused(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			g.DB(1).Leave(3*time.Second, false)
 			time.Sleep(3*time.Second - time.Millisecond)
@@ -283,34 +283,34 @@
 			if g.Primary() != nil {
 				t.Error("a database that lacks commits was promoted")
 			}
-			if text := w.status(); !strings.Contains(text, "waits: a database that is gone may have held an acknowledged commit; ledger-2, gone") {
+			if text := w.statusText(); !strings.Contains(text, "waits: a database that is gone may have held an acknowledged commit; ledger-2, gone") {
 				t.Errorf("unexpected status:\n%s", text)
 			}
 			primary.Return("ledger-1b") // the only one that holds the commits
-			w.Until("the old primary leads again", 3*time.Second, func() bool { return g.Primary() == primary })
+			w.WaitUntil("the old primary leads again", 3*time.Second, func() bool { return g.Primary() == primary })
 			databaseEntry := func(id string) string {
-				raw, err := w.Process("control", controlPrimary(w)).replica().Read("database/" + id)
+				raw, err := w.Process("control", controlPrimaryZone(w)).replica().Read("database/" + id)
 				if err != nil {
 					t.Error(err)
 				}
 				return string(raw)
 			}
-			w.Until("the entry of the drained database is removed", 5*time.Second, func() bool { return databaseEntry("ledger-2") == "" })
-			code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(controlPrimary(w))+":8782", "/Servers.Heartbeat/ledger-2", nil,
+			w.WaitUntil("the entry of the drained database is removed", 5*time.Second, func() bool { return databaseEntry("ledger-2") == "" })
+			code, _ := w.Call(w.Net.Host("10.250.0.1"), "POST", ip(controlPrimaryZone(w))+":8782", "/Servers.Heartbeat/ledger-2", nil,
 				fmt.Appendf(nil, `{"svc":"ledger","address":%q,"zone":"z2","slots":7,"status":"draining","target_role":"replica","call_seq":999}`, g.DB(1).Addr))
 			if databaseEntry("ledger-2") != "" || databaseEntry("ledger-9") == "" {
 				t.Errorf("a late heartbeat, answered with %d, restored the entry of the drained database", code)
 			}
 		})
-		served(t, load, 9*time.Second)
+		checkWritesServed(t, load, 9*time.Second)
 	})
 }
 
 // If all databases that may have held an acknowledged commit are gone permanently, none is promoted
 // and the status reports the reason.
 func TestPermanentLossIsReported(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			g.DB(1).Leave(4*time.Second, true)
 			g.DB(0).Leave(3*time.Second, true)
@@ -318,7 +318,7 @@
 			if g.Primary() != nil {
 				t.Error("a database that lacks commits was promoted")
 			}
-			if text := w.status(); !strings.Contains(text, "service ledger waits: acknowledged commits may be lost: all databases that may have held them are gone; 1.") {
+			if text := w.statusText(); !strings.Contains(text, "service ledger waits: acknowledged commits may be lost: all databases that may have held them are gone; 1.") {
 				t.Errorf("unexpected status:\n%s", text)
 			}
 		})
@@ -332,9 +332,9 @@
 // request must name the operator and the failover that is blocked, and is not valid for another
 // one.
 func TestAcceptedLoss(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		g.DB(2).SetReplicationStopped(true)
-		load := w.NewLoad(g, 7)
+		load := w.StartLoad(g, 7)
 		time.Sleep(3 * time.Second)
 		g.DB(1).Crash(false)
 		g.DB(0).Crash(false)
@@ -345,7 +345,7 @@
 		}
 		host := w.Net.Host("10.250.0.9")
 		findBlocked := func() (*tools.BlockedFailover, error) {
-			return tools.CollectReports(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).FindBlocked("ledger")
+			return tools.CollectReports(context.Background(), host, []string{ip(controlPrimaryZone(w)) + ":7440"}, true).FindBlocked("ledger")
 		}
 		blocked, err := findBlocked()
 		if err != nil || blocked.FailoverID != 1 || !strings.Contains(blocked.Reason, "ledger-2") {
@@ -365,9 +365,9 @@
 		if err := blocked.AcceptLoss(context.Background(), host, blocked.FailoverID, "someone"); err != nil {
 			t.Fatal(err)
 		}
-		w.Until("the remaining replica is promoted", 3*time.Second, func() bool { return g.Primary() == g.DB(2) })
-		w.Until("the status no longer reports a blocked failover", 2*time.Second, func() bool { _, err := findBlocked(); return err != nil })
-		recorded := leadOf(t, w)
+		w.WaitUntil("the remaining replica is promoted", 3*time.Second, func() bool { return g.Primary() == g.DB(2) })
+		w.WaitUntil("the status no longer reports a blocked failover", 2*time.Second, func() bool { _, err := findBlocked(); return err != nil })
+		recorded := recordedLeader(t, w)
 		if recorded.Accepted.By != "someone" || recorded.Accepted.FailoverID != 1 || recorded.Accepted.AtMs == 0 || recorded.MinPosition != "" {
 			t.Errorf("recorded leader: %+v", recorded)
 		}
@@ -378,9 +378,9 @@
 }
 
 // recordedLeader returns the leader of the service "ledger" that is recorded in the control state.
-func leadOf(t *testing.T, w *World) failover.Leader {
+func recordedLeader(t *testing.T, w *World) failover.Leader {
 	t.Helper()
-	state, err := w.Process("control", controlPrimary(w)).replica().Durable()
+	state, err := w.Process("control", controlPrimaryZone(w)).replica().Durable()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -394,25 +394,25 @@
 // A primary that was partitioned while another one was promoted, and so still believes that it is
 // the primary, does not block the failover when the other one is lost.
 func TestSupersededPrimaryDoesNotBlockFailover(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		first := g.Primary()
 		isolate := func(cut bool) {
 			for z := 1; z <= 4; z++ {
-				w.Net.Cut(first.IP, ip(z), cut)
+				w.Net.SetPartitioned(first.IP, ip(z), cut)
 			}
 		}
-		load := under(w, g, func() {
+		load := withLoad(w, g, func() {
 			isolate(true)
-			w.Net.Cut(first.IP, g.DB(1).IP, true)
-			w.Net.Cut(first.IP, g.DB(2).IP, true)
-			second := g.next(first, 5*time.Second)
+			w.Net.SetPartitioned(first.IP, g.DB(1).IP, true)
+			w.Net.SetPartitioned(first.IP, g.DB(2).IP, true)
+			second := g.awaitNewPrimary(first, 5*time.Second)
 			time.Sleep(time.Second)
 			second.Crash(true)
 			time.Sleep(time.Second)
 			isolate(false)
-			g.next(second, 3*time.Second)
+			g.awaitNewPrimary(second, 3*time.Second)
 		})
-		served(t, load, 6*time.Second)
+		checkWritesServed(t, load, 6*time.Second)
 	})
 }
 
@@ -421,25 +421,25 @@
 // one is lost too, the first leads once it returns as the primary.
 func TestPromotedReplicaCrashesUnnoticed(t *testing.T) {
 	for _, otherCrashes := range []bool{false, true} {
-		play(t, func(w *World, g *Group) {
-			load := under(w, g, func() {
+		withCluster(t, func(w *World, g *Group) {
+			load := withLoad(w, g, func() {
 				first := g.Primary()
 				first.Crash(true)
-				w.Until("the platform is called to promote", 4*time.Second, func() bool { return w.Calls() == 1 })
-				w.Process("control", controlPrimary(w)).Kill()
-				second := g.next(first, time.Second)
+				w.WaitUntil("the platform is called to promote", 4*time.Second, func() bool { return w.PlatformCalls() == 1 })
+				w.Process("control", controlPrimaryZone(w)).Kill()
+				second := g.awaitNewPrimary(first, time.Second)
 				second.Crash(false)
 				if !otherCrashes {
-					g.next(second, 5*time.Second)
+					g.awaitNewPrimary(second, 5*time.Second)
 					return
 				}
 				g.DB(3 - slices.Index(g.Databases(), second)).Crash(true)
 				time.Sleep(5 * time.Second)
 				second.Return(second.ID + "b")
-				w.Until("the promoted replica leads after its return", 3*time.Second, func() bool { return strings.Contains(w.status(), "1 services, 1 with a lead") })
+				w.WaitUntil("the promoted replica leads after its return", 3*time.Second, func() bool { return strings.Contains(w.statusText(), "1 services, 1 with a lead") })
 			})
 			if !otherCrashes {
-				served(t, load, 6*time.Second)
+				checkWritesServed(t, load, 6*time.Second)
 			}
 		})
 	}
@@ -449,12 +449,12 @@
 // receive commits past its limit. It must be paused again, and the new limit must cover what it has
 // received.
 func TestDrainingReplicaPausedAgain(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		withLoad(w, g, func() {
 			replica := g.DB(2)
 			replica.Leave(8*time.Second, true)
 			readState := func() (pausedTerm int64, received, limit lineprotocol.Position) {
-				state, err := w.Process("control", controlPrimary(w)).replica().Durable()
+				state, err := w.Process("control", controlPrimaryZone(w)).replica().Durable()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -470,11 +470,11 @@
 				pausedTerm, received, limit := readState()
 				return pausedTerm != 0 && limit.Term != 0 && !limit.Less(received)
 			}
-			w.Until("the draining replica is paused within its limit", 3*time.Second, pausedWithinLimit)
+			w.WaitUntil("the draining replica is paused within its limit", 3*time.Second, pausedWithinLimit)
 			_, _, firstLimit := readState()
 			replica.Control("CONTINUE", "")
 			time.Sleep(100 * time.Millisecond) // for writes of the load
-			w.Until("the draining replica is paused again", 2*time.Second, pausedWithinLimit)
+			w.WaitUntil("the draining replica is paused again", 2*time.Second, pausedWithinLimit)
 			if _, _, limit := readState(); !firstLimit.Less(limit) {
 				t.Errorf("limit %v after the late CONTINUE, %v before", limit, firstLimit)
 			}
--- a/internal/simulation/resets_test.go
+++ b/internal/simulation/resets_test.go
@@ -71,8 +71,8 @@
 func TestConnectionResets(t *testing.T) {
 	for name, ports := range map[string][]string{"all connections": nil, "RPC connections": {"7440", "7441"}} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(w *World, g *Group) {
-				load := w.NewLoad(g, 11)
+			withCluster(t, func(w *World, g *Group) {
+				load := w.StartLoad(g, 11)
 				rng := rand.New(rand.NewPCG(5, 5))
 				stop := make(chan struct{})
 				var wg sync.WaitGroup
@@ -104,7 +104,7 @@
 						case <-stop:
 							return
 						case <-time.After(time.Duration(10+rng.IntN(60)) * time.Millisecond):
-							w.Net.Break(ip(1+rng.IntN(w.Zones)), ports...)
+							w.Net.ResetConnections(ip(1+rng.IntN(w.Zones)), ports...)
 						}
 					}
 				})
@@ -129,7 +129,7 @@
 				}
 				close(stop)
 				wg.Wait()
-				w.Until("a configuration change is accepted after the resets", 4*time.Second, func() bool {
+				w.WaitUntil("a configuration change is accepted after the resets", 4*time.Second, func() bool {
 					if w.Replace(1, rev, w.Configuration(rev+1)) == 200 {
 						rev++
 						return true
@@ -137,7 +137,7 @@
 					return false
 				})
 				load.Stop()
-				state, err := kernel.Need[*controlstate.Replica](w.Process("control", controlPrimary(w)).Kernel).Durable()
+				state, err := kernel.Need[*controlstate.Replica](w.Process("control", controlPrimaryZone(w)).Kernel).Durable()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -145,11 +145,11 @@
 				if err := history.check(); err != nil {
 					t.Errorf("%v: %+v", err, history)
 				}
-				if version := w.Fetch(); version != rev || refused > 0 || changes < 10 || history.acked < 50 {
+				if version := w.FetchVersion(); version != rev || refused > 0 || changes < 10 || history.acked < 50 {
 					t.Errorf("configuration version %d, want %d; %d changes, %d refused, %+v", version, rev, changes, refused, history)
 				}
 				unreachable := int64(0)
-				for _, process := range w.procs {
+				for _, process := range w.processes {
 					counters := process.Kernel.Counters.Snapshot()
 					unreachable += counters["rpc.unreachable"]
 					for _, counter := range []string{"rpc.malformed", "rpc.unasked", "rpc.misdirected", "rpc.unknown_op"} {
--- a/internal/simulation/service.go
+++ b/internal/simulation/service.go
@@ -42,7 +42,7 @@
 const requestHost = "10.251.0.1"
 
 // AddService adds a service with the given number of databases in each zone.
-func (w *World) Service(name string, perZone int) *Service {
+func (w *World) AddService(name string, perZone int) *Service {
 	s := &Service{standin.NewService(environment{w}, name), w}
 	w.Services[name] = s
 	for z := 1; z <= w.Zones; z++ {
@@ -54,12 +54,12 @@
 }
 
 // Send sends one request to a zone's gateway. A safe request may run more than once.
-func (s *Service) Ask(zone int, id string, safe bool, body string) Answer {
+func (s *Service) Send(zone int, id string, safe bool, body string) Answer {
 	return s.Service.Ask(s.world.Net.Host(requestHost), ip(zone)+":8784", id, safe, body)
 }
 
 // StartRequests starts clients in every zone, which send safe and unsafe requests.
-func (s *Service) Load(clients int, pause time.Duration) *Requests {
+func (s *Service) StartRequests(clients int, pause time.Duration) *Requests {
 	var entries []standin.Entry
 	for z := 1; z <= s.world.Zones; z++ {
 		entries = append(entries, standin.Entry{Number: z, Address: standin.At(ip(z) + ":8784"), Network: s.world.Net.Host(requestHost)})
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -20,8 +20,8 @@
 )
 
 func TestSlowReplicaIsNotDown(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			g.DB(1).Slow(1500 * time.Millisecond)
 			time.Sleep(6 * time.Second)
 			for z := 1; z <= 4; z++ {
@@ -31,14 +31,14 @@
 			}
 			g.DB(1).Slow(0)
 		})
-		served(t, load, 2*time.Second)
+		checkWritesServed(t, load, 2*time.Second)
 	})
 }
 
 // An answer is lost while its connection stays open: a read is sent again; a write is not, and its
 // outcome is reported as unknown.
 func TestLostAnswers(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		session, _ := w.Login(2, "p.ledger")
 		defer session.Close()
 		for range 20 {
@@ -62,34 +62,34 @@
 // A primary that drains right after a handover between control nodes must be replaced without
 // waiting for leases that poolers have acknowledged giving up.
 func TestDrainAfterControlHandover(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		old := g.Primary()
-		load := under(w, g, func() {
-			control := controlPrimary(w)
+		load := withLoad(w, g, func() {
+			control := controlPrimaryZone(w)
 			go func() {
 				time.Sleep(300 * time.Millisecond)
 				old.Drain()
 			}()
-			w.Process("control", control).Term()
+			w.Process("control", control).Terminate()
 			w.Start("control", control, false)
-			w.Until("a new primary is promoted", 3*time.Second, func() bool { p := g.Primary(); return p != nil && p != old })
+			w.WaitUntil("a new primary is promoted", 3*time.Second, func() bool { p := g.Primary(); return p != nil && p != old })
 		})
-		served(t, load, 1500*time.Millisecond)
+		checkWritesServed(t, load, 1500*time.Millisecond)
 	})
 }
 
 // A platform that enforces its rate limit, is unavailable, does not respond, or reports that the
 // database is not running delays a failover but does not abort it.
 func TestPlatformErrorsDelayFailover(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		old := g.Primary()
-		load := under(w, g, func() {
-			w.Refuse(429, 503, 0, 409)
+		load := withLoad(w, g, func() {
+			w.RefusePlatformCalls(429, 503, 0, 409)
 			old.Crash(false)
-			w.Until("a new primary is promoted", 8*time.Second, func() bool { p := g.Primary(); return p != nil && p != old })
+			w.WaitUntil("a new primary is promoted", 8*time.Second, func() bool { p := g.Primary(); return p != nil && p != old })
 		})
-		served(t, load, 6*time.Second)
-		if calls := w.Calls(); calls < 5 || calls > 8 {
+		checkWritesServed(t, load, 6*time.Second)
+		if calls := w.PlatformCalls(); calls < 5 || calls > 8 {
 			t.Errorf("%d calls to the platform, want 5 to 8", calls)
 		}
 	})
@@ -97,8 +97,8 @@
 
 // Malformed or unauthorized messages of a peer are counted and dropped.
 func TestFaultyPeer(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		control := controlPrimary(w)
+	withCluster(t, func(w *World, g *Group) {
+		control := controlPrimaryZone(w)
 		controlKernel := w.Process("control", control).Kernel
 		host := w.Net.Host("10.250.0.9")
 		for _, message := range []string{"{\n", `{"id":1,"op":"nothing"}` + "\n"} {
@@ -145,14 +145,14 @@
 				t.Errorf("counter %s is 0", counter)
 			}
 		}
-		if controlPrimary(w) != control || w.Fetch() != 1 {
+		if controlPrimaryZone(w) != control || w.FetchVersion() != 1 {
 			t.Error("an unknown node changed the control state")
 		}
 	})
 }
 
 func TestBadInput(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		for _, c := range []struct{ text, code, state string }{
 			{"WAITPOS 1.1 FETCH x", lineprotocol.Malformed, "I"},
 			{"STAT", lineprotocol.Malformed, "I"},
@@ -189,7 +189,7 @@
 // Prepared statements and options with the same name in two sessions, split and pipelined input,
 // and transactions that stay idle too long.
 func TestSessions(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		redSession, _ := w.Login(1, "p.ledger")
 		blueSession, _ := w.Login(1, "p.ledger")
 		redSession.Query("OPTION colour red")
@@ -230,8 +230,8 @@
 // The status and plan tools query a running system: the status covers all processes, plans name the
 // databases that may be promoted, and processes that do not respond are reported.
 func TestStatusAndPlan(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		primary := controlPrimary(w)
+	withCluster(t, func(w *World, g *Group) {
+		primary := controlPrimaryZone(w)
 		host := w.Net.Host("10.250.0.9")
 		sys := tools.CollectReports(context.Background(), host, []string{ip(primary) + ":7440"}, true)
 		if len(sys.Reports) != 8 || len(sys.Missing) != 0 || sys.Primary() == nil {
--- a/internal/simulation/standin_test.go
+++ b/internal/simulation/standin_test.go
@@ -46,7 +46,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := NewWorld(t, 1, 3)
 			defer w.Close()
-			g := w.Group("ledger")
+			g := w.AddGroup("ledger")
 			primary := g.Primary()
 			g.DB(1).SetReplicationStopped(true)
 			g.DB(2).SetReplicationStopped(true)
@@ -73,7 +73,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 3)
 		defer w.Close()
-		g := w.Group("ledger")
+		g := w.AddGroup("ledger")
 		old := g.Primary()
 		old.SetReplicationStopped(true)
 		old.Crash(false)
--- a/internal/simulation/stray_test.go
+++ b/internal/simulation/stray_test.go
@@ -8,7 +8,7 @@
 // awaitPausedReplicas waits until both replicas of a group of three are paused.
 func awaitPausedReplicas(w *World, g *Group) {
 	w.T.Helper()
-	w.Until("both replicas are paused", 10*time.Second, func() bool {
+	w.WaitUntil("both replicas are paused", 10*time.Second, func() bool {
 		_, first := g.DB(1).Position()
 		_, second := g.DB(2).Position()
 		return first > 0 && second > 0
@@ -19,20 +19,20 @@
 // primary and its promotion. The replica that it resumes acknowledges the old primary's commits in
 // flight, and the chosen replica must not lack them.
 func TestLateContinueLosesNoCommit(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		manager := controlPrimary(w)
-		under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		manager := controlPrimaryZone(w)
+		withLoad(w, g, func() {
 			g.DB(1).SetReplicationStopped(true)
 			g.DB(2).SetReplicationStopped(true) // so that writes are in flight when the replicas are paused
 			time.Sleep(100 * time.Millisecond)
-			w.Net.Cut(ip(manager), g.DB(0).IP, true) // only the failover manager considers it down
+			w.Net.SetPartitioned(ip(manager), g.DB(0).IP, true) // only the failover manager considers it down
 			awaitPausedReplicas(w, g)
 			time.Sleep(30 * time.Millisecond)
 			g.DB(2).Control("CONTINUE", "")
 			g.DB(2).SetReplicationStopped(false)
 			time.Sleep(3 * time.Second)
 			g.DB(1).SetReplicationStopped(false)
-			w.Net.Cut(ip(manager), g.DB(0).IP, false)
+			w.Net.SetPartitioned(ip(manager), g.DB(0).IP, false)
 		})
 	})
 }
@@ -40,19 +40,19 @@
 // A lost CONTINUE is sent again: a replica must not stay paused after the failover for which it was
 // paused has ended.
 func TestLostContinueIsRepeated(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		manager := controlPrimary(w)
+	withCluster(t, func(w *World, g *Group) {
+		manager := controlPrimaryZone(w)
 		g.DB(2).Crash(true)
-		w.Net.Cut(ip(manager), g.DB(0).IP, true)
-		load := w.NewLoad(g, 3)
-		w.Until("a replica is paused", 10*time.Second, func() bool {
+		w.Net.SetPartitioned(ip(manager), g.DB(0).IP, true)
+		load := w.StartLoad(g, 3)
+		w.WaitUntil("a replica is paused", 10*time.Second, func() bool {
 			_, pausedTerm := g.DB(1).Position()
 			return pausedTerm > 0
 		})
-		w.Net.Cut(ip(manager), g.DB(1).IP, true)
-		w.Net.Cut(ip(manager), g.DB(0).IP, false)
+		w.Net.SetPartitioned(ip(manager), g.DB(1).IP, true)
+		w.Net.SetPartitioned(ip(manager), g.DB(0).IP, false)
 		time.Sleep(5 * time.Second)
-		w.Net.Cut(ip(manager), g.DB(1).IP, false)
+		w.Net.SetPartitioned(ip(manager), g.DB(1).IP, false)
 		time.Sleep(5 * time.Second)
 		if _, pausedTerm := g.DB(1).Position(); pausedTerm > 0 {
 			t.Error("a replica is still paused")
--- a/internal/simulation/tenants_test.go
+++ b/internal/simulation/tenants_test.go
@@ -39,13 +39,13 @@
 	if err := json.Unmarshal(body, &config); err != nil {
 		w.T.Fatalf("configuration: %v", err)
 	}
-	w.Until("the configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, base, body) == 200 })
-	w.Until("every pooler has the new configuration", time.Second, func() bool { return w.taken(config.Rev) })
+	w.WaitUntil("the configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, base, body) == 200 })
+	w.WaitUntil("every pooler has the new configuration", time.Second, func() bool { return w.poolersHaveVersion(config.Rev) })
 }
 
 // loginWithKey opens a session with an API key; if that fails, it returns the error code.
 func (w *World) loginWithKey(zone int, database, key string) (*Session, string) {
-	return standin.LoginAs(w.clients(zone), ip(zone)+":8784", database, key)
+	return standin.LoginAs(w.clientHost(zone), ip(zone)+":8784", database, key)
 }
 
 // sessionWithKey opens a session with a tenant's API key at a zone's pooler, and fails the test if
@@ -68,7 +68,7 @@
 // is revoked while a client with it is connected; the client's open transaction is rolled back.
 // Databases learn the tenant's name, on connections that serve only that tenant.
 func TestTenantKeys(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		w.replaceAndAwait(1, w.configurationWithTenants(2, newTenant("ann", "key-a1", "key-a2"), newTenant("bob", "key-b")))
 		if _, code := w.loginWithKey(1, "p.ledger", "key-x"); code != lineprotocol.Denied {
 			t.Errorf("login with an unknown key: %q", code)
@@ -121,7 +121,7 @@
 // Many tenants share few connections: idle ones are evicted for other tenants, and no statement
 // runs on a connection of another tenant.
 func TestManyTenantsOnFewConnections(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		var tenants []routeconfig.Tenant
 		for i := range 40 {
 			tenants = append(tenants, newTenant(fmt.Sprint("t", i), fmt.Sprint("key-", i)))
@@ -161,7 +161,7 @@
 // a pooler that is partitioned from all control nodes stops serving in time, and serves again once
 // it has the configuration.
 func TestRevokedInTime(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		w.Process("pooler", 4).Kill()
 		w.Settings = "bounds.revoke_global=true\nbounds.revoke_ms=5000\n"
 		w.Start("pooler", 4, false)
@@ -173,7 +173,7 @@
 			}
 		}
 		for z := 1; z <= 3; z++ {
-			w.Net.Cut(ip(4), ip(z), true)
+			w.Net.SetPartitioned(ip(4), ip(z), true)
 		}
 		w.Process("control", 4).Kill()
 		code := w.Replace(1, 2, w.configurationWithTenants(3, newTenant("bob", "key-b")))
@@ -187,9 +187,9 @@
 			}
 		}
 		for z := 1; z <= 3; z++ {
-			w.Net.Cut(ip(4), ip(z), false)
+			w.Net.SetPartitioned(ip(4), ip(z), false)
 		}
-		w.Until("the valid key is served again", 5*time.Second, func() bool { answer, _ := bob.Query("FETCH x"); return answer.Code == "" })
+		w.WaitUntil("the valid key is served again", 5*time.Second, func() bool { answer, _ := bob.Query("FETCH x"); return answer.Code == "" })
 		if answer, _ := ann.Query("FETCH x"); answer.Code != lineprotocol.Denied {
 			t.Errorf("revoked key after the partition: %q", answer.Code)
 		}
@@ -200,9 +200,9 @@
 // API keys appear in no log, no status report, no error response and no update to poolers.
 func TestKeysAreNotDisclosed(t *testing.T) {
 	const key = "a-very-secret-key"
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		var logged bytes.Buffer
-		w.Logged = &logged
+		w.LogOutput = &logged
 		w.Process("pooler", 1).Kill()
 		w.Start("pooler", 1, false)
 		w.replaceAndAwait(1, w.configurationWithTenants(2, newTenant("ann", key)))
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -49,27 +49,27 @@
 
 // World is a simulated deployment with its databases, platform and network.
 type World struct {
-	T            TB
-	Net          *Net
-	Zones        int // numbered from 1
-	Groups       map[string]*Group
-	Services     map[string]*Service
-	Deploy       string // settings key deploy; "" means pooler
-	dir          string
-	procs        map[string]*Process
-	platform     *standin.Platform
-	PollMs       int       // settings key tune.poll_ms
-	Losses       int       // settings key tolerate.hosts
-	MaxConns     int       // max_conns of the services
-	ControlNodes int       // how many zones, from the first, have a control node; 0 means all
-	Seeds        []string  // seeds of processes started from now on; nil means the first three control nodes
-	Settings     string    // additional settings of processes started from now on, as lines
-	Logged       io.Writer // receives what processes log, unless it is nil
+	T             TB
+	Net           *Net
+	Zones         int // numbered from 1
+	Groups        map[string]*Group
+	Services      map[string]*Service
+	Deploy        string // settings key deploy; "" means pooler
+	dir           string
+	processes     map[string]*Process
+	platform      *standin.Platform
+	PollMs        int       // settings key tune.poll_ms
+	TolerateHosts int       // settings key tolerate.hosts
+	MaxConns      int       // max_conns of the services
+	ControlNodes  int       // how many zones, from the first, have a control node; 0 means all
+	Seeds         []string  // seeds of processes started from now on; nil means the first three control nodes
+	Settings      string    // additional settings of processes started from now on, as lines
+	LogOutput     io.Writer // receives what processes log, unless it is nil
 }
 
 // Process is a control node, pooler or gateway of the deployment.
 type Process struct {
-	w      *World
+	world  *World
 	Name   string
 	Role   string
 	IP     string
@@ -87,7 +87,7 @@
 func NewWorld(t TB, seed uint64, zones int) *World {
 	w := &World{
 		T: t, Net: NewNet(seed), Zones: zones, Groups: map[string]*Group{}, Services: map[string]*Service{}, dir: t.TempDir(),
-		procs: map[string]*Process{}, PollMs: 600, Losses: 1, MaxConns: 90,
+		processes: map[string]*Process{}, PollMs: 600, TolerateHosts: 1, MaxConns: 90,
 	}
 	w.platform = &standin.Platform{Promote: w.promoteDatabase}
 	listener, err := w.Net.Host(platformIP).Listen(platformIP + ":8783")
@@ -110,10 +110,10 @@
 
 // RefusePlatformCalls makes the platform respond to the next calls with these statuses instead of
 // carrying them out; 0 leaves a call without a response.
-func (w *World) Refuse(codes ...int) { w.platform.Refuse(codes...) }
+func (w *World) RefusePlatformCalls(codes ...int) { w.platform.Refuse(codes...) }
 
 // PlatformCalls returns how many calls the platform has received.
-func (w *World) Calls() int { return w.platform.Calls() }
+func (w *World) PlatformCalls() int { return w.platform.Calls() }
 
 // ip returns the IP address of a zone's machine.
 func ip(zone int) string { return fmt.Sprintf("10.%d.%d.1", 1+(zone-1)%200, (zone-1)/200) }
@@ -151,7 +151,7 @@
 // first time.
 func (w *World) Start(role string, zone int, bootstrap bool) *Process {
 	name := fmt.Sprintf("%s-%d", role, zone)
-	p := &Process{w: w, Name: name, Role: role, IP: ip(zone), done: make(chan struct{}), dir: filepath.Join(w.dir, name)}
+	p := &Process{world: w, Name: name, Role: role, IP: ip(zone), done: make(chan struct{}), dir: filepath.Join(w.dir, name)}
 	seeds := strings.Join(w.ControlAddrs()[:min(3, w.Zones)], ",")
 	if w.Seeds != nil {
 		seeds = strings.Join(w.Seeds, ",")
@@ -171,7 +171,7 @@
 tolerate.hosts=%[9]d
 deploy=%[10]s
 tune.metrics_port=0
-%[11]s`, name, p.IP, zone, seeds, bootstrap, p.dir, platformIP, w.PollMs, w.Losses, cmp.Or(w.Deploy, "pooler"), w.Settings)
+%[11]s`, name, p.IP, zone, seeds, bootstrap, p.dir, platformIP, w.PollMs, w.TolerateHosts, cmp.Or(w.Deploy, "pooler"), w.Settings)
 	s, err := settings.Parse([]byte(text))
 	if err != nil {
 		w.T.Fatalf("settings: %v", err)
@@ -193,7 +193,7 @@
 			w.T.Errorf("%s: %v", name, err)
 		}
 	}()
-	w.procs[name] = p
+	w.processes[name] = p
 	return p
 }
 
@@ -204,8 +204,8 @@
 }
 
 func (l processLog) Write(b []byte) (int, error) {
-	if l.world.Logged != nil {
-		l.world.Logged.Write(b)
+	if l.world.LogOutput != nil {
+		l.world.LogOutput.Write(b)
 	}
 	if os.Getenv("SIMULATION_LOG") != "" {
 		l.world.T.Logf("%s %s", l.name, bytes.TrimSpace(b))
@@ -215,7 +215,7 @@
 
 // Process returns the running process with a role in a zone, or nil if there is none.
 func (w *World) Process(role string, zone int) *Process {
-	return w.procs[fmt.Sprintf("%s-%d", role, zone)]
+	return w.processes[fmt.Sprintf("%s-%d", role, zone)]
 }
 
 // Kill ends the process abruptly, as SIGKILL does.
@@ -225,13 +225,13 @@
 		ports = []string{"7440", "8782"}
 	}
 	p.cancel()
-	p.w.Net.Reset(p.IP, ports...)
+	p.world.Net.CloseSockets(p.IP, ports...)
 	<-p.done
-	delete(p.w.procs, p.Name)
+	delete(p.world.processes, p.Name)
 }
 
 // Terminate shuts the process down gracefully, as SIGTERM does.
-func (p *Process) Term() {
+func (p *Process) Terminate() {
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	p.Kernel.Shutdown(ctx)
@@ -243,7 +243,7 @@
 func (w *World) Isolate(zone int, isolated bool, from ...int) {
 	for z := 1; z <= w.Zones; z++ {
 		if z != zone && (len(from) == 0 || slices.Contains(from, z)) {
-			w.Net.Cut(ip(zone), ip(z), isolated)
+			w.Net.SetPartitioned(ip(zone), ip(z), isolated)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 // Wipe deletes the process's data directory.
 func (p *Process) Wipe() {
 	if err := os.RemoveAll(p.dir); err != nil {
-		p.w.T.Fatalf("wipe: %v", err)
+		p.world.T.Fatalf("wipe: %v", err)
 	}
 }
 
@@ -267,10 +267,10 @@
 			d.Crash(false)
 		}
 	}
-	for _, p := range w.procs {
+	for _, p := range w.processes {
 		p.Kill()
 	}
-	w.Net.Reset(platformIP)
+	w.Net.CloseSockets(platformIP)
 	time.Sleep(2 * time.Minute)
 	for _, g := range w.Groups {
 		for _, violation := range g.Broken() {
@@ -328,9 +328,9 @@
 	return code
 }
 
-// Fetch returns the version of the configuration, read from the first control node that answers,
+// FetchVersion returns the version of the configuration, read from the first control node that answers,
 // or 0 if none does.
-func (w *World) Fetch() int64 {
+func (w *World) FetchVersion() int64 {
 	for _, addr := range w.ControlAddrs() {
 		code, raw := w.Call(w.Net.Host("10.250.0.1"), "GET", addr, "/Conf.Fetch", nil, nil)
 		var config struct {
@@ -348,8 +348,8 @@
 func (w *World) Configure() {
 	w.T.Helper()
 	body := w.Configuration(1)
-	w.Until("the configuration is accepted", 10*time.Second, func() bool { return w.Replace(1, 0, body) == 200 })
-	w.Until("every proxy is ready", 10*time.Second, func() bool {
+	w.WaitUntil("the configuration is accepted", 10*time.Second, func() bool { return w.Replace(1, 0, body) == 200 })
+	w.WaitUntil("every proxy is ready", 10*time.Second, func() bool {
 		for z := 1; z <= w.Zones; z++ {
 			if code, _ := w.Call(w.Net.Host("10.250.0.1"), "GET", ip(z)+":8785", "/readyz", nil, nil); code != 200 {
 				return false
@@ -362,7 +362,7 @@
 
 // WaitUntil polls a condition until it holds, and returns how long that took. The test fails if
 // it does not hold within the limit.
-func (w *World) Until(what string, limit time.Duration, holds func() bool) time.Duration {
+func (w *World) WaitUntil(what string, limit time.Duration, holds func() bool) time.Duration {
 	w.T.Helper()
 	start := time.Now()
 	for !holds() {
