--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -183,7 +183,10 @@
 			w.Process("control", lostZone).Kill()
 			w.WaitUntil("another control node becomes primary", 4*time.Second, func() bool { return controlPrimaryZone(w) != 0 })
 			w.WaitUntil("a change is acknowledged", 4*time.Second, func() bool { return w.Replace(1+lostZone%4, 1, w.Configuration(3)) == 200 })
-			process := &Process{world: w, dir: w.dir + "/control node-" + strconv.Itoa(lostZone)}
+			process := &Process{world: w, dir: w.dir + "/control-" + strconv.Itoa(lostZone)}
+			if _, err := os.Stat(process.dir); err != nil {
+				t.Fatal(err)
+			}
 			process.Wipe()
 			w.Start("control", lostZone, false)
 			time.Sleep(4 * time.Second)
