--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -178,7 +178,7 @@
 		}
 		for name, want := range map[string]int64{"controlapi.answered_400": 4, "controlapi.answered_408": 1, "controlapi.answered_412": 1, "controlapi.answered_413": 1} {
 			if got := counter(name); got != want {
-				t.Errorf("counter is %d for %s, want %d", got, name, want)
+				t.Errorf("got %d for counter %s, want %d", got, name, want)
 			}
 		}
 		taken, lostRace, takenBefore := counter("routeconfig.taken"), counter("routeconfig.lost_race"), counter("routeconfig.taken_before")
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -27,12 +27,12 @@
 	})
 }
 
-// withLoad calls f while clients read and write, and returns their load after it has stopped.
-// The load runs for 3 s before f and for 5 s after it.
-func withLoad(w *World, g *Group, f func()) *Load {
+// withLoad calls run while clients read and write, and returns their load after it has stopped.
+// The load starts 3 s before run and ends 5 s after it.
+func withLoad(w *World, g *Group, run func()) *Load {
 	load := w.StartLoad(g, 7)
 	time.Sleep(3 * time.Second)
-	f()
+	run()
 	time.Sleep(5 * time.Second)
 	load.Stop()
 	return load
@@ -176,6 +176,8 @@
 	})
 }
 
+// A change that is acknowledged after the control primary was lost is still read back once that node
+// has restarted with an empty disk.
 func TestControlPrimaryLostWithItsDisk(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -20,7 +20,7 @@
 	mu          sync.Mutex
 	cond        *sync.Cond
 	received    []byte
-	eof         bool
+	eof         bool  // the end of the peer's data has arrived
 	err         error // why the connection failed, if it did
 	closed      bool
 	readUntil   time.Time // the read deadline; zero means none
--- a/internal/simulation/control_test.go
+++ b/internal/simulation/control_test.go
@@ -212,8 +212,8 @@
 	})
 }
 
-// A control node that was a witness and has been lost for good is removed from the witnesses, so that
-// it no longer counts towards the losses that are tolerated.
+// A control node that was a witness and has been lost permanently is removed from the witnesses, so
+// that it no longer counts towards the losses that are tolerated.
 func TestLostWitnessIsRemoved(t *testing.T) {
 	withClusterOf(t, 4, 2, func(w *World, g *Group) {
 		w.Zones = 5
--- a/internal/simulation/failurelog_test.go
+++ b/internal/simulation/failurelog_test.go
@@ -34,8 +34,8 @@
 	t.Errorf("%s is not in the failure log: %v", id, recentFailures(p))
 }
 
-// The failure log has, for each statement that was not served, the cause and the result of each
-// attempt.
+// A pooler's failure log has, for each statement that was not served, the cause and the result of
+// each attempt.
 func TestFailureLogOfStatement(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		session, _ := w.Login(1, "p.ledger")
@@ -63,7 +63,7 @@
 	})
 }
 
-// The failure log has the same for each failed request of a gateway.
+// A gateway's failure log has, for each request that failed, the cause and the result of each attempt.
 func TestFailureLogOfRequest(t *testing.T) {
 	withGatewayCluster(t, func(w *World, s *Service) {
 		for _, d := range s.Workers() {
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -154,7 +154,7 @@
 			s.DB(i).InjectFault(Forgetful)
 		}
 		for n := range 30 {
-			if a := s.Send(1, fmt.Sprint("rested-", n), false, "x"); a.Status != 200 {
+			if a := s.Send(1, fmt.Sprint("idle-", n), false, "x"); a.Status != 200 {
 				t.Errorf("status %d", a.Status)
 			}
 			time.Sleep(time.Duration(n) * 25 * time.Millisecond)
@@ -235,7 +235,7 @@
 		s.DB(0).Work, s.DB(1).Work = 300*time.Millisecond, 300*time.Millisecond
 		answers := make(chan Answer, 6)
 		for i := range 6 {
-			go func() { answers <- s.Send(1, fmt.Sprint("under-way-", i), false, "x") }()
+			go func() { answers <- s.Send(1, fmt.Sprint("in-flight-", i), false, "x") }()
 		}
 		time.Sleep(100 * time.Millisecond)
 		go w.Process("gateway", 1).Terminate()
@@ -306,7 +306,7 @@
 			if a := s.Send(z, fmt.Sprint("new/", z), true, ""); a.Status != 200 {
 				t.Errorf("zone %d: request on the added route: status %d, want 200", z, a.Status)
 			}
-			if a := s.Send(z, fmt.Sprint("gone-", z), false, "x"); a.Status != 404 {
+			if a := s.Send(z, fmt.Sprint("removed-", z), false, "x"); a.Status != 404 {
 				t.Errorf("zone %d: request on the removed route: status %d, want 404", z, a.Status)
 			}
 		}
--- a/internal/simulation/group.go
+++ b/internal/simulation/group.go
@@ -41,8 +41,8 @@
 	return standin.Login(w.clientHost(zone), ip(zone)+":8784", database)
 }
 
-// StartLoad starts writers and readers of the group at the poolers of the given zones, or of all
-// zones if none are given.
+// StartLoad starts clients that write to and read from the group through the poolers of the given
+// zones, or of all zones if none are given.
 func (w *World) StartLoad(g *Group, seed uint64, zones ...int) *Load {
 	if len(zones) == 0 {
 		for z := range w.Zones {
@@ -56,7 +56,7 @@
 	return standin.NewLoad(g.Group, seed, poolers, nil)
 }
 
-// environment implements standin.Environment for a world.
+// environment implements standin.Environment on a world's network.
 type environment struct{ world *World }
 
 func (e environment) Network(ip string) kernel.Network { return e.world.Net.Host(ip) }
--- a/internal/simulation/late_heartbeat_test.go
+++ b/internal/simulation/late_heartbeat_test.go
@@ -24,8 +24,8 @@
 }
 
 // Guards against the loss of acknowledged commits (LOST) when a replica receives commits before
-// its first heartbeat has arrived. It alone holds acknowledged commits, so no other replica may
-// be promoted, and it must be as soon as it is known.
+// its first heartbeat has arrived. The latest acknowledged commits are on no other replica, so only
+// this one may be promoted, and it must be promoted once its heartbeat has arrived.
 func TestCommitsOnReplicaWithLateFirstHeartbeat(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {
@@ -40,9 +40,9 @@
 	})
 }
 
-// Guards against a failover that waits forever: the replica that was not known yet crashes as
-// well, and the old primary has the acknowledged commits when it returns, so it must become primary
-// again.
+// Guards against a failover that waits forever: the primary crashes together with the only replica
+// that has its latest acknowledged commits, before that replica's first heartbeat has arrived. The
+// old primary has these commits when it returns, so it must become primary again.
 func TestPrimaryReturnsWhenNoKnownReplicaHasItsCommits(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {
@@ -62,8 +62,8 @@
 }
 
 // Guards against a failover that waits forever: the only replica with the last acknowledged commits
-// is lost before its first heartbeat arrives. An operator accepts the loss, and the next failover
-// does not wait for these commits either.
+// is lost before its first heartbeat arrives. Once an operator has accepted the loss, neither this
+// failover nor the next one waits for these commits.
 func TestAcceptedLossOfCommitsOnUnregisteredReplica(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		load := w.StartLoad(g, 7)
--- a/internal/simulation/memory_test.go
+++ b/internal/simulation/memory_test.go
@@ -61,7 +61,7 @@
 				t.Fatalf("log-in: %s", code)
 			}
 			defer s.Close()
-			go s.Send([]byte("QUERY half PUT thing " + strings.Repeat("x", length)))
+			go s.Send([]byte("QUERY incomplete PUT k " + strings.Repeat("x", length)))
 			lines = append(lines, firstLine(s))
 		}
 		time.Sleep(time.Second)
@@ -208,7 +208,7 @@
 		requests, length int
 		port, head       string
 	}{
-		"gateway": {400, 60 << 10, "8784", "POST /unsafe/a HTTP/1.1\r\nHost: intake.example\r\nX-Indigowalk-Request-Id: half\r\n"},
+		"gateway": {400, 60 << 10, "8784", "POST /unsafe/a HTTP/1.1\r\nHost: intake.example\r\nX-Indigowalk-Request-Id: incomplete\r\n"},
 		"control": {60, 1500 << 10, "8782", "POST /Conf.Replace HTTP/1.1\r\nHost: control\r\nX-Indigowalk-Base-Version: 1\r\n"},
 	} {
 		t.Run(role, func(t *testing.T) {
--- a/internal/simulation/net.go
+++ b/internal/simulation/net.go
@@ -1,7 +1,8 @@
-// Package simulation runs whole deployments inside one test process, on the test's clock: the
-// system's own processes, and stand-ins for databases, clients and the platform that follow the
-// published protocol. The hosts are connected by a simulated network with delay, loss,
-// duplication, partitions and other faults.
+// Package simulation runs whole deployments inside one test process, on the simulated clock of
+// testing/synctest, to test how they behave under faults. A deployment consists of the system's own
+// processes, and of stand-ins for databases, clients and the platform that follow the published
+// protocol. The hosts are connected by a simulated network with delay, loss, duplication,
+// partitions and other faults.
 package simulation
 
 import (
--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -148,8 +148,8 @@
 	})
 }
 
-// A partitioned control node redirects callers to a node with newer knowledge, not to the last primary
-// that it knew: waiting for an unresponsive primary would cost callers a second each time.
+// A partitioned control node redirects callers to another node of the newest view that it knows, not
+// to that view's primary if it does not respond: waiting for it would cost callers a second each time.
 func TestPartitionedControlNodeRedirects(t *testing.T) {
 	// Either the primary itself is partitioned from the other control nodes, or the primary is
 	// unresponsive and a control node outside the view is partitioned from the others.
--- a/internal/simulation/proxies_test.go
+++ b/internal/simulation/proxies_test.go
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// A proxy that has left for good is removed, so that the control state does not grow with every
-// machine that ever existed and no failover waits for it after another control node has become
-// primary. A proxy that was only unreachable registers again before it is granted a lease.
+// The entry of a proxy that does not return is removed, so that the control state does not grow with
+// every machine that ever existed and no failover waits for that proxy after another control node has
+// become primary. A proxy that was only unreachable registers again before it is granted a lease.
 func TestDepartedProxiesAreRemoved(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		for range 3 {
@@ -53,7 +53,7 @@
 					return false
 				}
 				defer s.Close()
-				a, _ := s.Query("PUT back 1")
+				a, _ := s.Query("PUT k 1")
 				return a.Code == ""
 			})
 		})
--- a/internal/simulation/replacement_test.go
+++ b/internal/simulation/replacement_test.go
@@ -76,13 +76,13 @@
 	for _, role := range []string{"backup", "primary"} {
 		withClusterOf(t, 4, 1, func(w *World, g *Group) {
 			replaceUntilAccepted(w, 1, 7)
-			leaving, lost := backupZones(w)[0], controlPrimaryZone(w)
+			shuttingDown, lost := backupZones(w)[0], controlPrimaryZone(w)
 			if role == "primary" {
-				leaving, lost = lost, leaving
+				shuttingDown, lost = lost, shuttingDown
 			}
 			start, shutdownTime := time.Now(), make(chan time.Duration, 1)
 			go func() {
-				w.Process("control", leaving).Terminate()
+				w.Process("control", shuttingDown).Terminate()
 				shutdownTime <- time.Since(start)
 			}()
 			w.destroyControlNodes(lost)
@@ -140,11 +140,11 @@
 				w.Start("control", w.Zones, false)
 			}
 			time.Sleep(catchupTimeout)
-			primary := controlPrimaryZone(w)
-			view, _ := w.Process("control", primary).replica().Primary()
-			lost = append(lost[:0], primary)
+			primaryZone := controlPrimaryZone(w)
+			view, _ := w.Process("control", primaryZone).replica().Primary()
+			lost = append(lost[:0], primaryZone)
 			for other := 1; other <= w.Zones && len(lost) < c.losses; other++ {
-				if p := w.Process("control", other); p != nil && other != primary && view.Has(p.replica().Self()) {
+				if p := w.Process("control", other); p != nil && other != primaryZone && view.Has(p.replica().Self()) {
 					lost = append(lost, other)
 				}
 			}
@@ -245,10 +245,10 @@
 	for delay := 800 * time.Millisecond; delay <= 3*time.Second; delay += 600 * time.Millisecond {
 		withClusterOf(t, 5, 2, func(w *World, g *Group) {
 			replaceUntilAccepted(w, 1, 7)
-			primary, initialBackups := controlPrimaryZone(w), backupZones(w)
+			primaryZone, initialBackups := controlPrimaryZone(w), backupZones(w)
 			var witness int
 			for z := 1; z <= 5; z++ {
-				if z != primary && !slices.Contains(initialBackups, z) {
+				if z != primaryZone && !slices.Contains(initialBackups, z) {
 					witness = z
 				}
 			}
@@ -256,7 +256,7 @@
 			w.Zones++
 			w.Start("control", 6, false)
 			time.Sleep(delay)
-			w.destroyControlNodes(primary)
+			w.destroyControlNodes(primaryZone)
 			time.Sleep(catchupTimeout - delay)
 			w.destroyControlNodes(initialBackups[1])
 			checkDurable(w, 7)
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -36,10 +36,10 @@
 
 // A second loss right after two replacements: a replica and the primary drain, the next primary
 // crashes after 2 s, and the primary after that is lost before the crashed one has returned, while
-// the draining databases are still needed. If a pooler is lost with it, nothing shows that the
-// remaining databases hold every acknowledged commit as long as two databases are absent; once one
-// of the two has returned they do, although the drained ones are gone. If all poolers report what
-// they acknowledged, a database that has received as much is promoted at once.
+// the draining databases are still needed. If a pooler is lost with it, it is not certain that
+// the remaining databases hold every acknowledged commit while two databases are absent; it is once
+// one of the two has returned, although the drained ones are gone. If all poolers report what they
+// acknowledged, a database that has received as much is promoted at once.
 func TestSecondLossAfterReplacements(t *testing.T) {
 	for _, allPoolersReport := range []bool{true, false} {
 		withCluster(t, func(w *World, g *Group) {
@@ -99,8 +99,8 @@
 }
 
 // A failover does not wait for a drained replica that has deregistered, although the only replica
-// that is not draining was unreachable in the meantime, because another one held everything that
-// the deregistered one did.
+// that is not draining was unreachable in the meantime, because another one has every write that the
+// deregistered one had received.
 func TestReplicaDeregisteredWhileOtherUnreachable(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {
@@ -252,7 +252,7 @@
 }
 
 // If every remaining replica is draining, one of them is promoted when the primary is lost.
-func TestOnlyDrainingReplicaRuns(t *testing.T) {
+func TestAllReplicasDraining(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		checkWritesServed(t, withLoad(w, g, func() {
 			g.DB(1).Leave(time.Second, true)
@@ -287,7 +287,7 @@
 				t.Errorf("unexpected status:\n%s", text)
 			}
 			primary.Return("ledger-1b") // the only one that holds the commits
-			w.WaitUntil("the old primary leads again", 3*time.Second, func() bool { return g.Primary() == primary })
+			w.WaitUntil("the old primary is primary again", 3*time.Second, func() bool { return g.Primary() == primary })
 			databaseEntry := func(id string) string {
 				raw, err := w.Process("control", controlPrimaryZone(w)).replica().Read("database/" + id)
 				if err != nil {
@@ -306,8 +306,8 @@
 	})
 }
 
-// If all databases that may have held an acknowledged commit are gone permanently, none is promoted
-// and the status reports the reason.
+// If all databases that may have held an acknowledged commit are lost permanently, no database is
+// promoted and the status reports the reason.
 func TestPermanentLossIsReported(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {
@@ -396,9 +396,9 @@
 func TestSupersededPrimaryDoesNotBlockFailover(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		first := g.Primary()
-		isolate := func(cut bool) {
+		isolate := func(partitioned bool) {
 			for z := 1; z <= 4; z++ {
-				w.Net.SetPartitioned(first.IP, ip(z), cut)
+				w.Net.SetPartitioned(first.IP, ip(z), partitioned)
 			}
 		}
 		load := withLoad(w, g, func() {
@@ -418,7 +418,7 @@
 
 // The chosen replica is promoted while the control node that chose it is lost, and crashes before
 // any process learns of the promotion. The other replica, which held as much, is promoted; if that
-// one is lost too, the first leads once it returns as the primary.
+// one is lost too, the first is the primary once it has returned.
 func TestPromotedReplicaCrashesUnnoticed(t *testing.T) {
 	for _, otherCrashes := range []bool{false, true} {
 		withCluster(t, func(w *World, g *Group) {
@@ -436,7 +436,7 @@
 				g.DB(3 - slices.Index(g.Databases(), second)).Crash(true)
 				time.Sleep(5 * time.Second)
 				second.Return(second.ID + "b")
-				w.WaitUntil("the promoted replica leads after its return", 3*time.Second, func() bool { return strings.Contains(w.statusText(), "1 services, 1 with a lead") })
+				w.WaitUntil("the promoted replica is primary after its return", 3*time.Second, func() bool { return strings.Contains(w.statusText(), "1 services, 1 with a lead") })
 			})
 			if !otherCrashes {
 				checkWritesServed(t, load, 6*time.Second)
@@ -445,7 +445,7 @@
 	}
 }
 
-// A CONTINUE that was sent before the draining arrives late and makes a paused draining replica
+// A CONTINUE that was sent before a replica began to drain arrives late and makes the paused replica
 // receive commits past its limit. It must be paused again, and the new limit must cover what it has
 // received.
 func TestDrainingReplicaPausedAgain(t *testing.T) {
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -101,7 +101,7 @@
 		if bytes, datagrams := maxSentDuring(500 * time.Millisecond); bytes > 10_000 || datagrams > 40 {
 			t.Errorf("a crash that all poolers detected: up to %d bytes in %d datagrams to a pooler", bytes, datagrams)
 		}
-		w.WaitUntil("another database is primary", 3*time.Second, func() bool { l := g.Primary(); return l != nil && l != primary })
+		w.WaitUntil("another database is primary", 3*time.Second, func() bool { p := g.Primary(); return p != nil && p != primary })
 		time.Sleep(time.Second)
 		for z := 1; z <= poolers; z++ {
 			if down := kernel.Need[*health.Monitor](w.Process("pooler", z).Kernel).Down(); len(down) != 1 {
@@ -129,16 +129,16 @@
 		w.Boot()
 		w.Configure()
 		time.Sleep(5 * time.Second)
-		failed := 0
+		primaryZone := 0
 		for z := 1; z <= controlNodes; z++ {
 			if _, isPrimary := kernel.Need[*controlstate.Replica](w.Process("control", z).Kernel).Primary(); isPrimary {
-				failed = z
+				primaryZone = z
 			}
 		}
-		if code := w.Replace(failed, 1, w.Configuration(2)); code != 200 {
+		if code := w.Replace(primaryZone, 1, w.Configuration(2)); code != 200 {
 			t.Fatalf("the change got status %d", code)
 		}
-		w.Process("control", failed).Kill()
+		w.Process("control", primaryZone).Kill()
 		maxBytes := 0
 		before := map[int]int{}
 		for z := controlNodes + 1; z <= poolers; z++ {
--- a/internal/simulation/service.go
+++ b/internal/simulation/service.go
@@ -58,7 +58,7 @@
 	return s.Service.Ask(s.world.Net.Host(requestHost), ip(zone)+":8784", id, safe, body)
 }
 
-// StartRequests starts clients in every zone, which send safe and unsafe requests.
+// StartRequests starts clients that send safe and unsafe requests to the gateways of all zones.
 func (s *Service) StartRequests(clients int, pause time.Duration) *Requests {
 	var entries []standin.Entry
 	for z := 1; z <= s.world.Zones; z++ {
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -63,16 +63,16 @@
 // waiting for leases that poolers have acknowledged giving up.
 func TestDrainAfterControlHandover(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
-		old := g.Primary()
+		oldPrimary := g.Primary()
 		load := withLoad(w, g, func() {
-			control := controlPrimaryZone(w)
+			primaryZone := controlPrimaryZone(w)
 			go func() {
 				time.Sleep(300 * time.Millisecond)
-				old.Drain()
+				oldPrimary.Drain()
 			}()
-			w.Process("control", control).Terminate()
-			w.Start("control", control, false)
-			w.WaitUntil("a new primary is promoted", 3*time.Second, func() bool { p := g.Primary(); return p != nil && p != old })
+			w.Process("control", primaryZone).Terminate()
+			w.Start("control", primaryZone, false)
+			w.WaitUntil("a new primary is promoted", 3*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
 		})
 		checkWritesServed(t, load, 1500*time.Millisecond)
 	})
@@ -82,11 +82,11 @@
 // database is not running delays a failover but does not abort it.
 func TestPlatformErrorsDelayFailover(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
-		old := g.Primary()
+		oldPrimary := g.Primary()
 		load := withLoad(w, g, func() {
 			w.RefusePlatformCalls(429, 503, 0, 409)
-			old.Crash(false)
-			w.WaitUntil("a new primary is promoted", 8*time.Second, func() bool { p := g.Primary(); return p != nil && p != old })
+			oldPrimary.Crash(false)
+			w.WaitUntil("a new primary is promoted", 8*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
 		})
 		checkWritesServed(t, load, 6*time.Second)
 		if calls := w.PlatformCalls(); calls < 5 || calls > 8 {
@@ -98,11 +98,11 @@
 // Malformed or unauthorized messages of a peer are counted and dropped.
 func TestFaultyPeer(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
-		control := controlPrimaryZone(w)
-		controlKernel := w.Process("control", control).Kernel
+		primaryZone := controlPrimaryZone(w)
+		controlKernel := w.Process("control", primaryZone).Kernel
 		host := w.Net.Host("10.250.0.9")
 		for _, message := range []string{"{\n", `{"id":1,"op":"nothing"}` + "\n"} {
-			conn, err := host.Dial(context.Background(), ip(control)+":7440", 0)
+			conn, err := host.Dial(context.Background(), ip(primaryZone)+":7440", 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -116,26 +116,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		datagrams.WriteTo([]byte("noise"), address(ip(control)+":7440"))
-		datagrams.WriteTo([]byte(`{"k":"fault","f":"10.250.0.9:7440","b":7}`), address(ip(control)+":7440"))
+		datagrams.WriteTo([]byte("not a message"), address(ip(primaryZone)+":7440"))
+		datagrams.WriteTo([]byte(`{"k":"fault","f":"10.250.0.9:7440","b":7}`), address(ip(primaryZone)+":7440"))
 		datagrams.Close()
 
 		endpoint := rpc.NewEndpoint(kernel.NewKernel("peer", host, slog.New(slog.DiscardHandler)), "10.250.0.9:7440")
 		defer endpoint.CloseConnections()
-		unknownMember := controlstate.Member{Name: "stranger", Addr: "10.250.0.9:7440", Disk: "foreign"}
+		unknownMember := controlstate.Member{Name: "unknown", Addr: "10.250.0.9:7440", Disk: "foreign"}
 		for op, request := range map[string]any{
 			"controlstate.write": map[string]any{"epoch": 0, "seq": 1, "changes": map[string]any{"configuration": nil}},
 			"controlstate.copy":  map[string]any{"epoch": 99, "seq": 9},
 			"distribution.poll":  map[string]any{"pooler": "", "life": 0},
 		} {
 			var refused *rpc.Refused
-			if err := endpoint.Call(context.Background(), ip(control)+":7440", op, request, nil, kernel.Second); !errors.As(err, &refused) {
+			if err := endpoint.Call(context.Background(), ip(primaryZone)+":7440", op, request, nil, kernel.Second); !errors.As(err, &refused) {
 				t.Errorf("%s: %v", op, err)
 			}
 		}
 		var response struct{ Granted bool }
 		oldView := controlstate.View{Epoch: 0, Primary: unknownMember, Backups: []controlstate.Member{unknownMember}}
-		if err := endpoint.Call(context.Background(), ip(control)+":7440", "controlstate.renew", map[string]any{"view": oldView}, &response, kernel.Second); err != nil || response.Granted {
+		if err := endpoint.Call(context.Background(), ip(primaryZone)+":7440", "controlstate.renew", map[string]any{"view": oldView}, &response, kernel.Second); err != nil || response.Granted {
 			t.Errorf("lease renewal for an unknown node: %v %v", response, err)
 		}
 		time.Sleep(time.Second)
@@ -145,20 +145,20 @@
 				t.Errorf("counter %s is 0", counter)
 			}
 		}
-		if controlPrimaryZone(w) != control || w.FetchVersion() != 1 {
+		if controlPrimaryZone(w) != primaryZone || w.FetchVersion() != 1 {
 			t.Error("an unknown node changed the control state")
 		}
 	})
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidClientInput(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		for _, c := range []struct{ text, code, state string }{
 			{"WAITPOS 1.1 FETCH x", lineprotocol.Malformed, "I"},
 			{"STAT", lineprotocol.Malformed, "I"},
 			{"FETCH", lineprotocol.Malformed, "I"},
-			{"RUN nobody x", lineprotocol.NoSuch, "I"},
-			{"CLOSE nobody", lineprotocol.NoSuch, "I"},
+			{"RUN unknown x", lineprotocol.NoSuch, "I"},
+			{"CLOSE unknown", lineprotocol.NoSuch, "I"},
 			{"COMMIT", lineprotocol.Malformed, "I"},
 			{"PARSE a DROP x", lineprotocol.Malformed, "I"},
 			{"PUT x 1", "", "I"},
@@ -231,9 +231,9 @@
 // databases that may be promoted, and processes that do not respond are reported.
 func TestStatusAndPlan(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
-		primary := controlPrimaryZone(w)
+		primaryZone := controlPrimaryZone(w)
 		host := w.Net.Host("10.250.0.9")
-		sys := tools.CollectReports(context.Background(), host, []string{ip(primary) + ":7440"}, true)
+		sys := tools.CollectReports(context.Background(), host, []string{ip(primaryZone) + ":7440"}, true)
 		if len(sys.Reports) != 8 || len(sys.Missing) != 0 || sys.Primary() == nil {
 			t.Fatalf("%d reports, %v missing", len(sys.Reports), sys.Missing)
 		}
@@ -256,8 +256,8 @@
 		if err != nil || len(plan.Warnings) != 0 || !strings.Contains(plan.Effects[0], "[ledger-2 ledger-3]") || plan.Headroom["ledger"] != 14 || plan.Conns["ledger"] != 20 {
 			t.Errorf("plan of a release: %+v %v", plan, err)
 		}
-		plan, err = sys.MakePlan("lose", fmt.Sprintf("control-%d", primary), nil)
-		if err != nil || !strings.Contains(strings.Join(plan.Effects, "\n"), "takes over") || !strings.HasSuffix(plan.Restart[7], fmt.Sprintf("control-%d", primary)) {
+		plan, err = sys.MakePlan("lose", fmt.Sprintf("control-%d", primaryZone), nil)
+		if err != nil || !strings.Contains(strings.Join(plan.Effects, "\n"), "takes over") || !strings.HasSuffix(plan.Restart[7], fmt.Sprintf("control-%d", primaryZone)) {
 			t.Errorf("plan of a loss: %+v %v", plan, err)
 		}
 		plan, err = sys.MakePlan("grow", "40", nil)
@@ -271,7 +271,7 @@
 			t.Error("a plan to drain an unknown database was made")
 		}
 		w.Process("pooler", 2).Kill()
-		sys = tools.CollectReports(context.Background(), host, []string{ip(primary) + ":7440"}, true)
+		sys = tools.CollectReports(context.Background(), host, []string{ip(primaryZone) + ":7440"}, true)
 		if len(sys.Reports) != 7 || len(sys.Missing) != 1 {
 			t.Errorf("after a pooler was killed: %d reports, %v missing", len(sys.Reports), sys.Missing)
 		}
--- a/internal/simulation/shutdown_test.go
+++ b/internal/simulation/shutdown_test.go
@@ -75,8 +75,8 @@
 }
 
 // A pooler that shuts down answers every statement that it has read, also of sessions that are never
-// idle and of those that connect during the shutdown. It ends soon after the time that open
-// transactions have, however many clients connect.
+// idle and of those that connect during the shutdown. It ends soon after the time allowed for
+// open transactions, however many clients connect.
 func TestPoolerShutdownAnswersNewSessions(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		pooler := w.Process("pooler", 1)
@@ -109,7 +109,7 @@
 				continue
 			}
 			if took := time.Since(start); took > 200*time.Millisecond {
-				t.Errorf("%s was cut off without an answer after %v", id, took)
+				t.Errorf("statement %s got no answer; its connection was closed after %v", id, took)
 			}
 			s.Close()
 			s = nil
--- a/internal/simulation/standin_test.go
+++ b/internal/simulation/standin_test.go
@@ -41,7 +41,7 @@
 // with a code that guarantees that the write is not committed: the replication of a later commit
 // may have copied it to a replica meanwhile. Which of the two waiting commits checks first depends
 // on milliseconds, so the test tries several intervals between the writes.
-func TestStandinMakesNoPromiseForLoggedWrite(t *testing.T) {
+func TestStandinDemotedWithLoggedWrite(t *testing.T) {
 	for delayMs := range 6 {
 		synctest.Test(t, func(t *testing.T) {
 			w := NewWorld(t, 1, 3)
@@ -74,15 +74,15 @@
 		w := NewWorld(t, 1, 3)
 		defer w.Close()
 		g := w.AddGroup("ledger")
-		old := g.Primary()
-		old.SetReplicationStopped(true)
-		old.Crash(false)
+		oldPrimary := g.Primary()
+		oldPrimary.SetReplicationStopped(true)
+		oldPrimary.Crash(false)
 		g.PromoteTo(g.DB(1).ID)
 		time.Sleep(time.Second)
-		old.SetReplicationStopped(false)
-		old.Return("ledger-1b")
-		if promoted := g.DB(1); old.Role() != "replica" || g.Primary() != promoted {
-			t.Errorf("the old primary restarted as %s, and the primary is %v", old.Role(), g.Primary().ID)
+		oldPrimary.SetReplicationStopped(false)
+		oldPrimary.Return("ledger-1b")
+		if promoted := g.DB(1); oldPrimary.Role() != "replica" || g.Primary() != promoted {
+			t.Errorf("the old primary restarted as %s, and the primary is %v", oldPrimary.Role(), g.Primary().ID)
 		}
 	})
 }
--- a/internal/simulation/tenants_test.go
+++ b/internal/simulation/tenants_test.go
@@ -66,7 +66,7 @@
 
 // The API key determines the tenant at each operation. An unknown key is denied, and so is one that
 // is revoked while a client with it is connected; the client's open transaction is rolled back.
-// Databases learn the tenant's name, on connections that serve only that tenant.
+// Databases receive the tenant's name, on connections that serve only that tenant.
 func TestTenantKeys(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		w.replaceAndAwait(1, w.configurationWithTenants(2, newTenant("ann", "key-a1", "key-a2"), newTenant("bob", "key-b")))
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// Wipe deletes the process's data directory.
+// Wipe deletes the process's data directory, as when its disk is lost.
 func (p *Process) Wipe() {
 	if err := os.RemoveAll(p.dir); err != nil {
 		p.world.T.Fatalf("wipe: %v", err)
@@ -328,8 +328,8 @@
 	return code
 }
 
-// FetchVersion returns the version of the configuration, read from the first control node that answers,
-// or 0 if none does.
+// FetchVersion returns the version of the configuration, read from the first control node that
+// answers, or 0 if none does.
 func (w *World) FetchVersion() int64 {
 	for _, addr := range w.ControlAddrs() {
 		code, raw := w.Call(w.Net.Host("10.250.0.1"), "GET", addr, "/Conf.Fetch", nil, nil)
