--- a/internal/dbconn/conn_test.go
+++ b/internal/dbconn/conn_test.go
@@ -63,7 +63,7 @@
 		d := dbconn.Dialer{Net: wrap(network.Host("10.0.0.1")), ClientName: "w", ConnectTimeout: kernel.Second, UnresponsiveTimeout: kernel.Second}
 		c, err := d.Open(t.Context(), discovery.Database{ID: "d", Service: "s", Address: "10.0.0.2:1"}, kernel.Second)
 		f(network, c, err, extraLines)
-		network.Reset("10.0.0.2")
+		network.CloseSockets("10.0.0.2")
 		time.Sleep(15 * time.Second)
 	})
 }
@@ -189,8 +189,8 @@
 					t.Fatal(err)
 				}
 				start := time.Now()
-				network.Full("10.0.0.2", c.fullFor > 0)
-				time.AfterFunc(c.fullFor, func() { network.Full("10.0.0.2", false) })
+				network.SetReceiveBlocked("10.0.0.2", c.fullFor > 0)
+				time.AfterFunc(c.fullFor, func() { network.SetReceiveBlocked("10.0.0.2", false) })
 				longestHeld := time.Duration(0)
 				gate := func(write func() error) error {
 					entered := time.Now()
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -40,7 +40,7 @@
 		test(env)
 		cancel()
 		for _, host := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
-			env.network.Reset(host)
+			env.network.CloseSockets(host)
 		}
 		time.Sleep(10 * time.Second)
 	})
@@ -307,14 +307,14 @@
 		synctest.Wait()
 		caller, _ := env.endpoint(self)
 		defer caller.CloseConnections()
-		env.network.Cut(host(self), host(other), true)
+		env.network.SetPartitioned(host(self), host(other), true)
 		ctx, cancel := context.WithCancel(env.ctx)
 		time.AfterFunc(10*time.Millisecond, cancel)
 		began := time.Now()
 		if err := caller.Call(ctx, other, "op", 1, nil, kernel.Second); !errors.Is(err, rpc.ErrUnreachable) || time.Since(began) > 20*time.Millisecond {
 			env.Error(err, time.Since(began))
 		}
-		env.network.Cut(host(self), host(other), false)
+		env.network.SetPartitioned(host(self), host(other), false)
 		for range 3 {
 			if err := caller.Call(env.ctx, other, "op", 1, nil, kernel.Second); err != nil {
 				env.Error(err)
