--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -15,40 +15,42 @@
 	"indigowalk/internal/standin"
 )
 
-// Bounds that are passed to the processes in their settings and that the checks use.
+// Time bounds. All but slackBound are passed to the processes in their settings; the first four are also
+// bounds of the checks.
 const (
 	drainBound   = 7 * time.Second
 	contactBound = 4 * time.Second
 	applyBound   = 3 * time.Second
 	slackBound   = 200 * time.Millisecond
-	catchup      = 4 * time.Second
-	grace        = 6 * time.Second
+	catchUpTime  = 4 * time.Second
+	gracePeriod  = 6 * time.Second
 )
 
-// zones is the number of zones that the machines are spread over.
-const zones = 4
+// zoneCount is the number of availability zones that the machines are spread over.
+const zoneCount = 4
 
 // cluster consists of the machines, their processes and the addresses that they use.
 type cluster struct {
 	plan     Plan
 	program  string
 	dir      string
-	net      *loopback
+	loopback *loopback
 	platform *standin.Platform
 	server   *http.Server
 	listener net.Listener // of the platform
 
-	losses *losses
+	losses *lossLimiter
 
-	mu           sync.Mutex
-	machines     []*machine
-	replaced     []*machine // that have been replaced
-	replacements int        // number of machines that replaced another
+	mu               sync.Mutex
+	machines         []*machine
+	replaced         []*machine // that have been replaced
+	replacementCount int        // number of machines that replaced another
 }
 
+// Range of the second octet of a run's addresses.
 const (
 	firstSubnet = 64
-	subnets     = 128
+	subnetCount = 128
 )
 
 // skippedSubnets counts the subnets that were skipped because other runs use them.
@@ -56,11 +58,11 @@
 
 // subnet returns the second octet of this run's addresses. It is derived from the process ID, so
 // that concurrent runs on one machine use different addresses.
-func subnet() int { return firstSubnet + (os.Getpid()+int(skippedSubnets.Load()))%subnets }
+func subnet() int { return firstSubnet + (os.Getpid()+int(skippedSubnets.Load()))%subnetCount }
 
 // reserveSubnet finds a subnet that no other run uses and listens at the platform's address in it.
 func reserveSubnet() (ln net.Listener, err error) {
-	for range subnets {
+	for range subnetCount {
 		if ln, err = net.Listen("tcp4", platformAddr()); err == nil {
 			return ln, nil
 		}
@@ -78,66 +80,68 @@
 
 // Groups of addresses: the third octet.
 const (
-	machineGroup  = 1
-	bindGroup     = 2   // where the processes of machines listen
-	databaseGroup = 100 // and up, one for each service
-	platformGroup = 250
-	clientGroup   = 251
+	machineGroup     = 1
+	bindAddressGroup = 2   // the processes of machines listen here, behind the relays
+	databaseGroup    = 100 // the first of consecutive groups, one for each service
+	platformGroup    = 250
+	clientGroup      = 251
 )
 
 // operatorHost returns the address from which operators connect.
 func operatorHost() string { return address(clientGroup, 0) }
 
+// newCluster creates the machines of a plan without starting them.
 func newCluster(plan Plan, program, dir string) (*cluster, error) {
 	listener, err := reserveSubnet()
 	if err != nil {
 		return nil, err
 	}
-	c := &cluster{listener: listener, plan: plan, program: program, dir: dir, net: newLoopback(newLinks(uint64(plan.Seed))), platform: &standin.Platform{}}
-	c.losses = newLosses(int(c.plan.Tolerate))
+	c := &cluster{listener: listener, plan: plan, program: program, dir: dir, loopback: newLoopback(newLinks(uint64(plan.Seed))), platform: &standin.Platform{}}
+	c.losses = newLossLimiter(int(c.plan.Tolerate))
 	if plan.ExceedTolerated {
-		c.losses = newLosses(0)
+		c.losses = newLossLimiter(0)
 	}
-	for i := range plan.machines() {
-		c.machines = append(c.machines, c.newMachine(i, i < int(plan.ControlNodes), i < int(plan.Carriers)))
+	for i := range plan.machineCount() {
+		c.machines = append(c.machines, c.newMachine(i, i < int(plan.ControlNodes), i < int(plan.Proxies)))
 	}
 	c.publishControlAddrs()
 	return c, nil
 }
 
-func (c *cluster) newMachine(n int, control, carrier bool) *machine {
+// newMachine creates the machine with the given zero-based number, without starting it.
+func (c *cluster) newMachine(n int, control, proxy bool) *machine {
 	m := &machine{
-		name: fmt.Sprintf("edge-%d", n+1), ip: address(machineGroup, n), bind: address(bindGroup, n), zone: fmt.Sprintf("zone-%d", n%zones+1),
-		control: control, proxy: carrier,
+		name: fmt.Sprintf("edge-%d", n+1), ip: address(machineGroup, n), bindIP: address(bindAddressGroup, n), zone: fmt.Sprintf("zone-%d", n%zoneCount+1),
+		control: control, proxy: proxy,
 	}
 	m.addProcesses(c.dir, c.program, c.plan.Tier, c.plan.Cores)
-	c.net.registerSource(m.ip, m.bind)
+	c.loopback.registerSource(m.ip, m.bindIP)
 	return m
 }
 
 // ports returns the TCP ports of a machine's processes, and those that also receive datagrams.
 func (m *machine) ports() (ports []string, datagrams []string) {
 	if m.control {
-		ports, datagrams = append(ports, controlPort, controlCallPort), append(datagrams, controlCallPort)
+		ports, datagrams = append(ports, controlPort, controlRPCPort), append(datagrams, controlRPCPort)
 	}
 	if m.proxy {
-		ports, datagrams = append(ports, clientPort, readyPort, proxyCallPort), append(datagrams, proxyCallPort)
+		ports, datagrams = append(ports, clientPort, readyPort, proxyRPCPort), append(datagrams, proxyRPCPort)
 	}
 	return ports, datagrams
 }
 
-// startRelays starts the relays in front of a machine's processes.
+// startRelays starts a relay for each port of a machine's processes.
 func (c *cluster) startRelays(m *machine) error {
 	ports, datagrams := m.ports()
 	for _, port := range ports {
-		r, err := newRelay(c.net.links, c.net.hostBySource, m.ip, m.ip+":"+port, m.bind+":"+port)
+		r, err := newRelay(c.loopback.links, c.loopback.hostBySource, m.ip, m.ip+":"+port, m.bindIP+":"+port)
 		if err != nil {
 			return fmt.Errorf("testbed: the address %s:%s of %s: %w", m.ip, port, m.name, err)
 		}
 		m.relays = append(m.relays, r)
 	}
 	for _, port := range datagrams {
-		r, err := newDatagramRelay(c.net.links, c.net.hostBySource, m.ip, m.ip+":"+port, m.bind+":"+port)
+		r, err := newDatagramRelay(c.loopback.links, c.loopback.hostBySource, m.ip, m.ip+":"+port, m.bindIP+":"+port)
 		if err != nil {
 			return fmt.Errorf("testbed: the address %s:%s of %s: %w", m.ip, port, m.name, err)
 		}
@@ -146,7 +150,6 @@
 	return nil
 }
 
-// closeRelays closes the relays of a machine.
 func (m *machine) closeRelays() {
 	for _, r := range m.relays {
 		r.close()
@@ -164,11 +167,11 @@
 			addrs = append(addrs, m.controlAddr())
 		}
 	}
-	c.net.setControls(addrs)
+	c.loopback.setControls(addrs)
 }
 
-// all returns a copy of the list of current machines.
-func (c *cluster) all() []*machine {
+// currentMachines returns a copy of the list of machines that have not been replaced.
+func (c *cluster) currentMachines() []*machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*machine(nil), c.machines...)
@@ -180,7 +183,7 @@
 func (c *cluster) start() error {
 	c.server = &http.Server{Handler: c.platform, ReadHeaderTimeout: time.Second}
 	go c.server.Serve(c.listener)
-	for _, m := range c.all() {
+	for _, m := range c.currentMachines() {
 		if err := c.startRelays(m); err != nil {
 			return err
 		}
@@ -196,17 +199,17 @@
 
 // seeds returns the addresses of the first current control nodes.
 func (c *cluster) seeds() []string {
-	controls := c.net.Controls()
+	controls := c.loopback.Controls()
 	return controls[:min(maxSeeds, len(controls))]
 }
 
-// startMachine writes the settings of a machine's processes and starts them.
+// startMachine writes the settings files of a machine's processes and starts the processes.
 func (c *cluster) startMachine(m *machine, bootstrap bool) error {
 	if err := checkAddressesFree(m); err != nil {
 		return err
 	}
 	for _, p := range m.procs {
-		if err := p.write(m.settings(p, c.plan, c.seeds(), platformAddr(), bootstrap)); err != nil {
+		if err := p.writeSettings(m.settingsText(p, c.plan, c.seeds(), platformAddr(), bootstrap)); err != nil {
 			return fmt.Errorf("testbed: %w", err)
 		}
 		if err := p.start(); err != nil {
@@ -218,16 +221,16 @@
 
 // checkAddressesFree returns an error if an address of the machine's processes is in use.
 func checkAddressesFree(m *machine) error {
-	var faults []error
-	for _, addr := range []string{m.bind + ":" + clientPort, m.bind + ":" + controlPort} {
+	var errs []error
+	for _, addr := range []string{m.bindIP + ":" + clientPort, m.bindIP + ":" + controlPort} {
 		ln, err := net.Listen("tcp4", addr)
 		if err != nil {
-			faults = append(faults, fmt.Errorf("testbed: the address %s of %s: %w", addr, m.name, err))
+			errs = append(errs, fmt.Errorf("testbed: the address %s of %s: %w", addr, m.name, err))
 			continue
 		}
 		ln.Close()
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // kill sends SIGKILL to a machine's processes and waits until they have exited.
@@ -246,7 +249,7 @@
 	for _, p := range m.procs {
 		p.signal(syscall.SIGTERM, true)
 	}
-	end := time.Now().Add(grace)
+	end := time.Now().Add(gracePeriod)
 	for _, p := range m.procs {
 		if !p.awaitExit(time.Until(end)) {
 			p.killAndWait()
@@ -261,13 +264,13 @@
 	}
 }
 
-// replace kills a machine and starts an empty one at another address in its place.
+// replace kills a machine and starts one with an empty disk, at another address, in its place.
 func (c *cluster) replace(old *machine) (*machine, error) {
 	old.kill()
 	old.closeRelays()
 	c.mu.Lock()
-	n := c.plan.machines() + c.replacements
-	c.replacements++
+	n := c.plan.machineCount() + c.replacementCount
+	c.replacementCount++
 	m := c.newMachine(n, old.control, old.proxy)
 	m.lifecycle.Lock() // no fault is injected into it before it has started
 	defer m.lifecycle.Unlock()
@@ -285,26 +288,27 @@
 	return m, c.startMachine(m, false)
 }
 
-// faults lists the processes that exited unexpectedly, with the end of their logs.
-func (c *cluster) faults() (out []string) {
-	for _, m := range c.all() {
+// unexpectedExits describes the processes that exited unexpectedly, with the end of their logs.
+func (c *cluster) unexpectedExits() (out []string) {
+	for _, m := range c.currentMachines() {
 		for _, p := range m.procs {
-			if err := p.fault(); err != nil {
-				out = append(out, fmt.Sprintf("%v\n%s", err, p.tail()))
+			if err := p.exitError(); err != nil {
+				out = append(out, fmt.Sprintf("%v\n%s", err, p.logTail()))
 			}
 		}
 	}
 	return out
 }
 
-// end shuts down every process, gracefully at first, and closes the relays and the platform.
-func (c *cluster) end() {
+// stop shuts down every process, kills those that exceed the grace period, and closes the relays and
+// the platform.
+func (c *cluster) stop() {
 	var wg sync.WaitGroup
-	for _, m := range c.all() {
+	for _, m := range c.currentMachines() {
 		wg.Go(m.terminate)
 	}
 	wg.Wait()
-	for _, m := range c.all() {
+	for _, m := range c.currentMachines() {
 		m.closeRelays()
 	}
 	c.listener.Close()
@@ -313,10 +317,10 @@
 	}
 }
 
-// ready waits until every proxy reports that it accepts clients.
-func (c *cluster) ready(ctx context.Context) error {
+// awaitReady waits until every proxy reports that it accepts clients.
+func (c *cluster) awaitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
-	for _, m := range c.all() {
+	for _, m := range c.currentMachines() {
 		for m.proxy && !isReady(client, m) {
 			select {
 			case <-ctx.Done():
@@ -324,8 +328,8 @@
 			case <-time.After(50 * time.Millisecond):
 			}
 			for _, p := range m.procs {
-				if err := p.fault(); err != nil {
-					return fmt.Errorf("testbed: %w\n%s", err, p.tail())
+				if err := p.exitError(); err != nil {
+					return fmt.Errorf("testbed: %w\n%s", err, p.logTail())
 				}
 			}
 		}
--- a/internal/testbed/database_faults.go
+++ b/internal/testbed/database_faults.go
@@ -10,70 +10,70 @@
 	"indigowalk/internal/standin"
 )
 
-// Durations of database faults.
+// Durations of the faults of databases.
 const (
-	maxCrash          = 4 * time.Second
-	maxHang           = 1500 * time.Millisecond
-	maxDeaf           = 2 * time.Second
-	maxMisbehaving    = 3 * time.Second
-	maxHeartbeatDelay = 5 * time.Second // latency of heartbeats
+	maxCrashTime         = 4 * time.Second
+	maxHangTime          = 1500 * time.Millisecond
+	maxReplicationStop   = 2 * time.Second
+	maxProtocolViolation = 3 * time.Second
+	maxHeartbeatDelay    = 5 * time.Second // transit time of a new database's heartbeats
 	// drainDuration is how long a database that is being removed continues to serve.
 	drainDuration = drainBound + time.Second
 )
 
-// hang makes a host unresponsive for a while.
-func (t *faultInjector) hang(ctx context.Context, ip string, r *rand.Rand) {
-	t.cluster.net.Silence(ip, true)
-	sleep(ctx, randomDuration(r, maxHang))
-	t.cluster.net.Silence(ip, false)
+// hangHost makes a host unresponsive for a while.
+func (f *faultInjector) hangHost(ctx context.Context, ip string, r *rand.Rand) {
+	f.cluster.loopback.Silence(ip, true)
+	sleep(ctx, randomDuration(r, maxHangTime))
+	f.cluster.loopback.Silence(ip, false)
 }
 
-// injectDatabaseFault injects one database fault and returns when it is over. It does nothing if
-// fewer than three databases of the service are alive and not being removed.
-func (t *faultInjector) injectDatabaseFault(ctx context.Context, kind string, r *rand.Rand) error {
-	number := r.IntN(len(t.groups))
-	g := t.groups[number]
-	var alive []*standin.Database
+// injectDatabaseFault injects one fault into a database of a random service and returns when the fault
+// is over. It does nothing if fewer than three databases of the service are alive and not draining.
+func (f *faultInjector) injectDatabaseFault(ctx context.Context, kind string, r *rand.Rand) error {
+	serviceIndex := r.IntN(len(f.groups))
+	g := f.groups[serviceIndex]
+	var candidates []*standin.Database
 	for _, d := range g.Databases() {
 		if d.Alive() && !d.Leaves() {
-			alive = append(alive, d)
+			candidates = append(candidates, d)
 		}
 	}
-	if len(alive) < 3 {
+	if len(candidates) < 3 {
 		return nil
 	}
-	d := alive[r.IntN(len(alive))]
-	if kind == Crash || kind == Release {
+	d := candidates[r.IntN(len(candidates))]
+	if kind == Crash || kind == ReplaceDatabase {
 		if !d.Reserve() {
 			return nil
 		}
 		defer d.Release()
 	}
-	faultNumber := t.traffic.Begin(history.Trouble{Kind: kind, Node: d.ID, Planned: kind == Release, At: t.traffic.Now()})
-	defer func() { t.traffic.End(faultNumber) }()
-	id := fmt.Sprintf("%s-r%d", g.Service, t.rounds.next())
+	faultNumber := f.traffic.Begin(history.Trouble{Kind: kind, Node: d.ID, Planned: kind == ReplaceDatabase, At: f.traffic.Now()})
+	defer func() { f.traffic.End(faultNumber) }()
+	id := fmt.Sprintf("%s-r%d", g.Service, f.replacementNumbers.next())
 	switch kind {
 	case Crash:
 		d.Crash(r.IntN(3) == 0)
-		sleep(ctx, randomDuration(r, maxCrash))
+		sleep(ctx, randomDuration(r, maxCrashTime))
 		d.Return(id)
-	case Release:
-		t.replaceDatabase(ctx, g, number, d, id, r)
+	case ReplaceDatabase:
+		f.replaceDatabase(ctx, g, serviceIndex, d, id, r)
 	case Reset:
-		t.cluster.net.Break(d.IP)
+		f.cluster.loopback.ResetConns(d.IP)
 	case Hang:
-		t.hang(ctx, d.IP, r)
-	case Deaf:
+		f.hangHost(ctx, d.IP, r)
+	case StopReplication:
 		d.SetReplicationStopped(true)
-		sleep(ctx, randomDuration(r, maxDeaf))
+		sleep(ctx, randomDuration(r, maxReplicationStop))
 		if r.IntN(2) == 0 {
-			t.crashPrimary(ctx, g, d, id, r)
+			f.crashPrimary(ctx, g, d, id, r)
 		}
 		d.SetReplicationStopped(false)
 	case ProtocolViolation:
-		manners := standin.AllManners
-		d.Behave(manners[r.IntN(len(manners))], r.Float64()/2)
-		sleep(ctx, randomDuration(r, maxMisbehaving))
+		choices := standin.AllManners
+		d.Behave(choices[r.IntN(len(choices))], r.Float64()/2)
+		sleep(ctx, randomDuration(r, maxProtocolViolation))
 		d.Behave(standin.WellBehaved, 0)
 	}
 	return nil
@@ -81,30 +81,30 @@
 
 // crashPrimary crashes the primary for a while, unless it is the excluded database or another fault
 // affects it.
-func (t *faultInjector) crashPrimary(ctx context.Context, g *standin.Group, excluded *standin.Database, id string, r *rand.Rand) {
+func (f *faultInjector) crashPrimary(ctx context.Context, g *standin.Group, excluded *standin.Database, id string, r *rand.Rand) {
 	primary := g.Primary()
 	if primary == nil || primary == excluded || !primary.Reserve() {
 		return
 	}
 	defer primary.Release()
-	faultNumber := t.traffic.Begin(history.Trouble{Kind: Crash, Node: primary.ID, At: t.traffic.Now()})
-	defer func() { t.traffic.End(faultNumber) }()
+	faultNumber := f.traffic.Begin(history.Trouble{Kind: Crash, Node: primary.ID, At: f.traffic.Now()})
+	defer func() { f.traffic.End(faultNumber) }()
 	primary.Crash(false)
-	sleep(ctx, randomDuration(r, maxCrash))
+	sleep(ctx, randomDuration(r, maxCrashTime))
 	primary.Return(id)
 }
 
-// replaceDatabase replaces a database in a planned way. Some databases leave without announcing
-// that they drain, and the heartbeats of some new ones are delayed.
-func (t *faultInjector) replaceDatabase(ctx context.Context, g *standin.Group, number int, d *standin.Database, id string, r *rand.Rand) {
-	zone := fmt.Sprintf("zone-%d", 1+r.IntN(zones))
+// replaceDatabase adds a database and then drains and removes the given one. Some databases deregister
+// without reporting that they drain, and the heartbeats of some new ones are delayed.
+func (f *faultInjector) replaceDatabase(ctx context.Context, g *standin.Group, serviceIndex int, d *standin.Database, id string, r *rand.Rand) {
+	zone := fmt.Sprintf("zone-%d", 1+r.IntN(zoneCount))
 	heartbeatDelay := time.Duration(0)
 	if r.IntN(2) == 0 {
 		heartbeatDelay = randomDuration(r, maxHeartbeatDelay)
 	}
-	t.adding.Lock()
-	g.AddLate(id, address(databaseGroup+number, len(g.Databases())), zone, "replica", heartbeatDelay)
-	t.adding.Unlock()
+	f.addMu.Lock()
+	g.AddLate(id, address(databaseGroup+serviceIndex, len(g.Databases())), zone, "replica", heartbeatDelay)
+	f.addMu.Unlock()
 	sleep(ctx, time.Second)
 	if r.IntN(3) == 0 {
 		d.LeaveAtOnce(drainDuration)
--- a/internal/testbed/datagrams.go
+++ b/internal/testbed/datagrams.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// datagramRelay receives the datagrams for a process and forwards them as the links allow.
+// datagramRelay receives the datagrams for a process and drops, duplicates, delays or forwards them as
+// the links' impairments say.
 type datagramRelay struct {
 	links        *links
 	hostBySource func(ip string) string
--- a/internal/testbed/gateways.go
+++ b/internal/testbed/gateways.go
@@ -13,7 +13,7 @@
 	"indigowalk/internal/standin"
 )
 
-// Parameters of an HTTP service behind gateways, its clients and its probes.
+// Parameters of the HTTP services behind gateways, of their clients and of the route probes.
 const (
 	workersPerService = 8
 	clientsPerGateway = 4
@@ -24,15 +24,15 @@
 	probeRequestPath  = "/probe"
 )
 
-// service creates an HTTP service whose workers record their events in the history.
-func (b *bed) service(name string) *standin.Service {
-	s := standin.NewService(b.cluster.net, name)
+// newService creates an HTTP service whose workers record their events in the history.
+func (t *testRun) newService(name string) *standin.Service {
+	s := standin.NewService(t.cluster.loopback, name)
 	s.Observe = standin.Observer{
 		Ran: func(r standin.Run) {
-			b.traffic.Ran(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: b.traffic.Now()})
+			t.traffic.Ran(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: t.traffic.Now()})
 		},
 		Drains: func(service, database string) {
-			b.traffic.Draining(history.Drains{Service: service, Database: database, At: b.traffic.Now()})
+			t.traffic.Draining(history.Drains{Service: service, Database: database, At: t.traffic.Now()})
 		},
 	}
 	return s
@@ -48,23 +48,23 @@
 }
 
 // startRequests starts the clients of every service at every gateway.
-func (b *bed) startRequests() {
-	for _, s := range b.services {
+func (t *testRun) startRequests() {
+	for _, s := range t.services {
 		var entries []standin.Entry
-		for i, m := range b.cluster.all() {
+		for i, m := range t.cluster.currentMachines() {
 			if m.proxy {
 				entries = append(entries, standin.Entry{
-					Number: i + 1, Address: func() string { return b.cluster.all()[i].clientAddr() },
-					Network: b.cluster.net.Network(address(clientGroup, 1+i)),
+					Number: i + 1, Address: func() string { return t.cluster.currentMachines()[i].clientAddr() },
+					Network: t.cluster.loopback.Network(address(clientGroup, 1+i)),
 				})
 			}
 		}
-		b.requests = append(b.requests, s.Load(entries, clientsPerGateway, requestPause, func(r standin.Request) { b.recordRequest(s.Name, r) }))
+		t.requests = append(t.requests, s.Load(entries, clientsPerGateway, requestPause, func(r standin.Request) { t.recordRequest(s.Name, r) }))
 	}
 }
 
 // recordRequest adds a request to the history.
-func (b *bed) recordRequest(service string, r standin.Request) {
+func (t *testRun) recordRequest(service string, r standin.Request) {
 	code := ""
 	switch r.Status {
 	case http.StatusOK:
@@ -73,15 +73,15 @@
 	default:
 		code = strconv.Itoa(r.Status)
 	}
-	b.traffic.Asked(history.Statement{
+	t.traffic.Asked(history.Statement{
 		Pooler: r.Gateway, Service: service, ID: r.ID, Within: requestDeadline, Write: false, Thing: r.ID,
-		Sent: b.traffic.Since(r.Sent), Done: b.traffic.Since(r.Done), Code: code,
+		Sent: t.traffic.Since(r.Sent), Done: t.traffic.Since(r.Done), Code: code,
 	})
 }
 
-// probeRoute requests one of the operators' routes from a gateway; known is false if the
-// response doesn't show whether the route is served.
-func (b *bed) probeRoute(addr, route string, number int) (served, known bool) {
+// probeRoute requests one of the operators' routes from a gateway and reports whether the gateway serves
+// it. If the response doesn't show that, known is false.
+func (t *testRun) probeRoute(addr, route string, number int) (served, known bool) {
 	dialer := net.Dialer{Timeout: probeDialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(operatorHost())}}
 	c, err := dialer.Dial("tcp4", addr)
 	if err != nil {
@@ -89,49 +89,50 @@
 	}
 	defer c.Close()
 	id := fmt.Sprintf("probe-%s-%d", addr, number)
-	b.services[0].Expect(id, "GET "+probeRequestPath+" ", true)
+	t.services[0].Expect(id, "GET "+probeRequestPath+" ", true)
 	a := standin.Raw(c, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Indigowalk-Request-Id: %s\r\n\r\n", probeRequestPath, route, id))
 	return a.Status == http.StatusOK, a.Status == http.StatusOK || a.Status == http.StatusNotFound
 }
 
-// injectWorkerFault injects one fault into a worker of an HTTP service.
-func (t *faultInjector) injectWorkerFault(ctx context.Context, kind string, r *rand.Rand) error {
-	number := r.IntN(len(t.services))
-	s := t.services[number]
+// injectWorkerFault injects one fault into a random worker of an HTTP service and returns when the fault
+// is over.
+func (f *faultInjector) injectWorkerFault(ctx context.Context, kind string, r *rand.Rand) error {
+	serviceIndex := r.IntN(len(f.services))
+	s := f.services[serviceIndex]
 	workers := s.Workers()
-	d := workers[r.IntN(len(workers))]
-	if !d.Reserve() {
-		return nil // it is down or draining
+	w := workers[r.IntN(len(workers))]
+	if !w.Reserve() {
+		return nil // it has stopped, or another fault affects it
 	}
-	defer d.Release()
-	fault := t.traffic.Begin(history.Trouble{Kind: kind, Node: d.ID, Planned: kind == Release, At: t.traffic.Now()})
-	defer func() { t.traffic.End(fault) }()
-	id := fmt.Sprintf("%s-r%d", s.Name, t.rounds.next())
+	defer w.Release()
+	faultNumber := f.traffic.Begin(history.Trouble{Kind: kind, Node: w.ID, Planned: kind == ReplaceDatabase, At: f.traffic.Now()})
+	defer func() { f.traffic.End(faultNumber) }()
+	id := fmt.Sprintf("%s-r%d", s.Name, f.replacementNumbers.next())
 	switch kind {
 	case Crash:
-		d.Crash(r.IntN(3) == 0)
-		sleep(ctx, randomDuration(r, maxCrash))
-		t.cluster.net.Silence(d.IP, false)
-		s.Add(id, d.IP, d.Zone)
-	case Release:
-		t.adding.Lock()
-		s.Add(id, address(databaseGroup+number, len(s.Workers())), d.Zone)
-		t.adding.Unlock()
+		w.Crash(r.IntN(3) == 0)
+		sleep(ctx, randomDuration(r, maxCrashTime))
+		f.cluster.loopback.Silence(w.IP, false)
+		s.Add(id, w.IP, w.Zone)
+	case ReplaceDatabase:
+		f.addMu.Lock()
+		s.Add(id, address(databaseGroup+serviceIndex, len(s.Workers())), w.Zone)
+		f.addMu.Unlock()
 		if r.IntN(3) == 0 {
-			d.Deregister()
+			w.Deregister()
 		} else {
-			d.Leave()
+			w.Leave()
 		}
 		sleep(ctx, workerDrainTime)
-		d.End()
+		w.End()
 	case Reset:
-		t.cluster.net.Break(d.IP)
+		f.cluster.loopback.ResetConns(w.IP)
 	case Hang:
-		t.hang(ctx, d.IP, r)
+		f.hangHost(ctx, w.IP, r)
 	case ProtocolViolation:
-		d.InjectFault(standin.AllFaults[r.IntN(len(standin.AllFaults))])
-		sleep(ctx, randomDuration(r, maxMisbehaving))
-		d.InjectFault(standin.Well)
+		w.InjectFault(standin.AllFaults[r.IntN(len(standin.AllFaults))])
+		sleep(ctx, randomDuration(r, maxProtocolViolation))
+		w.InjectFault(standin.Well)
 	}
 	return nil
 }
--- a/internal/testbed/host.go
+++ b/internal/testbed/host.go
@@ -9,21 +9,21 @@
 	"indigowalk/internal/kernel"
 )
 
-// loopback is the network that stand-ins use: its hosts are addresses of the loopback interface,
-// whose connections can be reset and stalled.
+// loopback is the network of the stand-ins. Each host is an address of the loopback interface; the
+// connections that a host accepts can be reset and stalled.
 type loopback struct {
 	links *links
 
-	mu       sync.Mutex
-	hosts    map[string]*host
-	callers  map[string]string // hosts by their source address, where that differs from the host's own
-	controls []string          // addresses of the control nodes that the platform knows
+	mu            sync.Mutex
+	hosts         map[string]*host
+	hostsBySource map[string]string // hosts by the source address of their connections, where that differs from the host's address
+	controls      []string          // addresses of the control nodes that the platform knows
 }
 
-// host is one address with its open listeners and connections.
+// host is one address of a stand-in, with its open listeners and accepted connections.
 type host struct {
-	ip  string
-	net *loopback
+	ip       string
+	loopback *loopback
 
 	mu        sync.Mutex
 	wake      *sync.Cond
@@ -33,21 +33,21 @@
 }
 
 func newLoopback(l *links) *loopback {
-	return &loopback{links: l, hosts: map[string]*host{}, callers: map[string]string{}}
+	return &loopback{links: l, hosts: map[string]*host{}, hostsBySource: map[string]string{}}
 }
 
 // registerSource records that a host connects from the source address ip instead of its own.
 func (l *loopback) registerSource(host, ip string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.callers[ip] = host
+	l.hostsBySource[ip] = host
 }
 
 // hostBySource returns the host that connects from a source address.
 func (l *loopback) hostBySource(ip string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if host, found := l.callers[ip]; found {
+	if host, found := l.hostsBySource[ip]; found {
 		return host
 	}
 	return ip
@@ -58,7 +58,7 @@
 	defer l.mu.Unlock()
 	h := l.hosts[ip]
 	if h == nil {
-		h = &host{ip: ip, net: l, listeners: map[net.Listener]bool{}, conns: map[*hostConn]bool{}}
+		h = &host{ip: ip, loopback: l, listeners: map[net.Listener]bool{}, conns: map[*hostConn]bool{}}
 		h.wake = sync.NewCond(&h.mu)
 		l.hosts[ip] = h
 	}
@@ -101,7 +101,7 @@
 // ReachedPeer implements standin.Environment.
 func (l *loopback) ReachedPeer(c net.Conn) bool { return l.links.reachedTarget(c.LocalAddr().String()) }
 
-// Silence implements standin.Environment: while it is silent, the host reads and writes nothing.
+// Silence implements standin.Environment: a silent host's reads and writes block.
 func (l *loopback) Silence(ip string, silent bool) {
 	h := l.host(ip)
 	h.mu.Lock()
@@ -122,8 +122,8 @@
 	h.resetConns()
 }
 
-// Break resets the connections of a host, which continues to listen.
-func (l *loopback) Break(ip string) {
+// ResetConns resets the connections that a host has accepted; the host continues to listen.
+func (l *loopback) ResetConns(ip string) {
 	h := l.host(ip)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -174,9 +174,10 @@
 	return net.ListenPacket("udp4", addr)
 }
 
+// hostListener tracks the connections that it accepts for its host.
 type hostListener struct {
 	net.Listener
-	h *host
+	host *host
 }
 
 // Accept implements net.Listener.
@@ -186,26 +187,26 @@
 		return nil, err
 	}
 	ip, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	from := l.h.net.hostBySource(ip)
-	l.h.mu.Lock()
-	defer l.h.mu.Unlock()
-	accepted := &hostConn{Conn: c, h: l.h, from: from}
-	l.h.conns[accepted] = true
+	from := l.host.loopback.hostBySource(ip)
+	l.host.mu.Lock()
+	defer l.host.mu.Unlock()
+	accepted := &hostConn{Conn: c, host: l.host, from: from}
+	l.host.conns[accepted] = true
 	return accepted, nil
 }
 
 // hostConn is a connection that a host has accepted.
 type hostConn struct {
 	net.Conn
-	h    *host
+	host *host
 	from string // host that opened the connection
 }
 
 // Read implements net.Conn.
 func (c *hostConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.h.awaitResponsive(c)
-	if n > 0 && !c.awaitLink(c.from, c.h.ip) {
+	c.host.awaitResponsive(c)
+	if n > 0 && !c.awaitLink(c.from, c.host.ip) {
 		return 0, net.ErrClosed
 	}
 	return n, err
@@ -213,18 +214,18 @@
 
 // Write implements net.Conn.
 func (c *hostConn) Write(b []byte) (int, error) {
-	c.h.awaitResponsive(c)
-	if !c.awaitLink(c.h.ip, c.from) {
+	c.host.awaitResponsive(c)
+	if !c.awaitLink(c.host.ip, c.from) {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(b)
 }
 
 // awaitLink waits until the link can deliver data. It returns false if it has reset the connection
-// instead, because the link refuses connections or has been cut for maxHold.
+// instead, because the link refuses connections or has been cut for cutLinkTimeout.
 func (c *hostConn) awaitLink(from, to string) bool {
-	for end := time.Now().Add(maxHold); ; {
-		state, changed := c.h.net.links.state(from, to)
+	for end := time.Now().Add(cutLinkTimeout); ; {
+		state, changed := c.host.loopback.links.state(from, to)
 		if !state.cut && !state.refuse {
 			time.Sleep(state.delay)
 			return true
@@ -238,8 +239,8 @@
 
 // Close implements net.Conn.
 func (c *hostConn) Close() error {
-	c.h.mu.Lock()
-	defer c.h.mu.Unlock()
-	delete(c.h.conns, c)
+	c.host.mu.Lock()
+	defer c.host.mu.Unlock()
+	delete(c.host.conns, c)
 	return c.Conn.Close()
 }
--- a/internal/testbed/limit_faults.go
+++ b/internal/testbed/limit_faults.go
@@ -13,48 +13,49 @@
 	"indigowalk/internal/controlstate"
 )
 
-// Bounds of resource limit faults.
+// Bounds of the faults of a process's resources.
 const (
 	// maxDescriptors is the descriptor limit in the settings of the processes.
 	maxDescriptors = 4000
-	maxLimited     = 4 * time.Second
-	maxUnread      = 6 * time.Second
-	// maxSpareDescriptors and maxSpareBytes limit how many descriptors, and how many bytes of a
-	// file, are left.
+	maxLimitTime   = 4 * time.Second
+	maxLogPause    = 6 * time.Second
+	// maxSpareDescriptors and maxSpareFileBytes bound how many more descriptors a process can open, and
+	// how far its files can grow, under a lowered limit.
 	maxSpareDescriptors = 8
-	maxSpareBytes       = 400
+	maxSpareFileBytes   = 400
 )
 
-// injectLimitFault injects one fault of a process's resources and returns when it is over.
-func (t *faultInjector) injectLimitFault(ctx context.Context, kind string, r *rand.Rand) error {
-	m := t.pickMachine(r, kind == FullDisk)
+// injectLimitFault restricts one resource of a process and returns when the fault is over. It does
+// nothing if the fault is not permitted now.
+func (f *faultInjector) injectLimitFault(ctx context.Context, kind string, r *rand.Rand) error {
+	m := f.pickMachine(r, kind == FullDisk)
 	p := m.procs[r.IntN(len(m.procs))]
 	switch kind {
 	case Descriptors:
-		if !t.cluster.losses.tryAcquire(m) {
+		if !f.cluster.losses.tryAcquire(m) {
 			return nil
 		}
-		defer t.cluster.losses.release(m)
-		defer t.recordFault(kind, m, true)()
-		used, err := descriptors(p.pid())
+		defer f.cluster.losses.release(m)
+		defer f.recordFault(kind, m, true)()
+		used, err := countDescriptors(p.pid())
 		if err != nil {
 			return nil // the process has just exited
 		}
-		lowerLimit(ctx, p, unix.RLIMIT_NOFILE, uint64(used+r.IntN(maxSpareDescriptors)), randomDuration(r, maxLimited))
+		lowerLimit(ctx, p, unix.RLIMIT_NOFILE, uint64(used+r.IntN(maxSpareDescriptors)), randomDuration(r, maxLimitTime))
 	case FullDisk:
-		if !t.cluster.losses.tryAcquire(m) {
+		if !f.cluster.losses.tryAcquire(m) {
 			return nil
 		}
-		defer t.cluster.losses.release(m)
-		defer t.recordFault(kind, m, false)()
+		defer f.cluster.losses.release(m)
+		defer f.recordFault(kind, m, false)()
 		size := uint64(0)
 		if info, err := os.Stat(filepath.Join(m.procs[0].dir, controlstate.StoreFile)); err == nil {
 			size = uint64(info.Size())
 		}
-		lowerLimit(ctx, m.procs[0], unix.RLIMIT_FSIZE, size+uint64(r.IntN(maxSpareBytes)), randomDuration(r, maxLimited))
-	case LogReader:
+		lowerLimit(ctx, m.procs[0], unix.RLIMIT_FSIZE, size+uint64(r.IntN(maxSpareFileBytes)), randomDuration(r, maxLimitTime))
+	case PauseLogReader:
 		defer p.pauseLogReader()()
-		sleep(ctx, randomDuration(r, maxUnread))
+		sleep(ctx, randomDuration(r, maxLogPause))
 	}
 	return nil
 }
@@ -76,8 +77,8 @@
 	}
 }
 
-// descriptors returns the number of open descriptors of a process.
-func descriptors(pid int) (int, error) {
+// countDescriptors returns the number of open file descriptors of a process.
+func countDescriptors(pid int) (int, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(entries), err
 }
@@ -90,7 +91,7 @@
 		return 0
 	}
 	select {
-	case <-p.done:
+	case <-p.exited:
 		return 0
 	default:
 		return p.cmd.Process.Pid
@@ -98,12 +99,12 @@
 }
 
 // pauseLogReader stops reading the process's log output until the returned function is called.
-func (p *process) pauseLogReader() (release func()) {
+func (p *process) pauseLogReader() (resume func()) {
 	p.mu.Lock()
-	logs := p.logs
+	logs := p.logPipe
 	p.mu.Unlock()
 	if logs == nil {
 		return func() {}
 	}
-	return logs.hold()
+	return logs.pause()
 }
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -11,56 +11,57 @@
 
 // Bounds of link faults.
 const (
-	maxCut           = 6 * time.Second
-	maxDegraded      = 5 * time.Second // of links that only lose or delay data
-	maxReplyLoss     = 0.15
-	maxDatagramShare = 0.6 // share of datagrams that are lost, or that are delivered twice
-	maxDelay         = 40 * time.Millisecond
+	maxCutTime            = 6 * time.Second
+	maxDegradedTime       = 5 * time.Second // for links that lose, duplicate or delay data but are not cut
+	maxReplyLoss          = 0.15
+	maxDatagramFaultShare = 0.6 // share of datagrams that are lost, or that are delivered twice
+	maxLinkDelay          = 40 * time.Millisecond
 )
 
 // injectLinkFault injects one link fault and returns when it is over. It does nothing if the fault
 // is not permitted now.
-func (t *faultInjector) injectLinkFault(ctx context.Context, kind string, r *rand.Rand) error {
+func (f *faultInjector) injectLinkFault(ctx context.Context, kind string, r *rand.Rand) error {
 	switch kind {
-	case CutCore, CutCarrier, CutDatabases:
-		t.cutMachine(ctx, kind, r)
+	case CutControl, CutMachine, CutDatabases:
+		f.cutMachine(ctx, kind, r)
 	case CutPrimary:
-		t.cutPrimary(ctx, r)
+		f.cutPrimary(ctx, r)
 	case Split:
-		t.splitControl(ctx, r)
+		f.splitControl(ctx, r)
 	case LoseReplies, Datagrams:
-		t.degradeLinks(ctx, kind, r)
+		f.degradeLinks(ctx, kind, r)
 	case Delay:
-		m := t.pickMachine(r, false)
-		if !t.cluster.losses.tryAcquire(m) {
+		m := f.pickMachine(r, false)
+		if !f.cluster.losses.tryAcquire(m) {
 			return nil
 		}
-		defer t.cluster.losses.release(m)
-		defer t.recordFault(Delay, m, true)()
-		t.impairFor(ctx, randomDuration(r, maxDegraded), between(hostSet(m.ip), t.otherHosts(m)), impairment{delay: randomDuration(r, maxDelay)})
+		defer f.cluster.losses.release(m)
+		defer f.recordFault(Delay, m, true)()
+		f.impairFor(ctx, randomDuration(r, maxDegradedTime), between(hostSet(m.ip), f.otherHosts(m)), impairment{delay: randomDuration(r, maxLinkDelay)})
 	case ResetLinks:
-		t.resetLinks(r)
+		f.resetLinks(r)
 	}
 	return nil
 }
 
 // impairFor applies an impairment for the given duration.
-func (t *faultInjector) impairFor(ctx context.Context, duration time.Duration, matches func(from, to string) bool, i impairment) {
-	heal := t.cluster.net.links.impair(matches, i)
+func (f *faultInjector) impairFor(ctx context.Context, duration time.Duration, matches func(from, to string) bool, i impairment) {
+	heal := f.cluster.loopback.links.impair(matches, i)
 	defer heal()
 	sleep(ctx, duration)
 }
 
-// otherHosts returns the addresses of the other machines and of the stand-ins, except clients.
-func (t *faultInjector) otherHosts(m *machine) map[string]bool {
-	set := t.machineSet(func(o *machine) bool { return o != m })
-	maps.Copy(set, t.databaseHosts(-1))
+// otherHosts returns the addresses of all databases and of all machines but m.
+func (f *faultInjector) otherHosts(m *machine) map[string]bool {
+	set := f.machineHosts(func(o *machine) bool { return o != m })
+	maps.Copy(set, f.databaseHosts(-1))
 	return set
 }
 
-func (t *faultInjector) machineSet(which func(*machine) bool) map[string]bool {
+// machineHosts returns the addresses of the current machines that a predicate selects.
+func (f *faultInjector) machineHosts(which func(*machine) bool) map[string]bool {
 	set := map[string]bool{}
-	for _, m := range t.cluster.all() {
+	for _, m := range f.cluster.currentMachines() {
 		if which(m) {
 			set[m.ip] = true
 		}
@@ -68,18 +69,18 @@
 	return set
 }
 
-// cutMachine isolates one machine from the other control machines or from the databases of a
+// cutMachine partitions one machine from the other control machines or from the databases of a
 // service, sometimes in one direction only.
-func (t *faultInjector) cutMachine(ctx context.Context, kind string, r *rand.Rand) {
-	m := t.pickMachine(r, kind == CutCore)
-	if !t.cluster.losses.tryAcquire(m) {
+func (f *faultInjector) cutMachine(ctx context.Context, kind string, r *rand.Rand) {
+	m := f.pickMachine(r, kind == CutControl)
+	if !f.cluster.losses.tryAcquire(m) {
 		return
 	}
-	defer t.cluster.losses.release(m)
-	defer t.recordFault(kind, m, false)()
-	peers := t.machineSet(func(o *machine) bool { return o != m && o.control })
+	defer f.cluster.losses.release(m)
+	defer f.recordFault(kind, m, false)()
+	peers := f.machineHosts(func(o *machine) bool { return o != m && o.control })
 	if kind == CutDatabases {
-		peers = t.databaseHosts(r.IntN(int(t.cluster.plan.Services)))
+		peers = f.databaseHosts(r.IntN(int(f.cluster.plan.Services)))
 	}
 	matches := between(hostSet(m.ip), peers)
 	switch r.IntN(4) {
@@ -88,22 +89,22 @@
 	case 1:
 		matches = oneWay(peers, hostSet(m.ip))
 	}
-	t.impairFor(ctx, randomDuration(r, maxCut), matches, impairment{cut: true, refuse: r.IntN(4) == 0})
+	f.impairFor(ctx, randomDuration(r, maxCutTime), matches, impairment{cut: true, refuse: r.IntN(4) == 0})
 }
 
-// cutPrimary isolates a primary from some machines or from its replicas.
-func (t *faultInjector) cutPrimary(ctx context.Context, r *rand.Rand) {
-	if len(t.groups) == 0 {
+// cutPrimary partitions a primary from some machines or from its replicas.
+func (f *faultInjector) cutPrimary(ctx context.Context, r *rand.Rand) {
+	if len(f.groups) == 0 {
 		return
 	}
-	g := t.groups[r.IntN(len(t.groups))]
+	g := f.groups[r.IntN(len(f.groups))]
 	primary := g.Primary()
 	if primary == nil {
 		return
 	}
-	number := t.traffic.Begin(history.Trouble{Kind: CutPrimary, Node: primary.ID, At: t.traffic.Now()})
-	defer func() { t.traffic.End(number) }()
-	peers := t.machineSet(func(*machine) bool { return r.IntN(2) == 0 })
+	faultNumber := f.traffic.Begin(history.Trouble{Kind: CutPrimary, Node: primary.ID, At: f.traffic.Now()})
+	defer func() { f.traffic.End(faultNumber) }()
+	peers := f.machineHosts(func(*machine) bool { return r.IntN(2) == 0 })
 	if r.IntN(3) == 0 {
 		peers = map[string]bool{}
 		for _, d := range g.Databases() {
@@ -112,52 +113,52 @@
 			}
 		}
 	}
-	t.impairFor(ctx, randomDuration(r, maxCut), between(hostSet(primary.IP), peers), impairment{cut: true})
+	f.impairFor(ctx, randomDuration(r, maxCutTime), between(hostSet(primary.IP), peers), impairment{cut: true})
 }
 
-// splitControl partitions the control machines into two halves, regardless of the number of
-// failures that may be tolerated.
-func (t *faultInjector) splitControl(ctx context.Context, r *rand.Rand) {
+// splitControl partitions the control machines into two halves, even if the plan tolerates the loss of
+// fewer machines.
+func (f *faultInjector) splitControl(ctx context.Context, r *rand.Rand) {
 	var ips []string
-	for _, m := range t.cluster.all() {
+	for _, m := range f.cluster.currentMachines() {
 		if m.control {
 			ips = append(ips, m.ip)
 		}
 	}
 	r.Shuffle(len(ips), func(i, j int) { ips[i], ips[j] = ips[j], ips[i] })
 	half := len(ips) / 2
-	for _, m := range t.cluster.all() {
+	for _, m := range f.cluster.currentMachines() {
 		if m.control {
-			defer t.recordFault(Split, m, false)()
+			defer f.recordFault(Split, m, false)()
 		}
 	}
-	t.impairFor(ctx, randomDuration(r, maxCut), between(hostSet(ips[:half]...), hostSet(ips[half:]...)), impairment{cut: true})
+	f.impairFor(ctx, randomDuration(r, maxCutTime), between(hostSet(ips[:half]...), hostSet(ips[half:]...)), impairment{cut: true})
 }
 
-// degradeLinks makes some responses or datagrams between the cluster's processes, operators and
-// databases get lost. Datagrams may also be duplicated.
-func (t *faultInjector) degradeLinks(ctx context.Context, kind string, r *rand.Rand) {
-	number := t.traffic.Begin(history.Trouble{Kind: kind, Control: true, At: t.traffic.Now()})
-	defer func() { t.traffic.End(number) }()
-	own := t.machineSet(func(*machine) bool { return true })
-	own[operatorHost()] = true
-	maps.Copy(own, t.databaseHosts(-1))
+// degradeLinks drops some responses, or drops and duplicates some datagrams, on the links between
+// machines, operators and databases.
+func (f *faultInjector) degradeLinks(ctx context.Context, kind string, r *rand.Rand) {
+	faultNumber := f.traffic.Begin(history.Trouble{Kind: kind, Control: true, At: f.traffic.Now()})
+	defer func() { f.traffic.End(faultNumber) }()
+	hosts := f.machineHosts(func(*machine) bool { return true })
+	hosts[operatorHost()] = true
+	maps.Copy(hosts, f.databaseHosts(-1))
 	i := impairment{replyLoss: maxReplyLoss * r.Float64()}
 	if kind == Datagrams {
-		i = impairment{datagramLoss: maxDatagramShare * r.Float64(), duplication: maxDatagramShare * r.Float64()}
+		i = impairment{datagramLoss: maxDatagramFaultShare * r.Float64(), duplication: maxDatagramFaultShare * r.Float64()}
 	}
-	t.impairFor(ctx, randomDuration(r, maxDegraded), between(own, own), i)
+	f.impairFor(ctx, randomDuration(r, maxDegradedTime), between(hosts, hosts), i)
 }
 
 // resetLinks resets some of the connections to a machine's processes, except those of clients.
-func (t *faultInjector) resetLinks(r *rand.Rand) {
-	m := t.pickMachine(r, false)
-	over := t.recordFault(ResetLinks, m, false)
-	defer over()
+func (f *faultInjector) resetLinks(r *rand.Rand) {
+	m := f.pickMachine(r, false)
+	end := f.recordFault(ResetLinks, m, false)
+	defer end()
 	share := r.Float64()
 	for _, relay := range m.relays {
 		if relay.ln.Addr().String() != m.clientAddr() {
-			relay.reset(share, t.cluster.net.links.sample)
+			relay.resetConns(share, f.cluster.loopback.links.sample)
 		}
 	}
 }
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -9,7 +9,7 @@
 // impairment describes the faults of a link in one direction: from the sender of the bytes to
 // their receiver.
 type impairment struct {
-	cut          bool          // nothing is delivered; data in transit waits
+	cut          bool          // nothing is delivered; data waits up to cutLinkTimeout
 	refuse       bool          // new and existing connections are reset
 	replyLoss    float64       // share of the responses that are lost together with their connection
 	datagramLoss float64       // share of datagrams that are lost
@@ -18,10 +18,10 @@
 }
 
 // combine returns the joint effect of two impairments.
-func (i impairment) combine(o impairment) impairment {
+func (i impairment) combine(other impairment) impairment {
 	return impairment{
-		cut: i.cut || o.cut, refuse: i.refuse || o.refuse, replyLoss: max(i.replyLoss, o.replyLoss),
-		datagramLoss: max(i.datagramLoss, o.datagramLoss), duplication: max(i.duplication, o.duplication), delay: i.delay + o.delay,
+		cut: i.cut || other.cut, refuse: i.refuse || other.refuse, replyLoss: max(i.replyLoss, other.replyLoss),
+		datagramLoss: max(i.datagramLoss, other.datagramLoss), duplication: max(i.duplication, other.duplication), delay: i.delay + other.delay,
 	}
 }
 
@@ -31,14 +31,15 @@
 	impairment
 }
 
-// links are all links between hosts, by address. A link that no active rule matches is unimpaired.
+// links holds the rules that impair the links between hosts, which are identified by their addresses.
+// A link that no rule matches is unimpaired.
 type links struct {
 	mu          sync.Mutex
 	rules       map[int]rule
 	next        int
 	changed     chan struct{} // closed at the next change of the rules
 	random      *rand.Rand
-	unforwarded map[string]bool // connections that relays accepted but could not forward, by the caller's address
+	unforwarded map[string]bool // caller addresses of the connections that relays accepted but could not forward
 }
 
 func newLinks(seed uint64) *links {
@@ -48,7 +49,8 @@
 // linksStream selects the random number stream of the links.
 const linksStream = 9000
 
-// recordUnforwarded records that a relay accepted a connection and could not connect to its target.
+// recordUnforwarded records that a relay has accepted a connection from the caller's address but could
+// not forward it.
 func (l *links) recordUnforwarded(caller string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,14 +83,14 @@
 	}
 }
 
-// notifyChange wakes all that wait for a change of the rules. The caller holds the lock.
+// notifyChange wakes every goroutine that waits for a change of the rules. The caller holds the lock.
 func (l *links) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// state returns the current impairment of a link, and a channel that is closed when it may have
-// changed.
+// state returns the current impairment of a link, and a channel that is closed at the next change of
+// the rules.
 func (l *links) state(from, to string) (impairment, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +103,7 @@
 	return combined, l.changed
 }
 
-// sample returns true with the probability share.
+// sample returns true with the given probability.
 func (l *links) sample(share float64) bool {
 	if share <= 0 {
 		return false
--- a/internal/testbed/logs.go
+++ b/internal/testbed/logs.go
@@ -6,12 +6,13 @@
 	"sync"
 )
 
-// logPipe copies the log output of a process to a file, unless reading is paused.
+// logPipe copies the log output of a process to a file. Reading can be paused, so that the process's
+// writes block once the pipe is full.
 type logPipe struct {
 	in *os.File // the write end, for the process
 
-	mu   sync.Mutex
-	held chan struct{} // closed when reading resumes; nil if it is not paused
+	mu      sync.Mutex
+	resumed chan struct{} // closed when reading resumes; nil if it is not paused
 }
 
 // newLogPipe returns a pipe whose content is appended to the file at path until all its writers
@@ -36,35 +37,35 @@
 			if _, werr := file.Write(buf[:n]); werr != nil || err == io.EOF || err != nil {
 				return
 			}
-			l.await()
+			l.awaitResume()
 		}
 	}()
 	return l, nil
 }
 
-// await blocks while reading is paused.
-func (l *logPipe) await() {
+// awaitResume blocks while reading is paused.
+func (l *logPipe) awaitResume() {
 	l.mu.Lock()
-	held := l.held
+	resumed := l.resumed
 	l.mu.Unlock()
-	if held != nil {
-		<-held
+	if resumed != nil {
+		<-resumed
 	}
 }
 
-// hold pauses reading of the log until the returned function is called.
-func (l *logPipe) hold() (release func()) {
+// pause stops reading the log until the returned function is called.
+func (l *logPipe) pause() (resume func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held != nil {
+	if l.resumed != nil {
 		return func() {} // it is paused already
 	}
-	held := make(chan struct{})
-	l.held = held
+	resumed := make(chan struct{})
+	l.resumed = resumed
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.held = nil
-		close(held)
+		l.resumed = nil
+		close(resumed)
 	}
 }
--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// losses tracks the control machines that are lost, so that no more than the tolerated number
-// are lost at once. A machine counts as lost while it is down, frozen or partitioned, and for
-// catchup afterwards. A fault is injected only if losses allows it; otherwise another is drawn.
-type losses struct {
+// lossLimiter limits how many control machines are lost at once to the number that the plan tolerates.
+// A machine counts as lost while a fault affects it (it is down, frozen or partitioned, say), and for
+// catchUpTime afterwards. A fault that the limiter does not permit is skipped, and another is drawn.
+type lossLimiter struct {
 	limit int // 0 for no limit
 
-	mu    sync.Mutex
-	lost  map[*machine]*loss
-	disks time.Time // no further disk may be lost before this time
+	mu           sync.Mutex
+	lost         map[*machine]*loss
+	nextDiskLoss time.Time // no further disk may be lost before this time
 }
 
-// loss is the state of one lost machine, with the number of its active faults.
+// loss is the state of one lost machine.
 type loss struct {
-	faults int
-	until  time.Time // when it has caught up, once no fault is active
+	faults     int
+	caughtUpAt time.Time // when it has caught up after its last fault
 }
 
-func newLosses(limit int) *losses { return &losses{limit: limit, lost: map[*machine]*loss{}} }
+func newLossLimiter(limit int) *lossLimiter {
+	return &lossLimiter{limit: limit, lost: map[*machine]*loss{}}
+}
 
 // tryAcquire records the loss of a machine, if the limit allows it; otherwise it returns false.
-func (l *losses) tryAcquire(m *machine) bool {
+func (l *lossLimiter) tryAcquire(m *machine) bool {
 	if !m.control {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.limit > 0 && l.others(m) >= l.limit {
+	if l.limit > 0 && l.countOthers(m) >= l.limit {
 		return false
 	}
 	if l.lost[m] == nil {
@@ -41,11 +43,11 @@
 	return true
 }
 
-// others returns how many machines other than m are lost. The caller holds the lock.
-func (l *losses) others(m *machine) (n int) {
+// countOthers returns how many machines other than m are lost. The caller holds the lock.
+func (l *lossLimiter) countOthers(m *machine) (n int) {
 	now := time.Now()
 	for other, loss := range l.lost {
-		if other != m && (loss.faults > 0 || now.Before(loss.until)) {
+		if other != m && (loss.faults > 0 || now.Before(loss.caughtUpAt)) {
 			n++
 		}
 	}
@@ -53,14 +55,14 @@
 }
 
 // noneLost reports whether no machine is lost or still catching up.
-func (l *losses) noneLost() bool {
+func (l *lossLimiter) noneLost() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.others(nil) == 0
+	return l.countOthers(nil) == 0
 }
 
 // release records that a fault of a machine has ended.
-func (l *losses) release(m *machine) {
+func (l *lossLimiter) release(m *machine) {
 	if !m.control {
 		return
 	}
@@ -68,26 +70,27 @@
 	defer l.mu.Unlock()
 	loss := l.lost[m]
 	loss.faults--
-	loss.until = time.Now().Add(catchup)
+	loss.caughtUpAt = time.Now().Add(catchUpTime)
 }
 
-// diskCatchup is the minimum time between the losses of two disks, for the first machine to
-// return and catch up: without a limit on lost machines, others may have been lost meanwhile.
+// diskCatchup is the minimum time between the losses of two disks. The first machine must restart and
+// catch up within it, even if other machines are lost meanwhile because there is no limit.
 const diskCatchup = 20 * time.Second
 
-// tryAcquireDisk records that a machine loses its disk, if one may be lost now. A limit on lost
-// machines covers disks too.
-func (l *losses) tryAcquireDisk(m *machine) bool {
+// tryAcquireDisk records that a machine is lost together with its disk, if that is permitted now;
+// otherwise it returns false. A limit on lost machines covers disks too, so that diskCatchup applies
+// only without a limit.
+func (l *lossLimiter) tryAcquireDisk(m *machine) bool {
 	if !l.tryAcquire(m) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.limit == 0 && (now.Before(l.disks) || l.others(m) > 0) {
+	if l.limit == 0 && (now.Before(l.nextDiskLoss) || l.countOthers(m) > 0) {
 		l.lost[m].faults--
 		return false
 	}
-	l.disks = now.Add(diskCatchup)
+	l.nextDiskLoss = now.Add(diskCatchup)
 	return true
 }
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Roles of processes.
+// controlRole is the role of a control node's process.
 const controlRole = "control"
 
-// Ports, the same on every machine.
+// Ports, which are the same on every machine. The RPC ports also receive datagrams.
 const (
-	controlCallPort = "7440"
-	proxyCallPort   = "7441"
+	controlRPCPort = "7440"
+	proxyRPCPort   = "7441"
 
 	clientPort   = "8784"
 	readyPort    = "8785"
@@ -27,12 +27,12 @@
 	platformPort = "8783"
 )
 
-// machine is an address with its processes. Others reach them through relays at this address; the
-// processes listen at a second one, which is also the source address of their connections.
+// machine is a host address with its processes. Relays listen at this address and forward to the
+// processes, which listen at bindIP and connect from there.
 type machine struct {
 	name    string
 	ip      string
-	bind    string
+	bindIP  string
 	zone    string
 	control bool // a control node runs here
 	proxy   bool // a pooler or gateway runs here
@@ -47,45 +47,45 @@
 func (m *machine) clientAddr() string  { return m.ip + ":" + clientPort }
 func (m *machine) controlAddr() string { return m.ip + ":" + controlPort }
 
-// process is one process of the program.
+// process is one process of the program under test, across its restarts.
 type process struct {
 	role    string
 	name    string
 	dir     string // its data directory
-	log     string // path of its log
+	logPath string // path of its log
 	program string
 	cores   int64
 
 	mu             sync.Mutex
 	cmd            *exec.Cmd
-	done           chan struct{}
+	exited         chan struct{}
 	exitExpected   bool // the testbed has sent a signal that may end it
 	unexpectedExit error
-	logs           *logPipe
+	logPipe        *logPipe
 	startedAt      time.Time
 }
 
-// raceExit is the code with which a race-built program ends at the first race.
-const raceExit = 66
+// raceExitCode is the exit code of a program built with the race detector that has found a race.
+const raceExitCode = 66
 
-// write writes the settings file of a process.
-func (p *process) write(text string) error {
-	return os.WriteFile(p.settings(), []byte(text), 0o600)
+// writeSettings writes the settings file of the process.
+func (p *process) writeSettings(text string) error {
+	return os.WriteFile(p.settingsPath(), []byte(text), 0o600)
 }
 
-func (p *process) settings() string { return p.dir + ".conf" }
+func (p *process) settingsPath() string { return p.dir + ".conf" }
 
 // start starts the process, which must not be running.
 func (p *process) start() error {
-	logs, err := newLogPipe(p.log)
+	logs, err := newLogPipe(p.logPath)
 	if err != nil {
 		return fmt.Errorf("testbed: %w", err)
 	}
 	defer logs.in.Close()
 	cmd := exec.Command(p.program, p.role)
 	cmd.Env = append(os.Environ(),
-		"INDIGOWALK_SETTINGS="+p.settings(), "GOMAXPROCS="+strconv.FormatInt(p.cores, 10),
-		"GORACE=halt_on_error=1 exitcode="+strconv.Itoa(raceExit))
+		"INDIGOWALK_SETTINGS="+p.settingsPath(), "GOMAXPROCS="+strconv.FormatInt(p.cores, 10),
+		"GORACE=halt_on_error=1 exitcode="+strconv.Itoa(raceExitCode))
 	cmd.Stdout, cmd.Stderr = logs.in, logs.in
 	// The process must not outlive the testbed, however the testbed exits.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
@@ -94,30 +94,30 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	done := make(chan struct{})
-	p.cmd, p.done, p.exitExpected, p.logs, p.startedAt = cmd, done, false, logs, time.Now()
-	go p.wait(cmd, done)
+	exited := make(chan struct{})
+	p.cmd, p.exited, p.exitExpected, p.logPipe, p.startedAt = cmd, exited, false, logs, time.Now()
+	go p.wait(cmd, exited)
 	return nil
 }
 
 // wait waits for the process to exit and records an unexpected exit or a detected race.
-func (p *process) wait(cmd *exec.Cmd, done chan struct{}) {
+func (p *process) wait(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var code *exec.ExitError
-	raced := errors.As(err, &code) && code.ExitCode() == raceExit
+	var exitErr *exec.ExitError
+	raced := errors.As(err, &exitErr) && exitErr.ExitCode() == raceExitCode
 	if (!p.exitExpected || raced) && p.unexpectedExit == nil {
 		p.unexpectedExit = fmt.Errorf("%s ended by itself: %v", p.name, cmd.ProcessState)
 	}
-	close(done)
+	close(exited)
 }
 
-// signal sends a signal; ends says that the process may exit because of it.
-func (p *process) signal(s syscall.Signal, ends bool) {
+// signal sends a signal. If mayExit is set, a later exit of the process counts as expected.
+func (p *process) signal(s syscall.Signal, mayExit bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.exitExpected = p.exitExpected || ends
+	p.exitExpected = p.exitExpected || mayExit
 	if p.cmd != nil && p.cmd.Process != nil {
 		_ = p.cmd.Process.Signal(s) // best effort: the process may have exited already
 	}
@@ -139,13 +139,13 @@
 // awaitExit waits for the process to exit and reports whether it did within the timeout.
 func (p *process) awaitExit(timeout time.Duration) bool {
 	p.mu.Lock()
-	done := p.done
+	exited := p.exited
 	p.mu.Unlock()
-	if done == nil {
+	if exited == nil {
 		return true
 	}
 	select {
-	case <-done:
+	case <-exited:
 		return true
 	case <-time.After(timeout):
 		return false
@@ -155,16 +155,16 @@
 // wipe removes the data directory.
 func (p *process) wipe() error { return os.RemoveAll(p.dir) }
 
-// fault returns the unexpected exit of the process, if there was one.
-func (p *process) fault() error {
+// exitError returns the first unexpected exit of the process, or nil if there was none.
+func (p *process) exitError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.unexpectedExit
 }
 
-// tail returns the end of the log.
-func (p *process) tail() string {
-	raw, err := os.ReadFile(p.log)
+// logTail returns the end of the log.
+func (p *process) logTail() string {
+	raw, err := os.ReadFile(p.logPath)
 	if err != nil {
 		return ""
 	}
@@ -177,7 +177,7 @@
 	add := func(role string) {
 		name := m.name + "-" + role
 		m.procs = append(m.procs, &process{
-			role: role, name: name, dir: filepath.Join(dir, name), log: filepath.Join(dir, name+".log"), program: program, cores: cores,
+			role: role, name: name, dir: filepath.Join(dir, name), logPath: filepath.Join(dir, name+".log"), program: program, cores: cores,
 		})
 	}
 	if m.control {
@@ -188,14 +188,14 @@
 	}
 }
 
-// settings returns the settings file content for a process of the machine.
-func (m *machine) settings(p *process, plan Plan, seeds []string, platform string, bootstrap bool) string {
+// settingsText returns the content of the settings file for a process of the machine.
+func (m *machine) settingsText(p *process, plan Plan, seeds []string, platform string, bootstrap bool) string {
 	var b strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&b, "%s=%v\n", key, value) }
 	line("node_name", m.name)
 	line("role", p.role)
 	line("ip", m.ip)
-	line("listen.bind_ip", m.bind)
+	line("listen.bind_ip", m.bindIP)
 	if plan.Tier == Gateway {
 		line("deploy", "api")
 	}
@@ -214,8 +214,8 @@
 	line("bounds.drain_ms", drainBound.Milliseconds())
 	line("bounds.contact_ms", contactBound.Milliseconds())
 	line("bounds.apply_ms", applyBound.Milliseconds())
-	line("bounds.grace_s", int(grace/time.Second))
-	line("bounds.catchup_s", int(catchup/time.Second))
+	line("bounds.grace_s", int(gracePeriod/time.Second))
+	line("bounds.catchup_s", int(catchUpTime/time.Second))
 	line("platform.address", platform)
 	return b.String()
 }
--- a/internal/testbed/machine_faults.go
+++ b/internal/testbed/machine_faults.go
@@ -16,18 +16,19 @@
 const (
 	maxDowntime = 2 * time.Second
 	maxFreeze   = 3 * time.Second
-	// maxPartialFile is the longest time for which a settings file is only partly written.
-	maxPartialFile = 80 * time.Millisecond
+	// maxPartialWriteTime is the longest time for which a settings file is only partly written.
+	maxPartialWriteTime = 80 * time.Millisecond
 	// signalSetupTime is how long a program takes after its start to install its signal handlers.
 	signalSetupTime = 100 * time.Millisecond
-	// killOneIn: one in this many graceful shutdowns is cut short by a kill.
-	killOneIn = 4
+	// shutdownsPerKill is the mean number of graceful shutdowns of which one is cut short by a kill.
+	shutdownsPerKill = 4
 )
 
-// pickMachine picks a random machine. It is a control machine if control is set, and otherwise too
-// half of the time, unless the plan spares the control machines.
-func (t *faultInjector) pickMachine(r *rand.Rand, control bool) *machine {
-	all, spared := t.cluster.all(), t.cluster.plan.SpareControl
+// pickMachine picks a random machine. If the plan spares the control machines, it picks from the
+// others. Otherwise it picks a control machine if control is set, and if not, half of the time from the
+// control machines and half of the time from all machines.
+func (f *faultInjector) pickMachine(r *rand.Rand, control bool) *machine {
+	all, spared := f.cluster.currentMachines(), f.cluster.plan.SpareControl
 	if !control && !spared && r.IntN(2) == 0 {
 		return all[r.IntN(len(all))]
 	}
@@ -42,62 +43,63 @@
 
 // injectMachineFault injects one machine fault and returns when it is over. It does nothing if the
 // fault is not permitted now.
-func (t *faultInjector) injectMachineFault(ctx context.Context, kind string, r *rand.Rand) error {
-	if kind == All {
-		return t.restartAll(ctx, r)
+func (f *faultInjector) injectMachineFault(ctx context.Context, kind string, r *rand.Rand) error {
+	if kind == KillAll {
+		return f.restartAll(ctx, r)
 	}
-	m := t.pickMachine(r, kind == Wipe || kind == Replace)
+	m := f.pickMachine(r, kind == Wipe || kind == Replace)
 	switch kind {
 	case Freeze:
-		t.freeze(ctx, m, r)
+		f.freeze(ctx, m, r)
 		return nil
 	case Hup:
-		return t.changeSettings(ctx, m, r)
+		return f.changeSettings(ctx, m, r)
 	}
 	if !m.lifecycle.TryLock() {
-		return nil // another timeline is starting or stopping it
+		return nil // another timeline is starting or stopping its processes
 	}
 	defer m.lifecycle.Unlock()
-	take := t.cluster.losses.tryAcquire
+	tryAcquire := f.cluster.losses.tryAcquire
 	if kind == Wipe || kind == Replace {
-		take = t.cluster.losses.tryAcquireDisk
+		tryAcquire = f.cluster.losses.tryAcquireDisk
 	}
-	if !take(m) {
+	if !tryAcquire(m) {
 		return nil
 	}
-	defer t.cluster.losses.release(m)
-	defer t.recordFault(kind, m, true)()
-	down := randomDuration(r, maxDowntime)
+	defer f.cluster.losses.release(m)
+	defer f.recordFault(kind, m, true)()
+	downtime := randomDuration(r, maxDowntime)
 	switch kind {
 	case Term:
-		t.terminate(ctx, m, r)
-		sleep(ctx, down/4)
+		f.terminate(ctx, m, r)
+		sleep(ctx, downtime/4)
 	case Replace:
-		_, err := t.cluster.replace(m)
+		_, err := f.cluster.replace(m)
 		return err
 	default:
 		m.kill()
-		sleep(ctx, down)
+		sleep(ctx, downtime)
 	}
 	if kind == Wipe {
 		if err := m.wipe(); err != nil {
 			return err
 		}
 	}
-	return t.cluster.startMachine(m, false)
+	return f.cluster.startMachine(m, false)
 }
 
-// terminate shuts down a machine's processes; some are killed before they have exited.
-func (t *faultInjector) terminate(ctx context.Context, m *machine, r *rand.Rand) {
-	if r.IntN(killOneIn) > 0 {
+// terminate shuts down a machine's processes with SIGTERM, and sometimes kills them before they have
+// exited.
+func (f *faultInjector) terminate(ctx context.Context, m *machine, r *rand.Rand) {
+	if r.IntN(shutdownsPerKill) > 0 {
 		m.terminate()
 		return
 	}
-	defer t.recordFault(Kill, m, true)()
+	defer f.recordFault(Kill, m, true)()
 	for _, p := range m.procs {
 		p.signal(syscall.SIGTERM, true)
 	}
-	sleep(ctx, randomDuration(r, grace))
+	sleep(ctx, randomDuration(r, gracePeriod))
 	m.kill()
 }
 
@@ -111,13 +113,14 @@
 	return nil
 }
 
-// freeze suspends a machine's processes for a while, regardless of other faults in the meantime.
-func (t *faultInjector) freeze(ctx context.Context, m *machine, r *rand.Rand) {
-	if !t.cluster.losses.tryAcquire(m) {
+// freeze suspends a machine's processes with SIGSTOP for a while. It doesn't take the lifecycle lock, so
+// that other faults may affect the processes meanwhile.
+func (f *faultInjector) freeze(ctx context.Context, m *machine, r *rand.Rand) {
+	if !f.cluster.losses.tryAcquire(m) {
 		return
 	}
-	defer t.cluster.losses.release(m)
-	defer t.recordFault(Freeze, m, true)()
+	defer f.cluster.losses.release(m)
+	defer f.recordFault(Freeze, m, true)()
 	m.signal(syscall.SIGSTOP)
 	sleep(ctx, randomDuration(r, maxFreeze))
 	m.signal(syscall.SIGCONT)
@@ -125,15 +128,15 @@
 
 // changeSettings changes the settings files of a machine and makes its processes reload them,
 // sometimes while the files are only partly written.
-func (t *faultInjector) changeSettings(ctx context.Context, m *machine, r *rand.Rand) error {
+func (f *faultInjector) changeSettings(ctx context.Context, m *machine, r *rand.Rand) error {
 	if !m.lifecycle.TryLock() {
 		m.reload() // processes that are stopping or starting get the signal too
 		return nil
 	}
 	defer m.lifecycle.Unlock()
-	defer t.recordFault(Hup, m, true)()
+	defer f.recordFault(Hup, m, true)()
 	for _, p := range m.procs {
-		raw, err := os.ReadFile(p.settings())
+		raw, err := os.ReadFile(p.settingsPath())
 		if err != nil {
 			return fmt.Errorf("testbed: %w", err)
 		}
@@ -141,13 +144,13 @@
 		lines = append(lines, fmt.Sprintf("tune.poll_ms=%d", 300+r.IntN(400)))
 		text := strings.Join(lines, "\n") + "\n"
 		if r.IntN(2) == 0 {
-			if err := p.write(text[:r.IntN(len(text))]); err != nil {
+			if err := p.writeSettings(text[:r.IntN(len(text))]); err != nil {
 				return fmt.Errorf("testbed: %w", err)
 			}
 			m.reload()
-			sleep(ctx, randomDuration(r, maxPartialFile))
+			sleep(ctx, randomDuration(r, maxPartialWriteTime))
 		}
-		if err := p.write(text); err != nil {
+		if err := p.writeSettings(text); err != nil {
 			return fmt.Errorf("testbed: %w", err)
 		}
 	}
@@ -165,29 +168,28 @@
 	}
 }
 
-// restartAll kills every process at once and starts them again. It does nothing while another
-// timeline starts or stops a machine, or if a machine is lost at the time and the plan doesn't go
-// beyond the tolerated failures.
-func (t *faultInjector) restartAll(ctx context.Context, r *rand.Rand) error {
-	machines := t.cluster.all()
+// restartAll kills every process at once and starts them again. It does nothing while another timeline
+// starts or stops a machine, or while a machine is lost unless the plan sets ExceedTolerated.
+func (f *faultInjector) restartAll(ctx context.Context, r *rand.Rand) error {
+	machines := f.cluster.currentMachines()
 	for _, m := range machines {
 		if !m.lifecycle.TryLock() {
 			return nil
 		}
 		defer m.lifecycle.Unlock()
 	}
-	if !t.cluster.losses.noneLost() && !t.cluster.plan.ExceedTolerated {
+	if !f.cluster.losses.noneLost() && !f.cluster.plan.ExceedTolerated {
 		return nil
 	}
-	number := t.traffic.Begin(history.Trouble{Kind: All, Everywhere: true, Control: true, At: t.traffic.Now()})
-	defer func() { t.traffic.End(number) }()
-	return t.cluster.restart(ctx, randomDuration(r, maxDowntime)/2, nil)
+	faultNumber := f.traffic.Begin(history.Trouble{Kind: KillAll, Everywhere: true, Control: true, At: f.traffic.Now()})
+	defer func() { f.traffic.End(faultNumber) }()
+	return f.cluster.restart(ctx, randomDuration(r, maxDowntime)/2, nil)
 }
 
-// restart kills every process at once, removes the data directories of the machine wiped unless it
-// is nil, and starts all again after a while. The caller holds the lifecycle lock of every machine.
-func (c *cluster) restart(ctx context.Context, down time.Duration, wiped *machine) error {
-	machines := c.all()
+// restart kills every process at once, removes the data directories of the machine wiped, if it is not
+// nil, and starts all processes again after the downtime. The caller holds the lifecycle lock of every machine.
+func (c *cluster) restart(ctx context.Context, downtime time.Duration, wiped *machine) error {
+	machines := c.currentMachines()
 	for _, m := range machines {
 		for _, p := range m.procs {
 			p.signal(syscall.SIGKILL, true)
@@ -201,7 +203,7 @@
 			return err
 		}
 	}
-	sleep(ctx, down)
+	sleep(ctx, downtime)
 	for _, m := range machines {
 		if err := c.startMachine(m, false); err != nil {
 			return err
--- a/internal/testbed/processor_faults.go
+++ b/internal/testbed/processor_faults.go
@@ -11,26 +11,26 @@
 
 // Parameters of processor throttling.
 const (
-	// quotaPeriod is the period in which a process gets its share of the processor in one piece.
-	quotaPeriod = 100 * time.Millisecond
-	// minShare is the minimum share of each period in which a process runs.
-	minShare = 0.3
-	// maxThrottled is the longest time for which processes are throttled.
-	maxThrottled = 6 * time.Second
+	// throttlePeriod is the period in which a throttled process runs once, for its share of the period.
+	throttlePeriod = 100 * time.Millisecond
+	// minProcessorShare is the minimum share of each period for which a process runs.
+	minProcessorShare = 0.3
+	// maxThrottleTime is the longest time for which processes are throttled.
+	maxThrottleTime = 6 * time.Second
 )
 
-// injectProcessorFault lets a machine's processes run for a part of each period only, as if their
-// processor quota were used up. The checks make no exception for this fault.
-func (t *faultInjector) injectProcessorFault(ctx context.Context, kind string, r *rand.Rand) error {
-	m := t.pickMachine(r, false)
-	running := time.Duration((minShare + (1-minShare)*r.Float64()) * float64(quotaPeriod))
-	number := t.traffic.Begin(history.Trouble{Kind: kind, Node: m.clientAddr(), Calm: true, At: t.traffic.Now()})
-	defer func() { t.traffic.End(number) }()
-	for end := time.Now().Add(randomDuration(r, maxThrottled)); time.Now().Before(end) && ctx.Err() == nil; {
+// injectProcessorFault lets a machine's processes run only for a part of each period, like processes
+// that exceed a processor quota. The checks make no exception for this fault.
+func (f *faultInjector) injectProcessorFault(ctx context.Context, kind string, r *rand.Rand) error {
+	m := f.pickMachine(r, false)
+	runTime := time.Duration((minProcessorShare + (1-minProcessorShare)*r.Float64()) * float64(throttlePeriod))
+	faultNumber := f.traffic.Begin(history.Trouble{Kind: kind, Node: m.clientAddr(), Calm: true, At: f.traffic.Now()})
+	defer func() { f.traffic.End(faultNumber) }()
+	for end := time.Now().Add(randomDuration(r, maxThrottleTime)); time.Now().Before(end) && ctx.Err() == nil; {
 		m.signal(syscall.SIGSTOP)
-		sleep(ctx, quotaPeriod-running)
+		sleep(ctx, throttlePeriod-runTime)
 		m.signal(syscall.SIGCONT)
-		sleep(ctx, running)
+		sleep(ctx, runTime)
 	}
 	return nil
 }
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// relay accepts the connections to an address of a process and forwards their bytes as the links
-// allow. It identifies the caller by its source address, since every host connects from its own.
+// relay accepts connections at a process's advertised address and forwards their bytes to the process
+// as the links' impairments say. It identifies the calling host by the source address of the connection.
 type relay struct {
 	links        *links
-	hostBySource func(ip string) string // host that connects from a source address
-	host         string                 // behind the relay
-	target       string                 // where the process listens
+	hostBySource func(ip string) string // returns the host that connects from a source address
+	host         string                 // address of the machine behind the relay
+	target       string                 // address that the process listens on
 	ln           net.Listener
 
 	mu     sync.Mutex
-	pipes  map[*pipe]bool
+	conns  map[*relayedConn]bool
 	closed bool
 }
 
 const (
-	// maxHold is how long bytes wait at a cut link before their connection is reset, like one whose
-	// remote end acknowledges nothing.
-	maxHold = 1500 * time.Millisecond
-	// relayBuffer is the size in bytes of the read buffer.
+	// cutLinkTimeout is how long bytes wait at a cut link before their connection is reset, like one
+	// whose remote end acknowledges nothing.
+	cutLinkTimeout = 1500 * time.Millisecond
+	// relayBuffer is the size in bytes of the read buffer of each direction.
 	relayBuffer = 16 << 10
 	// dialTimeout is how long a process may take to accept a connection.
 	dialTimeout = time.Second
 )
 
-// newRelay listens at addr for the process at target.
+// newRelay starts a relay that listens at addr and forwards to the process at target.
 func newRelay(l *links, hostBySource func(string) string, host, addr, target string) (*relay, error) {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{links: l, hostBySource: hostBySource, host: host, target: target, ln: ln, pipes: map[*pipe]bool{}}
+	r := &relay{links: l, hostBySource: hostBySource, host: host, target: target, ln: ln, conns: map[*relayedConn]bool{}}
 	go r.serve()
 	return r, nil
 }
@@ -48,7 +48,7 @@
 		if err != nil {
 			return
 		}
-		go r.handle(c)
+		go r.forwardConn(c)
 	}
 }
 
@@ -58,29 +58,31 @@
 	r.closed = true
 	r.mu.Unlock()
 	r.ln.Close()
-	r.reset(1, nil)
+	r.resetConns(1, nil)
 }
 
-// reset resets a share of the connections through the relay.
-func (r *relay) reset(share float64, sample func(share float64) bool) {
+// resetConns resets a share of the connections through the relay. Unless the share is 1, sample decides
+// for each of them.
+func (r *relay) resetConns(share float64, sample func(share float64) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pipes {
+	for p := range r.conns {
 		if share >= 1 || sample(share) {
 			p.reset()
 		}
 	}
 }
 
-// pipe is one connection through a relay.
-type pipe struct {
+// relayedConn is one connection through a relay: from the caller to the relay, and from there to the
+// process.
+type relayedConn struct {
 	caller, callee net.Conn
 	once           sync.Once
 	done           chan struct{}
 }
 
-// reset resets both connections of the pipe.
-func (p *pipe) reset() {
+// reset resets both connections.
+func (p *relayedConn) reset() {
 	p.once.Do(func() {
 		close(p.done)
 		for _, c := range []net.Conn{p.caller, p.callee} {
@@ -92,11 +94,11 @@
 	})
 }
 
-// handle forwards one connection until it ends.
-func (r *relay) handle(caller net.Conn) {
+// forwardConn forwards one connection in both directions until it ends.
+func (r *relay) forwardConn(caller net.Conn) {
 	ip, _, _ := net.SplitHostPort(caller.RemoteAddr().String())
 	from := r.hostBySource(ip)
-	if !r.awaitOpen(from, caller) {
+	if !r.awaitLinks(from, caller) {
 		r.refuse(caller)
 		return
 	}
@@ -105,27 +107,27 @@
 		r.refuse(caller)
 		return
 	}
-	p := &pipe{caller: caller, callee: callee, done: make(chan struct{})}
+	p := &relayedConn{caller: caller, callee: callee, done: make(chan struct{})}
 	r.mu.Lock()
 	if r.closed {
 		r.mu.Unlock()
 		p.reset()
 		return
 	}
-	r.pipes[p] = true
+	r.conns[p] = true
 	r.mu.Unlock()
 	var directions sync.WaitGroup
-	directions.Go(func() { r.forwardAll(p, caller, callee, from, r.host, false) })
-	directions.Go(func() { r.forwardAll(p, callee, caller, r.host, from, true) })
+	directions.Go(func() { r.forwardDirection(p, caller, callee, from, r.host, false) })
+	directions.Go(func() { r.forwardDirection(p, callee, caller, r.host, from, true) })
 	directions.Wait()
 	p.reset()
 	r.mu.Lock()
-	delete(r.pipes, p)
+	delete(r.conns, p)
 	r.mu.Unlock()
 }
 
-// refuse resets a connection that can't be forwarded, and records it: without a relay the caller
-// would not have got a connection.
+// refuse resets a connection that can't be forwarded and records it: without the relay, the caller
+// would not have got a connection at all.
 func (r *relay) refuse(caller net.Conn) {
 	r.links.recordUnforwarded(caller.RemoteAddr().String())
 	abort(caller)
@@ -139,11 +141,11 @@
 	c.Close()
 }
 
-// awaitOpen waits until the links allow a connection. It returns false if they refuse it or stay
-// cut for maxHold. The caller's connection has been accepted already, so that a cut link appears to
+// awaitLinks waits until the links in both directions allow a connection. It returns false if they
+// refuse it or stay cut for cutLinkTimeout. The caller's connection has been accepted already, so that a cut link appears to
 // it as a peer that does not respond.
-func (r *relay) awaitOpen(from string, caller net.Conn) bool {
-	for end := time.Now().Add(maxHold); ; {
+func (r *relay) awaitLinks(from string, caller net.Conn) bool {
+	for end := time.Now().Add(cutLinkTimeout); ; {
 		forward, changed := r.links.state(from, r.host)
 		reverse, _ := r.links.state(r.host, from)
 		switch {
@@ -171,8 +173,9 @@
 	return false
 }
 
-// forwardAll forwards one direction until either side ends.
-func (r *relay) forwardAll(p *pipe, in, out net.Conn, from, to string, replies bool) {
+// forwardDirection forwards the bytes of one direction until either side ends. If replies is set, they
+// are the callee's responses.
+func (r *relay) forwardDirection(p *relayedConn, in, out net.Conn, from, to string, replies bool) {
 	buf := make([]byte, relayBuffer)
 	for {
 		n, err := in.Read(buf)
@@ -187,10 +190,10 @@
 	}
 }
 
-// propagateEnd forwards the end of one direction: as a half-close, or as a reset.
-func (r *relay) propagateEnd(p *pipe, out net.Conn, err error) {
-	var broken *net.OpError
-	if errors.As(err, &broken) {
+// propagateEnd forwards the end of one direction: a close as a half-close, any other error as a reset.
+func (r *relay) propagateEnd(p *relayedConn, out net.Conn, err error) {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) {
 		p.reset()
 		return
 	}
@@ -199,9 +202,9 @@
 	}
 }
 
-// forward writes some bytes as the link allows. It returns false if the connection must be reset.
-func (r *relay) forward(p *pipe, out net.Conn, b []byte, from, to string, replies bool) bool {
-	for end := time.Now().Add(maxHold); ; {
+// forward writes some bytes as the link's impairment says. It returns false if the connection must be reset.
+func (r *relay) forward(p *relayedConn, out net.Conn, b []byte, from, to string, replies bool) bool {
+	for end := time.Now().Add(cutLinkTimeout); ; {
 		state, changed := r.links.state(from, to)
 		switch {
 		case state.refuse:
--- a/internal/testbed/relay_test.go
+++ b/internal/testbed/relay_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// echoBehindRelay starts a service that echoes lines, behind a relay.
+// echoBehindRelay starts a server that echoes lines, and a relay to it. It returns the links that the
+// relay obeys and the relay's address.
 func echoBehindRelay(t *testing.T) (l *links, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -43,15 +44,15 @@
 	return l, r.ln.Addr().String()
 }
 
-// longEnough is longer than a successful exchange takes on any machine.
-const longEnough = 10 * time.Second
+// exchangeTimeout is longer than a successful exchange takes on a loaded machine.
+const exchangeTimeout = 10 * time.Second
 
 // exchange sends a line and waits for a line in response.
-func exchange(c net.Conn, wait time.Duration) error {
+func exchange(c net.Conn, timeout time.Duration) error {
 	if _, err := c.Write([]byte("line\n")); err != nil {
 		return err
 	}
-	if err := c.SetReadDeadline(time.Now().Add(wait)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	_, err := bufio.NewReader(c).ReadString('\n')
@@ -61,17 +62,17 @@
 func TestRelayForwardsAsLinksAllow(t *testing.T) {
 	l, addr := echoBehindRelay(t)
 	everything := func(string, string) bool { return true }
-	there := oneWay(hostSet("caller"), hostSet("callee"))
-	back := oneWay(hostSet("callee"), hostSet("caller"))
+	forward := oneWay(hostSet("caller"), hostSet("callee"))
+	backward := oneWay(hostSet("callee"), hostSet("caller"))
 	for name, c := range map[string]struct {
 		matches func(from, to string) bool
 		impairment
-		passes, heals bool // during the impairment, and on the same connection after it
+		passes, heals bool // an exchange succeeds during the impairment, and after it on the same connection
 	}{
 		"others are cut off": {matches: between(hostSet("caller"), hostSet("another")), impairment: impairment{cut: true}, passes: true, heals: true},
 		"cut":                {matches: everything, impairment: impairment{cut: true}, heals: true},
-		"cut there":          {matches: there, impairment: impairment{cut: true}, heals: true},
-		"cut back":           {matches: back, impairment: impairment{cut: true}, heals: true},
+		"cut forward":        {matches: forward, impairment: impairment{cut: true}, heals: true},
+		"cut backward":       {matches: backward, impairment: impairment{cut: true}, heals: true},
 		"refused":            {matches: everything, impairment: impairment{refuse: true}},
 		"responses are lost": {matches: everything, impairment: impairment{replyLoss: 1}},
 		"delayed":            {matches: everything, impairment: impairment{delay: time.Millisecond}, passes: true, heals: true},
@@ -80,20 +81,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := exchange(conn, longEnough); err != nil {
-			t.Errorf("%s: before: %v", name, err)
+		if err := exchange(conn, exchangeTimeout); err != nil {
+			t.Errorf("%s: exchange before the impairment: %v", name, err)
 		}
 		heal := l.impair(c.matches, c.impairment)
-		wait := longEnough
+		timeout := exchangeTimeout
 		if !c.passes {
-			wait = maxHold / 5
+			timeout = cutLinkTimeout / 5
 		}
-		if err := exchange(conn, wait); (err == nil) != c.passes {
-			t.Errorf("%s: passes %v, want %v: %v", name, err == nil, c.passes, err)
+		if err := exchange(conn, timeout); (err == nil) != c.passes {
+			t.Errorf("%s: exchange during the impairment succeeded: %v, want %v: %v", name, err == nil, c.passes, err)
 		}
 		heal()
-		if err := exchange(conn, longEnough); (err == nil) != c.heals {
-			t.Errorf("%s: heals %v, want %v: %v", name, err == nil, c.heals, err)
+		if err := exchange(conn, exchangeTimeout); (err == nil) != c.heals {
+			t.Errorf("%s: exchange after the impairment succeeded: %v, want %v: %v", name, err == nil, c.heals, err)
 		}
 		conn.Close()
 	}
@@ -105,10 +106,10 @@
 	healDelay := l.impair(oneWay(hostSet("a"), hostSet("b")), impairment{delay: 5, datagramLoss: 0.5})
 	defer healDelay()
 	if state, _ := l.state("a", "b"); state != (impairment{cut: true, delay: 5, datagramLoss: 0.5}) {
-		t.Errorf("there: %+v", state)
+		t.Errorf("impairment from a to b: %+v", state)
 	}
 	if state, _ := l.state("b", "a"); state != (impairment{cut: true}) {
-		t.Errorf("back: %+v", state)
+		t.Errorf("impairment from b to a: %+v", state)
 	}
 	_, changed := l.state("b", "a")
 	healCut()
@@ -118,7 +119,7 @@
 		t.Error("the removal of a cut did not signal a change of the links")
 	}
 	if state, _ := l.state("b", "a"); state != (impairment{}) {
-		t.Errorf("after: %+v", state)
+		t.Errorf("impairment after the cut was removed: %+v", state)
 	}
 }
 
@@ -151,11 +152,11 @@
 			t.Fatal(err)
 		}
 		for n := range step.times + 1 {
-			wait := longEnough
+			timeout := exchangeTimeout
 			if n == step.times {
-				wait = 50 * time.Millisecond // no further copy is expected
+				timeout = 50 * time.Millisecond // no further copy is expected
 			}
-			if err := target.SetReadDeadline(time.Now().Add(wait)); err != nil {
+			if err := target.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 				t.Fatal(err)
 			}
 			buf := make([]byte, 10)
@@ -165,16 +166,16 @@
 		heal()
 	}
 	if got.String() != "1445" {
-		t.Errorf("arrived: %s", got.String())
+		t.Errorf("received datagrams %q, want 1445", got.String())
 	}
 }
 
-// A connection that a relay accepted for a process that does not run is distinguished from one that
-// broke later.
+// A relay accepts connections for a process that does not run. ReachedPeer must tell such a connection
+// from one that broke after it had reached the process.
 func TestUnforwardedConnectionsAreReported(t *testing.T) {
-	for name, made := range map[string]bool{"a process that runs": true, "a process that is gone": false} {
+	for name, running := range map[string]bool{"a process that runs": true, "a process that does not run": false} {
 		l, addr := echoBehindRelay(t)
-		if !made {
+		if !running {
 			ln, err := net.Listen("tcp4", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -191,15 +192,15 @@
 		conn, err := net.Dial("tcp4", addr)
 		if err != nil {
 			// The reset may arrive before the kernel reports the connection as established.
-			if made || !errors.Is(err, syscall.ECONNRESET) {
+			if running || !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("%s: %v", name, err)
 			}
 			continue
 		}
-		passed := exchange(conn, longEnough) == nil
+		passed := exchange(conn, exchangeTimeout) == nil
 		reported := (&loopback{links: l}).ReachedPeer(conn)
 		conn.Close()
-		if passed != made || reported != made {
+		if passed != running || reported != running {
 			t.Errorf("%s: the line was echoed: %t, reported as connected: %t", name, passed, reported)
 		}
 	}
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -15,29 +15,29 @@
 	"indigowalk/internal/standin"
 )
 
-// historyBounds are the time bounds that the history of a run is checked against.
+// historyBounds are the time bounds for the checks of a run's history.
 var historyBounds = history.Bounds{Drain: drainBound, Apply: applyBound, Contact: contactBound, Slack: slackBound, Answer: answerBound}
 
 // Report is the result of a run.
 type Report struct {
 	Seed        int64     `json:"seed"`
 	Statements  Latencies `json:"statements"`
-	Orders      Latencies `json:"orders"` // from the first attempt to the first acknowledgement
+	Orders      Latencies `json:"orders"` // from the first attempt of an order to its acknowledgement
 	Refused     int       `json:"statements_refused"`
 	Unclear     int       `json:"statements_unclear"`
-	Cut         int       `json:"statements_cut"`
+	Unanswered  int       `json:"statements_cut"`
 	OrdersSent  int       `json:"orders_sent"`
 	OrdersAcked int       `json:"orders_acknowledged"`
 	Readings    int       `json:"readings"`
 	Probes      int       `json:"probes"`
 	// ProbesJudged counts the probes in fault-free periods, which are checked against the newest
 	// configuration.
-	ProbesJudged int              `json:"probes_judged"`
-	Promotions   int              `json:"platform_calls"`
-	Faults       map[string]int   `json:"troubles"`
-	Breaches     []history.Breach `json:"breaches"`
-	Processes    []string         `json:"processes_that_ended"`
-	EventsAround []string         `json:"around_the_first_breach,omitempty"`
+	ProbesJudged          int              `json:"probes_judged"`
+	Promotions            int              `json:"platform_calls"`
+	Faults                map[string]int   `json:"troubles"`
+	Breaches              []history.Breach `json:"breaches"`
+	UnexpectedExits       []string         `json:"processes_that_ended"`
+	EventsNearFirstBreach []string         `json:"around_the_first_breach,omitempty"`
 }
 
 // Latencies summarizes a latency distribution, in microseconds.
@@ -48,130 +48,131 @@
 	Max   int64 `json:"max_us"`
 }
 
-// longestLatency is the highest latency that is recorded; longer ones count as this.
-const longestLatency = int64(10 * time.Minute / time.Microsecond)
+// maxLatency is the highest latency in microseconds that is recorded; higher ones are recorded as this.
+const maxLatency = int64(10 * time.Minute / time.Microsecond)
 
-// recorder collects latencies in a histogram.
-type recorder struct{ h *hdrhistogram.Histogram }
+// latencyRecorder collects latencies in a histogram.
+type latencyRecorder struct{ histogram *hdrhistogram.Histogram }
 
-func newRecorder() recorder { return recorder{hdrhistogram.New(1, longestLatency, 3)} }
+func newLatencyRecorder() latencyRecorder { return latencyRecorder{hdrhistogram.New(1, maxLatency, 3)} }
 
-func (m recorder) add(span time.Duration) {
-	_ = m.h.RecordValue(min(max(1, span.Microseconds()), longestLatency)) // it lies within the bounds
+func (r latencyRecorder) add(span time.Duration) {
+	_ = r.histogram.RecordValue(min(max(1, span.Microseconds()), maxLatency)) // the value lies within the histogram's bounds
 }
 
-func (m recorder) latencies() Latencies {
-	return Latencies{m.h.TotalCount(), m.h.ValueAtQuantile(50), m.h.ValueAtQuantile(99), m.h.Max()}
+func (r latencyRecorder) latencies() Latencies {
+	return Latencies{r.histogram.TotalCount(), r.histogram.ValueAtQuantile(50), r.histogram.ValueAtQuantile(99), r.histogram.Max()}
 }
 
 // Clean reports whether no rule was broken and no process ended by itself.
-func (r *Report) Clean() bool { return len(r.Breaches) == 0 && len(r.Processes) == 0 }
-
-func (b *bed) report(leaks []history.Breach) *Report {
-	r := &Report{Seed: b.cfg.Plan.Seed, Faults: map[string]int{}, Processes: b.cluster.faults()}
-	b.countStatements(r)
-	b.countOrders(r)
-	for _, d := range b.traffic.Troubles() {
-		r.Faults[d.Kind]++
-	}
-	r.Promotions = b.cluster.platform.Calls()
-	r.Breaches = append(b.orders.Breaches(), b.traffic.Breaches(b.orders, historyBounds)...)
-	now := b.traffic.Now()
-	r.Breaches = append(append(r.Breaches, leaks...), b.cluster.logBreaches(now)...)
-	for _, g := range b.groups {
+func (r *Report) Clean() bool { return len(r.Breaches) == 0 && len(r.UnexpectedExits) == 0 }
+
+// report checks the history of the run and summarizes the result; leaks are breaches found before.
+func (t *testRun) report(leaks []history.Breach) *Report {
+	r := &Report{Seed: t.cfg.Plan.Seed, Faults: map[string]int{}, UnexpectedExits: t.cluster.unexpectedExits()}
+	t.countStatements(r)
+	t.countOrders(r)
+	for _, fault := range t.traffic.Troubles() {
+		r.Faults[fault.Kind]++
+	}
+	r.Promotions = t.cluster.platform.Calls()
+	r.Breaches = append(t.orders.Breaches(), t.traffic.Breaches(t.orders, historyBounds)...)
+	now := t.traffic.Now()
+	r.Breaches = append(append(r.Breaches, leaks...), t.cluster.logBreaches(now)...)
+	for _, g := range t.groups {
 		for _, text := range g.Broken() {
 			r.Breaches = append(r.Breaches, history.Breach{Rule: "DATABASES", At: now, Text: text})
 		}
 	}
-	for _, s := range b.services {
+	for _, s := range t.services {
 		for _, text := range s.Broken() {
 			r.Breaches = append(r.Breaches, history.Breach{Rule: "DATABASES", At: now, Text: text})
 		}
 	}
-	for _, text := range b.cluster.platform.Broken() {
+	for _, text := range t.cluster.platform.Broken() {
 		r.Breaches = append(r.Breaches, history.Breach{Rule: history.One, At: now, Text: text})
 	}
 	slices.SortStableFunc(r.Breaches, func(a, b history.Breach) int { return int(a.At - b.At) })
 	if len(r.Breaches) > 0 {
-		r.EventsAround = b.around(r.Breaches[0].At)
+		r.EventsNearFirstBreach = t.eventsAround(r.Breaches[0].At)
 	}
 	return r
 }
 
-func (b *bed) countStatements(r *Report) {
-	served := newRecorder()
-	for _, s := range b.traffic.Statements() {
+func (t *testRun) countStatements(r *Report) {
+	recorder := newLatencyRecorder()
+	for _, s := range t.traffic.Statements() {
 		switch {
 		case s.Code == "":
-			served.add(s.Done - s.Sent)
+			recorder.add(s.Done - s.Sent)
 		case s.Code == history.Unanswered:
-			r.Cut++
+			r.Unanswered++
 		case standin.Promises(s.Code):
 			r.Refused++
 		default:
 			r.Unclear++
 		}
 	}
-	r.Statements = served.latencies()
+	r.Statements = recorder.latencies()
 }
 
-func (b *bed) countOrders(r *Report) {
-	r.OrdersSent, r.Readings = len(b.orders.All()), len(b.orders.Readings())
-	first := map[int]time.Duration{}
+func (t *testRun) countOrders(r *Report) {
+	r.OrdersSent, r.Readings = len(t.orders.All()), len(t.orders.Readings())
+	firstSent := map[int]time.Duration{}
 	acked := map[int]bool{}
-	took := newRecorder()
-	for _, a := range b.orders.Answers() {
-		if sent, known := first[a.Order]; !known || a.Sent < sent {
-			first[a.Order] = a.Sent
+	recorder := newLatencyRecorder()
+	for _, a := range t.orders.Answers() {
+		if sent, known := firstSent[a.Order]; !known || a.Sent < sent {
+			firstSent[a.Order] = a.Sent
 		}
 		if a.Code == 200 && !acked[a.Order] {
 			acked[a.Order] = true
-			took.add(a.Done - first[a.Order])
+			recorder.add(a.Done - firstSent[a.Order])
 		}
 	}
-	r.OrdersAcked, r.Orders = len(acked), took.latencies()
-	r.ProbesJudged, r.Probes = b.traffic.Judged(historyBounds)
+	r.OrdersAcked, r.Orders = len(acked), recorder.latencies()
+	r.ProbesJudged, r.Probes = t.traffic.Judged(historyBounds)
 }
 
-// aroundSpan is how long before and after a moment events are listed.
-const aroundSpan = 2 * time.Second
+// eventWindow is how long before and after a time eventsAround lists events.
+const eventWindow = 2 * time.Second
 
-// maxAround bounds the number of listed events.
-const maxAround = 200
+// maxListedEvents bounds the number of listed events.
+const maxListedEvents = 200
 
-// around lists the faults and order responses near a moment.
-func (b *bed) around(at time.Duration) []string {
+// eventsAround lists the starts of faults and the responses to orders near a time of the run.
+func (t *testRun) eventsAround(at time.Duration) []string {
 	type event struct {
 		at   time.Duration
 		text string
 	}
 	var events []event
-	for _, d := range b.traffic.Troubles() {
-		events = append(events, event{d.At, fmt.Sprintf("%s of %s, until %.3f s", d.Kind, d.Node, d.Till.Seconds())})
+	for _, fault := range t.traffic.Troubles() {
+		events = append(events, event{fault.At, fmt.Sprintf("%s of %s, until %.3f s", fault.Kind, fault.Node, fault.Till.Seconds())})
 	}
-	all := b.orders.All()
-	for _, a := range b.orders.Answers() {
+	all := t.orders.All()
+	for _, a := range t.orders.Answers() {
 		events = append(events, event{a.Done, fmt.Sprintf("order %d, %d on %d, answered %d", a.Order, all[a.Order].Rev, all[a.Order].Base, a.Code)})
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	var out []string
 	for _, e := range events {
-		if e.at >= at-aroundSpan && e.at <= at+aroundSpan && len(out) < maxAround {
+		if e.at >= at-eventWindow && e.at <= at+eventWindow && len(out) < maxListedEvents {
 			out = append(out, fmt.Sprintf("%.3f s: %s", e.at.Seconds(), e.text))
 		}
 	}
 	return out
 }
 
-// lastAcknowledgement describes the events around the last acknowledgement of an order.
-func (b *bed) lastAcknowledgement() string {
+// lastAcknowledgement describes when an order was last acknowledged, and the events around that time.
+func (t *testRun) lastAcknowledgement() string {
 	var last time.Duration
-	for _, a := range b.orders.Answers() {
+	for _, a := range t.orders.Answers() {
 		if a.Code == http.StatusOK {
 			last = max(last, a.Done)
 		}
 	}
-	return fmt.Sprintf("the last acknowledgement was at %.3f s:\n%s", last.Seconds(), strings.Join(b.around(last), "\n"))
+	return fmt.Sprintf("the last acknowledgement was at %.3f s:\n%s", last.Seconds(), strings.Join(t.eventsAround(last), "\n"))
 }
 
 // Print writes the report as a table.
@@ -182,7 +183,7 @@
 	fmt.Fprintf(w, "seed %d\n%-12s %8s  %8s  %8s  %9s\n", r.Seed, "served", "count", "p50 ms", "p99 ms", "max ms")
 	row("statements", r.Statements)
 	row("orders", r.Orders)
-	fmt.Fprintf(w, "statements refused %d, unclear %d, cut %d\n", r.Refused, r.Unclear, r.Cut)
+	fmt.Fprintf(w, "statements refused %d, unclear %d, cut %d\n", r.Refused, r.Unclear, r.Unanswered)
 	fmt.Fprintf(w, "orders sent %d, acknowledged %d; read back %d times\n", r.OrdersSent, r.OrdersAcked, r.Readings)
 	fmt.Fprintf(w, "probes of routes %d, of which %d in calm times\n", r.Probes, r.ProbesJudged)
 	fmt.Fprintf(w, "calls of the platform %d; troubles:", r.Promotions)
@@ -193,26 +194,26 @@
 	r.printFailures(w)
 }
 
-// maxPrinted bounds how many breaches are printed.
-const maxPrinted = 20
+// maxPrintedBreaches bounds how many breaches are printed.
+const maxPrintedBreaches = 20
 
 func (r *Report) printFailures(w io.Writer) {
 	if r.Clean() {
 		fmt.Fprintln(w, "no rule was broken")
 		return
 	}
-	for _, text := range r.Processes {
+	for _, text := range r.UnexpectedExits {
 		fmt.Fprintln(w, text)
 	}
-	for _, breach := range r.Breaches[:min(maxPrinted, len(r.Breaches))] {
+	for _, breach := range r.Breaches[:min(maxPrintedBreaches, len(r.Breaches))] {
 		fmt.Fprintln(w, breach)
 	}
-	if more := len(r.Breaches) - maxPrinted; more > 0 {
+	if more := len(r.Breaches) - maxPrintedBreaches; more > 0 {
 		fmt.Fprintf(w, "and %d more\n", more)
 	}
-	if len(r.EventsAround) > 0 {
+	if len(r.EventsNearFirstBreach) > 0 {
 		fmt.Fprintln(w, "around the first:")
-		for _, text := range r.EventsAround {
+		for _, text := range r.EventsNearFirstBreach {
 			fmt.Fprintln(w, " ", text)
 		}
 	}
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -40,10 +40,10 @@
 	os.Exit(code)
 }
 
-// small returns a plan that ends within about fifteen seconds.
-func small(faults ...string) testbed.Plan {
+// smallPlan returns a plan with the given faults, whose run takes about fifteen seconds.
+func smallPlan(faults ...string) testbed.Plan {
 	p := testbed.DefaultPlan()
-	p.Carriers, p.Services, p.Operators, p.LengthS, p.PauseMs = 3, 1, 2, 10, 100
+	p.Proxies, p.Services, p.Operators, p.LengthS, p.PauseMs = 3, 1, 2, 10, 100
 	p.Faults = faults
 	return p
 }
@@ -63,19 +63,19 @@
 	return testbed.Run(ctx, cfg)
 }
 
-// The real program breaks no rule under several concurrent faults, and leaks nothing.
+// The real program breaks no rule under concurrent faults of many kinds, and leaks no resources.
 func TestShortRun(t *testing.T) {
 	for tier, faults := range map[string][]string{
 		testbed.Pooler: {
-			testbed.Kill, testbed.Term, testbed.Hup, testbed.Freeze, testbed.CutCore, testbed.CutCarrier, testbed.LoseReplies,
-			testbed.Datagrams, testbed.LogReader, testbed.Crash, testbed.Reset, testbed.ProtocolViolation, testbed.MisbehavingClients,
+			testbed.Kill, testbed.Term, testbed.Hup, testbed.Freeze, testbed.CutControl, testbed.CutMachine, testbed.LoseReplies,
+			testbed.Datagrams, testbed.PauseLogReader, testbed.Crash, testbed.Reset, testbed.ProtocolViolation, testbed.MisbehavingClients,
 		},
 		testbed.Gateway: {
 			testbed.Kill, testbed.Term, testbed.Hup, testbed.CutDatabases, testbed.ResetLinks, testbed.Delay,
-			testbed.Crash, testbed.Release, testbed.Hang, testbed.ProtocolViolation, testbed.MisbehavingClients,
+			testbed.Crash, testbed.ReplaceDatabase, testbed.Hang, testbed.ProtocolViolation, testbed.MisbehavingClients,
 		},
 	} {
-		plan := small(faults...)
+		plan := smallPlan(faults...)
 		plan.Tier = tier
 		report, err := run(t, testbed.Config{Plan: plan})
 		if err != nil {
@@ -93,9 +93,10 @@
 	}
 }
 
-// The checks detect a platform that promotes a database which has lost its newest commits.
+// The checks must detect that a promoted database lacks acknowledged commits: the platform of this run
+// truncates the log of a database before it promotes it.
 func TestLostCommitsAreDetected(t *testing.T) {
-	plan := small(testbed.Crash, testbed.Release)
+	plan := smallPlan(testbed.Crash, testbed.ReplaceDatabase)
 	plan.PauseMs = 0
 	lossy := func(groups []*standin.Group, _, id string) int {
 		for _, d := range groups[0].Databases() {
@@ -124,24 +125,25 @@
 
 // A missing or failing executable and an address in use are reported as errors.
 func TestStartFailuresAreReported(t *testing.T) {
-	if _, err := run(t, testbed.Config{Plan: small("none"), Program: "/nowhere/indigowalk"}); err == nil || !strings.Contains(err.Error(), "/nowhere/indigowalk") {
-		t.Errorf("a missing program: %v", err)
+	if _, err := run(t, testbed.Config{Plan: smallPlan("none"), Program: "/nowhere/indigowalk"}); err == nil || !strings.Contains(err.Error(), "/nowhere/indigowalk") {
+		t.Errorf("error for a missing executable: %v", err)
 	}
-	if _, err := run(t, testbed.Config{Plan: small("none"), Program: "/bin/false"}); err == nil || !strings.Contains(err.Error(), "ended by itself") {
-		t.Errorf("a program that ends: %v", err)
+	if _, err := run(t, testbed.Config{Plan: smallPlan("none"), Program: "/bin/false"}); err == nil || !strings.Contains(err.Error(), "ended by itself") {
+		t.Errorf("error for a program that exits: %v", err)
 	}
 	ln, err := net.Listen("tcp4", testbed.FirstAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	if _, err := run(t, testbed.Config{Plan: small("none")}); !errors.Is(err, syscall.EADDRINUSE) || !strings.Contains(err.Error(), testbed.FirstAddress()) {
-		t.Errorf("an address in use: %v", err)
+	if _, err := run(t, testbed.Config{Plan: smallPlan("none")}); !errors.Is(err, syscall.EADDRINUSE) || !strings.Contains(err.Error(), testbed.FirstAddress()) {
+		t.Errorf("error for an address in use: %v", err)
 	}
 }
 
-// An invalid plan is rejected, and the error names the key.
-func TestPlan(t *testing.T) {
+// An invalid plan is rejected with an error that names the key; a valid one keeps the defaults of the
+// keys that it does not set.
+func TestPlanValidation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan")
 	for text, want := range map[string]string{
 		"seed=x\n":                  "seed",
@@ -155,16 +157,16 @@
 			t.Fatal(err)
 		}
 		plan, err := testbed.LoadPlan(path)
-		if want == "" && (err != nil || plan.LengthS != 30 || plan.Carriers != 4 || plan.Cores != 2) {
-			t.Errorf("%q: %+v %v", text, plan, err)
+		if want == "" && (err != nil || plan.LengthS != 30 || plan.Proxies != 4 || plan.Cores != 2) {
+			t.Errorf("plan %q: got %+v, error %v", text, plan, err)
 		}
 		if want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("plan %q: error %v does not name the key", text, err)
 		}
 	}
 	plan := testbed.DefaultPlan()
-	if err := plan.Set("cores", "4"); err != nil || plan.Cores != 4 || plan.Carriers != 10 {
-		t.Errorf("%+v %v", plan, err)
+	if err := plan.Set("cores", "4"); err != nil || plan.Cores != 4 || plan.Proxies != 10 {
+		t.Errorf("after setting cores: got %+v, error %v", plan, err)
 	}
 	for _, setting := range [][2]string{{"cores", "0"}, {"cors", "4"}} {
 		if err := plan.Set(setting[0], setting[1]); err == nil {
--- a/internal/testbed/timelines.go
+++ b/internal/testbed/timelines.go
@@ -19,10 +19,10 @@
 	traffic  *history.Traffic
 	groups   []*standin.Group   // in a run with poolers
 	services []*standin.Service // in a run with gateways
-	failed   func(error)
+	fail     func(error)
 
-	rounds rounds
-	adding sync.Mutex // held while a database is assigned an address and added
+	replacementNumbers counter    // for unique names of restarted and added databases
+	addMu              sync.Mutex // held while a database is assigned an address and added, so that addresses are unique
 }
 
 // timeline is one sequence of faults.
@@ -32,52 +32,52 @@
 	inject func(ctx context.Context, kind string, r *rand.Rand) error
 }
 
-// rounds numbers faults, so that each replacement database gets a unique name.
-type rounds struct {
+// counter generates consecutive numbers.
+type counter struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (r *rounds) next() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.n++
-	return r.n
+func (c *counter) next() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.n++
+	return c.n
 }
 
 // timelines returns the timelines that have at least one kind of fault in the plan.
-func (t *faultInjector) timelines() []timeline {
-	databases := t.injectDatabaseFault
-	if t.cluster.plan.Tier == Gateway {
-		databases = t.injectWorkerFault
+func (f *faultInjector) timelines() []timeline {
+	databases := f.injectDatabaseFault
+	if f.cluster.plan.Tier == Gateway {
+		databases = f.injectWorkerFault
 	}
 	var all []timeline
-	for range t.cluster.plan.Timelines {
-		all = append(all, timeline{"machines", []string{Kill, Freeze, Term, Hup, Wipe, Replace, All}, t.injectMachineFault})
+	for range f.cluster.plan.Timelines {
+		all = append(all, timeline{"machines", []string{Kill, Freeze, Term, Hup, Wipe, Replace, KillAll}, f.injectMachineFault})
 	}
 	all = append(all,
-		timeline{"links", []string{CutCore, CutCarrier, CutDatabases, CutPrimary, LoseReplies, Datagrams, Delay, ResetLinks, Split}, t.injectLinkFault},
-		timeline{"processors", []string{Throttle}, t.injectProcessorFault},
-		timeline{"limits", []string{Descriptors, FullDisk, LogReader}, t.injectLimitFault},
-		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, ProtocolViolation}, databases},
-		timeline{"databases", []string{Crash, Release, Reset, Hang, Deaf, ProtocolViolation}, databases},
-		timeline{"clients", []string{MisbehavingClients}, t.injectClientFault},
+		timeline{"links", []string{CutControl, CutMachine, CutDatabases, CutPrimary, LoseReplies, Datagrams, Delay, ResetLinks, Split}, f.injectLinkFault},
+		timeline{"processors", []string{Throttle}, f.injectProcessorFault},
+		timeline{"limits", []string{Descriptors, FullDisk, PauseLogReader}, f.injectLimitFault},
+		timeline{"databases", []string{Crash, ReplaceDatabase, Reset, Hang, StopReplication, ProtocolViolation}, databases},
+		timeline{"databases", []string{Crash, ReplaceDatabase, Reset, Hang, StopReplication, ProtocolViolation}, databases},
+		timeline{"clients", []string{MisbehavingClients}, f.injectClientFault},
 	)
 	var enabled []timeline
-	for _, line := range all {
-		if line.kinds = t.planned(line.kinds); len(line.kinds) > 0 {
-			enabled = append(enabled, line)
+	for _, tl := range all {
+		if tl.kinds = f.plannedKinds(tl.kinds); len(tl.kinds) > 0 {
+			enabled = append(enabled, tl)
 		}
 	}
 	return enabled
 }
 
 // controlFaults are the kinds of faults that affect control nodes, or all machines.
-var controlFaults = []string{Wipe, Replace, All, CutCore, Split, LoseReplies, Datagrams, FullDisk}
+var controlFaults = []string{Wipe, Replace, KillAll, CutControl, Split, LoseReplies, Datagrams, FullDisk}
 
-// planned returns those of the given kinds of faults that the plan allows.
-func (t *faultInjector) planned(kinds []string) (enabled []string) {
-	plan := t.cluster.plan
+// plannedKinds returns those of the given kinds of faults that the plan lists and allows.
+func (f *faultInjector) plannedKinds(kinds []string) (enabled []string) {
+	plan := f.cluster.plan
 	for _, kind := range kinds {
 		if plan.has(kind) && !(plan.SpareControl && slices.Contains(controlFaults, kind)) {
 			enabled = append(enabled, kind)
@@ -86,31 +86,31 @@
 	return enabled
 }
 
-// run runs one timeline until ctx ends.
-func (t *faultInjector) run(ctx context.Context, line timeline, r *rand.Rand) {
-	mean := float64(t.cluster.plan.PauseMs) * float64(time.Millisecond)
+// runTimeline injects the faults of one timeline until ctx ends.
+func (f *faultInjector) runTimeline(ctx context.Context, tl timeline, r *rand.Rand) {
+	mean := float64(f.cluster.plan.PauseMs) * float64(time.Millisecond)
 	for {
 		sleep(ctx, time.Duration(mean*r.ExpFloat64()))
 		if ctx.Err() != nil {
 			return
 		}
-		if err := line.inject(ctx, line.kinds[r.IntN(len(line.kinds))], r); err != nil {
-			t.failed(err)
+		if err := tl.inject(ctx, tl.kinds[r.IntN(len(tl.kinds))], r); err != nil {
+			f.fail(err)
 			return
 		}
 	}
 }
 
-// databaseHosts returns the addresses of all databases; true marks those of the service with the
-// given number, or all if it is negative.
-func (t *faultInjector) databaseHosts(service int) map[string]bool {
+// databaseHosts returns the addresses of all databases and workers as keys. The value is true for those
+// of the service with the given index, and for all if the index is negative.
+func (f *faultInjector) databaseHosts(service int) map[string]bool {
 	set := map[string]bool{}
-	for i, g := range t.groups {
+	for i, g := range f.groups {
 		for _, d := range g.Databases() {
 			set[d.IP] = set[d.IP] || service < 0 || service == i
 		}
 	}
-	for i, s := range t.services {
+	for i, s := range f.services {
 		for _, d := range s.Workers() {
 			set[d.IP] = set[d.IP] || service < 0 || service == i
 		}
@@ -118,13 +118,13 @@
 	return set
 }
 
-// recordFault records the start of a fault of a machine; own says that it affects the machine's own
+// recordFault records the start of a fault of a machine; local says that the fault affects the machine's
 // processes or its links to clients. The returned function records the end.
-func (t *faultInjector) recordFault(kind string, m *machine, own bool) (over func()) {
-	number := t.traffic.Begin(history.Trouble{
-		Kind: kind, Node: m.clientAddr(), Elsewhere: !own, Control: m.control, Planned: kind == Term || kind == Hup, At: t.traffic.Now(),
+func (f *faultInjector) recordFault(kind string, m *machine, local bool) (end func()) {
+	faultNumber := f.traffic.Begin(history.Trouble{
+		Kind: kind, Node: m.clientAddr(), Elsewhere: !local, Control: m.control, Planned: kind == Term || kind == Hup, At: f.traffic.Now(),
 	})
-	return func() { t.traffic.End(number) }
+	return func() { f.traffic.End(faultNumber) }
 }
 
 // randomDuration returns a random duration below limit.
--- a/internal/testbed/verdict.go
+++ b/internal/testbed/verdict.go
@@ -20,12 +20,12 @@
 	Invariant = "INVARIANT"
 	// Log is broken if a process has logged a forbidden text.
 	Log = "LOG"
-	// Leak is broken if a process without clients still holds resources at the end.
+	// Leak is broken if a process still holds resources after its clients have disconnected.
 	Leak = "LEAK"
 )
 
-// longestLogLine is the longest log line that is read, in bytes.
-const longestLogLine = 1 << 20
+// maxLogLineBytes is the length of the longest log line that can be read.
+const maxLogLineBytes = 1 << 20
 
 // forbiddenTexts are texts that no log may contain.
 var forbiddenTexts = []string{"panic:", "fatal error:", "WARNING: DATA RACE", "goroutine stack exceeds", "all goroutines are asleep"}
@@ -37,20 +37,21 @@
 	c.mu.Unlock()
 	for _, m := range machines {
 		for _, p := range m.procs {
-			out = append(out, logBreaches(p.name, p.log, now)...)
+			out = append(out, logBreaches(p.name, p.logPath, now)...)
 		}
 	}
 	return out
 }
 
+// logBreaches searches the log file of one process.
 func logBreaches(name, path string, now time.Duration) (out []history.Breach) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil // it never started
+		return nil // the process never started
 	}
 	defer file.Close()
 	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, longestLogLine)
+	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
 		line := lines.Text()
 		switch {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// Limits for a process at the end, when its clients have disconnected.
+// Limits on the resource usage of a process whose clients have disconnected.
 const (
 	maxGoroutines      = 400
 	maxOpenDescriptors = 300
@@ -83,8 +84,9 @@
 // clientCounters are the counters that are 0 at a process without clients.
 var clientCounters = []string{"pooler.sessions_open", "gateway.connections_open", "gateway.requests_open"}
 
-// leaks polls the resource usage of all processes until none exceeds a limit or the time is up.
-func (c *cluster) leaks(ctx context.Context, now time.Duration) (out []history.Breach) {
+// checkLeaks polls the resource usage of all processes until none exceeds a limit or releaseTimeout has
+// passed, and returns the breaches that remain.
+func (c *cluster) checkLeaks(ctx context.Context, now time.Duration) (out []history.Breach) {
 	for end := time.Now().Add(releaseTimeout); ; sleep(ctx, releaseTimeout/10) {
 		if out = c.excessUsage(ctx, now); len(out) == 0 || time.Now().After(end) || ctx.Err() != nil {
 			return out
@@ -95,32 +97,32 @@
 // excessUsage returns a breach for each limit that a process exceeds.
 func (c *cluster) excessUsage(ctx context.Context, now time.Duration) (out []history.Breach) {
 	var addrs []string
-	open := map[string]int{}
-	for _, m := range c.all() {
+	openDescriptors := map[string]int{}
+	for _, m := range c.currentMachines() {
 		if m.control {
-			addrs = append(addrs, m.ip+":"+controlCallPort)
+			addrs = append(addrs, m.ip+":"+controlRPCPort)
 		}
 		if m.proxy {
-			addrs = append(addrs, m.ip+":"+proxyCallPort)
+			addrs = append(addrs, m.ip+":"+proxyRPCPort)
 		}
 		for _, p := range m.procs {
-			if n, err := descriptors(p.pid()); err == nil {
-				open[p.name] = n
+			if n, err := countDescriptors(p.pid()); err == nil {
+				openDescriptors[p.name] = n
 			}
 		}
 	}
 	network := kernel.HostNetwork{BindIP: operatorHost()}
-	for _, text := range findLeaks(open, tools.CollectReports(ctx, network, addrs, false)) {
+	for _, text := range findLeaks(openDescriptors, tools.CollectReports(ctx, network, addrs, false)) {
 		out = append(out, history.Breach{Rule: Leak, At: now, Text: text})
 	}
 	return out
 }
 
-// findLeaks describes each exceeded limit, given the number of open descriptors per process and
-// the counters that the processes report.
-func findLeaks(open map[string]int, system *tools.System) (out []string) {
+// findLeaks describes each limit that a process exceeds, given the numbers of open descriptors by process
+// name and the reports of the processes. A process that does not report is described as well.
+func findLeaks(openDescriptors map[string]int, system *tools.System) (out []string) {
 	leak := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	for name, n := range open {
+	for name, n := range openDescriptors {
 		if n > maxOpenDescriptors {
 			leak("%s has %d descriptors open", name, n)
 		}
@@ -131,7 +133,7 @@
 		}
 		for _, counter := range clientCounters {
 			if n := r.Counters[counter]; n > 0 {
-				leak("%s %s: %s is %d, and no client is there", r.Role, r.Node, counter, n)
+				leak("%s %s: %s is %d although no client is connected", r.Role, r.Node, counter, n)
 			}
 		}
 	}
--- a/internal/testbed/verdict_test.go
+++ b/internal/testbed/verdict_test.go
@@ -13,7 +13,7 @@
 	"indigowalk/internal/tools"
 )
 
-func TestFaultsInLogsAreDetected(t *testing.T) {
+func TestForbiddenLogTextsAreDetected(t *testing.T) {
 	for line, rule := range map[string]string{
 		`{"level":"ERROR","msg":"` + invariant.LogMessage + `","name":"one_primary"}`: Invariant,
 		"panic: runtime error: index out of range":                                    Log,
@@ -56,31 +56,31 @@
 	}
 }
 
-func TestLostMachinesStayWithinLimit(t *testing.T) {
+func TestLossLimiterBoundsLostMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, proxy := &machine{control: true}, &machine{control: true}, &machine{}
-		l := newLosses(1)
+		limiter := newLossLimiter(1)
 		for _, m := range []*machine{first, first, proxy} {
-			if !l.tryAcquire(m) {
-				t.Fatal("take refused a machine within the limit, or one without a control node")
+			if !limiter.tryAcquire(m) {
+				t.Fatal("tryAcquire refused a machine within the limit, or one without a control node")
 			}
 		}
-		l.release(first)
-		if l.tryAcquire(second) || l.noneLost() {
+		limiter.release(first)
+		if limiter.tryAcquire(second) || limiter.noneLost() {
 			t.Error("a second machine may be lost while the first still is")
 		}
-		l.release(first)
-		if l.tryAcquire(second) {
+		limiter.release(first)
+		if limiter.tryAcquire(second) {
 			t.Error("a second machine may be lost before the first has caught up")
 		}
-		time.Sleep(catchup + time.Millisecond)
-		if !l.noneLost() || !l.tryAcquireDisk(second) {
+		time.Sleep(catchUpTime + time.Millisecond)
+		if !limiter.noneLost() || !limiter.tryAcquireDisk(second) {
 			t.Error("no machine may be lost though all have caught up")
 		}
-		if l.tryAcquireDisk(first) {
+		if limiter.tryAcquireDisk(first) {
 			t.Error("two disks may be lost at once")
 		}
-		unbounded := newLosses(0)
+		unbounded := newLossLimiter(0)
 		if !unbounded.tryAcquire(first) || !unbounded.tryAcquire(second) {
 			t.Error("a machine may not be lost though there is no limit")
 		}
@@ -90,9 +90,9 @@
 	})
 }
 
-// The printed report names the broken rule, its time and the events around it.
+// The printed report lists the first breach with its rule and time, and the events around it.
 func TestReportPrintsEventsAroundFirstBreach(t *testing.T) {
-	r := &Report{Breaches: []history.Breach{{Rule: Leak, At: 3 * time.Second, Text: "text"}}, EventsAround: []string{"2.900 s: kill"}}
+	r := &Report{Breaches: []history.Breach{{Rule: Leak, At: 3 * time.Second, Text: "text"}}, EventsNearFirstBreach: []string{"2.900 s: kill"}}
 	var out strings.Builder
 	r.Print(&out)
 	if text := out.String(); r.Clean() || !strings.Contains(text, "LEAK at 3.000 s: text") || !strings.Contains(text, "2.900 s: kill") {
