--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -25,34 +25,34 @@
 	role               string
 	term               int64
 	pausedTerm         int64
-	log                []entry // received entries; clipped when shared, so that an append copies
+	log                []entry // entries in the order of their positions; clipped when shared, so that an append copies
 	replicationStopped bool
 	alive              bool
-	reserved           bool // by a fault that crashes or drains it; see Reserve
+	reserved           bool // for a fault that crashes or drains it; see Reserve
 	draining           bool
 	drainAckedAt       time.Time // when draining or deregistration was first acknowledged
-	seq                int64
+	heartbeatSeq       int64
 	heartbeatAddr      string
-	stop               chan struct{}
-	applied            map[string]bool
-	extraTime          time.Duration // added to every login and statement
-	answersToDrop      int           // answers to drop while keeping their connections open
-	hidesDraining      bool          // its heartbeats say "up" while it drains; it only deregisters
-	heartbeatDelay     time.Duration // how long a heartbeat is in transit
-	maxPrepared        int           // the most prepared statements that one connection had
-
-	misbehaviour      Manner
-	misbehaviourShare float64
+	stopped            chan struct{}   // closed when the database is stopped
+	applied            map[string]bool // ids of the writes that it has applied as a primary
+	extraLatency       time.Duration   // added to every login and statement
+	answersToDrop      int             // number of answers still to drop; see DropAnswers
+	hidesDraining      bool            // its heartbeats report "up" while it drains; see DeregisterAndStop
+	heartbeatDelay     time.Duration   // transit time of each heartbeat
+	maxPrepared        int             // maximum number of prepared statements of one connection
+
+	misbehavior      Misbehavior
+	misbehaviorShare float64
 }
 
-// start listens for connections and begins to send heartbeats.
+// start listens for connections and starts to send heartbeats.
 func (d *Database) start() {
-	stop := make(chan struct{})
+	stopped := make(chan struct{})
 	d.g.mu.Lock()
-	d.alive, d.stop = true, stop
+	d.alive, d.stopped = true, stopped
 	d.g.mu.Unlock()
 	serveAt(d.network(), d.Addr, d.serve)
-	go d.heartbeatLoop(stop)
+	go d.heartbeatLoop(stopped)
 }
 
 // Reserve reserves a running database for one fault that crashes or drains it. It returns false if
@@ -82,7 +82,7 @@
 		return
 	}
 	d.alive = false
-	close(d.stop)
+	close(d.stopped)
 	d.g.mu.Unlock()
 	if dark {
 		d.g.env.Silence(d.IP, true)
@@ -90,11 +90,12 @@
 	d.g.env.Reset(d.IP)
 }
 
-// Return restarts a crashed database with its log and under a new id.
+// Restart restarts a crashed database with its log and under a new id. A primary that another one has
+// superseded becomes a replica.
 func (d *Database) Return(id string) {
 	d.g.mu.Lock()
-	d.ID, d.seq, d.pausedTerm, d.heartbeatAddr = id, 0, 0, ""
-	d.drainAckedAt, d.misbehaviour = time.Time{}, WellBehaved
+	d.ID, d.heartbeatSeq, d.pausedTerm, d.heartbeatAddr = id, 0, 0, ""
+	d.drainAckedAt, d.misbehavior = time.Time{}, NoMisbehavior
 	if d.role == "primary" && d.g.term > d.term {
 		d.role = replica
 	}
@@ -116,7 +117,7 @@
 	}
 }
 
-// Drain reports to the control nodes that the database is draining and to be replaced.
+// Drain reports to the control nodes that the database is draining.
 func (d *Database) Drain() {
 	d.g.mu.Lock()
 	d.draining = true
@@ -124,8 +125,8 @@
 	go d.sendHeartbeat()
 }
 
-// Leave drains the database, keeps it serving for the given time, then deregisters it if
-// deregister is set, and stops it. Its log is lost then.
+// DrainAndStop drains the database and keeps it serving for the given time. It then deregisters the
+// database if deregister is set, and stops it; its log is lost.
 func (d *Database) Leave(after time.Duration, deregister bool) {
 	d.Drain()
 	time.AfterFunc(after, func() {
@@ -136,15 +137,15 @@
 	})
 }
 
-// Role returns the role that the database believes it has.
+// Role returns the database's own view of its role, which is outdated in a superseded primary.
 func (d *Database) Role() string {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.role
 }
 
-// copyPrimaryLog replaces the log by that of the current term's primary, if that runs. The caller
-// holds the group's lock.
+// copyPrimaryLog replaces the log by that of the current term's primary, if that one is running. The
+// caller holds the group's lock.
 func (d *Database) copyPrimaryLog() {
 	for _, p := range d.g.dbs {
 		if p != d && p.role == "primary" && p.alive && p.term == d.g.term {
@@ -154,7 +155,8 @@
 	}
 }
 
-// pos returns the position of the last log entry. The caller holds the group's lock.
+// pos returns the position of the last log entry, or the start of the term if the log is empty. The
+// caller holds the group's lock.
 func (d *Database) pos() lineprotocol.Position {
 	if len(d.log) == 0 {
 		return lineprotocol.Position{Term: d.term}
@@ -163,7 +165,7 @@
 }
 
 // heartbeatLoop sends a heartbeat every 1200 ms until stop is closed.
-func (d *Database) heartbeatLoop(stop chan struct{}) {
+func (d *Database) heartbeatLoop(stopped chan struct{}) {
 	for {
 		if d.heartbeatDelay > 0 {
 			go d.sendHeartbeat() // the next heartbeat does not wait for this one
@@ -171,38 +173,40 @@
 			d.sendHeartbeat()
 		}
 		select {
-		case <-stop:
+		case <-stopped:
 			return
 		case <-time.After(1200 * time.Millisecond):
 		}
 	}
 }
 
-// sendHeartbeat sends one heartbeat and notes when a control node acknowledges the draining.
+// sendHeartbeat sends one heartbeat. If it reports the database as draining and is acknowledged, that is
+// recorded.
 func (d *Database) sendHeartbeat() {
 	d.g.mu.Lock()
 	if !d.alive {
 		d.g.mu.Unlock()
 		return
 	}
-	d.seq++
+	d.heartbeatSeq++
 	status := "up"
 	if d.draining && !d.hidesDraining {
 		status = "draining"
 	}
 	body, _ := json.Marshal(map[string]any{
 		"svc": d.g.Service, "address": d.Addr, "zone": d.zone, "rev": "v1", "slots": 7,
-		"status": status, "call_seq": d.seq, "target_role": d.role,
+		"status": status, "call_seq": d.heartbeatSeq, "target_role": d.role,
 	})
-	path, drains, late := "/Servers.Heartbeat/"+d.ID, status == "draining", d.heartbeatDelay
+	path, reportsDraining, delay := "/Servers.Heartbeat/"+d.ID, status == "draining", d.heartbeatDelay
 	d.g.mu.Unlock()
-	time.Sleep(late)
-	if d.call(path, body) && drains {
+	time.Sleep(delay)
+	if d.call(path, body) && reportsDraining {
 		d.recordDrainAcked()
 	}
 }
 
-// call posts to the control nodes in turn until one acknowledges; false if none does.
+// call posts to the control nodes in turn until one acknowledges the request. It returns false if none
+// does.
 func (d *Database) call(path string, body []byte) bool {
 	for _, a := range d.g.env.Controls() {
 		if code, _ := Call(d.network(), http.MethodPost, a, path, nil, body); code == http.StatusOK {
@@ -212,12 +216,12 @@
 	return false
 }
 
-// maxDrain is how long after an acknowledged draining statements may still begin; it equals
-// bounds.drain_ms in the settings of the system under test.
-const maxDrain = 7 * time.Second
+// maxDrainTime is how long statements may still begin after a control node has acknowledged the
+// draining. It equals bounds.drain_ms in the settings of the system under test.
+const maxDrainTime = 7 * time.Second
 
-// port is the port that every database listens on.
-const port = "8080"
+// databasePort is the port that every database listens on.
+const databasePort = "8080"
 
 // Roles of databases.
 const (
@@ -229,37 +233,37 @@
 
 // statementIDs returns the ids of the statements in the log. The caller holds the group's lock.
 func (d *Database) statementIDs() map[string]bool {
-	held := make(map[string]bool, len(d.log))
+	ids := make(map[string]bool, len(d.log))
 	for _, e := range d.log {
-		held[e.id] = true
+		ids[e.id] = true
 	}
-	return held
+	return ids
 }
 
-// Position returns the last position in the log, and the term for which the database is paused,
+// Position returns the position of the last log entry, and the term for which the database is paused, or
 // 0 if it is not paused.
-func (d *Database) Position() (last lineprotocol.Position, held int64) {
+func (d *Database) Position() (last lineprotocol.Position, pausedTerm int64) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.pos(), d.pausedTerm
 }
 
-// Holds returns the sorted ids of the statements in its log.
+// LoggedStatements returns the sorted ids of the statements in the log.
 func (d *Database) Holds() []string {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.statementIDs()))
 }
 
-// Forget truncates the last n writes from its log, as a database that lost them does.
-func (d *Database) Forget(n int) {
+// TruncateLog removes the last n entries from the log, as if the database had lost them.
+func (d *Database) TruncateLog(n int) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	d.log = slices.Clip(d.log[:max(0, len(d.log)-n)])
 }
 
-// Leaves reports whether the database is draining.
-func (d *Database) Leaves() bool {
+// Draining reports whether the database is draining or being deregistered.
+func (d *Database) Draining() bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.draining
@@ -273,7 +277,7 @@
 }
 
 // checkStatement checks a client's statement that is about to run and reports it to the observer.
-// A statement of another tenant's session violates UNASKED; one that begins later than maxDrain
+// A statement of another tenant's session violates UNASKED; one that begins later than maxDrainTime
 // after the draining was acknowledged violates DRAIN.
 func (d *Database) checkStatement(id, user string, begins bool) {
 	d.g.mu.Lock()
@@ -285,19 +289,19 @@
 	if d.g.Observe.Ran != nil {
 		d.g.Observe.Ran(Run{Service: d.g.Service, Database: d.ID, ID: id, Who: user, Begins: begins})
 	}
-	if after := time.Since(d.drainAckedAt); begins && !d.drainAckedAt.IsZero() && after > maxDrain {
+	if after := time.Since(d.drainAckedAt); begins && !d.drainAckedAt.IsZero() && after > maxDrainTime {
 		d.g.recordViolation("DRAIN: %s begins at %s %v after its leaving was acknowledged", id, d.ID, after)
 	}
 }
 
-// Slow adds latency to every login and statement.
+// SetExtraLatency sets a latency that is added to every login and statement.
 func (d *Database) Slow(more time.Duration) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	d.extraTime = more
+	d.extraLatency = more
 }
 
-// Lose drops the next n answers to reads and writes; the connections stay open.
+// DropAnswers drops the next n answers to FETCH and PUT statements; the connections stay open.
 func (d *Database) Lose(n int) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
@@ -307,12 +311,13 @@
 // simulateWork sleeps for the time that a login or statement takes.
 func (d *Database) simulateWork(t time.Duration) {
 	d.g.mu.Lock()
-	t += d.extraTime
+	t += d.extraLatency
 	d.g.mu.Unlock()
 	time.Sleep(t)
 }
 
-// dropsAnswer reports whether the answer to this statement is to be dropped, and counts it.
+// dropsAnswer reports whether the answer to this statement must be dropped, and counts down the answers
+// to drop.
 func (d *Database) dropsAnswer(text []byte) bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
--- a/internal/standin/environment.go
+++ b/internal/standin/environment.go
@@ -1,8 +1,7 @@
-// Package standin provides stand-ins for the system's environment: databases that speak the
-// line protocol and replicate to each other, request-serving databases, the platform that
-// promotes databases, and clients. They check what they observe against the system's rules and
-// record violations. The simulation runs them on a simulated network, the testbed beside real
-// processes.
+// Package standin provides stand-ins for the system's environment: databases that speak the line
+// protocol and replicate to each other, workers of HTTP services, the platform that promotes databases,
+// and clients. They check what they observe against the system's rules and record violations. The
+// simulation runs them on a simulated network, the testbed beside real processes.
 package standin
 
 import (
@@ -16,7 +15,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// Environment is what stand-ins need of the network and its fault injection.
+// Environment is the network that stand-ins use, with its fault injection.
 type Environment interface {
 	// Network returns the network as seen from the host with this IP address.
 	Network(ip string) kernel.Network
@@ -24,12 +23,12 @@
 	Controls() []string
 	// Reaches reports whether packets pass from one address to another.
 	Reaches(from, to string) bool
-	// ReachedPeer reports whether a broken connection had reached its intended peer. It may not
-	// have where a relay in between accepts connections on behalf of others.
+	// ReachedPeer reports whether a broken connection had reached its intended peer, and not only a relay
+	// that accepts connections on behalf of the peer.
 	ReachedPeer(c net.Conn) bool
 	// Silence makes a host unresponsive, or responsive again.
 	Silence(ip string, silent bool)
-	// Reset breaks a host's connections and closes its addresses.
+	// Reset resets a host's connections and closes its listeners.
 	Reset(ip string)
 }
 
@@ -58,21 +57,21 @@
 	maxRedirects = 2
 )
 
-// Call makes one HTTP call from a host to the control address of a node, as databases and
-// operators do. The status is 0 if there was no whole response.
+// Call sends one HTTP request to the control API at addr, as databases and operators do, and returns the
+// status and body of the response. It follows redirects. The status is 0 without a complete response.
 func Call(network kernel.Network, method, addr, path string, header map[string]string, body []byte) (int, []byte) {
 	return CallFollowing(network, maxRedirects, method, addr, path, header, body)
 }
 
 // CallFollowing is like Call, but follows up to the given number of redirects.
-func CallFollowing(network kernel.Network, hops int, method, addr, path string, header map[string]string, body []byte) (int, []byte) {
+func CallFollowing(network kernel.Network, redirects int, method, addr, path string, header map[string]string, body []byte) (int, []byte) {
 	client := &http.Client{
 		Timeout: callTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
 			return network.Dial(ctx, a, 0)
 		}},
 		CheckRedirect: func(_ *http.Request, via []*http.Request) error {
-			if len(via) > hops {
+			if len(via) > redirects {
 				return http.ErrUseLastResponse
 			}
 			return nil
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -12,7 +12,7 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Group is the replicated databases of a service. It checks the invariants between them.
+// Group is the set of replicated databases of a service. It checks the invariants between them.
 type Group struct {
 	Service string
 	Promote time.Duration // how long a promotion takes
@@ -28,11 +28,11 @@
 	violations []string
 }
 
-// Observer holds callbacks for events at the databases; nil ones are not called.
+// Observer holds callbacks for events at databases and workers; nil ones are not called.
 type Observer struct {
-	Ran      func(Run)
-	Drains   func(service, database string) // a control node has acknowledged the draining
-	Promoted func(Promotion)
+	Ran        func(Run)
+	DrainAcked func(service, database string) // a control node has acknowledged the draining or deregistration
+	Promoted   func(Promotion)
 }
 
 // Run is a statement or request that a database runs.
@@ -40,20 +40,20 @@
 	Service, Database string
 	ID                string // of the statement or request
 	Who               string // the tenant named in the login of its connection
-	Begins            bool   // it is outside a transaction, or the first statement in one
+	Begins            bool   // it is not a later statement of an open transaction
 }
 
 // Promotion is the event of a database becoming the primary of a term.
 type Promotion struct {
 	Service, Database string
 	Term              int64
-	Holds             []string // ids of the statements in its log
+	LoggedStatements  []string // ids of the statements in its log
 }
 
 // defaultPromotionTime is how long a promotion takes unless Group.Promote is set otherwise.
 const defaultPromotionTime = 300 * time.Millisecond
 
-// NewGroup returns a service without databases.
+// NewGroup returns a group without databases.
 func NewGroup(env Environment, service string) *Group {
 	return &Group{Service: service, Promote: defaultPromotionTime, env: env, term: 1, acked: map[string]bool{}, owners: map[string]string{}}
 }
@@ -68,7 +68,7 @@
 // DB returns the database that was added as number i, counted from 0.
 func (g *Group) DB(i int) *Database { return g.Databases()[i] }
 
-// Primary returns the primary of the newest term, or nil if there is none that runs.
+// Primary returns the primary of the newest term, or nil if it is not running.
 func (g *Group) Primary() *Database {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// newestPrimary returns the primary of the newest term, whether it runs or not. The caller holds
-// the lock.
+// newestPrimary returns the primary of the newest term, whether it is running or not, or nil if there is
+// none. The caller holds the lock.
 func (g *Group) newestPrimary() *Database {
 	for _, d := range g.dbs {
 		if d.role == primary && d.term == g.term {
@@ -94,9 +94,8 @@
 	return nil
 }
 
-// SetSessionTenant records the tenant that a session belongs to; its statements may run for no
-// other tenant.
-// With "" they are not checked.
+// SetSessionTenant records the tenant that a session belongs to. The session's statements may run for no
+// other tenant; they are not checked if the tenant is "".
 func (g *Group) SetSessionTenant(session, tenant string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +123,7 @@
 	clear(g.acked)
 }
 
-// Broken returns the violations recorded so far.
+// Violations returns the violations recorded so far.
 func (g *Group) Broken() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -138,29 +137,29 @@
 	g.recordViolation(format, args...)
 }
 
-// Final checks, at the end of a run, that the newest primary has every acknowledged commit, and
-// none of the statements that clients were promised would not be committed.
-func (g *Group) Final(promised map[string]promise) {
+// Final checks at the end of a run that the newest primary has every acknowledged commit, and none of
+// the writes that were refused with a code for which PromisesNotCommitted is true.
+func (g *Group) Final(refusals map[string]refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	newest := g.newestPrimary()
 	if newest == nil {
 		return
 	}
-	held := newest.statementIDs()
-	for id := range held {
-		if p, ok := promised[id]; ok {
+	logged := newest.statementIDs()
+	for id := range logged {
+		if p, ok := refusals[id]; ok {
 			g.recordViolation("REFUSED: %s was committed, though %s answered %s at %s", id, p.pooler, p.code, p.at.Format(time.StampMilli))
 		}
 	}
 	for id := range g.acked {
-		if !held[id] {
+		if !logged[id] {
 			g.recordViolation("LOST: acknowledged %s is gone from %s", id, newest.ID)
 		}
 	}
 }
 
-// End stops every database.
+// Stop stops every database.
 func (g *Group) End() {
 	for _, d := range g.Databases() {
 		d.Crash(false)
@@ -182,11 +181,11 @@
 // Add starts a database and adds it to the group.
 func (g *Group) Add(id, ip, zone, role string) *Database { return g.AddLate(id, ip, zone, role, 0) }
 
-// AddLate is like Add, for a database whose heartbeats take the given time to arrive.
-func (g *Group) AddLate(id, ip, zone, role string, late time.Duration) *Database {
+// AddWithHeartbeatDelay is like Add, for a database whose heartbeats take the given time to arrive.
+func (g *Group) AddLate(id, ip, zone, role string, heartbeatDelay time.Duration) *Database {
 	d := &Database{
-		g: g, ID: id, IP: ip, Addr: net.JoinHostPort(ip, port), zone: zone,
-		role: role, term: 1, applied: map[string]bool{}, heartbeatDelay: late,
+		g: g, ID: id, IP: ip, Addr: net.JoinHostPort(ip, databasePort), zone: zone,
+		role: role, term: 1, applied: map[string]bool{}, heartbeatDelay: heartbeatDelay,
 	}
 	g.mu.Lock()
 	g.dbs = append(g.dbs, d)
@@ -201,11 +200,11 @@
 const (
 	committed      outcome = iota
 	notRun                 // the database is not a primary
-	unknownOutcome         // it is in the log, but whether a replica has received it is not known
+	unknownOutcome         // the writes are in the log, but a replica may not have received them
 )
 
 // commit appends writes to the primary's log and waits until one replica has received them.
-// A statement that is applied a second time violates TWICE.
+// A write that is applied a second time violates TWICE.
 func (d *Database) commit(writes []entry) outcome {
 	g := d.g
 	g.mu.Lock()
@@ -224,7 +223,7 @@
 	}
 	for {
 		if !d.alive || d.role != primary {
-			return unknownOutcome // another commit may have replicated it
+			return unknownOutcome // another commit may have replicated the writes
 		}
 		received := false
 		for _, r := range g.dbs {
@@ -242,7 +241,7 @@
 	}
 }
 
-// PromoteTo starts to promote the database to primary of the next term, as the platform does, and
+// StartPromotion starts to promote a database to primary of the next term, as the platform does, and
 // returns the HTTP status of the platform's response. A promoted database whose log lacks an
 // acknowledged commit violates LOST.
 func (g *Group) PromoteTo(id string) int {
@@ -268,15 +267,15 @@
 		if !d.alive || d.role == primary {
 			return
 		}
-		held := d.statementIDs()
+		logged := d.statementIDs()
 		for id := range g.acked {
-			if !held[id] {
+			if !logged[id] {
 				g.recordViolation("LOST: acknowledged %s is not in the log of the promoted %s", id, d.ID)
 			}
 		}
 		g.term++
 		if g.Observe.Promoted != nil {
-			g.Observe.Promoted(Promotion{g.Service, d.ID, g.term, slices.Sorted(maps.Keys(held))})
+			g.Observe.Promoted(Promotion{g.Service, d.ID, g.term, slices.Sorted(maps.Keys(logged))})
 		}
 		d.role, d.term, d.pausedTerm = primary, g.term, 0
 		for _, o := range g.dbs {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -13,11 +13,11 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Deadline is the deadline of the load's routes, after which a statement no longer runs.
+// Deadline is the deadline of the load's routes. A statement does not start to run after it.
 const Deadline = 2 * time.Second
 
-// Stale is stale_ms of the routes on which reads may be stale.
-const Stale = 1500 * time.Millisecond
+// MaxStaleness is stale_ms of the routes on which reads may be stale.
+const MaxStaleness = 1500 * time.Millisecond
 
 // Kinds of routes, named by the first letter of their types (primary, bounded, nearest). The route
 // of a kind to a service is named KIND.SERVICE.
@@ -27,14 +27,14 @@
 	NearestRoute = "n"
 )
 
-// Pooler is a pooler as its clients reach it.
+// Pooler is a pooler as seen by its clients.
 type Pooler struct {
-	Number  int            // part of the keys that are written through it
+	Number  int            // distinguishes the keys that are written through it
 	Address func() string  // the current address
-	Network kernel.Network // of its clients
+	Network kernel.Network // network of its clients
 }
 
-// At returns an Address function for a pooler whose address never changes.
+// FixedAddress returns an Address function for a pooler or gateway whose address never changes.
 func At(address string) func() string { return func() string { return address } }
 
 // Statement is a client's statement and its result.
@@ -42,40 +42,41 @@
 	Pooler, Route string
 	ID            string
 	Write         bool
-	Thing         string
+	Key           string
 	Value         int  // written, or read
 	Own           bool // a read of a key that the session itself writes
 	Sent, Done    time.Time
-	Last          time.Time // when its last message was sent: the COMMIT, for a write in a transaction
+	LastSent      time.Time // when the client sent its last message: the COMMIT, for a write in a transaction
 	Code          string    // of the error, "" for success
 }
 
-// Load is a workload of readers and writers that checks the guarantees given to clients.
+// Load is a workload of clients that read and write through poolers, and check the guarantees that are
+// given to clients.
 type Load struct {
 	g       *Group
 	poolers []Pooler
 	observe func(Statement)
 
 	mu       sync.Mutex
-	acks     map[string][]ack   // by key: the acknowledged counters and when they were acknowledged
-	promised map[string]promise // by id: statements that must not be committed
-	Served   int
-	Refused  int
-	Unsure   int
-	Slowest  time.Duration // the longest time between two served writes
+	acks     map[string][]ack   // acknowledged writes by key
+	refusals map[string]refusal // by id of the statements, which must not be committed
+	Served   int                // writes that were acknowledged
+	Refused  int                // writes whose error code promises that they are not committed
+	Unsure   int                // writes of unknown outcome
+	Slowest  time.Duration      // the longest time between two consecutive served writes
 
 	lastServed time.Time
 	stop       chan struct{}
 	wg         sync.WaitGroup
 }
 
-// promise is an error answer after which the statement must not be committed.
-type promise struct {
+// refusal is an error answer after which the statement must not be committed.
+type refusal struct {
 	pooler, code string
 	at           time.Time
 }
 
-// ack is an acknowledged write of the counter n.
+// ack is an acknowledged write of the counter value n.
 type ack struct {
 	n  int
 	at time.Time
@@ -88,7 +89,7 @@
 // called with every statement.
 func NewLoad(g *Group, seed uint64, poolers []Pooler, observe func(Statement)) *Load {
 	l := &Load{
-		g: g, poolers: poolers, observe: observe, acks: map[string][]ack{}, promised: map[string]promise{},
+		g: g, poolers: poolers, observe: observe, acks: map[string][]ack{}, refusals: map[string]refusal{},
 		stop: make(chan struct{}), lastServed: time.Now(),
 	}
 	for _, p := range poolers {
@@ -102,16 +103,16 @@
 	return l
 }
 
-// keyFor returns the key that a writer at a pooler writes.
+// keyFor returns the key that one writer at a pooler writes.
 func keyFor(pooler, writer int) string { return fmt.Sprintf("t%d.%d", pooler, writer) }
 
-// startClient runs a client with its own random source.
-func (l *Load) startClient(seed uint64, p Pooler, f func(*rand.Rand)) {
+// startClient starts a client in a goroutine, with its own random number generator.
+func (l *Load) startClient(seed uint64, p Pooler, client func(*rand.Rand)) {
 	l.wg.Add(1)
 	r := rand.New(rand.NewPCG(seed, uint64(p.Number)))
 	go func() {
 		defer l.wg.Done()
-		f(r)
+		client(r)
 	}()
 }
 
@@ -121,7 +122,7 @@
 	l.wg.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.g.Final(l.promised)
+	l.g.Final(l.refusals)
 }
 
 // stopped reports whether Stop was called.
@@ -134,7 +135,7 @@
 	}
 }
 
-// Promises reports whether an error code guarantees that the statement is not committed.
+// PromisesNotCommitted reports whether an error code guarantees that the statement is not committed.
 func Promises(code string) bool {
 	switch code {
 	case lineprotocol.Retry, lineprotocol.RolledBack, lineprotocol.Lagging, lineprotocol.ReadOnly, lineprotocol.WrongNode, lineprotocol.MaxConn:
@@ -143,7 +144,7 @@
 	return false
 }
 
-// pause sleeps for the time that a client waits between two operations, 20 to 49 ms.
+// pause sleeps between two operations of a client, for 20 to 49 ms.
 func pause(r *rand.Rand) { time.Sleep(time.Duration(20+r.IntN(30)) * time.Millisecond) }
 
 // login opens a session and sets an option on it to a value that is unique to the session. Both
@@ -157,7 +158,7 @@
 	return s, a
 }
 
-// notifyObserver completes a statement of a session and passes it to the observer.
+// notifyObserver adds the result of a statement of a session and passes the statement to the observer.
 func (l *Load) notifyObserver(session *Session, kind string, s Statement, a *lineprotocol.Answer) {
 	if l.observe == nil {
 		return
@@ -190,7 +191,8 @@
 	}
 }
 
-// write writes a key once and returns the answer that decides whether the write is committed.
+// write writes a key once and returns the answer to the PUT or, for a write in a transaction, to the
+// COMMIT.
 func (l *Load) write(r *rand.Rand, p Pooler, s *Session, key string, n int) *lineprotocol.Answer {
 	inTransaction := r.IntN(3) == 0
 	if inTransaction {
@@ -204,11 +206,11 @@
 		a, _ = s.Query("COMMIT")
 	}
 	l.recordWrite(s, a, key, n, id)
-	l.notifyObserver(s, PrimaryRoute, Statement{ID: id, Write: true, Thing: key, Value: n, Sent: sent, Last: last}, a)
+	l.notifyObserver(s, PrimaryRoute, Statement{ID: id, Write: true, Key: key, Value: n, Sent: sent, LastSent: last}, a)
 	return a
 }
 
-// recordWrite records a write as acknowledged, refused or of unknown outcome.
+// recordWrite records a write as acknowledged, refused, or of unknown outcome.
 func (l *Load) recordWrite(s *Session, a *lineprotocol.Answer, key string, n int, id string) {
 	now := time.Now()
 	l.mu.Lock()
@@ -222,13 +224,13 @@
 		l.g.Ack(id)
 	case Promises(a.Code):
 		l.Refused++
-		l.promised[id] = promise{s.Address, a.Code, now}
+		l.refusals[id] = refusal{s.Address, a.Code, now}
 	default:
 		l.Unsure++
 	}
 }
 
-// LongestGap returns the longest time between two writes served at a pooler.
+// LongestGap returns the longest time between two consecutive writes served at a pooler.
 func (l *Load) LongestGap(pooler int) (longest time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -245,13 +247,13 @@
 	return longest
 }
 
-// minimumExpected returns the lowest counter that a read begun now may return.
-func (l *Load) minimumExpected(key string, kind string) int {
+// minExpected returns the lowest counter value that a read started now may return.
+func (l *Load) minExpected(key string, kind string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bound := time.Now()
 	if kind != PrimaryRoute {
-		bound = bound.Add(-Stale)
+		bound = bound.Add(-MaxStaleness)
 	}
 	n := 0
 	for _, a := range l.acks[key] {
@@ -262,11 +264,12 @@
 	return n
 }
 
-// reader reads keys until the load is stopped. It checks how fresh the values are, that on nearest
-// routes the session reads its own writes, and that the session's options are in force.
+// reader reads keys until the load is stopped. It checks that the values are fresh enough for the kind
+// of route, that on nearest routes the session reads its own writes, and that the session's options are
+// in force.
 func (l *Load) reader(r *rand.Rand, p Pooler, kind string) {
 	var s *Session
-	own, ownValue := fmt.Sprintf("own%s%d", kind, p.Number), 0
+	ownKey, ownValue := fmt.Sprintf("own%s%d", kind, p.Number), 0
 	for !l.stopped() {
 		pause(r)
 		if s == nil {
@@ -283,16 +286,16 @@
 		}
 		key := keyFor(l.poolers[r.IntN(len(l.poolers))].Number, r.IntN(writersPerPooler))
 		if kind == NearestRoute && r.IntN(3) == 0 {
-			if a, _ := s.Query(fmt.Sprintf("PUT %s %d", own, ownValue+1)); a.Code == "" {
+			if a, _ := s.Query(fmt.Sprintf("PUT %s %d", ownKey, ownValue+1)); a.Code == "" {
 				ownValue++
 			}
-			key = own
+			key = ownKey
 		}
-		want := l.minimumExpected(key, kind)
-		if key == own {
+		want := l.minExpected(key, kind)
+		if key == ownKey {
 			want = ownValue
 		}
-		if a := l.read(p, s, kind, key, want, key == own); a.Code == Cut || s.State != "I" {
+		if a := l.read(p, s, kind, key, want, key == ownKey); a.Code == Cut || s.State != "I" {
 			s.Close()
 			s = nil
 		}
@@ -303,14 +306,14 @@
 }
 
 // read reads a key once and checks the answer.
-func (l *Load) read(p Pooler, s *Session, kind, key string, want int, own bool) *lineprotocol.Answer {
+func (l *Load) read(p Pooler, s *Session, kind, key string, want int, ownKey bool) *lineprotocol.Answer {
 	sent := time.Now()
 	a, id := s.Query("FETCH " + key)
 	got, _ := strconv.Atoi(Row(a))
 	if a.Code == "" {
 		l.check(a, s, kind, key, got, want, id)
 	}
-	l.notifyObserver(s, kind, Statement{ID: id, Thing: key, Value: got, Own: own, Sent: sent, Last: sent}, a)
+	l.notifyObserver(s, kind, Statement{ID: id, Key: key, Value: got, Own: ownKey, Sent: sent, LastSent: sent}, a)
 	return a
 }
 
@@ -320,7 +323,7 @@
 	if got < want {
 		l.g.Broke("STALE: %s read %d of %s by %q, %d was acknowledged", id, got, key, kind, want)
 	}
-	if f := strings.Fields(string(a.Rows)); len(f) < 3 || f[2] != "1:"+s.Name {
-		l.g.Broke("PINNED: %s ran with values %v", id, f)
+	if fields := strings.Fields(string(a.Rows)); len(fields) < 3 || fields[2] != "1:"+s.Name {
+		l.g.Broke("PINNED: %s ran with values %v", id, fields)
 	}
 }
--- a/internal/standin/manners.go
+++ b/internal/standin/manners.go
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// Manner is a way in which a database misbehaves on the wire, for a share of the statements.
-type Manner int
+// Misbehavior is a way in which a database violates the line protocol or stalls.
+type Misbehavior int
 
-// Ways in which databases misbehave.
+// Misbehaviors of databases.
 const (
-	WellBehaved  Manner = iota
-	Silent              // runs the statement, sends no answer and keeps the connection open
-	Pieces              // sends its answer in small pieces
-	CutsShort           // sends half of its answer and closes the connection
-	AnswersTwice        // sends a surplus answer after the first
-	EndsFirst           // runs the statement and closes the connection without an answer
-	EndsUnread          // closes the connection before it reads the statement
-	ShedsLoad           // runs nothing and answers that it is full
-	MuteLogin           // accepts connections and answers no login
-	WrongLogin          // answers logins as another database would
+	NoMisbehavior Misbehavior = iota
+	Silent                    // runs the statement, sends no answer and keeps the connection open
+	Pieces                    // sends its answer in small pieces
+	CutsShort                 // sends half of its answer and closes the connection
+	AnswersTwice              // sends a surplus answer after the first
+	EndsFirst                 // runs the statement and closes the connection without an answer
+	EndsUnread                // closes the connection before reading the statement
+	ShedsLoad                 // runs no statement and answers that the database is full
+	MuteLogin                 // accepts connections but answers no login
+	WrongLogin                // answers logins as another database would
 )
 
-// AllManners lists every way to misbehave.
-var AllManners = []Manner{Silent, Pieces, CutsShort, AnswersTwice, EndsFirst, EndsUnread, ShedsLoad, MuteLogin, WrongLogin}
+// AllMisbehaviors lists every misbehavior.
+var AllMisbehaviors = []Misbehavior{Silent, Pieces, CutsShort, AnswersTwice, EndsFirst, EndsUnread, ShedsLoad, MuteLogin, WrongLogin}
 
-// pieceBytes is the size of a piece of an answer that is sent in pieces, and piecePause the time
-// between two pieces.
+// pieceBytes is the size of the pieces of an answer or response that is sent in pieces, and piecePause
+// the pause between two pieces.
 const (
 	pieceBytes = 7
 	piecePause = time.Millisecond
 )
 
-// Behave makes the database misbehave for a share (0 to 1) of the statements from now on.
-func (d *Database) Behave(m Manner, share float64) {
+// InjectMisbehavior makes the database misbehave for a share (0 to 1) of the statements from now on.
+// NoMisbehavior ends it.
+func (d *Database) Behave(kind Misbehavior, share float64) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	d.misbehaviour, d.misbehaviourShare = m, share
+	d.misbehavior, d.misbehaviorShare = kind, share
 }
 
-// misbehaves reports whether the database misbehaves in this way now, drawn per statement.
-func (d *Database) misbehaves(m Manner) bool {
+// misbehaves reports whether the database must misbehave in this way now. It draws anew at each call.
+func (d *Database) misbehaves(kind Misbehavior) bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	return d.misbehaviour == m && rand.Float64() < d.misbehaviourShare
+	return d.misbehavior == kind && rand.Float64() < d.misbehaviorShare
 }
 
-// writeAnswer writes an answer, subject to the injected misbehaviour. The caller closes the
-// connection if it returns false.
+// writeAnswer writes an answer as the injected misbehavior says. The caller closes the connection if it
+// returns false.
 func (d *Database) writeAnswer(c net.Conn, answer []byte) bool {
 	switch {
 	case d.misbehaves(Silent):
@@ -74,11 +75,11 @@
 	return err == nil
 }
 
-// LeaveAtOnce deregisters the database without reporting it as draining first, keeps it serving for
-// the given time, and stops it. Its log is lost then.
-func (d *Database) LeaveAtOnce(after time.Duration) {
+// DeregisterAndStop deregisters the database without reporting it as draining first, keeps it serving
+// for the given time, and stops it; its log is lost.
+func (d *Database) DeregisterAndStop(after time.Duration) {
 	d.g.mu.Lock()
-	d.draining = true // for callers of Leaves; its heartbeats still report "up"
+	d.draining = true // for callers of Draining; its heartbeats still report "up"
 	d.hidesDraining = true
 	d.g.mu.Unlock()
 	go func() {
@@ -100,7 +101,7 @@
 		return
 	}
 	d.drainAckedAt = time.Now()
-	if d.g.Observe.Drains != nil {
-		d.g.Observe.Drains(d.g.Service, d.ID)
+	if d.g.Observe.DrainAcked != nil {
+		d.g.Observe.DrainAcked(d.g.Service, d.ID)
 	}
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -9,26 +9,26 @@
 	"sync"
 )
 
-// Platform is a stand-in for the platform. It promotes databases, and checks by the fences of the
-// calls that one control node at a time holds the duty.
+// Platform is a stand-in for the platform that promotes databases. It checks the fencing tokens of the
+// calls: only one control node at a time may hold the failover duty.
 type Platform struct {
 	// Promote promotes a database of a service and returns the HTTP status to respond with.
 	Promote func(service, id string) int
 
-	mu         sync.Mutex
-	lastFence  int64
-	holder     string
-	violations []string
-	calls      int
-	forced     []int // statuses to respond with to the next calls instead of carrying them out
+	mu             sync.Mutex
+	lastFence      int64
+	holder         string
+	violations     []string
+	calls          int
+	forcedStatuses []int // statuses of the responses to the next calls, which are not carried out
 }
 
-// Refuse makes the platform respond to the next calls with these statuses instead of carrying them
-// out; 0 leaves a call without a response.
+// ForceResponses makes the platform respond to the next calls with these statuses instead of carrying
+// the calls out; 0 leaves a call without a response.
 func (p *Platform) Refuse(codes ...int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forced = codes
+	p.forcedStatuses = codes
 }
 
 // Calls returns the number of calls to the platform.
@@ -38,14 +38,14 @@
 	return p.calls
 }
 
-// Broken returns the violations by calls so far.
+// Violations returns the violations recorded so far.
 func (p *Platform) Broken() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.violations)
 }
 
-// ServeHTTP implements http.Handler; it serves the platform's failover call.
+// ServeHTTP implements http.Handler. It serves the call that promotes a database, /failover.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	var body struct{ Svc, ID string }
 	if json.NewDecoder(q.Body).Decode(&body) != nil || q.URL.Path != "/failover" {
@@ -64,19 +64,19 @@
 	}
 }
 
-// nextForced takes the next status set by Refuse, if there is one.
+// nextForced removes and returns the next status set by ForceResponses, if there is one.
 func (p *Platform) nextForced() (code int, forced bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.forced) == 0 {
+	if len(p.forcedStatuses) == 0 {
 		return 0, false
 	}
-	code, p.forced = p.forced[0], p.forced[1:]
+	code, p.forcedStatuses = p.forcedStatuses[0], p.forcedStatuses[1:]
 	return code, true
 }
 
-// check records a ONE violation for a call whose fence is missing, older than the newest one, or
-// equal to that of another holder.
+// check records a ONE violation for a call whose holder or fencing token is missing, or whose token is
+// lower than the previous one or equal to that of another holder.
 func (p *Platform) check(holder, fence string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/requests.go
+++ b/internal/standin/requests.go
@@ -16,18 +16,18 @@
 	"indigowalk/internal/kernel"
 )
 
-// Answer is the response that a client of a gateway received.
+// Answer is the outcome of a request to a gateway, with the response if there was one.
 type Answer struct {
-	Status int
+	Status int // 0 if there was no complete response
 	Header http.Header
 	Body   string
-	Closes bool // the connection is closed after it
-	Unsent bool // no connection to the gateway was made
+	Closes bool // the response says that the connection is closed after it
+	Unsent bool // the request did not reach the gateway
 	Took   time.Duration
 }
 
-// Ask sends one request to a gateway and checks a successful response. Safe requests may run more
-// than once. Status is 0 if there was no whole response.
+// SendRequest sends one request to a gateway and checks a successful response. Only a safe request may
+// run more than once.
 func (s *Service) Ask(network kernel.Network, addr, id string, safe bool, body string) Answer {
 	path, method := "/safe/"+id+"?x=%2F%41", "GET"
 	if !safe {
@@ -64,8 +64,8 @@
 	requestTimeout     = 10 * time.Second
 )
 
-// checkSuccess checks that a successful response belongs to the request, and that the request ran;
-// otherwise it violates MIXED.
+// checkSuccess records a MIXED violation if a successful response does not belong to the request or the
+// request has not run.
 func (s *Service) checkSuccess(id string, a Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,8 @@
 	}
 }
 
-// Raw sends bytes as they are and reads one HTTP response.
+// ExchangeRaw sends bytes as they are and reads one HTTP response. The status is 0 without a complete
+// response.
 func Raw(c net.Conn, b []byte) (a Answer) {
 	if c.SetReadDeadline(time.Now().Add(requestTimeout)) != nil {
 		return a
@@ -96,7 +97,8 @@
 	return Answer{Status: r.StatusCode, Header: r.Header, Body: string(raw), Closes: r.Close}
 }
 
-// Refused checks that a request that was promised not to have run has not run.
+// Refused records a REFUSED violation if a request has run although the gateway's response promised that
+// it had not.
 func (s *Service) Refused(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,9 +107,9 @@
 	}
 }
 
-// Entry is a gateway as its clients reach it.
+// Gateway is a gateway as seen by its clients.
 type Entry struct {
-	Number  int           // part of the ids of the requests sent there
+	Number  int           // distinguishes the ids of the requests sent to it
 	Address func() string // the current address
 	Network kernel.Network
 }
@@ -118,10 +120,10 @@
 	ID         string
 	Safe       bool
 	Sent, Done time.Time
-	Status     int // 0 if there was no whole response
+	Status     int // 0 if there was no complete response
 }
 
-// Requests is a workload of requests to gateways.
+// RequestLoad is a workload of clients that send requests to gateways.
 type Requests struct {
 	s       *Service
 	observe func(Request)
@@ -129,19 +131,19 @@
 	wg      sync.WaitGroup
 
 	mu       sync.Mutex
-	Statuses map[int]int
-	Slowest  time.Duration
+	Statuses map[int]int   // number of requests by status
+	Slowest  time.Duration // the longest time that a successful request took
 }
 
-// With an observer, each client sends every longEvery-th request as an unsafe one with a body of
-// about longBytes.
+// With an observer, one in longRequestInterval requests of each client is an unsafe one with a body of
+// about longRequestBytes.
 const (
-	longEvery = 25
-	longBytes = 200 << 10
+	longRequestInterval = 25
+	longRequestBytes    = 200 << 10
 )
 
-// Load starts the given number of clients at each gateway, which send safe and unsafe requests. If
-// observe is not nil, it is called with each request that was sent.
+// StartLoad starts the given number of clients at each gateway, which send safe and unsafe requests. If
+// observe is not nil, it is called with each request that reached a gateway.
 func (s *Service) Load(entries []Entry, clients int, pause time.Duration, observe func(Request)) *Requests {
 	l := &Requests{s: s, observe: observe, stop: make(chan struct{}), Statuses: map[int]int{}}
 	for _, e := range entries {
@@ -152,8 +154,8 @@
 	return l
 }
 
-// client sends requests to one gateway until the load is stopped. Those refused with status 503
-// must not have run.
+// client sends requests to one gateway until the load is stopped. It checks that requests refused with
+// status 503 have not run.
 func (l *Requests) client(e Entry, i int, pause time.Duration) {
 	for n := 0; ; n++ {
 		select {
@@ -165,8 +167,8 @@
 		if !safe {
 			body = "what " + strconv.Itoa(n)
 		}
-		if l.observe != nil && n%longEvery == 0 {
-			safe, body = false, strings.Repeat(body+" ", longBytes/(len(body)+1))
+		if l.observe != nil && n%longRequestInterval == 0 {
+			safe, body = false, strings.Repeat(body+" ", longRequestBytes/(len(body)+1))
 		}
 		addr, sent := e.Address(), time.Now()
 		a := l.s.Ask(e.Network, addr, id, safe, body)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -15,72 +15,73 @@
 	"time"
 )
 
-// Service is a group of equivalent databases that serve HTTP requests. It checks that each request
-// runs as it was sent, and unsafe ones at most once.
+// Service is a set of equivalent workers that serve HTTP requests. It checks that each request runs as it
+// was sent, and that unsafe ones run at most once.
 type Service struct {
-	Name    string
-	Observe Observer // of runs and drains
+	Name     string
+	Observer Observer // Ran and DrainAcked are called
 
 	env Environment
 
 	mu         sync.Mutex
 	expected   map[string]string // method, path and body that clients sent, by request id
 	unsafe     map[string]bool   // ids of requests that may run only once
-	runs       map[string]int
+	runs       map[string]int    // how often each request has run, by id
 	violations []string
 	workers    []*Worker
 }
 
-// Fault is a way in which a worker misbehaves.
+// Fault is a way in which a worker misbehaves while it serves requests.
 type Fault int
 
 // Faults of workers.
 const (
 	Well      Fault = iota
 	Mute            // runs the request and sends no response
-	Loses           // runs the request and closes the connection
-	Breaks          // runs the request and sends part of the response
-	Garbles         // runs the request and sends something that is no HTTP response
-	Surplus         // responds, and shortly afterwards once more
-	Sheds           // doesn't run the request and responds that it is full
+	Loses           // runs the request and closes the connection without a response
+	Breaks          // runs the request, sends a part of the response and closes the connection
+	Garbles         // runs the request and sends bytes that are no HTTP response
+	Surplus         // runs the request, responds, and shortly afterwards responds again
+	Sheds           // doesn't run the request and responds that it is full, with status 503
 	Resets          // doesn't run the request and closes the connection
 	Errors          // runs the request and responds with status 500
-	Forgetful       // closes a connection when a request comes after it was idle
-	Early           // rejects long requests before it has read them, and reads on
-	Dribbles        // sends its response in small pieces
-	Mislabels       // responds under another request's id
-	Trails          // sends stray bytes after its response
-	Long            // sends a long response, which is no fault
-	Stalls          // sends half of a long response and stalls
+	Forgetful       // closes a connection that was idle when the next request arrives, without running it
+	Early           // rejects a long request before reading its body, then reads the body
+	Dribbles        // runs the request and sends the response in small pieces
+	Mislabels       // runs the request and responds with another request's id
+	Trails          // runs the request and sends stray bytes after the response
+	Long            // runs the request and sends a long response, which is allowed
+	Stalls          // runs the request, sends half of a long response and stalls
 )
 
-// longAnswerBytes is the body size of the responses of Long and Stalls.
+// longAnswerBytes is the size of the response bodies of Long and Stalls.
 const longAnswerBytes = 1 << 20
 
-// AllFaults lists the faults that any request may meet; Long and Stalls are not among them.
+// AllFaults lists the faults that may be injected under any workload; Long and Stalls are not among them.
 var AllFaults = []Fault{Mute, Loses, Breaks, Garbles, Surplus, Sheds, Resets, Errors, Forgetful, Early, Dribbles, Mislabels, Trails}
 
-// Worker is one database of a Service.
+// Worker is one server of a Service. Like a database, it announces itself to the control nodes by
+// heartbeats.
 type Worker struct {
 	s        *Service
 	ID       string
 	IP, Zone string
-	Slots    int
-	Work     time.Duration
+	Slots    int           // requests that it runs at the same time
+	Work     time.Duration // how long a request runs
 
 	mu       sync.Mutex
-	reserved bool // a fault is being injected; see Reserve
+	reserved bool // for a fault; see Reserve
 	fault    Fault
 	healthy  bool
 	draining bool
-	busy     int
-	Arrived  int
+	running  int
+	Arrived  int         // requests that have run or are running
 	Last     http.Header // header of the latest request
 	ctx      context.Context
 	cancel   context.CancelFunc
 }
 
-// NewService returns a service without databases.
+// NewService returns a service without workers.
 func NewService(env Environment, name string) *Service {
 	return &Service{Name: name, env: env, expected: map[string]string{}, unsafe: map[string]bool{}, runs: map[string]int{}}
 }
@@ -90,14 +91,14 @@
 
 // Add starts a worker and adds it to the service.
 func (s *Service) Add(id, ip, zone string) *Worker {
-	d := &Worker{s: s, ID: id, IP: ip, Zone: zone, Slots: 2, Work: 20 * time.Millisecond, healthy: true}
+	w := &Worker{s: s, ID: id, IP: ip, Zone: zone, Slots: 2, Work: 20 * time.Millisecond, healthy: true}
 	s.mu.Lock()
-	s.workers = append(s.workers, d)
+	s.workers = append(s.workers, w)
 	s.mu.Unlock()
-	d.ctx, d.cancel = context.WithCancel(context.Background())
-	serveAt(s.env.Network(ip), net.JoinHostPort(ip, workerPort), d.serve)
-	go d.heartbeatLoop()
-	return d
+	w.ctx, w.cancel = context.WithCancel(context.Background())
+	serveAt(s.env.Network(ip), net.JoinHostPort(ip, workerPort), w.serve)
+	go w.heartbeatLoop()
+	return w
 }
 
 // Workers returns the workers in the order in which they were added.
@@ -110,78 +111,78 @@
 // DB returns the worker that was added as number i, counted from 0.
 func (s *Service) DB(i int) *Worker { return s.Workers()[i] }
 
-// Broken returns the violations recorded so far.
+// Violations returns the violations recorded so far.
 func (s *Service) Broken() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.violations)
 }
 
-// Runs returns how often the request with an id has run.
+// Runs returns how often the request with the given id has run.
 func (s *Service) Runs(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[id]
 }
 
-// Expect records the method, path and body of the request that a client is about to send under an
-// id. A request that is not safe may run only once.
+// ExpectRequest records the id and the content (method, path and body) of a request that a client is about
+// to send. A request that is not safe may run only once.
 func (s *Service) Expect(id, content string, safe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expected[id], s.unsafe[id] = content, !safe
 }
 
-// InjectFault injects a fault from now on; Well ends it.
-func (d *Worker) InjectFault(f Fault) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.fault = f
+// InjectFault makes the worker misbehave from now on. NoFault ends it.
+func (w *Worker) InjectFault(f Fault) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.fault = f
 }
 
-// Health sets whether the worker's health check reports it as healthy, whatever its true state.
-func (d *Worker) Health(well bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.healthy = well
+// SetHealthy sets whether the worker responds to health checks as healthy. A draining worker never does.
+func (w *Worker) Health(healthy bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.healthy = healthy
 }
 
 // Header returns the header of the latest request.
-func (d *Worker) Header() http.Header {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.Last
+func (w *Worker) Header() http.Header {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.Last
 }
 
-// Count returns how many requests have arrived.
-func (d *Worker) Count() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.Arrived
+// RequestCount returns how many requests have run or are running.
+func (w *Worker) Count() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.Arrived
 }
 
 // Crash stops the worker without notice. If dark is set, its host becomes unresponsive as well.
-func (d *Worker) Crash(dark bool) {
-	d.cancel()
+func (w *Worker) Crash(dark bool) {
+	w.cancel()
 	if dark {
-		d.s.env.Silence(d.IP, true)
+		w.s.env.Silence(w.IP, true)
 	}
-	d.s.env.Reset(d.IP)
+	w.s.env.Reset(w.IP)
 }
 
 // drainAckTimeout is how long a worker waits for its draining to be acknowledged.
 const drainAckTimeout = 5 * time.Second
 
-// Leave reports the worker as draining and returns true once a control node has acknowledged it, or
+// Drain reports the worker as draining and returns true once a control node has acknowledged that, or
 // false if none has within drainAckTimeout.
-func (d *Worker) Leave() bool {
-	d.mu.Lock()
-	d.draining = true
-	d.mu.Unlock()
+func (w *Worker) Leave() bool {
+	w.mu.Lock()
+	w.draining = true
+	w.mu.Unlock()
 	for end := time.Now().Add(drainAckTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if d.sendHeartbeat() {
-			if d.s.Observe.Drains != nil {
-				d.s.Observe.Drains(d.s.Name, d.ID)
+		if w.sendHeartbeat() {
+			if w.s.Observer.DrainAcked != nil {
+				w.s.Observer.DrainAcked(w.s.Name, w.ID)
 			}
 			return true
 		}
@@ -191,40 +192,40 @@
 
 // Reserve reserves a worker for one fault at a time. It returns false if the worker is already
 // reserved or has stopped.
-func (d *Worker) Reserve() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	reserved := d.reserved || d.ctx.Err() != nil
-	d.reserved = d.reserved || !reserved
+func (w *Worker) Reserve() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	reserved := w.reserved || w.ctx.Err() != nil
+	w.reserved = w.reserved || !reserved
 	return !reserved
 }
 
 // Release ends the reservation that Reserve made.
-func (d *Worker) Release() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.reserved = false
+func (w *Worker) Release() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.reserved = false
 }
 
 // Deregister deregisters the worker, which keeps serving.
-func (d *Worker) Deregister() {
-	if d.call("/Servers.Deregister/"+d.ID, nil) && d.s.Observe.Drains != nil {
-		d.s.Observe.Drains(d.s.Name, d.ID)
+func (w *Worker) Deregister() {
+	if w.call("/Servers.Deregister/"+w.ID, nil) && w.s.Observer.DrainAcked != nil {
+		w.s.Observer.DrainAcked(w.s.Name, w.ID)
 	}
 }
 
-// End deregisters the worker and stops it.
-func (d *Worker) End() {
-	d.call("/Servers.Deregister/"+d.ID, nil)
-	d.Crash(false)
+// Shutdown deregisters the worker and stops it.
+func (w *Worker) End() {
+	w.call("/Servers.Deregister/"+w.ID, nil)
+	w.Crash(false)
 }
 
 // heartbeatLoop sends a heartbeat every 700 ms until the worker stops.
-func (d *Worker) heartbeatLoop() {
+func (w *Worker) heartbeatLoop() {
 	for {
-		d.sendHeartbeat()
+		w.sendHeartbeat()
 		select {
-		case <-d.ctx.Done():
+		case <-w.ctx.Done():
 			return
 		case <-time.After(700 * time.Millisecond):
 		}
@@ -232,28 +233,28 @@
 }
 
 // sendHeartbeat sends one heartbeat and reports whether a control node acknowledged it.
-func (d *Worker) sendHeartbeat() bool {
-	d.mu.Lock()
+func (w *Worker) sendHeartbeat() bool {
+	w.mu.Lock()
 	status := "up"
-	if d.draining {
+	if w.draining {
 		status = "draining"
 	}
-	d.mu.Unlock()
+	w.mu.Unlock()
 	body, _ := json.Marshal(map[string]any{
-		"svc": d.s.Name, "address": net.JoinHostPort(d.IP, workerPort), "zone": d.Zone, "rev": "v1", "slots": d.Slots, "status": status,
+		"svc": w.s.Name, "address": net.JoinHostPort(w.IP, workerPort), "zone": w.Zone, "rev": "v1", "slots": w.Slots, "status": status,
 		"warmup_left_ms": 0, "call_seq": time.Now().UnixMicro(),
 	})
-	return d.call("/Servers.Heartbeat/"+d.ID, body)
+	return w.call("/Servers.Heartbeat/"+w.ID, body)
 }
 
-// call posts to the control nodes in turn until one acknowledges; false if none does or the worker
-// has stopped.
-func (d *Worker) call(path string, body []byte) bool {
-	for _, a := range d.s.env.Controls() {
-		if d.ctx.Err() != nil {
+// call posts to the control nodes in turn until one acknowledges the request. It returns false if none
+// does or the worker has stopped.
+func (w *Worker) call(path string, body []byte) bool {
+	for _, a := range w.s.env.Controls() {
+		if w.ctx.Err() != nil {
 			return false
 		}
-		if code, _ := Call(d.s.env.Network(d.IP), http.MethodPost, a, path, nil, body); code == http.StatusOK {
+		if code, _ := Call(w.s.env.Network(w.IP), http.MethodPost, a, path, nil, body); code == http.StatusOK {
 			return true
 		}
 	}
@@ -261,7 +262,7 @@
 }
 
 // serve handles the requests of one connection.
-func (d *Worker) serve(c net.Conn) {
+func (w *Worker) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -270,12 +271,12 @@
 		if err != nil {
 			return
 		}
-		d.mu.Lock()
-		d.Last = q.Header
-		fault := d.fault
-		d.mu.Unlock()
+		w.mu.Lock()
+		w.Last = q.Header
+		fault := w.fault
+		w.mu.Unlock()
 		if fault == Early && q.ContentLength > earlyRejectBytes {
-			if !d.rejectEarly(c, q) {
+			if !w.rejectEarly(c, q) {
 				return
 			}
 			continue
@@ -287,7 +288,7 @@
 		if fault == Forgetful && time.Since(idleSince) > 200*time.Millisecond {
 			return
 		}
-		if !d.handle(c, q, body, fault) {
+		if !w.handle(c, q, body, fault) {
 			return
 		}
 	}
@@ -296,9 +297,9 @@
 // earlyRejectBytes is the body size above which Early rejects a request before reading it.
 const earlyRejectBytes = 64 << 10
 
-// rejectEarly responds to a long request before it has read the body, and reads on: what follows
-// must be the rest of that request.
-func (d *Worker) rejectEarly(c net.Conn, q *http.Request) bool {
+// rejectEarly responds to a long request before reading its body, then reads the body and checks it: the
+// sender must complete the request and not send another one in its place.
+func (w *Worker) rejectEarly(c net.Conn, q *http.Request) bool {
 	id := q.Header.Get("X-Indigowalk-Request-Id")
 	header := map[string]string{"X-Indigowalk-Not-Run": "1", "X-Indigowalk-Request-Id": id}
 	if !writeHTTPResponse(c, http.StatusServiceUnavailable, header, "") {
@@ -308,15 +309,16 @@
 	if err != nil {
 		return false // the body is cut short, which is no violation
 	}
-	d.check(id, q.Method+" "+q.RequestURI+" "+string(body))
+	w.check(id, q.Method+" "+q.RequestURI+" "+string(body))
 	return true
 }
 
-// handle runs one request and responds to it. The caller closes the connection if it returns false.
-func (d *Worker) handle(c net.Conn, q *http.Request, body []byte, fault Fault) bool {
-	d.mu.Lock()
-	healthy, full := d.healthy && !d.draining, d.busy >= d.Slots+8
-	d.mu.Unlock()
+// handle responds to a health check or runs one request and responds to it. The caller closes the
+// connection if it returns false.
+func (w *Worker) handle(c net.Conn, q *http.Request, body []byte, fault Fault) bool {
+	w.mu.Lock()
+	healthy, full := w.healthy && !w.draining, w.running >= w.Slots+8
+	w.mu.Unlock()
 	id := q.Header.Get("X-Indigowalk-Request-Id")
 	switch {
 	case q.URL.Path == "/healthz":
@@ -324,24 +326,25 @@
 		if !healthy {
 			status = 503
 		}
-		return writeHTTPResponse(c, status, map[string]string{"X-Indigowalk-Instance-Id": d.ID}, "")
-	case q.Header.Get("X-Indigowalk-Target-Instance") != d.ID:
+		return writeHTTPResponse(c, status, map[string]string{"X-Indigowalk-Instance-Id": w.ID}, "")
+	case q.Header.Get("X-Indigowalk-Target-Instance") != w.ID:
 		return writeHTTPResponse(c, 421, map[string]string{"X-Indigowalk-Not-Run": "1"}, "")
 	case fault == Sheds || full:
 		return writeHTTPResponse(c, 503, map[string]string{"X-Indigowalk-Not-Run": "1", "X-Indigowalk-Request-Id": id}, "")
 	case fault == Resets:
 		return false
 	}
-	d.run(id, q.Method+" "+q.RequestURI+" "+string(body))
-	return d.respond(c, id, fault)
+	w.run(id, q.Method+" "+q.RequestURI+" "+string(body))
+	return w.respond(c, id, fault)
 }
 
-// respond writes the response to a request that has run, as far as the fault lets it.
-func (d *Worker) respond(c net.Conn, id string, fault Fault) bool {
+// respond writes the response to a request that has run, as the fault says. The caller closes the
+// connection if it returns false.
+func (w *Worker) respond(c net.Conn, id string, fault Fault) bool {
 	header := map[string]string{"X-Indigowalk-Request-Id": id, "X-Indigowalk-Seal": "seal-of-" + id}
 	switch fault {
 	case Mute:
-		<-d.ctx.Done()
+		<-w.ctx.Done()
 		return false
 	case Loses:
 		return false
@@ -355,12 +358,12 @@
 		delete(header, "X-Indigowalk-Seal")
 		return writeHTTPResponse(c, 500, header, "failed")
 	}
-	return d.writeWithFault(c, header, id, fault)
+	return w.writeWithFault(c, header, id, fault)
 }
 
-// writeWithFault writes a response that is mislabelled, long, stalled, in pieces or followed by more
-// bytes, as the fault says, and a plain one without a fault.
-func (d *Worker) writeWithFault(c net.Conn, header map[string]string, id string, fault Fault) bool {
+// writeWithFault writes a response that is mislabeled, long, stalled, in pieces or followed by more bytes,
+// as the fault says; without one of these faults it writes a correct response.
+func (w *Worker) writeWithFault(c net.Conn, header map[string]string, id string, fault Fault) bool {
 	switch fault {
 	case Mislabels:
 		header["X-Indigowalk-Request-Id"] = "of-another"
@@ -374,7 +377,7 @@
 	case Stalls:
 		b := encodeHTTPResponse(http.StatusOK, header, strings.Repeat("x", longAnswerBytes))
 		if _, err := c.Write(b[:len(b)/2]); err == nil {
-			<-d.ctx.Done()
+			<-w.ctx.Done()
 		}
 		return false
 	}
@@ -403,6 +406,7 @@
 	return true
 }
 
+// writeHTTPResponse writes a response and reports whether that succeeded.
 func writeHTTPResponse(c net.Conn, status int, header map[string]string, body string) bool {
 	_, err := c.Write(encodeHTTPResponse(status, header, body))
 	return err == nil
@@ -418,38 +422,37 @@
 	return b.Bytes()
 }
 
-// run simulates a request's work, queueing for a free slot, checks that a client sent the request,
-// and counts the run. A second run of an unsafe request violates TWICE.
-func (d *Worker) run(id, content string) {
-	d.mu.Lock()
-	d.Arrived++
-	ahead := d.busy / d.Slots
-	d.busy++
-	d.mu.Unlock()
-	time.Sleep(time.Duration(ahead+1) * d.Work)
-	d.mu.Lock()
-	d.busy--
-	d.mu.Unlock()
-	d.check(id, content)
-	s := d.s
-	if s.Observe.Ran != nil {
-		s.Observe.Ran(Run{Service: s.Name, Database: d.ID, ID: id, Begins: true})
+// run takes the time that a request needs, including the wait for a free slot, checks that a client has
+// sent the request, and counts the run. A second run of an unsafe request violates TWICE.
+func (w *Worker) run(id, content string) {
+	w.mu.Lock()
+	w.Arrived++
+	queued := w.running / w.Slots
+	w.running++
+	w.mu.Unlock()
+	time.Sleep(time.Duration(queued+1) * w.Work)
+	w.mu.Lock()
+	w.running--
+	w.mu.Unlock()
+	w.check(id, content)
+	s := w.s
+	if s.Observer.Ran != nil {
+		s.Observer.Ran(Run{Service: s.Name, Database: w.ID, ID: id, Begins: true})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[id]++
 	if s.unsafe[id] && s.runs[id] > 1 {
-		s.violations = append(s.violations, fmt.Sprintf("TWICE: %s runs %s a second time", d.ID, id))
+		s.violations = append(s.violations, fmt.Sprintf("TWICE: %s runs %s a second time", w.ID, id))
 	}
 }
 
-// check checks that a received request is the one that a client sent under the id; otherwise it
-// violates UNASKED.
-func (d *Worker) check(id, content string) {
-	s := d.s
+// check records an UNASKED violation unless a client has sent a request with this id and content.
+func (w *Worker) check(id, content string) {
+	s := w.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if want, ok := s.expected[id]; !ok || want != content {
-		s.violations = append(s.violations, fmt.Sprintf("UNASKED: %s gets %.80q (%d bytes) as %s, asked was %.80q", d.ID, content, len(content), id, want))
+		s.violations = append(s.violations, fmt.Sprintf("UNASKED: %s gets %.80q (%d bytes) as %s, asked was %.80q", w.ID, content, len(content), id, want))
 	}
 }
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -12,12 +12,12 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// Cut is the code that stands for a missing answer: the connection ended or timed out.
+// Cut is the code of an answer that is missing because the connection ended or timed out.
 const Cut = "cut"
 
 const (
 	loginTimeout = 2 * time.Second
-	// queryWait is longer than any statement may take.
+	// queryTimeout is longer than any statement may take.
 	queryTimeout = 6 * time.Second
 )
 
@@ -26,14 +26,14 @@
 	Name string
 	// Address is the address of the pooler.
 	Address string
-	State   string
+	State   string // as in the last answer: "I" outside a transaction
 
 	c          net.Conn
 	r          *lineprotocol.Reader
 	queryCount int
 }
 
-// sessionCount numbers sessions within the process.
+// sessionCount counts the sessions of this process, so that their names are unique.
 var sessionCount atomic.Int64
 
 // Login opens a session at the address. If that fails, it returns no session and the code of the
@@ -42,7 +42,7 @@
 	return LoginAs(network, addr, database, "who")
 }
 
-// LoginAs is like Login, with a user name or an API key.
+// LoginAs is like Login, with the given user name or API key.
 func LoginAs(network kernel.Network, addr, database, user string) (s *Session, code string) {
 	ctx, cancel := context.WithTimeout(context.Background(), loginTimeout)
 	defer cancel()
@@ -84,9 +84,9 @@
 // Close closes the connection without ending the session in the protocol.
 func (s *Session) Close() { s.c.Close() }
 
-// Raw sends bytes as they are and reads one answer.
-func (s *Session) Raw(b []byte, wait time.Duration) *lineprotocol.Answer {
-	if err := s.c.SetReadDeadline(time.Now().Add(wait)); err != nil {
+// ExchangeRaw sends bytes as they are and reads one answer.
+func (s *Session) Raw(b []byte, timeout time.Duration) *lineprotocol.Answer {
+	if err := s.c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return &lineprotocol.Answer{Code: Cut, Text: err.Error()}
 	}
 	if _, err := s.c.Write(b); err != nil {
@@ -114,22 +114,22 @@
 
 // Row returns the first field of the first row.
 func Row(a *lineprotocol.Answer) string {
-	f := strings.Fields(string(a.Rows))
-	if len(f) < 2 {
+	fields := strings.Fields(string(a.Rows))
+	if len(fields) < 2 {
 		return ""
 	}
-	return f[1]
+	return fields[1]
 }
 
-// Send sends bytes as they are and reads nothing.
+// Send sends bytes as they are and reads no answer.
 func (s *Session) Send(b []byte) error {
 	_, err := s.c.Write(b)
 	return err
 }
 
 // LineWithin reads one message, which must arrive within the given time.
-func (s *Session) LineWithin(wait time.Duration) (string, error) {
-	if err := s.c.SetReadDeadline(time.Now().Add(wait)); err != nil {
+func (s *Session) LineWithin(timeout time.Duration) (string, error) {
+	if err := s.c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return "", err
 	}
 	return s.Line()
--- a/internal/standin/statements.go
+++ b/internal/standin/statements.go
@@ -11,7 +11,7 @@
 	"indigowalk/internal/lineprotocol"
 )
 
-// serve speaks the line protocol on one connection: a login, then statements.
+// serve handles one connection in the line protocol: a login, then statements.
 func (d *Database) serve(c net.Conn) {
 	defer c.Close()
 	r := lineprotocol.NewReader(c)
@@ -19,11 +19,11 @@
 	if err != nil {
 		return
 	}
-	f := strings.Fields(string(line))
+	fields := strings.Fields(string(line))
 	d.g.mu.Lock()
 	id, alive := d.ID, d.alive
 	d.g.mu.Unlock()
-	if len(f) < 3 || f[0] != "LOGIN" || f[1] != d.g.Service || len(f) > 3 && f[3] != id {
+	if len(fields) < 3 || fields[0] != "LOGIN" || fields[1] != d.g.Service || len(fields) > 3 && fields[3] != id {
 		c.Write(lineprotocol.AppendMessage(nil, "ERROR", lineprotocol.WrongNode, id))
 		return
 	}
@@ -31,7 +31,7 @@
 		return
 	}
 	if d.misbehaves(MuteLogin) {
-		_, _ = r.Line() // until the caller closes the connection
+		_, _ = r.Line() // until the client closes the connection
 		return
 	}
 	if d.misbehaves(WrongLogin) {
@@ -39,7 +39,7 @@
 		return
 	}
 	d.simulateWork(2 * time.Millisecond)
-	s := &dbSession{d: d, user: f[2], state: 'I', options: map[string]string{}, preparedTexts: map[string]string{}}
+	s := &dbSession{d: d, user: fields[2], state: 'I', options: map[string]string{}, preparedTexts: map[string]string{}}
 	out := lineprotocol.AppendMessage(nil, "IDLE", "I", d.positionText())
 	for {
 		if len(out) > 0 && !d.writeAnswer(c, out) {
@@ -76,31 +76,32 @@
 
 // dbSession is the database's side of one connection.
 type dbSession struct {
-	d             *Database
-	user          string // as named in the login
-	state         byte
-	options       map[string]string
-	preparedTexts map[string]string
-	writes        []entry
-	justBegun     bool // a transaction is open in which nothing has run yet
+	d                *Database
+	user             string // named in the login
+	state            byte
+	options          map[string]string
+	preparedTexts    map[string]string
+	writes           []entry
+	transactionEmpty bool // a transaction is open in which no statement has run yet
 }
 
-// recordPrepared updates the maximum of prepared statements that one connection has had.
+// recordPrepared records that a connection has this many prepared statements.
 func (d *Database) recordPrepared(count int) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	d.maxPrepared = max(d.maxPrepared, count)
 }
 
-// MostPrepared returns the maximum of prepared statements that one connection to the database had.
+// MostPrepared returns the maximum number of prepared statements that one connection to the database
+// has had.
 func (d *Database) MostPrepared() int {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return d.maxPrepared
 }
 
-// fail returns an error answer.
-func fail(code, text string) *lineprotocol.Answer {
+// errorAnswer returns an error answer.
+func errorAnswer(code, text string) *lineprotocol.Answer {
 	return &lineprotocol.Answer{Code: code, Text: text}
 }
 
@@ -108,14 +109,14 @@
 func (s *dbSession) query(id, text string) *lineprotocol.Answer {
 	d := s.d
 	verb, rest, _ := strings.Cut(text, " ")
-	if a := s.queryWithoutWork(id, verb, rest); a != nil {
+	if a := s.queryInstant(id, verb, rest); a != nil {
 		return a
 	}
 	if verb == "RUN" {
 		name, arg, _ := strings.Cut(rest, " ")
 		preparedText, ok := s.preparedTexts[name]
 		if !ok {
-			return fail(lineprotocol.NoSuch, name)
+			return errorAnswer(lineprotocol.NoSuch, name)
 		}
 		verb, _, _ = strings.Cut(preparedText, " ")
 		rest = arg
@@ -126,10 +127,10 @@
 		d.g.mu.Unlock()
 	}
 	if d.misbehaves(ShedsLoad) {
-		return fail(lineprotocol.Retry, "full")
+		return errorAnswer(lineprotocol.Retry, "full")
 	}
-	begins := s.state == 'I' || s.justBegun
-	s.justBegun = false
+	begins := s.state == 'I' || s.transactionEmpty
+	s.transactionEmpty = false
 	d.checkStatement(id, s.user, begins)
 	d.simulateWork(3 * time.Millisecond)
 	switch verb {
@@ -142,52 +143,52 @@
 		}
 		s.writes = append(s.writes, entry{id: id, key: key, value: value})
 		if s.state == 'T' {
-			return d.g.seal()
+			return d.g.successAnswer()
 		}
 		return s.commit()
 	case "COMMIT":
 		s.state = 'I'
 		return s.commit()
 	}
-	return fail(lineprotocol.Malformed, text)
+	return errorAnswer(lineprotocol.Malformed, text)
 }
 
-// queryWithoutWork runs statements that take no simulated work: those on the session's state, those
-// of the control nodes, and WAITPOS, which passes the statement that follows it to query. It returns
-// nil for all others.
-func (s *dbSession) queryWithoutWork(id, verb, rest string) *lineprotocol.Answer {
-	done := &lineprotocol.Answer{Seal: "-"}
-	first, then, _ := strings.Cut(rest, " ")
+// queryInstant runs the statements that take no simulated time: those on the session's state, those of
+// the control nodes, and WAITPOS, which passes the statement that follows it to query. It returns nil
+// for all others.
+func (s *dbSession) queryInstant(id, verb, rest string) *lineprotocol.Answer {
+	success := &lineprotocol.Answer{Seal: "-"}
+	first, remainder, _ := strings.Cut(rest, " ")
 	switch verb {
 	case "OPTION":
-		s.options[first] = then
+		s.options[first] = remainder
 	case "DISCARD":
 		clear(s.options)
 		clear(s.preparedTexts)
 	case "PARSE":
-		s.preparedTexts[first] = then
+		s.preparedTexts[first] = remainder
 		s.d.recordPrepared(len(s.preparedTexts))
 	case "STAT", "PAUSE", "CONTINUE", "STEPDOWN":
 		return s.d.Control(verb, rest)
 	case "WAITPOS":
 		if want, ok := lineprotocol.ParsePosition(first); !ok || s.d.behind(want) {
-			return fail(lineprotocol.Lagging, s.d.ID)
+			return errorAnswer(lineprotocol.Lagging, s.d.ID)
 		}
-		return s.query(id, then)
+		return s.query(id, remainder)
 	case "BEGIN":
 		if rest == "" && s.d.Role() != primary {
-			return fail(lineprotocol.ReadOnly, s.d.ID)
+			return errorAnswer(lineprotocol.ReadOnly, s.d.ID)
 		}
-		s.state, s.writes, s.justBegun = 'T', nil, true
+		s.state, s.writes, s.transactionEmpty = 'T', nil, true
 	case "ABORT":
 		s.state, s.writes = 'I', nil
 	default:
 		return nil
 	}
-	return done
+	return success
 }
 
-// behind reports whether the log ends before a position.
+// behind reports whether the log ends before the wanted position.
 func (d *Database) behind(want lineprotocol.Position) bool {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
@@ -199,11 +200,11 @@
 	if s.state == 'T' {
 		s.state = 'E'
 	}
-	return fail(code, s.d.ID)
+	return errorAnswer(code, s.d.ID)
 }
 
-// seal returns a success answer with a new seal.
-func (g *Group) seal() *lineprotocol.Answer {
+// successAnswer returns a success answer with a new seal.
+func (g *Group) successAnswer() *lineprotocol.Answer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sealCount++
@@ -215,21 +216,22 @@
 	writes := s.writes
 	s.writes = nil
 	if len(writes) == 0 {
-		return s.d.g.seal()
+		return s.d.g.successAnswer()
 	}
 	switch s.d.commit(writes) {
 	case notRun:
-		return fail(lineprotocol.ReadOnly, s.d.ID)
+		return errorAnswer(lineprotocol.ReadOnly, s.d.ID)
 	case unknownOutcome:
 		return nil
 	}
-	return s.d.g.seal()
+	return s.d.g.successAnswer()
 }
 
-// fetch reads a key: the session's own uncommitted write, else the latest one in the log.
+// fetch returns the value of a key: of the session's last uncommitted write, or else of the last one in
+// the log.
 func (s *dbSession) fetch(key string) *lineprotocol.Answer {
 	g := s.d.g
-	a := g.seal()
+	a := g.successAnswer()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	value := "-"
@@ -247,7 +249,8 @@
 	return a
 }
 
-// optionsInForce returns the number of options and the value of one, so that clients can check them.
+// optionsInForce returns the number of the session's options and the value of option "colour", so that
+// clients can check them.
 func (s *dbSession) optionsInForce() string {
 	return fmt.Sprint(len(s.options), ":", s.options["colour"])
 }
@@ -262,7 +265,7 @@
 	case "PAUSE":
 		if d.role == replica { // a primary answers but is not paused
 			if term <= d.term || term < d.pausedTerm {
-				return fail(lineprotocol.Malformed, "term")
+				return errorAnswer(lineprotocol.Malformed, "term")
 			}
 			d.pausedTerm = term
 		}
--- a/internal/testbed/database_faults.go
+++ b/internal/testbed/database_faults.go
@@ -35,7 +35,7 @@
 	g := f.groups[serviceIndex]
 	var candidates []*standin.Database
 	for _, d := range g.Databases() {
-		if d.Alive() && !d.Leaves() {
+		if d.Alive() && !d.Draining() {
 			candidates = append(candidates, d)
 		}
 	}
@@ -71,10 +71,10 @@
 		}
 		d.SetReplicationStopped(false)
 	case ProtocolViolation:
-		choices := standin.AllManners
+		choices := standin.AllMisbehaviors
 		d.Behave(choices[r.IntN(len(choices))], r.Float64()/2)
 		sleep(ctx, randomDuration(r, maxProtocolViolation))
-		d.Behave(standin.WellBehaved, 0)
+		d.Behave(standin.NoMisbehavior, 0)
 	}
 	return nil
 }
@@ -107,7 +107,7 @@
 	f.addMu.Unlock()
 	sleep(ctx, time.Second)
 	if r.IntN(3) == 0 {
-		d.LeaveAtOnce(drainDuration)
+		d.DeregisterAndStop(drainDuration)
 	} else {
 		d.Leave(drainDuration, true)
 	}
--- a/internal/testbed/gateways.go
+++ b/internal/testbed/gateways.go
@@ -27,11 +27,11 @@
 // newService creates an HTTP service whose workers record their events in the history.
 func (t *testRun) newService(name string) *standin.Service {
 	s := standin.NewService(t.cluster.loopback, name)
-	s.Observe = standin.Observer{
+	s.Observer = standin.Observer{
 		Ran: func(r standin.Run) {
 			t.traffic.Ran(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: t.traffic.Now()})
 		},
-		Drains: func(service, database string) {
+		DrainAcked: func(service, database string) {
 			t.traffic.Draining(history.Drains{Service: service, Database: database, At: t.traffic.Now()})
 		},
 	}
--- a/internal/testbed/machine_faults.go
+++ b/internal/testbed/machine_faults.go
@@ -187,7 +187,8 @@
 }
 
 // restart kills every process at once, removes the data directories of the machine wiped, if it is not
-// nil, and starts all processes again after the downtime. The caller holds the lifecycle lock of every machine.
+// nil, and starts all processes again after the downtime. The caller holds the lifecycle lock of every
+// machine.
 func (c *cluster) restart(ctx context.Context, downtime time.Duration, wiped *machine) error {
 	machines := c.currentMachines()
 	for _, m := range machines {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -129,11 +129,11 @@
 		Ran: func(r standin.Run) {
 			t.traffic.Ran(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: t.traffic.Now()})
 		},
-		Drains: func(service, database string) {
+		DrainAcked: func(service, database string) {
 			t.traffic.Draining(history.Drains{Service: service, Database: database, At: t.traffic.Now()})
 		},
 		Promoted: func(p standin.Promotion) {
-			t.traffic.Promoted(history.Promotion{Service: p.Service, Database: p.Database, Term: p.Term, Holds: p.Holds, At: t.traffic.Now()})
+			t.traffic.Promoted(history.Promotion{Service: p.Service, Database: p.Database, Term: p.Term, Holds: p.LoggedStatements, At: t.traffic.Now()})
 		},
 	}
 	return g
@@ -317,11 +317,11 @@
 func (t *testRun) recordStatement(service string, s standin.Statement) {
 	lag := time.Duration(0)
 	if !strings.HasPrefix(s.Route, standin.PrimaryRoute+".") {
-		lag = standin.Stale
+		lag = standin.MaxStaleness
 	}
 	t.traffic.Asked(history.Statement{
-		Pooler: s.Pooler, Route: s.Route, Service: service, ID: s.ID, Write: s.Write, Thing: service + "/" + s.Thing, Value: s.Value,
-		MayLag: lag, Within: standin.Deadline, Sent: t.traffic.Since(s.Sent), Last: t.traffic.Since(s.Last), Done: t.traffic.Since(s.Done), Code: s.Code,
+		Pooler: s.Pooler, Route: s.Route, Service: service, ID: s.ID, Write: s.Write, Thing: service + "/" + s.Key, Value: s.Value,
+		MayLag: lag, Within: standin.Deadline, Sent: t.traffic.Since(s.Sent), Last: t.traffic.Since(s.LastSent), Done: t.traffic.Since(s.Done), Code: s.Code,
 	})
 }
 
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -101,7 +101,7 @@
 	lossy := func(groups []*standin.Group, _, id string) int {
 		for _, d := range groups[0].Databases() {
 			if d.ID == id {
-				d.Forget(50)
+				d.TruncateLog(50)
 			}
 		}
 		return groups[0].PromoteTo(id)
