--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -22,9 +22,8 @@
 	caughtUpAt time.Time // when it has caught up after its last fault
 }
 
-func newLossLimiter(limit int) *lossLimiter {
-	return &lossLimiter{limit: limit, lost: map[*machine]*loss{}}
-}
+// newLossLimiter returns a limiter that permits n lost machines, or any number if n is 0.
+func newLossLimiter(n int) *lossLimiter { return &lossLimiter{limit: n, lost: map[*machine]*loss{}} }
 
 // tryAcquire records the loss of a machine, if the limit allows it; otherwise it returns false.
 func (l *lossLimiter) tryAcquire(m *machine) bool {
