--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -181,7 +181,7 @@
 // Add starts a database and adds it to the group.
 func (g *Group) Add(id, ip, zone, role string) *Database { return g.AddLate(id, ip, zone, role, 0) }
 
-// AddWithHeartbeatDelay is like Add, for a database whose heartbeats take the given time to arrive.
+// AddWithDelay is like Add, for a database whose heartbeats take the given time to arrive.
 func (g *Group) AddLate(id, ip, zone, role string, heartbeatDelay time.Duration) *Database {
 	d := &Database{
 		g: g, ID: id, IP: ip, Addr: net.JoinHostPort(ip, databasePort), zone: zone,
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -22,18 +22,18 @@
 type Report struct {
 	Seed        int64     `json:"seed"`
 	Statements  Latencies `json:"statements"`
-	Orders      Latencies `json:"orders"` // from the first attempt of an order to its acknowledgement
-	Refused     int       `json:"statements_refused"`
-	Unclear     int       `json:"statements_unclear"`
-	Unanswered  int       `json:"statements_cut"`
+	Orders      Latencies `json:"orders"`             // from the first attempt of an order to its acknowledgement
+	Refused     int       `json:"statements_refused"` // with a code that promises that they are not committed
+	Unclear     int       `json:"statements_unclear"` // with any other code
+	Unanswered  int       `json:"statements_cut"`     // the connection ended or timed out before the answer
 	OrdersSent  int       `json:"orders_sent"`
 	OrdersAcked int       `json:"orders_acknowledged"`
-	Readings    int       `json:"readings"`
-	Probes      int       `json:"probes"`
+	Readings    int       `json:"readings"` // configurations that operators read back
+	Probes      int       `json:"probes"`   // of routes at proxies
 	// ProbesJudged counts the probes in fault-free periods, which are checked against the newest
 	// configuration.
 	ProbesJudged          int              `json:"probes_judged"`
-	Promotions            int              `json:"platform_calls"`
+	PlatformCalls         int              `json:"platform_calls"`
 	Faults                map[string]int   `json:"troubles"`
 	Breaches              []history.Breach `json:"breaches"`
 	UnexpectedExits       []string         `json:"processes_that_ended"`
@@ -75,7 +75,7 @@
 	for _, fault := range t.traffic.Troubles() {
 		r.Faults[fault.Kind]++
 	}
-	r.Promotions = t.cluster.platform.Calls()
+	r.PlatformCalls = t.cluster.platform.Calls()
 	r.Breaches = append(t.orders.Breaches(), t.traffic.Breaches(t.orders, historyBounds)...)
 	now := t.traffic.Now()
 	r.Breaches = append(append(r.Breaches, leaks...), t.cluster.logBreaches(now)...)
@@ -186,7 +186,7 @@
 	fmt.Fprintf(w, "statements refused %d, unclear %d, cut %d\n", r.Refused, r.Unclear, r.Unanswered)
 	fmt.Fprintf(w, "orders sent %d, acknowledged %d; read back %d times\n", r.OrdersSent, r.OrdersAcked, r.Readings)
 	fmt.Fprintf(w, "probes of routes %d, of which %d in calm times\n", r.Probes, r.ProbesJudged)
-	fmt.Fprintf(w, "calls of the platform %d; troubles:", r.Promotions)
+	fmt.Fprintf(w, "calls of the platform %d; troubles:", r.PlatformCalls)
 	for _, kind := range slices.Sorted(maps.Keys(r.Faults)) {
 		fmt.Fprintf(w, " %s %d", kind, r.Faults[kind])
 	}
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -112,7 +112,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if report.Promotions == 0 {
+		if report.PlatformCalls == 0 {
 			continue // no fault hit a primary
 		}
 		if report.Clean() || report.Breaches[0].Rule != history.Lost && !strings.Contains(report.Breaches[0].Text, history.Lost) {
