--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -74,8 +74,8 @@
 	d.reserved = false
 }
 
-// Crash stops the database. If dark is set, its host becomes unresponsive as well.
-func (d *Database) Crash(dark bool) {
+// Crash stops the database. If silenceHost is set, its host becomes unresponsive as well.
+func (d *Database) Crash(silenceHost bool) {
 	d.g.mu.Lock()
 	if !d.alive {
 		d.g.mu.Unlock()
@@ -84,7 +84,7 @@
 	d.alive = false
 	close(d.stopped)
 	d.g.mu.Unlock()
-	if dark {
+	if silenceHost {
 		d.g.env.Silence(d.IP, true)
 	}
 	d.g.env.Reset(d.IP)
@@ -147,10 +147,10 @@
 // copyPrimaryLog replaces the log by that of the current term's primary, if that one is running. The
 // caller holds the group's lock.
 func (d *Database) copyPrimaryLog() {
-	for _, p := range d.g.dbs {
-		if p != d && p.role == "primary" && p.alive && p.term == d.g.term {
-			d.log = slices.Clip(p.log)
-			d.term = p.term
+	for _, other := range d.g.dbs {
+		if other != d && other.role == "primary" && other.alive && other.term == d.g.term {
+			d.log = slices.Clip(other.log)
+			d.term = other.term
 		}
 	}
 }
@@ -295,10 +295,10 @@
 }
 
 // SetExtraLatency sets a latency that is added to every login and statement.
-func (d *Database) Slow(more time.Duration) {
+func (d *Database) Slow(latency time.Duration) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
-	d.extraLatency = more
+	d.extraLatency = latency
 }
 
 // DropAnswers drops the next n answers to FETCH and PUT statements; the connections stay open.
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -181,7 +181,7 @@
 // Add starts a database and adds it to the group.
 func (g *Group) Add(id, ip, zone, role string) *Database { return g.AddLate(id, ip, zone, role, 0) }
 
-// AddWithDelay is like Add, for a database whose heartbeats take the given time to arrive.
+// AddDelayed is like Add, for a database whose heartbeats take the given time to arrive.
 func (g *Group) AddLate(id, ip, zone, role string, heartbeatDelay time.Duration) *Database {
 	d := &Database{
 		g: g, ID: id, IP: ip, Addr: net.JoinHostPort(ip, databasePort), zone: zone,
@@ -247,9 +247,9 @@
 func (g *Group) PromoteTo(id string) int {
 	g.mu.Lock()
 	var d *Database
-	for _, o := range g.dbs {
-		if o.ID == id && o.alive {
-			d = o
+	for _, other := range g.dbs {
+		if other.ID == id && other.alive {
+			d = other
 		}
 	}
 	if d == nil {
@@ -278,9 +278,9 @@
 			g.Observe.Promoted(Promotion{g.Service, d.ID, g.term, slices.Sorted(maps.Keys(logged))})
 		}
 		d.role, d.term, d.pausedTerm = primary, g.term, 0
-		for _, o := range g.dbs {
-			if o.alive && !o.replicationStopped && o != d && o.role == replica && g.env.Reaches(o.Addr, d.Addr) {
-				o.log, o.term, o.pausedTerm = slices.Clip(d.log), d.term, 0
+		for _, other := range g.dbs {
+			if other.alive && !other.replicationStopped && other != d && other.role == replica && g.env.Reaches(other.Addr, d.Addr) {
+				other.log, other.term, other.pausedTerm = slices.Clip(d.log), d.term, 0
 			}
 		}
 		go d.sendHeartbeat()
--- a/internal/standin/requests.go
+++ b/internal/standin/requests.go
@@ -144,11 +144,11 @@
 
 // StartLoad starts the given number of clients at each gateway, which send safe and unsafe requests. If
 // observe is not nil, it is called with each request that reached a gateway.
-func (s *Service) Load(entries []Entry, clients int, pause time.Duration, observe func(Request)) *Requests {
+func (s *Service) Load(gateways []Entry, clients int, pause time.Duration, observe func(Request)) *Requests {
 	l := &Requests{s: s, observe: observe, stop: make(chan struct{}), Statuses: map[int]int{}}
-	for _, e := range entries {
+	for _, g := range gateways {
 		for i := range clients {
-			l.wg.Go(func() { l.client(e, i, pause) })
+			l.wg.Go(func() { l.client(g, i, pause) })
 		}
 	}
 	return l
@@ -156,22 +156,22 @@
 
 // client sends requests to one gateway until the load is stopped. It checks that requests refused with
 // status 503 have not run.
-func (l *Requests) client(e Entry, i int, pause time.Duration) {
+func (l *Requests) client(g Entry, number int, pause time.Duration) {
 	for n := 0; ; n++ {
 		select {
 		case <-l.stop:
 			return
 		case <-time.After(pause):
 		}
-		id, safe, body := fmt.Sprintf("r-%s-%d-%d-%d", l.s.Name, e.Number, i, n), n%3 > 0, ""
+		id, safe, body := fmt.Sprintf("r-%s-%d-%d-%d", l.s.Name, g.Number, number, n), n%3 > 0, ""
 		if !safe {
 			body = "what " + strconv.Itoa(n)
 		}
 		if l.observe != nil && n%longRequestInterval == 0 {
 			safe, body = false, strings.Repeat(body+" ", longRequestBytes/(len(body)+1))
 		}
-		addr, sent := e.Address(), time.Now()
-		a := l.s.Ask(e.Network, addr, id, safe, body)
+		addr, sent := g.Address(), time.Now()
+		a := l.s.Ask(g.Network, addr, id, safe, body)
 		if a.Status == http.StatusServiceUnavailable {
 			l.s.Refused(id)
 		}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -161,10 +161,10 @@
 	return w.Arrived
 }
 
-// Crash stops the worker without notice. If dark is set, its host becomes unresponsive as well.
-func (w *Worker) Crash(dark bool) {
+// Crash stops the worker without notice. If silenceHost is set, its host becomes unresponsive as well.
+func (w *Worker) Crash(silenceHost bool) {
 	w.cancel()
-	if dark {
+	if silenceHost {
 		w.s.env.Silence(w.IP, true)
 	}
 	w.s.env.Reset(w.IP)
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -39,7 +39,7 @@
 	server   *http.Server
 	listener net.Listener // of the platform
 
-	losses *lossLimiter
+	lossLimiter *lossLimiter
 
 	mu               sync.Mutex
 	machines         []*machine
@@ -97,9 +97,9 @@
 		return nil, err
 	}
 	c := &cluster{listener: listener, plan: plan, program: program, dir: dir, loopback: newLoopback(newLinks(uint64(plan.Seed))), platform: &standin.Platform{}}
-	c.losses = newLossLimiter(int(c.plan.Tolerate))
+	c.lossLimiter = newLossLimiter(int(c.plan.Tolerate))
 	if plan.ExceedTolerated {
-		c.losses = newLossLimiter(0)
+		c.lossLimiter = newLossLimiter(0)
 	}
 	for i := range plan.machineCount() {
 		c.machines = append(c.machines, c.newMachine(i, i < int(plan.ControlNodes), i < int(plan.Proxies)))
--- a/internal/testbed/gateways.go
+++ b/internal/testbed/gateways.go
@@ -50,16 +50,16 @@
 // startRequests starts the clients of every service at every gateway.
 func (t *testRun) startRequests() {
 	for _, s := range t.services {
-		var entries []standin.Entry
+		var gateways []standin.Entry
 		for i, m := range t.cluster.currentMachines() {
 			if m.proxy {
-				entries = append(entries, standin.Entry{
+				gateways = append(gateways, standin.Entry{
 					Number: i + 1, Address: func() string { return t.cluster.currentMachines()[i].clientAddr() },
 					Network: t.cluster.loopback.Network(address(clientGroup, 1+i)),
 				})
 			}
 		}
-		t.requests = append(t.requests, s.Load(entries, clientsPerGateway, requestPause, func(r standin.Request) { t.recordRequest(s.Name, r) }))
+		t.requests = append(t.requests, s.Load(gateways, clientsPerGateway, requestPause, func(r standin.Request) { t.recordRequest(s.Name, r) }))
 	}
 }
 
--- a/internal/testbed/limit_faults.go
+++ b/internal/testbed/limit_faults.go
@@ -32,10 +32,10 @@
 	p := m.procs[r.IntN(len(m.procs))]
 	switch kind {
 	case Descriptors:
-		if !f.cluster.losses.tryAcquire(m) {
+		if !f.cluster.lossLimiter.tryAcquire(m) {
 			return nil
 		}
-		defer f.cluster.losses.release(m)
+		defer f.cluster.lossLimiter.release(m)
 		defer f.recordFault(kind, m, true)()
 		used, err := countDescriptors(p.pid())
 		if err != nil {
@@ -43,10 +43,10 @@
 		}
 		lowerLimit(ctx, p, unix.RLIMIT_NOFILE, uint64(used+r.IntN(maxSpareDescriptors)), randomDuration(r, maxLimitTime))
 	case FullDisk:
-		if !f.cluster.losses.tryAcquire(m) {
+		if !f.cluster.lossLimiter.tryAcquire(m) {
 			return nil
 		}
-		defer f.cluster.losses.release(m)
+		defer f.cluster.lossLimiter.release(m)
 		defer f.recordFault(kind, m, false)()
 		size := uint64(0)
 		if info, err := os.Stat(filepath.Join(m.procs[0].dir, controlstate.StoreFile)); err == nil {
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -32,10 +32,10 @@
 		f.degradeLinks(ctx, kind, r)
 	case Delay:
 		m := f.pickMachine(r, false)
-		if !f.cluster.losses.tryAcquire(m) {
+		if !f.cluster.lossLimiter.tryAcquire(m) {
 			return nil
 		}
-		defer f.cluster.losses.release(m)
+		defer f.cluster.lossLimiter.release(m)
 		defer f.recordFault(Delay, m, true)()
 		f.impairFor(ctx, randomDuration(r, maxDegradedTime), between(hostSet(m.ip), f.otherHosts(m)), impairment{delay: randomDuration(r, maxLinkDelay)})
 	case ResetLinks:
@@ -73,10 +73,10 @@
 // service, sometimes in one direction only.
 func (f *faultInjector) cutMachine(ctx context.Context, kind string, r *rand.Rand) {
 	m := f.pickMachine(r, kind == CutControl)
-	if !f.cluster.losses.tryAcquire(m) {
+	if !f.cluster.lossLimiter.tryAcquire(m) {
 		return
 	}
-	defer f.cluster.losses.release(m)
+	defer f.cluster.lossLimiter.release(m)
 	defer f.recordFault(kind, m, false)()
 	peers := f.machineHosts(func(o *machine) bool { return o != m && o.control })
 	if kind == CutDatabases {
--- a/internal/testbed/machine_faults.go
+++ b/internal/testbed/machine_faults.go
@@ -59,14 +59,14 @@
 		return nil // another timeline is starting or stopping its processes
 	}
 	defer m.lifecycle.Unlock()
-	tryAcquire := f.cluster.losses.tryAcquire
+	tryAcquire := f.cluster.lossLimiter.tryAcquire
 	if kind == Wipe || kind == Replace {
-		tryAcquire = f.cluster.losses.tryAcquireDisk
+		tryAcquire = f.cluster.lossLimiter.tryAcquireDisk
 	}
 	if !tryAcquire(m) {
 		return nil
 	}
-	defer f.cluster.losses.release(m)
+	defer f.cluster.lossLimiter.release(m)
 	defer f.recordFault(kind, m, true)()
 	downtime := randomDuration(r, maxDowntime)
 	switch kind {
@@ -116,10 +116,10 @@
 // freeze suspends a machine's processes with SIGSTOP for a while. It doesn't take the lifecycle lock, so
 // that other faults may affect the processes meanwhile.
 func (f *faultInjector) freeze(ctx context.Context, m *machine, r *rand.Rand) {
-	if !f.cluster.losses.tryAcquire(m) {
+	if !f.cluster.lossLimiter.tryAcquire(m) {
 		return
 	}
-	defer f.cluster.losses.release(m)
+	defer f.cluster.lossLimiter.release(m)
 	defer f.recordFault(Freeze, m, true)()
 	m.signal(syscall.SIGSTOP)
 	sleep(ctx, randomDuration(r, maxFreeze))
@@ -178,7 +178,7 @@
 		}
 		defer m.lifecycle.Unlock()
 	}
-	if !f.cluster.losses.noneLost() && !f.cluster.plan.ExceedTolerated {
+	if !f.cluster.lossLimiter.noneLost() && !f.cluster.plan.ExceedTolerated {
 		return nil
 	}
 	faultNumber := f.traffic.Begin(history.Trouble{Kind: KillAll, Everywhere: true, Control: true, At: f.traffic.Now()})
