--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -134,7 +134,7 @@
 		k: k, cfg: cfg, health: health, ctx: context.Background(), pools: map[string]*pool[Want, C]{}, origins: map[C]origin[Want, C]{},
 	}
 	k.Counters.Observable("connpool.open", ps.openConnections)
-	health.SetKnown(map[string]bool{}) // no database is known before the first update
+	health.SetDatabases(map[string]bool{}) // no database is known before the first update
 	return ps
 }
 
@@ -173,7 +173,7 @@
 			delete(ps.pools, id)
 		}
 	}
-	ps.health.SetKnown(known)
+	ps.health.SetDatabases(known)
 }
 
 // closeIdle closes the idle connections of a pool. The caller holds the lock.
--- a/internal/connpool/invariants.go
+++ b/internal/connpool/invariants.go
@@ -5,7 +5,7 @@
 // markBorrowed records that a connection is borrowed. The caller holds the lock.
 func (ps *Pools[Want, C]) markBorrowed(p *pool[Want, C], c C) {
 	origin := ps.origins[c]
-	ps.k.Invariants.Check(!origin.borrowed, invariant.LentOnce, "a connection to %s was lent twice", origin.id)
+	ps.k.Invariants.Check(!origin.borrowed, invariant.CheckedOutOnce, "a connection to %s was lent twice", origin.id)
 	origin.borrowed = true
 	ps.origins[c] = origin
 	p.borrowed++
--- a/internal/connpool/invariants_test.go
+++ b/internal/connpool/invariants_test.go
@@ -57,7 +57,7 @@
 		}, nil},
 		"lent twice": {func(ps *Pools[struct{}, *fakeConnection]) {
 			ps.markBorrowed(ps.pools["a"], borrow(ps))
-		}, []invariant.Invariant{invariant.LentOnce}},
+		}, []invariant.Invariant{invariant.CheckedOutOnce}},
 		"missing from the count": {func(ps *Pools[struct{}, *fakeConnection]) {
 			a := borrow(ps)
 			ps.pools["a"].open++
--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -257,7 +257,7 @@
 	return func(w http.ResponseWriter, request *http.Request) {
 		reservation := s.memory.NewReservation(0)
 		defer reservation.Release()
-		raw, ok := s.readBody(w, request, reservation, routeconfig.MaxBody)
+		raw, ok := s.readBody(w, request, reservation, routeconfig.MaxConfigBytes)
 		if !ok {
 			return
 		}
--- a/internal/dbconn/plugin.go
+++ b/internal/dbconn/plugin.go
@@ -20,7 +20,7 @@
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
 			dialer := &Dialer{
-				Net: k.Net, ClientName: s.NodeName, ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
+				Net: k.Net, ClientName: s.NodeName, ConnectTimeout: settings.FromMillis(s.CheckTimeoutMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
 				DialSlots: make(chan struct{}, connpool.MaxConcurrentDials),
 			}
 			pools := connpool.New[Want](k, connpool.Config[Want, *Conn]{
@@ -28,7 +28,7 @@
 					return dialer.OpenForTenant(ctx, db, want.Tenant, wait)
 				},
 				Evict:       true,
-				OpenTimeout: 2 * kernel.Second, CheckTimeout: settings.FromMillis(s.CheckWaitMs), IdleTimeout: 15 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
+				OpenTimeout: 2 * kernel.Second, CheckTimeout: settings.FromMillis(s.CheckTimeoutMs), IdleTimeout: 15 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
 				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
 			}, kernel.Need[*health.Monitor](k))
 			kernel.Offer(k, pools)
@@ -45,7 +45,7 @@
 			s := kernel.Need[*settings.Live](k).Now()
 			replica := kernel.Need[*controlstate.Replica](k)
 			dialer := &Dialer{
-				Net: k.Net, ClientName: "control", ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
+				Net: k.Net, ClientName: "control", ConnectTimeout: settings.FromMillis(s.CheckTimeoutMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
 				DialSlots: make(chan struct{}, connpool.MaxConcurrentDials),
 			}
 			unresponsive := &connpool.UnresponsiveTracker{}
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -103,7 +103,7 @@
 
 // longPollTimeout is the setting for how long a control node may hold a poll.
 func longPollTimeout(live *settings.Live) func() kernel.Micros {
-	return func() kernel.Micros { return settings.FromMillis(live.Now().PollMs) }
+	return func() kernel.Micros { return settings.FromMillis(live.Now().LongPollTimeoutMs) }
 }
 
 // reservedShare is the share of max_conns left for health checks, the failover manager and
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -113,7 +113,7 @@
 		return
 	}
 	m.readLeases.BeginTerm(term.FirstEpoch(), s.poolers, m.k.Clock.Now(), m.cfg.ReadLease)
-	m.health.SetKnown(s.databaseIDs)
+	m.health.SetDatabases(s.databaseIDs)
 	m.removeExpiredProxies(ctx)
 	if m.cfg.Leaderless {
 		m.removeDatabases(ctx, s)
--- a/internal/failover/platform_call_test.go
+++ b/internal/failover/platform_call_test.go
@@ -26,7 +26,7 @@
 		m := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
 		received, _ := lineprotocol.ParsePosition(text)
 		m.checkPromotedPosition(Leader{Service: "s", To: "a", ChosenPosition: "2.8"}, statRow{received: received})
-		if violations := m.k.Invariants.Counts()[invariant.PromotedHoldsFloor]; violations != want {
+		if violations := m.k.Invariants.Counts()[invariant.PromotedReachesMinimum]; violations != want {
 			t.Errorf("%s: %d violations", text, violations)
 		}
 	}
--- a/internal/failover/plugin.go
+++ b/internal/failover/plugin.go
@@ -19,7 +19,7 @@
 			kernel.Offer(k, readLeases)
 			manager := New(k, Config{
 				Name: s.NodeName, PlatformAddr: s.PlatformAddr, Leaderless: s.Deploy == settings.DeployAPI, ReadLease: settings.FromMillis(s.ReaderLeaseMs),
-				Dialer:         dbconn.Dialer{Net: k.Net, ClientName: "failover", ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs)},
+				Dialer:         dbconn.Dialer{Net: k.Net, ClientName: "failover", ConnectTimeout: settings.FromMillis(s.CheckTimeoutMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs)},
 				RequestTimeout: kernel.Second, HeartbeatWait: 700 * kernel.Millisecond, FirstHeartbeatTimeout: settings.FromMillis(s.HeartbeatMs + s.ContactMs),
 			}, kernel.Need[*controlstate.Replica](k), kernel.Need[*discovery.Registry](k),
 				kernel.Need[*health.Monitor](k), readLeases)
--- a/internal/failover/promotion.go
+++ b/internal/failover/promotion.go
@@ -101,7 +101,7 @@
 // chosen.
 func (m *Manager) checkPromotedPosition(l Leader, row statRow) {
 	chosenPosition, known := lineprotocol.ParsePosition(l.ChosenPosition)
-	m.k.Invariants.Check(!known || !row.received.Less(chosenPosition), invariant.PromotedHoldsFloor,
+	m.k.Invariants.Check(!known || !row.received.Less(chosenPosition), invariant.PromotedReachesMinimum,
 		"%s leads %s at position %s but was chosen at position %s", l.To, l.Service, row.received, l.ChosenPosition)
 }
 
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -336,7 +336,7 @@
 
 // SetDatabases sets which databases exist. The state of any other is dropped; reports, notices and
 // check results about it that are still in progress are ignored.
-func (m *Monitor) SetKnown(databases map[string]bool) {
+func (m *Monitor) SetDatabases(databases map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.databases = databases
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -233,8 +233,8 @@
 		if n := notify("a", lower); n != 240 {
 			t.Errorf("%d of 240 peers notified, though only lower-ranked processes report the same", n)
 		}
-		m.SetKnown(map[string]bool{})
-		m.SetKnown(map[string]bool{"a": true})
+		m.SetDatabases(map[string]bool{})
+		m.SetDatabases(map[string]bool{"a": true})
 		if n := notify("a", higher); n > 2*peersPerBatch {
 			t.Errorf("%d peers notified although two higher-ranked processes report the same", n)
 		}
@@ -287,7 +287,7 @@
 				if m.Up("a") {
 					t.Fatal("a failing database is not considered down")
 				}
-				m.SetKnown(map[string]bool{"b": true})
+				m.SetDatabases(map[string]bool{"b": true})
 				late(m)
 				time.Sleep(5 * time.Second)
 				if down := m.Down(); len(down) > 0 {
--- a/internal/health/plugin.go
+++ b/internal/health/plugin.go
@@ -46,8 +46,8 @@
 				proxyRole, controlNodes = "gateway", func() []string { return nil }
 			}
 			monitor := New(k, Config{
-				Interval:      settings.FromMillis(s.CheckMs),
-				FirstCheck:    settings.FromMillis(s.CheckMs) / 10,
+				Interval:      settings.FromMillis(s.CheckIntervalMs),
+				FirstCheck:    settings.FromMillis(s.CheckIntervalMs) / 10,
 				Check:         func(ctx context.Context, id string) bool { return kernel.Need[Checker](k)(ctx, id) },
 				Self:          members.Self().Addr,
 				Peers:         func() []string { return notificationOrder(controlNodes(), members.Peers(proxyRole)) },
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -34,7 +34,7 @@
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
 			dialer := &Dialer{
-				Net: k.Net, ConnectTimeout: connectTimeoutFactor * settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
+				Net: k.Net, ConnectTimeout: connectTimeoutFactor * settings.FromMillis(s.CheckTimeoutMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
 				DialSlots:  make(chan struct{}, connpool.MaxConcurrentDials),
 				Wrap:       func(c net.Conn) net.Conn { return kernel.Need[Wrap](k)(c) },
 				HealthPath: func(svc string) string { return kernel.Need[HealthPath](k)(svc) },
@@ -46,7 +46,7 @@
 					return dialer.Open(ctx, db, wait)
 				},
 				Probe:       dialer.Probe,
-				OpenTimeout: kernel.Second, CheckTimeout: settings.FromMillis(s.CheckWaitMs),
+				OpenTimeout: kernel.Second, CheckTimeout: settings.FromMillis(s.CheckTimeoutMs),
 				IdleTimeout: 8 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
 				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
 				MaxConnections: maxConnections(s.MaxFDs),
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -34,7 +34,7 @@
 	// TriesBounded: a request is sent to no more databases than its route allows.
 	TriesBounded Invariant = "tries_bounded"
 	// CheckedOutOnce: a pooled connection is checked out by at most one user at a time.
-	LentOnce Invariant = "connection_lent_once"
+	CheckedOutOnce Invariant = "connection_lent_once"
 	// ConnectionsCounted: every connection counted as open is either idle or checked out.
 	ConnectionsCounted Invariant = "connections_counted"
 	// CountsNonNegative: a count of operations in progress or admitted never goes below zero.
@@ -43,7 +43,7 @@
 	DownIsKnown Invariant = "down_database_is_known"
 	// PromotedReachesMinimum: a promoted database has received commits up to at least the minimum
 	// position on which its selection was based.
-	PromotedHoldsFloor Invariant = "promoted_holds_floor"
+	PromotedReachesMinimum Invariant = "promoted_holds_floor"
 	// NothingUnanswered: a process that is shut down has answered every request that it
 	// read by the time it exits.
 	NothingUnanswered Invariant = "nothing_unanswered_at_the_end"
@@ -54,7 +54,7 @@
 // All lists all invariants.
 var All = []Invariant{
 	DurableStateKept, OnePrimary, ConfigurationMonotonic, ChangeRecorded, AnsweredInTime, NothingUnanswered, NoUnsafeRetry, TriesBounded,
-	LentOnce, ConnectionsCounted, CountsNonNegative, DownIsKnown, PromotedHoldsFloor, MemoryReleased,
+	CheckedOutOnce, ConnectionsCounted, CountsNonNegative, DownIsKnown, PromotedReachesMinimum, MemoryReleased,
 }
 
 // Violation describes one violation of an invariant.
--- a/internal/membership/plugin.go
+++ b/internal/membership/plugin.go
@@ -16,7 +16,7 @@
 					Addr: kernel.Need[*rpc.Endpoint](k).Addr(), Name: s.NodeName, Role: k.Role, Zone: s.Zone,
 				},
 				Seeds:         s.SeedPeers(),
-				ProbeInterval: settings.FromMillis(s.ProbeMs),
+				ProbeInterval: settings.FromMillis(s.ProbeIntervalMs),
 			})
 			kernel.Offer(k, l)
 			k.Supervise("membership", l.Serve)
--- a/internal/pooler/plugin.go
+++ b/internal/pooler/plugin.go
@@ -27,7 +27,7 @@
 				return &settings.Error{Key: "listen.ready_addr", Reason: "a pooler needs it"}
 			}
 			p := New(k, Config{
-				ClientAddr: s.ClientAddr, Zone: s.Zone, SuspicionTimeout: settings.FromMillis(s.QuietMs),
+				ClientAddr: s.ClientAddr, Zone: s.Zone, SuspicionTimeout: settings.FromMillis(s.SuspicionTimeoutMs),
 				GracePeriod: func() kernel.Micros { return kernel.Micros(live.Now().GraceS) * kernel.Second },
 			}, Services{
 				Control:  kernel.Need[*distribution.Subscriber](k),
--- a/internal/routeconfig/ledger_test.go
+++ b/internal/routeconfig/ledger_test.go
@@ -138,8 +138,8 @@
 		{"new version not above its base", registry.Replace, 4, servicesBody(4, 1), invalid},
 		{"invalid change of an old base", registry.Update, 8, []byte(`{"rev":9,"upsert":{"services":[{}]}}`), ErrVersionConflict},
 		{"invalid change of the current base", registry.Update, 10, []byte(`{"rev":11,"upsert":{"services":[{}]}}`), invalid},
-		{"large change", registry.Update, 10, largePatch(11, MaxBody*2/3), nil},
-		{"change that makes the configuration too large", registry.Update, 11, largePatch(12, MaxBody/2), invalid},
+		{"large change", registry.Update, 10, largePatch(11, MaxConfigBytes*2/3), nil},
+		{"change that makes the configuration too large", registry.Update, 11, largePatch(12, MaxConfigBytes/2), invalid},
 	} {
 		err := call.apply(t.Context(), call.base, call.body)
 		if errors.As(err, new(*ValidationError)) {
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -190,9 +190,9 @@
 	Changes int64           `json:"orders"` // accepted so far: it determines the ledger entry of the next one
 }
 
-// MaxBody bounds a configuration in bytes, both as sent and as stored: half of what one call
+// MaxConfigBytes bounds a configuration in bytes, both as sent and as stored: half of what one call
 // between control nodes carries, which is enough for some 10,000 routes.
-const MaxBody = 2 << 20
+const MaxConfigBytes = 2 << 20
 
 // Errors returned by Registry.
 var (
@@ -319,8 +319,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 		}
-		if len(entry) > MaxBody {
-			return nil, &ValidationError{[]Fault{{"body", fmt.Sprintf("makes a configuration of over %d bytes", MaxBody)}}}
+		if len(entry) > MaxConfigBytes {
+			return nil, &ValidationError{[]Fault{{"body", fmt.Sprintf("makes a configuration of over %d bytes", MaxConfigBytes)}}}
 		}
 		record, err := json.Marshal(id)
 		if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -87,16 +87,16 @@
 
 	PlatformAddr string `key:"platform.address" validate:"omitempty,hostname_port"`
 
-	ControlLeaseMs   int64 `key:"tune.control_lease_ms" default:"1200" validate:"gte=100"` // lease of the primary control node
-	WitnessTimeoutMs int64 `key:"tune.witness_away_ms" default:"3000" validate:"gte=100"`  // a witness unreachable for longer is replaced
-	ReaderLeaseMs    int64 `key:"tune.reader_lease_ms" default:"2500" validate:"gte=100"`  // read lease of a proxy
-	QuotaLeaseMs     int64 `key:"tune.quota_lease_ms" default:"600" validate:"gte=300"`
-	PollMs           int64 `key:"tune.poll_ms" default:"600" validate:"gte=20"`       // timeout of a proxy's long poll of the control state
-	ProbeMs          int64 `key:"tune.probe_ms" default:"1000" validate:"gte=20"`     // interval of membership probes
-	CheckMs          int64 `key:"tune.check_ms" default:"1000" validate:"gte=20"`     // interval of health checks of a database that is down
-	CheckWaitMs      int64 `key:"tune.check_wait_ms" default:"150" validate:"gte=10"` // timeout of a health check, and of connecting to a database
-	QuietMs          int64 `key:"tune.quiet_ms" default:"100" validate:"gte=10"`      // a response that takes longer makes its database suspect
-	PeerTimeoutMs    int64 `key:"tune.silence_ms" default:"700" validate:"gte=50"`    // a connection to a database that is unresponsive for longer is closed
+	ControlLeaseMs     int64 `key:"tune.control_lease_ms" default:"1200" validate:"gte=100"` // lease of the primary control node
+	WitnessTimeoutMs   int64 `key:"tune.witness_away_ms" default:"3000" validate:"gte=100"`  // a witness unreachable for longer is replaced
+	ReaderLeaseMs      int64 `key:"tune.reader_lease_ms" default:"2500" validate:"gte=100"`  // read lease of a proxy
+	QuotaLeaseMs       int64 `key:"tune.quota_lease_ms" default:"600" validate:"gte=300"`
+	LongPollTimeoutMs  int64 `key:"tune.poll_ms" default:"600" validate:"gte=20"`       // timeout of a proxy's long poll of the control state
+	ProbeIntervalMs    int64 `key:"tune.probe_ms" default:"1000" validate:"gte=20"`     // interval of membership probes
+	CheckIntervalMs    int64 `key:"tune.check_ms" default:"1000" validate:"gte=20"`     // interval of health checks of a database that is down
+	CheckTimeoutMs     int64 `key:"tune.check_wait_ms" default:"150" validate:"gte=10"` // timeout of a health check, and of connecting to a database
+	SuspicionTimeoutMs int64 `key:"tune.quiet_ms" default:"100" validate:"gte=10"`      // a response that takes longer makes its database suspect
+	PeerTimeoutMs      int64 `key:"tune.silence_ms" default:"700" validate:"gte=50"`    // a connection to a database that is unresponsive for longer is closed
 	// ChangesRemembered is how many recent configuration changes are remembered, so that a change
 	// that is submitted again is recognized. An older change that is submitted again gets no
 	// definite response.
--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -143,7 +143,7 @@
 			{"version is not a number", baseVersion("one"), w.Configuration(3), 400},
 			{"negative version", baseVersion("-1"), w.Configuration(3), 400},
 			{"spaces around the version", baseVersion(" 1 "), w.Configuration(2), 200},
-			{"body too large", baseVersion("2"), append(w.Configuration(3), make([]byte, routeconfig.MaxBody)...), 413},
+			{"body too large", baseVersion("2"), append(w.Configuration(3), make([]byte, routeconfig.MaxConfigBytes)...), 413},
 			{"truncated body", baseVersion("2"), w.Configuration(3)[:99], 400},
 			{"9000 routes", baseVersion("2"), configurationWithRoutes(3, 9000), 200},
 			{"9000 routes, sent again", baseVersion("2"), configurationWithRoutes(3, 9000), 200},
