--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -44,13 +44,13 @@
 }
 
 // MaxPerDatabase returns how many connections this process may hold to each database of a service.
-type Share func(service string) int
+type MaxPerDatabase func(service string) int
 
 // ConnectionCounts returns the numbers of open and idle connections by database.
-type Counts func() map[string][2]int
+type ConnectionCounts func() map[string][2]int
 
 // DatabaseUpdater receives the current set of databases, by ID.
-type Updater func(map[string]discovery.Database)
+type DatabaseUpdater func(map[string]discovery.Database)
 
 // Config configures the pools.
 type Config[Want, C any] struct {
--- a/internal/controlapi/controlapi_test.go
+++ b/internal/controlapi/controlapi_test.go
@@ -47,7 +47,7 @@
 		first := awaitPrimary(1, 2, 3)
 		k := world.Process("control", first).Kernel
 		term, err := replicaOf(first).Term()
-		if err != nil || controlstate.TermOf(term.Context()) != term || controlstate.TermOf(t.Context()).Valid() {
+		if err != nil || controlstate.TermFromContext(term.Context()) != term || controlstate.TermFromContext(t.Context()).Valid() {
 			t.Fatalf("the context of the term does not yield the term: %v", err)
 		}
 		server := controlapi.New(k, "10.0.0.9:8782", replicaOf(first), kernel.Need[*discovery.Registry](k), kernel.Need[*routeconfig.Registry](k))
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -221,13 +221,13 @@
 // Read returns the durable value of an entry. Only the primary serves reads, and only while it
 // holds its lease.
 func (v *Replica) Read(key string) (json.RawMessage, error) {
-	state, err := v.Durable()
+	state, err := v.DurableState()
 	return state.Entries[key], err
 }
 
-// Durable returns the whole durable state with the epoch of the current view. The caller must
+// DurableState returns the whole durable state with the epoch of the current view. The caller must
 // not modify its entries. Only the primary serves it, while it holds its lease.
-func (v *Replica) Durable() (State, error) {
+func (v *Replica) DurableState() (State, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.holdsLease(v.k.Clock.Now()) {
--- a/internal/controlstate/term.go
+++ b/internal/controlstate/term.go
@@ -48,9 +48,9 @@
 
 type termKey struct{}
 
-// TermOf returns the term whose context ctx is or derives from. Without one it returns nil, which
-// behaves as a term that has ended.
-func TermOf(ctx context.Context) *Term {
+// TermFromContext returns the term whose context ctx is or derives from. Without one it returns
+// nil, which behaves as a term that has ended.
+func TermFromContext(ctx context.Context) *Term {
 	t, _ := ctx.Value(termKey{}).(*Term)
 	return t
 }
--- a/internal/dbconn/plugin.go
+++ b/internal/dbconn/plugin.go
@@ -29,11 +29,11 @@
 				},
 				Evict:       true,
 				OpenTimeout: 2 * kernel.Second, CheckTimeout: settings.FromMillis(s.CheckTimeoutMs), IdleTimeout: 15 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
-				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
+				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.MaxPerDatabase](k)(svc) },
 			}, kernel.Need[*health.Monitor](k))
 			kernel.Offer(k, pools)
-			kernel.Offer(k, connpool.Updater(pools.SetDatabases))
-			kernel.Offer(k, connpool.Counts(pools.Counts))
+			kernel.Offer(k, connpool.DatabaseUpdater(pools.SetDatabases))
+			kernel.Offer(k, connpool.ConnectionCounts(pools.Counts))
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool { return connpool.CheckPassed(pools.Check(ctx, id)) })
 			k.Supervise("dbconn", pools.Serve)
 			return nil
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -35,7 +35,7 @@
 	// CommitLimit, if set, is the position past which the database holds no acknowledged commit,
 	// since it is a leaving replica that was paused there. It is cleared before any statement is
 	// sent that makes the replica receive commits again.
-	Limit string `json:"limit,omitempty"`
+	CommitLimit string `json:"limit,omitempty"`
 }
 
 // maxPreviousIDs is the number of previous IDs of a database that are kept.
@@ -165,7 +165,7 @@
 
 // unchangedBy reports whether a heartbeat with the reported state contains nothing new.
 func (d Database) unchangedBy(reported Database) bool {
-	reported.PreviousIDs, reported.Limit, reported.Gone, reported.Draining = d.PreviousIDs, d.Limit, d.Gone, d.Draining || reported.Draining
+	reported.PreviousIDs, reported.CommitLimit, reported.Gone, reported.Draining = d.PreviousIDs, d.CommitLimit, d.Gone, d.Draining || reported.Draining
 	return reported == d
 }
 
@@ -197,7 +197,7 @@
 func registrationChanges(databases map[string]Database, d Database) (changes map[string]json.RawMessage, err error) {
 	changes = map[string]json.RawMessage{}
 	if old, ok := databases[d.ID]; ok {
-		d.PreviousIDs, d.Limit, d.Gone, d.Draining = old.PreviousIDs, old.Limit, old.Gone, d.Draining || old.Draining
+		d.PreviousIDs, d.CommitLimit, d.Gone, d.Draining = old.PreviousIDs, old.CommitLimit, old.Gone, d.Draining || old.Draining
 	}
 	for id, old := range databases {
 		if old.Address == d.Address && old.HadID(d.ID) && !old.Gone {
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -47,7 +47,7 @@
 				Peers:         func() []string { return members.Peers(k.Role) },
 				Lease:         settings.FromMillis(live.Now().ReaderLeaseMs),
 				DownDatabases: kernel.Need[*health.Monitor](k).Down,
-				OnDatabases:   kernel.Need[connpool.Updater](k),
+				OnDatabases:   kernel.Need[connpool.DatabaseUpdater](k),
 				OnPosition:    func(string, kernel.Micros, lineprotocol.Position) {},
 				Bounds: func() Bounds {
 					now := live.Now()
@@ -68,7 +68,7 @@
 			}
 			subscriber := NewSubscriber(k, kernel.Need[*rpc.Endpoint](k), cfg)
 			kernel.Offer(k, subscriber)
-			kernel.Offer(k, connpool.Share(func(service string) int {
+			kernel.Offer(k, connpool.MaxPerDatabase(func(service string) int {
 				return subscriber.connectionShare(service, 1+len(members.Peers(k.Role)))
 			}))
 			k.Supervise("distribution", subscriber.Serve)
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -264,7 +264,7 @@
 	defer timeout.Stop()
 	for admitted := false; ; {
 		changed := p.replica.Changed()
-		state, err := p.replica.Durable()
+		state, err := p.replica.DurableState()
 		if err != nil || !term.Valid() {
 			return pollReply{}, nil
 		}
@@ -323,7 +323,7 @@
 // register enters the proxy's incarnation in the control state before it is granted a lease, and
 // initializes the lease bookkeeping of the term if this is the term's first poll.
 func (p *Publisher) register(ctx context.Context, request pollRequest, term *controlstate.Term) error {
-	state, err := p.replica.Durable()
+	state, err := p.replica.DurableState()
 	if err != nil {
 		return err
 	}
--- a/internal/failover/leaving.go
+++ b/internal/failover/leaving.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		a := AbsentReplica{ID: d.ID, Gone: d.Gone}
-		if limit, ok := lineprotocol.ParsePosition(d.Limit); ok {
+		if limit, ok := lineprotocol.ParsePosition(d.CommitLimit); ok {
 			a.CommitLimit = &limit
 		}
 		absent = append(absent, a)
@@ -52,7 +52,7 @@
 func recordCommitLimits(databases map[string]discovery.Database, positions map[string]lineprotocol.Position) {
 	for id, position := range positions {
 		if d, ok := databases[id]; ok && (d.Draining || d.Gone) {
-			d.Limit = position.String()
+			d.CommitLimit = position.String()
 			databases[id] = d
 		}
 	}
@@ -62,7 +62,7 @@
 func clearCommitLimits(databases map[string]discovery.Database) {
 	for id, d := range databases {
 		if !d.Gone {
-			d.Limit = ""
+			d.CommitLimit = ""
 			databases[id] = d
 		}
 	}
@@ -78,7 +78,7 @@
 			continue
 		}
 		maxHeld := covered
-		if limit, ok := lineprotocol.ParsePosition(d.Limit); ok && limit.Less(maxHeld) {
+		if limit, ok := lineprotocol.ParsePosition(d.CommitLimit); ok && limit.Less(maxHeld) {
 			maxHeld = limit
 		}
 		if minPosition.Less(maxHeld) {
@@ -127,7 +127,7 @@
 	replicas := s.replicas(l.Service, l.ID)
 	ended := map[string]bool{}
 	for _, d := range replicas {
-		ended[d.ID] = d.Gone && (d.Limit != "" || m.elapsedSinceFirst("gone "+d.ID) > shutdownGrace)
+		ended[d.ID] = d.Gone && (d.CommitLimit != "" || m.elapsedSinceFirst("gone "+d.ID) > shutdownGrace)
 	}
 	caughtUp, leaderPosition, err := m.hasCaughtUpReplica(ctx, leader, notLeaving(replicas))
 	if err != nil {
@@ -160,10 +160,10 @@
 	}
 	// A replica with a commit limit receives commits again if a CONTINUE that was sent before it
 	// started draining has arrived late, or if it has restarted. Then it is paused again.
-	rows := m.executeAll(ctx, filter(leaving, func(d discovery.Database) bool { return d.Limit != "" }), "STAT")
+	rows := m.executeAll(ctx, filter(leaving, func(d discovery.Database) bool { return d.CommitLimit != "" }), "STAT")
 	_, err = m.pauseReplicas(ctx, l, filter(leaving, func(d discovery.Database) bool {
 		row, responded := rows[d.ID]
-		return d.Limit == "" || responded && row.pausedTerm == 0
+		return d.CommitLimit == "" || responded && row.pausedTerm == 0
 	}))
 	return err
 }
@@ -173,7 +173,7 @@
 // returns the term at which the replicas are paused.
 func (m *Manager) pauseLeaving(ctx context.Context, s *snapshot, l Leader) int64 {
 	leaving := filter(s.replicas(l.Service, l.ID), func(d discovery.Database) bool {
-		return d.Draining && !d.Gone && d.Limit == "" && m.health.Up(d.ID)
+		return d.Draining && !d.Gone && d.CommitLimit == "" && m.health.Up(d.ID)
 	})
 	if len(leaving) == 0 {
 		return l.PauseTerm
@@ -217,7 +217,7 @@
 // resumeLeaving resumes paused draining replicas when no other replica receives commits.
 func (m *Manager) resumeLeaving(ctx context.Context, l Leader, leaving []discovery.Database) error {
 	rows := m.executeAll(ctx, leaving, "STAT")
-	paused := filter(leaving, func(d discovery.Database) bool { return d.Limit != "" || rows[d.ID].pausedTerm != 0 })
+	paused := filter(leaving, func(d discovery.Database) bool { return d.CommitLimit != "" || rows[d.ID].pausedTerm != 0 })
 	if len(paused) == 0 {
 		return nil
 	}
--- a/internal/failover/model_moves_test.go
+++ b/internal/failover/model_moves_test.go
@@ -47,7 +47,7 @@
 		}
 		return
 	}
-	recordCommitLimits(m.entries, m.pause(filter(leaving, func(d discovery.Database) bool { return d.Limit == "" })))
+	recordCommitLimits(m.entries, m.pause(filter(leaving, func(d discovery.Database) bool { return d.CommitLimit == "" })))
 }
 
 // pause pauses the replicas that the failover manager can reach and returns their positions; nil if
@@ -100,7 +100,7 @@
 // none was chosen.
 func (m *model) decide() bool {
 	if !m.up(m.leader.ID) && m.r.IntN(2) == 0 {
-		pausedEarly := m.pause(filter(m.replicas(m.leader.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.Limit == "" }))
+		pausedEarly := m.pause(filter(m.replicas(m.leader.ID), func(d discovery.Database) bool { return d.Draining && !d.Gone && d.CommitLimit == "" }))
 		if pausedEarly == nil {
 			return false
 		}
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -182,7 +182,7 @@
 		entry.Draining = true
 		m.entries[n.id] = entry
 	case event == 7 && n.alive && entry.Draining: // it shuts down, with or without deregistering
-		if m.tolerable && (n.id == m.leader.To || entry.Limit == "" && (m.leader.FailoverInProgress || !m.up(m.leader.ID) || n.id == m.leader.ID) || !m.redundant(n)) {
+		if m.tolerable && (n.id == m.leader.To || entry.CommitLimit == "" && (m.leader.FailoverInProgress || !m.up(m.leader.ID) || n.id == m.leader.ID) || !m.redundant(n)) {
 			return
 		}
 		n.alive, n.shutDown = false, true
@@ -190,7 +190,7 @@
 			entry.Gone = true
 			m.entries[n.id] = entry
 		}
-		if m.tolerable && entry.Limit == "" {
+		if m.tolerable && entry.CommitLimit == "" {
 			m.managerOnly = true // temporarily
 			m.reconcileLeaving()
 			m.managerOnly = false
--- a/internal/failover/promotion.go
+++ b/internal/failover/promotion.go
@@ -168,7 +168,7 @@
 // callPlatform calls the platform as the duty holder. It does so only in the control state's term
 // in which the failover was examined, and ends the call well before the lease ends.
 func (m *Manager) callPlatform(ctx context.Context, l Leader) error {
-	epoch, remaining := controlstate.TermOf(ctx).Lease()
+	epoch, remaining := controlstate.TermFromContext(ctx).Lease()
 	wait := min(remaining-100*kernel.Millisecond, kernel.Second)
 	if wait < 100*kernel.Millisecond {
 		return errRetryLater
--- a/internal/failover/snapshot.go
+++ b/internal/failover/snapshot.go
@@ -20,7 +20,7 @@
 
 // loadSnapshot returns the current snapshot. The control state is decoded only when it has changed.
 func (m *Manager) loadSnapshot() (*snapshot, error) {
-	durable, err := m.controlState.Durable()
+	durable, err := m.controlState.DurableState()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -48,16 +48,16 @@
 				Probe:       dialer.Probe,
 				OpenTimeout: kernel.Second, CheckTimeout: settings.FromMillis(s.CheckTimeoutMs),
 				IdleTimeout: 8 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
-				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
+				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.MaxPerDatabase](k)(svc) },
 				MaxConnections: maxConnections(s.MaxFDs),
 				SuspectOwnLink: true,
 			}, kernel.Need[*health.Monitor](k))
 			kernel.Offer(k, pools)
-			kernel.Offer(k, connpool.Updater(func(dbs map[string]discovery.Database) {
+			kernel.Offer(k, connpool.DatabaseUpdater(func(dbs map[string]discovery.Database) {
 				pools.SetDatabases(dbs)
 				balancer.Prune(dbs)
 			}))
-			kernel.Offer(k, connpool.Counts(pools.Counts))
+			kernel.Offer(k, connpool.ConnectionCounts(pools.Counts))
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
 				began := k.Clock.Now()
 				err := pools.Check(ctx, id)
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -15,7 +15,7 @@
 // controlState is the part of the control state replica that the ledger depends on.
 type controlState interface {
 	Term() (*controlstate.Term, error)
-	Durable() (controlstate.State, error)
+	DurableState() (controlstate.State, error)
 	Update(ctx context.Context, change controlstate.ChangeFunc) error
 	Changed() <-chan struct{}
 }
@@ -93,7 +93,7 @@
 // mayGrantEarly reports whether slices of at most one term may be outstanding, so that a new
 // ledger may grant during its first lease.
 func (s *LedgerServer) mayGrantEarly() bool {
-	state, err := s.replica.Durable()
+	state, err := s.replica.DurableState()
 	if err != nil {
 		return false
 	}
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, nil, errNoLedger
 	}
-	state, err := s.replica.Durable()
+	state, err := s.replica.DurableState()
 	if err != nil {
 		return nil, nil, errNoLedger
 	}
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -18,7 +18,7 @@
 	unavailable bool
 }
 
-func (s *entriesState) Durable() (controlstate.State, error) {
+func (s *entriesState) DurableState() (controlstate.State, error) {
 	if s.unavailable {
 		return controlstate.State{}, errors.New("no primary")
 	}
--- a/internal/scalebench/hollow.go
+++ b/internal/scalebench/hollow.go
@@ -30,7 +30,7 @@
 	kernel.Register(kernel.Plugin{
 		Name: "hollow", Rank: 50, Roles: []string{Role},
 		Build: func(k *kernel.Kernel) error {
-			kernel.Offer(k, connpool.Updater(func(map[string]discovery.Database) {}))
+			kernel.Offer(k, connpool.DatabaseUpdater(func(map[string]discovery.Database) {}))
 			kernel.Offer[health.Checker](k, func(context.Context, string) bool { return true })
 			return nil
 		},
--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -85,7 +85,7 @@
 			}
 		}
 		listedIDs := func() (ids []string) {
-			state, err := w.Process("control", controlPrimaryZone(w)).replica().Durable()
+			state, err := w.Process("control", controlPrimaryZone(w)).replica().DurableState()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/simulation/catchup_test.go
+++ b/internal/simulation/catchup_test.go
@@ -66,7 +66,7 @@
 // durableState returns the durable state of the control primary, or an empty state if it has none.
 func durableState(w *World) controlstate.State {
 	if z := controlPrimaryZone(w); z != 0 {
-		if s, err := w.Process("control", z).replica().Durable(); err == nil {
+		if s, err := w.Process("control", z).replica().DurableState(); err == nil {
 			return s
 		}
 	}
--- a/internal/simulation/clients_test.go
+++ b/internal/simulation/clients_test.go
@@ -15,7 +15,7 @@
 // connectionsInUse returns the number of database connections that requests at a zone's gateway have
 // checked out of the pool.
 func connectionsInUse(w *World, zone int) (n int) {
-	for _, c := range kernel.Need[connpool.Counts](w.Process("gateway", zone).Kernel)() {
+	for _, c := range kernel.Need[connpool.ConnectionCounts](w.Process("gateway", zone).Kernel)() {
 		n += c[0] - c[1]
 	}
 	return n
--- a/internal/simulation/connection_resets_test.go
+++ b/internal/simulation/connection_resets_test.go
@@ -137,7 +137,7 @@
 					return false
 				})
 				load.Stop()
-				state, err := kernel.Need[*controlstate.Replica](w.Process("control", controlPrimaryZone(w)).Kernel).Durable()
+				state, err := kernel.Need[*controlstate.Replica](w.Process("control", controlPrimaryZone(w)).Kernel).DurableState()
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/simulation/proxies_test.go
+++ b/internal/simulation/proxies_test.go
@@ -13,7 +13,7 @@
 func registeredProxies(t *testing.T, w *World) (names []string) {
 	t.Helper()
 	for z := 1; z <= w.Zones; z++ {
-		state, err := kernel.Need[*controlstate.Replica](w.Process("control", z).Kernel).Durable()
+		state, err := kernel.Need[*controlstate.Replica](w.Process("control", z).Kernel).DurableState()
 		if err != nil {
 			continue
 		}
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -380,7 +380,7 @@
 // recordedLeader returns the leader of the service "ledger" that is recorded in the control state.
 func recordedLeader(t *testing.T, w *World) failover.Leader {
 	t.Helper()
-	state, err := w.Process("control", controlPrimaryZone(w)).replica().Durable()
+	state, err := w.Process("control", controlPrimaryZone(w)).replica().DurableState()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -454,7 +454,7 @@
 			replica := g.DB(2)
 			replica.Leave(8*time.Second, true)
 			readState := func() (pausedTerm int64, received, limit lineprotocol.Position) {
-				state, err := w.Process("control", controlPrimaryZone(w)).replica().Durable()
+				state, err := w.Process("control", controlPrimaryZone(w)).replica().DurableState()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -462,7 +462,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				limit, _ = lineprotocol.ParsePosition(databases[replica.ID].Limit)
+				limit, _ = lineprotocol.ParsePosition(databases[replica.ID].CommitLimit)
 				received, pausedTerm = replica.Position()
 				return pausedTerm, received, limit
 			}
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -77,7 +77,7 @@
 	}
 	if k.Role != "control" {
 		result.Epoch, _, result.Rev, result.LeaseUs = kernel.Need[*distribution.Subscriber](k).Version()
-		result.Conns = kernel.Need[connpool.Counts](k)()
+		result.Conns = kernel.Need[connpool.ConnectionCounts](k)()
 		result.Usage = kernel.Need[*quota.Client](k).Usage()
 		return result, nil
 	}
@@ -102,7 +102,7 @@
 // addPrimaryState adds what only the control state's primary knows.
 func (r *Report) addPrimaryState(k *kernel.Kernel, replica *controlstate.Replica) error {
 	r.SinceContactUs = replica.SinceLastContact()
-	state, err := replica.Durable()
+	state, err := replica.DurableState()
 	if err != nil {
 		return nil // this node has just ceased to be the primary
 	}
