--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -23,7 +23,7 @@
 			live := kernel.Need[*settings.Live](k)
 			monitor := kernel.Need[*health.Monitor](k)
 			NewPublisher(k, kernel.Need[*rpc.Endpoint](k), kernel.Need[*controlstate.Replica](k),
-				kernel.Need[*failover.Readers](k), settings.FromMillis(live.Now().ReaderLeaseMs), longPollTimeout(live), monitor.HandleNotice, live.Now().NetMbps)
+				kernel.Need[*failover.ReadLeases](k), settings.FromMillis(live.Now().ReaderLeaseMs), longPollTimeout(live), monitor.HandleNotice, live.Now().NetMbps)
 			return nil
 		},
 	})
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -143,7 +143,7 @@
 type Publisher struct {
 	k           *kernel.Kernel
 	replica     *controlstate.Replica
-	readers     *failover.Readers
+	readers     *failover.ReadLeases
 	lease       kernel.Micros
 	pollTimeout func() kernel.Micros
 	reportDown  func(proxy, id string) // called for each database that a proxy considers down
@@ -216,7 +216,7 @@
 
 // NewPublisher returns a publisher that serves polls through the endpoint. mbps is the bandwidth
 // of the link in Mbit/s, 0 if it is not known.
-func NewPublisher(k *kernel.Kernel, endpoint *rpc.Endpoint, replica *controlstate.Replica, readers *failover.Readers, lease kernel.Micros, pollTimeout func() kernel.Micros, reportDown func(proxy, id string), linkMbps float64) *Publisher {
+func NewPublisher(k *kernel.Kernel, endpoint *rpc.Endpoint, replica *controlstate.Replica, readers *failover.ReadLeases, lease kernel.Micros, pollTimeout func() kernel.Micros, reportDown func(proxy, id string), linkMbps float64) *Publisher {
 	p := &Publisher{k: k, replica: replica, readers: readers, lease: lease, pollTimeout: pollTimeout, reportDown: reportDown}
 	p.pacer.rate = linkShare * linkMbps / 8
 	rpc.HandleTyped(endpoint, pollOp, p.handlePoll)
@@ -244,13 +244,13 @@
 // recordReport records what a poll reports. If the poll is refused, newest is a later
 // incarnation of the proxy.
 func (p *Publisher) recordReport(request pollRequest) (newest int64, ok bool) {
-	report := failover.Report{Left: request.Released, AckedUpperBound: request.AckedUpperBounds, AckedLowerBound: request.AckedLowerBounds}
+	report := failover.Report{Released: request.Released, AckedUpperBound: request.AckedUpperBounds, AckedLowerBound: request.AckedLowerBounds}
 	if newest, ok := p.readers.RecordReport(request.Proxy, request.Incarnation, report, p.k.Clock.Now()); !ok {
 		p.k.Counters.Add("distribution.old_life", 1)
 		return newest, false
 	}
 	if request.Positions != nil {
-		p.readers.RecordObservation(failover.Observation{Term: request.Positions.Term, Stamp: request.Positions.Stamp, At: request.Positions.Positions})
+		p.readers.RecordObservation(failover.Observation{Term: request.Positions.Term, Stamp: request.Positions.Stamp, Positions: request.Positions.Positions})
 	}
 	for _, id := range request.Down {
 		p.reportDown(request.Proxy, id)
@@ -328,7 +328,7 @@
 		return err
 	}
 	if !p.readers.InTerm(term.FirstEpoch()) {
-		proxies, err := failover.Registered(state.Entries)
+		proxies, err := failover.DecodeRegistrations(state.Entries)
 		if err != nil {
 			return err
 		}
@@ -338,7 +338,7 @@
 		return nil
 	}
 	return p.replica.Update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
-		return failover.Register(request.Proxy, request.Incarnation), nil
+		return failover.RegistrationChanges(request.Proxy, request.Incarnation), nil
 	})
 }
 
--- a/internal/distribution/updatelog.go
+++ b/internal/distribution/updatelog.go
@@ -89,12 +89,12 @@
 }
 
 func newUpdateLog(term int64) *updateLog {
-	return &updateLog{term: term, databaseDecoder: discovery.Decoder(), leaderDecoder: failover.Decoder()}
+	return &updateLog{term: term, databaseDecoder: discovery.Decoder(), leaderDecoder: failover.LeaderDecoder()}
 }
 
 // isPublished reports whether the entry of a key is published to proxies.
 func isPublished(key string) bool {
-	return key == routeconfig.Key || discovery.IsKey(key) || failover.IsKey(key)
+	return key == routeconfig.Key || discovery.IsKey(key) || failover.IsLeaderKey(key)
 }
 
 // since returns the encoded update for a proxy that has the state of seq, nil if it lacks
@@ -124,7 +124,7 @@
 	}
 	missing.Databases, missing.Leaders = databaseSet{}, map[string]failover.Leader{}
 	for _, key := range state.ChangedSince(seq) {
-		urgent = urgent || failover.IsKey(key)
+		urgent = urgent || failover.IsLeaderKey(key)
 		l.addEntry(&missing, key, seq)
 	}
 	raw, cached := l.encoded[seq]
@@ -158,7 +158,7 @@
 			missing.Removed = append(missing.Removed, id)
 		}
 	}
-	if service, ok := strings.CutPrefix(key, failover.Key("")); ok {
+	if service, ok := strings.CutPrefix(key, failover.LeaderKey("")); ok {
 		if leader, known := l.leaders[service]; known {
 			missing.Leaders[service] = leader
 		}
--- a/internal/distribution/updatelog_test.go
+++ b/internal/distribution/updatelog_test.go
@@ -61,7 +61,7 @@
 	if size > fullSize/20 {
 		t.Errorf("%d bytes for two changes, %d for the full state", size, fullSize)
 	}
-	put(failover.Key("s1"), `{"svc":"s1","id":"i-5","moving":true,"turn":1}`)
+	put(failover.LeaderKey("s1"), `{"svc":"s1","id":"i-5","moving":true,"turn":1}`)
 	if got, _, urgent := since(state.Seq - 1); !urgent || !got.Leaders["s1"].FailoverInProgress || len(got.Databases) != 0 {
 		t.Errorf("change of a failover: %+v, urgent %v", got, urgent)
 	}
--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -13,7 +13,7 @@
 
 // AcceptLossOp is the RPC by which an operator accepts that acknowledged commits of a service may
 // be lost.
-const AcceptOp = "failover.accept_loss"
+const AcceptLossOp = "failover.accept_loss"
 
 // AcceptLoss is the request of an operator who knows that a database for which a failover is
 // waiting will not return. The response to a malformed request contains the name of the type
@@ -42,7 +42,7 @@
 
 // registerHandlers registers the handlers of operators' requests at the RPC endpoint.
 func (m *Manager) registerHandlers(endpoint *rpc.Endpoint) {
-	rpc.HandleTyped(endpoint, AcceptOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, m.AcceptLoss(ctx, q) })
+	rpc.HandleTyped(endpoint, AcceptLossOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, m.AcceptLoss(ctx, q) })
 }
 
 // AcceptLoss records that the loss is accepted for the failover that is waiting now. The next
@@ -55,7 +55,7 @@
 		return err
 	}
 	err := m.updateService(ctx, request.Service, func(l *Leader, _ map[string]discovery.Database) error {
-		if !l.FailoverInProgress || l.FailoverID != request.FailoverID || request.FailoverID == 0 || l.To != "" {
+		if !l.FailoverInProgress || l.FailoverID != request.FailoverID || request.FailoverID == 0 || l.Target != "" {
 			return ErrNotWaiting
 		}
 		if l.Accepted.FailoverID != request.FailoverID {
--- a/internal/failover/acknowledged.go
+++ b/internal/failover/acknowledged.go
@@ -28,20 +28,20 @@
 // Observation holds the positions that a pooler observed at primaries after it received a poll
 // response, which carries a stamp: the time of the control node that sent it.
 type Observation struct {
-	Term  int64                            // of the control state's primary that sent the stamp
-	Stamp kernel.Micros                    // by the clock of that control node
-	At    map[string]lineprotocol.Position // newest observed position, by service
+	Term      int64                            // of the control state's primary that sent the stamp
+	Stamp     kernel.Micros                    // by the clock of that control node
+	Positions map[string]lineprotocol.Position // newest observed position, by service
 }
 
 // RecordObservation records what a pooler observed. An observation of another term is ignored,
 // since its stamp is a time of another node's clock.
-func (r *Readers) RecordObservation(observation Observation) {
+func (r *ReadLeases) RecordObservation(observation Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if observation.Term != r.epoch || observation.Stamp <= 0 {
 		return
 	}
-	for service, position := range observation.At {
+	for service, position := range observation.Positions {
 		if previous, ok := r.acks.observed[service]; ok && observation.Stamp <= previous.before {
 			continue
 		}
@@ -53,7 +53,7 @@
 }
 
 // SetServicesWithLeader sets the services that have a leader, which alone are to be observed.
-func (r *Readers) SetServicesWithLeader(services []string) {
+func (r *ReadLeases) SetServicesWithLeader(services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.acks.services = slices.Sorted(slices.Values(services))
@@ -70,7 +70,7 @@
 // ServicesToObserve lists the services that a pooler is asked to observe: those for which an
 // observation is needed that covers what poolers that no longer report may have acknowledged.
 // Different poolers are asked to observe different services.
-func (r *Readers) ServicesToObserve(pooler string, now kernel.Micros) (services []string) {
+func (r *ReadLeases) ServicesToObserve(pooler string, now kernel.Micros) (services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	unreportedUntil := r.acks.unreportedUntil
@@ -94,13 +94,13 @@
 // AcknowledgedUpperBound returns a position that covers every commit of the service that was
 // acknowledged to a client; false if none is known. It is valid once AllReleased holds for that
 // failover.
-func (r *Readers) AcknowledgedUpperBound(service string, failoverID int64) (lineprotocol.Position, bool) {
+func (r *ReadLeases) AcknowledgedUpperBound(service string, failoverID int64) (lineprotocol.Position, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	unreportedUntil := r.acks.unreportedUntil
 	var bound lineprotocol.Position
 	for _, holder := range r.poolers {
-		if holder.Left[service] < failoverID {
+		if holder.Released[service] < failoverID {
 			unreportedUntil = max(unreportedUntil, holder.leaseEnd)
 		} else if acked := holder.AckedUpperBound[service]; bound.Less(acked) {
 			bound = acked
@@ -119,11 +119,11 @@
 // AcknowledgedLowerBound returns a position such that a commit at it, or at a later one, was
 // acknowledged to a client, according to the poolers that have released the old primary for that
 // failover; false if they reported none. Other poolers may have acknowledged later commits.
-func (r *Readers) AcknowledgedLowerBound(service string, failoverID int64) (bound lineprotocol.Position, known bool) {
+func (r *ReadLeases) AcknowledgedLowerBound(service string, failoverID int64) (bound lineprotocol.Position, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, holder := range r.poolers {
-		if position, reported := holder.AckedLowerBound[service]; reported && holder.Left[service] >= failoverID && !position.Less(bound) {
+		if position, reported := holder.AckedLowerBound[service]; reported && holder.Released[service] >= failoverID && !position.Less(bound) {
 			bound, known = position, true
 		}
 	}
--- a/internal/failover/acknowledged_test.go
+++ b/internal/failover/acknowledged_test.go
@@ -37,7 +37,7 @@
 	inFailover   bool
 	lastNumber   int64
 	newestAcked  lineprotocol.Position // newest commit that was acknowledged to a client
-	readLeases   *Readers
+	readLeases   *ReadLeases
 	poolers      []*simPooler
 	incarnations int64
 	boundsGiven  int // in how many failovers an upper bound was known
@@ -48,7 +48,7 @@
 const historyLease = kernel.Micros(50)
 
 func newHistory(seed uint64) *history {
-	h := &history{r: rand.New(rand.NewPCG(seed, 2)), now: 1000, term: 1, readLeases: NewReaders()}
+	h := &history{r: rand.New(rand.NewPCG(seed, 2)), now: 1000, term: 1, readLeases: NewReadLeases()}
 	for _, name := range []string{"a", "b", "c"} {
 		h.poolers = append(h.poolers, &simPooler{name: name})
 		h.restart(h.poolers[len(h.poolers)-1])
@@ -83,12 +83,12 @@
 	}
 	report := Report{}
 	if p.released > 0 && h.inFailover && p.released == h.failoverID {
-		report = Report{Left: map[string]int64{"svc": p.released}, AckedUpperBound: map[string]lineprotocol.Position{"svc": p.acked}}
+		report = Report{Released: map[string]int64{"svc": p.released}, AckedUpperBound: map[string]lineprotocol.Position{"svc": p.acked}}
 		if p.lowerBound.Number > 0 {
 			report.AckedLowerBound = map[string]lineprotocol.Position{"svc": p.lowerBound}
 		}
 	}
-	observation := Observation{Term: p.term, Stamp: p.stamp, At: map[string]lineprotocol.Position{"svc": p.observed}}
+	observation := Observation{Term: p.term, Stamp: p.stamp, Positions: map[string]lineprotocol.Position{"svc": p.observed}}
 	if h.r.IntN(4) == 0 {
 		return // the poll is lost
 	}
@@ -120,7 +120,7 @@
 // decodedCopy returns a copy of a report that, like one decoded from a message, shares no memory
 // with the sender's.
 func decodedCopy(r Report) Report {
-	return Report{Left: maps.Clone(r.Left), AckedUpperBound: maps.Clone(r.AckedUpperBound), AckedLowerBound: maps.Clone(r.AckedLowerBound)}
+	return Report{Released: maps.Clone(r.Released), AckedUpperBound: maps.Clone(r.AckedUpperBound), AckedLowerBound: maps.Clone(r.AckedLowerBound)}
 }
 
 // execute is one statement that a pooler runs at the primary, and the acknowledgement of its
@@ -234,7 +234,7 @@
 // Each pooler must be asked to observe a part of the services, the same ones during a rotation
 // period, and all poolers together must observe all services.
 func TestObservedServicesAreSpreadOverPoolers(t *testing.T) {
-	readLeases := NewReaders()
+	readLeases := NewReadLeases()
 	var services []string
 	for i := range 60 {
 		services = append(services, fmt.Sprint("svc", i))
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -26,7 +26,7 @@
 // ChoiceInput is everything on which the choice of the next primary depends.
 type ChoiceInput struct {
 	SyncReplicas int             `json:"sync"` // sync_replicas of the service
-	Copies       []PausedReplica `json:"copies"`
+	Paused       []PausedReplica `json:"copies"`
 	Absent       []AbsentReplica `json:"absent,omitempty"` // all other replicas of the service
 	// PrimaryPosition is the old primary's own position, queried after every pooler had released
 	// it; nil if it did not respond.
@@ -52,11 +52,11 @@
 
 // Choice records one choice of a primary, or the refusal of one.
 type Choice struct {
-	Service   string      `json:"svc"`
-	Epoch     int64       `json:"epoch"`
-	Situation ChoiceInput `json:"situation"`
-	To        string      `json:"to"`
-	Accepted  bool        `json:"accepted,omitempty"` // an operator accepted that commits may be lost
+	Service  string      `json:"svc"`
+	Epoch    int64       `json:"epoch"`
+	Input    ChoiceInput `json:"situation"`
+	Target   string      `json:"to"`
+	Accepted bool        `json:"accepted,omitempty"` // an operator accepted that commits may be lost
 }
 
 // Reasons why no replica may be promoted yet.
@@ -87,7 +87,7 @@
 // the leader. If the old primary responded, one replica that is not draining and has received
 // everything that the primary holds is enough.
 func ChoosePrimary(input ChoiceInput) (id, refusal string) {
-	replicas := byPosition(input.Copies)
+	replicas := byPosition(input.Paused)
 	if len(replicas) == 0 {
 		return "", noReplicaResponds
 	}
@@ -184,7 +184,7 @@
 
 // mostAdvancedPosition returns the newest position of the paused replicas.
 func (input ChoiceInput) mostAdvancedPosition() (newest lineprotocol.Position) {
-	for _, replica := range input.Copies {
+	for _, replica := range input.Paused {
 		if newest.Less(replica.Received) {
 			newest = replica.Received
 		}
--- a/internal/failover/choose_test.go
+++ b/internal/failover/choose_test.go
@@ -18,30 +18,30 @@
 		want  string
 	}{
 		{"no replica responds", ChoiceInput{SyncReplicas: 1, Absent: append(unresponsive, AbsentReplica{ID: "y"})}, ""},
-		{"the most advanced", ChoiceInput{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(5), false}, {"b", at(7), false}}}, "b"},
-		{"one of two", ChoiceInput{Absent: unresponsive, SyncReplicas: 1, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"one of two, two in sync", ChoiceInput{Absent: unresponsive, SyncReplicas: 2, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"one of two, the primary holds no more", ChoiceInput{Absent: unresponsive, SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), false}}}, "a"},
-		{"the primary holds more", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(8), false}, {"b", at(8), false}}}, ""},
-		{"only a draining replica holds as much as the primary", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), true}, {"b", at(8), false}}}, ""},
-		{"only a draining replica holds it", ChoiceInput{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(9), true}, {"b", at(8), false}}}, "a"},
-		{"the unresponsive one was paused no further", ChoiceInput{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", CommitLimit: pointer(5)}}, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"the unresponsive one was paused further", ChoiceInput{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", CommitLimit: pointer(6)}}, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"one is gone", ChoiceInput{SyncReplicas: 1, Absent: gone, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"two in sync, one gone and one unresponsive", ChoiceInput{SyncReplicas: 2, Absent: append(gone, unresponsive...), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"less than a removed one held", ChoiceInput{SyncReplicas: 1, MinPosition: at(6), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"as much as a removed one held", ChoiceInput{SyncReplicas: 1, MinPosition: at(6), Copies: []PausedReplica{{"a", at(6), false}}}, "a"},
-		{"as much as the one chosen before", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(5), Absent: unresponsive, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"as much, but it is draining, and the primary responds", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(9), PrimaryPosition: &held, Copies: []PausedReplica{{"a", at(9), true}}}, "a"},
-		{"less than the one chosen before", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(6), Absent: unresponsive, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"an acknowledged commit is on no known replica", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(6), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"the best position is that of the acknowledged commits", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(5), Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"a replica whose first heartbeat is late may hold more", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(6), Copies: []PausedReplica{{"a", at(5), false}}}, ""},
-		{"the longest delay of a first heartbeat has passed", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(6), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"no replica needs to have a commit", ChoiceInput{AckedLowerBound: pointer(6), AckedUpperBound: pointer(6), Copies: []PausedReplica{{"a", at(5), false}}}, "a"},
-		{"the primary responds, and no replica holds everything", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, AckedLowerBound: pointer(9), FirstHeartbeatsElapsed: true, Copies: []PausedReplica{{"a", at(8), false}}}, ""},
-		{"one that is not draining is preferred", ChoiceInput{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(7), true}, {"b", at(7), false}}}, "b"},
-		{"a later term counts more", ChoiceInput{SyncReplicas: 1, Copies: []PausedReplica{{"a", at(9), false}, {"b", lineprotocol.Position{Term: 2, Number: 1}, false}}}, "b"},
+		{"the most advanced", ChoiceInput{SyncReplicas: 1, Paused: []PausedReplica{{"a", at(5), false}, {"b", at(7), false}}}, "b"},
+		{"one of two", ChoiceInput{Absent: unresponsive, SyncReplicas: 1, Paused: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"one of two, two in sync", ChoiceInput{Absent: unresponsive, SyncReplicas: 2, Paused: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"one of two, the primary holds no more", ChoiceInput{Absent: unresponsive, SyncReplicas: 1, PrimaryPosition: &held, Paused: []PausedReplica{{"a", at(9), false}}}, "a"},
+		{"the primary holds more", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, Paused: []PausedReplica{{"a", at(8), false}, {"b", at(8), false}}}, ""},
+		{"only a draining replica holds as much as the primary", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, Paused: []PausedReplica{{"a", at(9), true}, {"b", at(8), false}}}, ""},
+		{"only a draining replica holds it", ChoiceInput{SyncReplicas: 1, Paused: []PausedReplica{{"a", at(9), true}, {"b", at(8), false}}}, "a"},
+		{"the unresponsive one was paused no further", ChoiceInput{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", CommitLimit: pointer(5)}}, Paused: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"the unresponsive one was paused further", ChoiceInput{SyncReplicas: 1, Absent: []AbsentReplica{{ID: "x", CommitLimit: pointer(6)}}, Paused: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"one is gone", ChoiceInput{SyncReplicas: 1, Absent: gone, Paused: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"two in sync, one gone and one unresponsive", ChoiceInput{SyncReplicas: 2, Absent: append(gone, unresponsive...), Paused: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"less than a removed one held", ChoiceInput{SyncReplicas: 1, MinPosition: at(6), Paused: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"as much as a removed one held", ChoiceInput{SyncReplicas: 1, MinPosition: at(6), Paused: []PausedReplica{{"a", at(6), false}}}, "a"},
+		{"as much as the one chosen before", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(5), Absent: unresponsive, Paused: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"as much, but it is draining, and the primary responds", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(9), PrimaryPosition: &held, Paused: []PausedReplica{{"a", at(9), true}}}, "a"},
+		{"less than the one chosen before", ChoiceInput{SyncReplicas: 1, ChosenPosition: pointer(6), Absent: unresponsive, Paused: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"an acknowledged commit is on no known replica", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(6), FirstHeartbeatsElapsed: true, Paused: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"the best position is that of the acknowledged commits", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(5), Paused: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"a replica whose first heartbeat is late may hold more", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(6), Paused: []PausedReplica{{"a", at(5), false}}}, ""},
+		{"the longest delay of a first heartbeat has passed", ChoiceInput{SyncReplicas: 1, AckedLowerBound: pointer(5), AckedUpperBound: pointer(6), FirstHeartbeatsElapsed: true, Paused: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"no replica needs to have a commit", ChoiceInput{AckedLowerBound: pointer(6), AckedUpperBound: pointer(6), Paused: []PausedReplica{{"a", at(5), false}}}, "a"},
+		{"the primary responds, and no replica holds everything", ChoiceInput{SyncReplicas: 1, PrimaryPosition: &held, AckedLowerBound: pointer(9), FirstHeartbeatsElapsed: true, Paused: []PausedReplica{{"a", at(8), false}}}, ""},
+		{"one that is not draining is preferred", ChoiceInput{SyncReplicas: 1, Paused: []PausedReplica{{"a", at(7), true}, {"b", at(7), false}}}, "b"},
+		{"a later term counts more", ChoiceInput{SyncReplicas: 1, Paused: []PausedReplica{{"a", at(9), false}, {"b", lineprotocol.Position{Term: 2, Number: 1}, false}}}, "b"},
 	} {
 		if got, refusal := ChoosePrimary(test.input); got != test.want || (got == "") == (refusal == "") {
 			t.Errorf("%s: %q (%s), want %q", test.name, got, refusal, test.want)
@@ -50,9 +50,9 @@
 }
 
 func TestFailoverWaitsForReadLeases(t *testing.T) {
-	readLeases := NewReaders()
+	readLeases := NewReadLeases()
 	now := kernel.Second
-	released := func(failoverID int64) Report { return Report{Left: map[string]int64{"svc": failoverID}} }
+	released := func(failoverID int64) Report { return Report{Released: map[string]int64{"svc": failoverID}} }
 	readLeases.RecordReport("d1", 10, Report{}, now)
 	readLeases.Grant("d1", 10, now+5)
 	readLeases.RecordReport("d2", 10, Report{}, now)
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -51,7 +51,7 @@
 	controlState *controlstate.Replica
 	registry     *discovery.Registry
 	health       *health.Monitor
-	readLeases   *Readers
+	readLeases   *ReadLeases
 	platform     *platformClient
 
 	databaseDecoder *controlstate.Decoder[discovery.Database]
@@ -70,11 +70,11 @@
 }
 
 // New returns a failover manager.
-func New(k *kernel.Kernel, cfg Config, state *controlstate.Replica, registry *discovery.Registry, health *health.Monitor, readLeases *Readers) *Manager {
+func New(k *kernel.Kernel, cfg Config, state *controlstate.Replica, registry *discovery.Registry, health *health.Monitor, readLeases *ReadLeases) *Manager {
 	return &Manager{
 		k: k, cfg: cfg, controlState: state, registry: registry, health: health, readLeases: readLeases,
 		platform:        newPlatformClient(k.Net, cfg.PlatformAddr, cfg.Name),
-		databaseDecoder: discovery.Decoder(), leaderDecoder: Decoder(), poolerDecoder: controlstate.NewDecoder[int64](proxyPrefix),
+		databaseDecoder: discovery.Decoder(), leaderDecoder: LeaderDecoder(), poolerDecoder: controlstate.NewDecoder[int64](proxyPrefix),
 		busy: map[string]bool{}, attempts: map[string]kernel.Micros{}, waitReasons: map[string]string{}, resumed: map[string]*resumeState{},
 	}
 }
--- a/internal/failover/leader.go
+++ b/internal/failover/leader.go
@@ -21,39 +21,39 @@
 	FailoverID         int64  `json:"turn"` // increases with every failover
 	FailoverInProgress bool   `json:"moving,omitempty"`
 	Failed             bool   `json:"failed,omitempty"` // the failover is in progress because the leader has failed
-	To                 string `json:"to,omitempty"`     // ID of the database that was chosen
+	Target             string `json:"to,omitempty"`     // ID of the database that was chosen
 	PlatformCalled     bool   `json:"called,omitempty"` // the platform may have been called in this failover
 	PauseTerm          int64  `json:"hold,omitempty"`   // term at which the replicas are paused
 	ChosenPosition     string `json:"floor,omitempty"`  // position of the chosen database; covers every acknowledged commit
 	MinPosition        string `json:"least,omitempty"`  // minimum position of later leaders: databases that are gone may have held commits up to it
 	// WaivedPosition covers the commits that are known to have been acknowledged and whose loss
 	// was accepted.
-	Waived string `json:"waived,omitempty"`
+	WaivedPosition string `json:"waived,omitempty"`
 	// Accepted is the operator's latest acceptance of a loss.
 	Accepted LossAcceptance `json:"accepted,omitzero"`
 }
 
 // completed returns the record as it is after the failover: the database leads in that term.
 func (l Leader) completed(id string, term int64) Leader {
-	return Leader{Service: l.Service, ID: id, Term: term, FailoverID: l.FailoverID, MinPosition: l.MinPosition, Waived: l.Waived, Accepted: l.Accepted}
+	return Leader{Service: l.Service, ID: id, Term: term, FailoverID: l.FailoverID, MinPosition: l.MinPosition, WaivedPosition: l.WaivedPosition, Accepted: l.Accepted}
 }
 
 // keyPrefix is the prefix of the keys of the control state's entries that hold leaders.
 const keyPrefix = "lead/"
 
 // LeaderKey returns the key of the control state's entry that holds the leader of a service.
-func Key(service string) string { return keyPrefix + service }
+func LeaderKey(service string) string { return keyPrefix + service }
 
 // IsLeaderKey reports whether a key is that of an entry that holds a leader.
-func IsKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
+func IsLeaderKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
 // LeaderDecoder returns a decoder of the leaders in the control state.
-func Decoder() *controlstate.Decoder[Leader] { return controlstate.NewDecoder[Leader](keyPrefix) }
+func LeaderDecoder() *controlstate.Decoder[Leader] { return controlstate.NewDecoder[Leader](keyPrefix) }
 
 // DecodeLeaders returns the leaders in the control state, by service. For repeated use, a decoder
 // of LeaderDecoder is cheaper.
-func Decode(entries map[string]json.RawMessage) (map[string]Leader, error) {
-	return Decoder().Decode(entries)
+func DecodeLeaders(entries map[string]json.RawMessage) (map[string]Leader, error) {
+	return LeaderDecoder().Decode(entries)
 }
 
 // updateLeader changes the leader of a service in one atomic update.
--- a/internal/failover/leaving.go
+++ b/internal/failover/leaving.go
@@ -205,7 +205,7 @@
 		m.clearAttempt("leaving " + l.Service) // one of them is the old primary, which has not stepped down yet
 	}
 	err = m.updateService(ctx, l.Service, func(current *Leader, databases map[string]discovery.Database) error {
-		if len(positions) > 0 && current.ID == l.ID && current.FailoverID == l.FailoverID && current.FailoverInProgress == l.FailoverInProgress && current.To == "" {
+		if len(positions) > 0 && current.ID == l.ID && current.FailoverID == l.FailoverID && current.FailoverInProgress == l.FailoverInProgress && current.Target == "" {
 			current.PauseTerm = pauseTerm
 			recordCommitLimits(databases, positions)
 		}
--- a/internal/failover/model_moves_test.go
+++ b/internal/failover/model_moves_test.go
@@ -72,17 +72,17 @@
 		if p := m.node(m.leader.ID); m.up(p.id) && p.primary && !m.hasCaughtUpReplica(p.position()) {
 			return
 		}
-		m.leader.FailoverInProgress, m.leader.To, m.leader.ChosenPosition, m.leader.PlatformCalled, m.leader.FailoverID = true, "", "", false, m.leader.FailoverID+1
+		m.leader.FailoverInProgress, m.leader.Target, m.leader.ChosenPosition, m.leader.PlatformCalled, m.leader.FailoverID = true, "", "", false, m.leader.FailoverID+1
 	}
-	if m.leader.To == "" && !m.decide() {
+	if m.leader.Target == "" && !m.decide() {
 		return
 	}
 	if m.interrupted() {
 		return
 	}
-	target := m.node(m.leader.To)
+	target := m.node(m.leader.Target)
 	if !target.alive {
-		m.leader.To = ""
+		m.leader.Target = ""
 		return
 	}
 	if !target.primary || target.term != m.term {
@@ -144,7 +144,7 @@
 	if paused == nil {
 		return false
 	}
-	input.Copies, input.Absent = splitByPaused(replicas, paused)
+	input.Paused, input.Absent = splitByPaused(replicas, paused)
 	target, _ := m.choose(input)
 	if target != "" {
 		m.commitChoice(target, paused[target])
@@ -163,7 +163,7 @@
 }
 
 func (m *model) commitChoice(target string, position lineprotocol.Position) {
-	m.leader.To, m.leader.PlatformCalled, m.leader.ChosenPosition = target, true, position.String()
+	m.leader.Target, m.leader.PlatformCalled, m.leader.ChosenPosition = target, true, position.String()
 	removeGone(&m.leader, m.entries, position)
 	m.clearLimits(m.entries)
 }
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -182,7 +182,7 @@
 		entry.Draining = true
 		m.entries[n.id] = entry
 	case event == 7 && n.alive && entry.Draining: // it shuts down, with or without deregistering
-		if m.tolerable && (n.id == m.leader.To || entry.CommitLimit == "" && (m.leader.FailoverInProgress || !m.up(m.leader.ID) || n.id == m.leader.ID) || !m.redundant(n)) {
+		if m.tolerable && (n.id == m.leader.Target || entry.CommitLimit == "" && (m.leader.FailoverInProgress || !m.up(m.leader.ID) || n.id == m.leader.ID) || !m.redundant(n)) {
 			return
 		}
 		n.alive, n.shutDown = false, true
--- a/internal/failover/move.go
+++ b/internal/failover/move.go
@@ -36,7 +36,7 @@
 			}
 		}
 		err := m.updateLeader(ctx, svc, func(l *Leader) error {
-			l.FailoverInProgress, l.Failed, l.To, l.ChosenPosition, l.PlatformCalled, l.FailoverID = true, failed, "", "", false, l.FailoverID+1
+			l.FailoverInProgress, l.Failed, l.Target, l.ChosenPosition, l.PlatformCalled, l.FailoverID = true, failed, "", "", false, l.FailoverID+1
 			return nil
 		})
 		if err != nil {
@@ -49,7 +49,7 @@
 		}
 		l = s.leaders[svc]
 	}
-	if l.To == "" {
+	if l.Target == "" {
 		if err := m.chooseTarget(ctx, s, &l); err != nil {
 			return err
 		}
@@ -94,7 +94,7 @@
 	if result.promoted != "" {
 		return m.commitChoice(ctx, s, l, result.promoted, l.Term, result.pauseTerm, result.positions[result.promoted])
 	}
-	input.Copies, input.Absent = splitByPaused(replicas, result.positions)
+	input.Paused, input.Absent = splitByPaused(replicas, result.positions)
 	l.PauseTerm = result.pauseTerm
 	target, refusal := m.decideTarget(l, input)
 	if target != "" {
@@ -153,7 +153,7 @@
 	if upperBound, known := m.readLeases.AcknowledgedUpperBound(l.Service, l.FailoverID); known {
 		input.AckedUpperBound = &upperBound
 	}
-	waived, _ := lineprotocol.ParsePosition(l.Waived)
+	waived, _ := lineprotocol.ParsePosition(l.WaivedPosition)
 	if lowerBound, known := m.readLeases.AcknowledgedLowerBound(l.Service, l.FailoverID); known && waived.Less(lowerBound) {
 		input.AckedLowerBound = &lowerBound
 	}
@@ -216,10 +216,10 @@
 	target, refusal = ChoosePrimary(input)
 	accepted := target == "" && l.Accepted.FailoverID == l.FailoverID && canAcceptLoss(refusal)
 	if accepted {
-		target = MostAdvanced(input.Copies)
+		target = MostAdvanced(input.Paused)
 		l.MinPosition = "" // the operator accepted that these commits may be lost
 		if input.AckedLowerBound != nil {
-			l.Waived = input.AckedLowerBound.String()
+			l.WaivedPosition = input.AckedLowerBound.String()
 		}
 		m.k.Log.Warn("chosen though acknowledged commits may be lost", "service", l.Service, "to", target, "why", refusal, "accepted by", l.Accepted.By)
 	}
@@ -235,7 +235,7 @@
 // chosen, so that they need not respond again later.
 func (m *Manager) recordLeavingCommitLimits(ctx context.Context, l Leader, positions map[string]lineprotocol.Position) error {
 	return m.updateService(ctx, l.Service, func(current *Leader, databases map[string]discovery.Database) error {
-		if current.FailoverID == l.FailoverID && current.FailoverInProgress && current.To == "" {
+		if current.FailoverID == l.FailoverID && current.FailoverInProgress && current.Target == "" {
 			recordCommitLimits(databases, positions)
 		}
 		return nil
@@ -255,9 +255,9 @@
 				return fmt.Errorf("%w: %s has joined", errRetryLater, id)
 			}
 		}
-		current.To, current.PlatformCalled, current.Term, current.PauseTerm, current.ChosenPosition = target, true, newestTerm, pauseTerm, position.String()
+		current.Target, current.PlatformCalled, current.Term, current.PauseTerm, current.ChosenPosition = target, true, newestTerm, pauseTerm, position.String()
 		if current.Accepted.FailoverID == current.FailoverID && l.MinPosition == "" {
-			current.MinPosition, current.Waived = "", l.Waived
+			current.MinPosition, current.WaivedPosition = "", l.WaivedPosition
 		}
 		removeGone(current, databases, position)
 		clearCommitLimits(databases)
@@ -291,7 +291,7 @@
 	m.waitReasons[svc] = detail
 	m.mu.Unlock()
 	if !unchanged {
-		m.k.Log.Info("move waits", "service", svc, "why", reason, "answered", input.Copies, "absent", input.Absent, "least", input.MinPosition.String(), "acked", positionText(input.AckedUpperBound), "certain", positionText(input.AckedLowerBound))
+		m.k.Log.Info("move waits", "service", svc, "why", reason, "answered", input.Paused, "absent", input.Absent, "least", input.MinPosition.String(), "acked", positionText(input.AckedUpperBound), "certain", positionText(input.AckedLowerBound))
 	}
 }
 
--- a/internal/failover/platform_call_test.go
+++ b/internal/failover/platform_call_test.go
@@ -25,7 +25,7 @@
 	for text, want := range map[string]int{"2.9": 0, "2.8": 0, "2.7": 1} {
 		m := &Manager{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler))}
 		received, _ := lineprotocol.ParsePosition(text)
-		m.checkPromotedPosition(Leader{Service: "s", To: "a", ChosenPosition: "2.8"}, statRow{received: received})
+		m.checkPromotedPosition(Leader{Service: "s", Target: "a", ChosenPosition: "2.8"}, statRow{received: received})
 		if violations := m.k.Invariants.Counts()[invariant.PromotedReachesMinimum]; violations != want {
 			t.Errorf("%s: %d violations", text, violations)
 		}
--- a/internal/failover/plugin.go
+++ b/internal/failover/plugin.go
@@ -15,7 +15,7 @@
 		Name: "failover", Rank: 60, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			readLeases := NewReaders()
+			readLeases := NewReadLeases()
 			kernel.Offer(k, readLeases)
 			manager := New(k, Config{
 				Name: s.NodeName, PlatformAddr: s.PlatformAddr, Leaderless: s.Deploy == settings.DeployAPI, ReadLease: settings.FromMillis(s.ReaderLeaseMs),
--- a/internal/failover/promotion.go
+++ b/internal/failover/promotion.go
@@ -20,16 +20,16 @@
 	if err := m.awaitRelease(ctx, l); err != nil {
 		return err
 	}
-	target, found := s.databases[l.To]
+	target, found := s.databases[l.Target]
 	err := errNotRunning
-	observedBefore := m.registry.Observed()[l.To]
+	observedBefore := m.registry.Observed()[l.Target]
 	if found {
 		err = m.callPlatform(ctx, l)
 	}
 	if errors.Is(err, errNotRunning) {
 		return m.updateLeader(ctx, l.Service, func(current *Leader) error {
-			if current.FailoverID == l.FailoverID && current.To == l.To {
-				current.To = ""
+			if current.FailoverID == l.FailoverID && current.Target == l.Target {
+				current.Target = ""
 			}
 			return nil
 		})
@@ -46,17 +46,17 @@
 	}
 	oldID := l.ID
 	err = m.updateLeader(ctx, l.Service, func(current *Leader) error {
-		if current.FailoverID == l.FailoverID && current.To == l.To {
-			*current = current.completed(l.To, l.Term)
+		if current.FailoverID == l.FailoverID && current.Target == l.Target {
+			*current = current.completed(l.Target, l.Term)
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	m.k.Log.Info("lead moved", "service", l.Service, "from", oldID, "to", l.To, "term", l.Term)
+	m.k.Log.Info("lead moved", "service", l.Service, "from", oldID, "to", l.Target, "term", l.Term)
 	m.clearAttempt("leaving " + l.Service)
-	others := s.replicas(l.Service, l.To)
+	others := s.replicas(l.Service, l.Target)
 	for _, d := range others {
 		if d.ID == oldID {
 			go m.execute(ctx, d, "STEPDOWN "+strconv.FormatInt(l.Term, 10))
@@ -102,7 +102,7 @@
 func (m *Manager) checkPromotedPosition(l Leader, row statRow) {
 	chosenPosition, known := lineprotocol.ParsePosition(l.ChosenPosition)
 	m.k.Invariants.Check(!known || !row.received.Less(chosenPosition), invariant.PromotedReachesMinimum,
-		"%s leads %s at position %s but was chosen at position %s", l.To, l.Service, row.received, l.ChosenPosition)
+		"%s leads %s at position %s but was chosen at position %s", l.Target, l.Service, row.received, l.ChosenPosition)
 }
 
 // reconcileReplicas resumes paused replicas, demotes every database that acts as the primary
@@ -176,5 +176,5 @@
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
 	m.k.Counters.Add("failover.platform_calls", 1)
-	return m.platform.failover(ctx, epoch, l.Service, l.To)
+	return m.platform.failover(ctx, epoch, l.Service, l.Target)
 }
--- a/internal/failover/readers.go
+++ b/internal/failover/readers.go
@@ -26,7 +26,7 @@
 // ReadLeases tracks which poolers may still use a primary: those that hold a read lease and have
 // not reported that they released the primary. Where databases have no leader, the lease holders
 // are gateways.
-type Readers struct {
+type ReadLeases struct {
 	mu      sync.Mutex
 	epoch   int64
 	poolers map[string]*leaseHolder
@@ -38,7 +38,7 @@
 type Report struct {
 	// Released holds, by service, the number of the failover for which the pooler has released the
 	// old primary: it no longer acknowledges any commit of that primary.
-	Left map[string]int64
+	Released map[string]int64
 	// AckedUpperBound holds, by released service, a position that covers every commit that the
 	// pooler acknowledged to a client.
 	AckedUpperBound map[string]lineprotocol.Position
@@ -48,12 +48,12 @@
 }
 
 // NewReadLeases returns a tracker that knows no poolers.
-func NewReaders() *Readers { return &Readers{poolers: map[string]*leaseHolder{}} }
+func NewReadLeases() *ReadLeases { return &ReadLeases{poolers: map[string]*leaseHolder{}} }
 
 // RecordReport records what a pooler reported at that time. It refuses a report of an earlier
 // incarnation of the pooler, and returns the newest one; it also refuses a report of a pooler whose
 // registration is being removed, and returns 0.
-func (r *Readers) RecordReport(pooler string, incarnation int64, report Report, now kernel.Micros) (newest int64, ok bool) {
+func (r *ReadLeases) RecordReport(pooler string, incarnation int64, report Report, now kernel.Micros) (newest int64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	holder := r.poolers[pooler]
@@ -71,7 +71,7 @@
 		r.poolers[pooler] = holder
 		r.acks.unreportedUntil = max(r.acks.unreportedUntil, now)
 	}
-	if changed := newIncarnation || !maps.Equal(holder.Left, report.Left); changed {
+	if changed := newIncarnation || !maps.Equal(holder.Released, report.Released); changed {
 		r.changes.NotifyAll()
 	}
 	holder.Report, holder.lastHeard = report, now
@@ -80,7 +80,7 @@
 
 // Grant records that the pooler is granted a lease until that time. It must be called before the
 // grant is sent, and reports whether the grant may be sent.
-func (r *Readers) Grant(pooler string, incarnation int64, until kernel.Micros) bool {
+func (r *ReadLeases) Grant(pooler string, incarnation int64, until kernel.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	holder := r.poolers[pooler]
@@ -92,7 +92,7 @@
 }
 
 // CountLeases returns how many poolers hold a lease that ends after that time.
-func (r *Readers) CountLeases(at kernel.Micros) (n int) {
+func (r *ReadLeases) CountLeases(at kernel.Micros) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, holder := range r.poolers {
@@ -105,12 +105,12 @@
 
 // AllReleased reports whether every pooler has released the service's old primary for that failover
 // or holds no lease any more, and if not, the time until the last of the leases ends.
-func (r *Readers) AllReleased(service string, failoverID int64, now kernel.Micros) (bool, kernel.Micros) {
+func (r *ReadLeases) AllReleased(service string, failoverID int64, now kernel.Micros) (bool, kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var wait kernel.Micros
 	for _, holder := range r.poolers {
-		if holder.leaseEnd > now && holder.Left[service] < failoverID {
+		if holder.leaseEnd > now && holder.Released[service] < failoverID {
 			wait = max(wait, holder.leaseEnd-now)
 		}
 	}
@@ -121,7 +121,7 @@
 // reports are refused, and they are granted no lease, until RemoveExpired is called after their
 // registrations have been removed: the next primary of the control state does not wait for a lease
 // whose holder is not registered.
-func (r *Readers) MarkExpired(now, span kernel.Micros) (poolers []string) {
+func (r *ReadLeases) MarkExpired(now, span kernel.Micros) (poolers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for pooler, holder := range r.poolers {
@@ -137,7 +137,7 @@
 }
 
 // RemoveExpired removes poolers after their registrations have been removed.
-func (r *Readers) RemoveExpired(poolers []string) {
+func (r *ReadLeases) RemoveExpired(poolers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, pooler := range poolers {
@@ -152,7 +152,7 @@
 // BeginTerm resets the tracker for a term of the control state's primary: every registered pooler
 // may hold a lease that the previous primary granted, of the given duration. A repeated call for
 // the current term, or for an earlier one, has no effect.
-func (r *Readers) BeginTerm(epoch int64, registered map[string]int64, now, lease kernel.Micros) {
+func (r *ReadLeases) BeginTerm(epoch int64, registered map[string]int64, now, lease kernel.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if epoch <= r.epoch {
@@ -165,7 +165,7 @@
 }
 
 // InTerm reports whether the current term is the one that began with that epoch.
-func (r *Readers) InTerm(epoch int64) bool {
+func (r *ReadLeases) InTerm(epoch int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.epoch == epoch
@@ -173,7 +173,7 @@
 
 // Changed returns a channel that is closed when a pooler reports that it has released a primary, or
 // returns as a new incarnation.
-func (r *Readers) Changed() <-chan struct{} { return r.changes.Wait() }
+func (r *ReadLeases) Changed() <-chan struct{} { return r.changes.Wait() }
 
 // proxyPrefix is the prefix of the keys of the control state's entries that register proxies:
 // poolers, or gateways where databases have no leader. A proxy is registered before it is granted
@@ -182,13 +182,13 @@
 
 // DecodeRegistrations returns the incarnations of the poolers that are registered in the control
 // state.
-func Registered(entries map[string]json.RawMessage) (map[string]int64, error) {
+func DecodeRegistrations(entries map[string]json.RawMessage) (map[string]int64, error) {
 	return controlstate.DecodePrefix[int64](entries, proxyPrefix)
 }
 
 // RegistrationChanges returns the change of the control state that registers an incarnation of a
 // pooler.
-func Register(pooler string, incarnation int64) map[string]json.RawMessage {
+func RegistrationChanges(pooler string, incarnation int64) map[string]json.RawMessage {
 	return map[string]json.RawMessage{proxyPrefix + pooler: json.RawMessage(fmt.Sprint(incarnation))}
 }
 
--- a/internal/failover/readers_test.go
+++ b/internal/failover/readers_test.go
@@ -10,7 +10,7 @@
 func TestExpiredReadersAreRemoved(t *testing.T) {
 	const span = 10 * kernel.Second
 	now := 100 * kernel.Second
-	readLeases := NewReaders()
+	readLeases := NewReadLeases()
 	readLeases.BeginTerm(1, map[string]int64{"cut off": 4, "dead": 7, "polls": 2}, now, kernel.Second)
 	if expired := readLeases.MarkExpired(now+span, span); expired != nil {
 		t.Fatalf("%v are expired while leases of the previous term may run", expired)
@@ -43,7 +43,7 @@
 func TestRemovalOfExpiredReadersEndsWithTheTerm(t *testing.T) {
 	const span = 10 * kernel.Second
 	now := 100 * kernel.Second
-	readLeases := NewReaders()
+	readLeases := NewReadLeases()
 	readLeases.BeginTerm(1, map[string]int64{"back": 4}, now, kernel.Second)
 	expired := readLeases.MarkExpired(now+2*span, span)
 	readLeases.BeginTerm(2, map[string]int64{"back": 4}, now+2*span, kernel.Second)
--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -108,7 +108,7 @@
 // routingRequest returns what the router needs to choose a database for the statement.
 func (j *job) routingRequest(write bool) readrouting.Request {
 	return readrouting.Request{
-		Service: j.route.Service, Type: j.route.Type,
+		Service: j.route.Service, RouteType: j.route.Type,
 		MaxStaleness: j.route.MaxStaleness(),
 		Received:     j.received, LastCommit: j.s.lastCommit, Write: write, Avoid: j.excluded,
 	}
--- a/internal/readrouting/readrouting.go
+++ b/internal/readrouting/readrouting.go
@@ -31,7 +31,7 @@
 // Request describes a statement that is to be routed.
 type Request struct {
 	Service      string
-	Type         string // of the route
+	RouteType    string // of the route
 	MaxStaleness kernel.Micros
 	Received     kernel.Micros         // no earlier than the arrival of its first byte
 	LastCommit   lineprotocol.Position // of the session itself
@@ -199,7 +199,7 @@
 // Pick returns the database for a statement, or false if none is available now. A read that a
 // replica may serve goes to the primary only if there is no suitable replica.
 func (r *Router) Pick(request Request, candidates Candidates) (Choice, bool) {
-	if request.Type != routeconfig.Primary && !request.Write {
+	if request.RouteType != routeconfig.Primary && !request.Write {
 		if choice, ok := r.pickReplica(request, candidates); ok {
 			return choice, true
 		}
@@ -229,7 +229,7 @@
 // Explain returns why no database is available now: why the primary cannot be used and, for reads
 // that a replica may serve, why no replica can.
 func (r *Router) Explain(request Request, candidates Candidates) string {
-	if request.Type == routeconfig.Primary || request.Write {
+	if request.RouteType == routeconfig.Primary || request.Write {
 		return primaryReason(candidates)
 	}
 	replicas := NoReplica
@@ -261,7 +261,7 @@
 	if !ok {
 		return Choice{}, false
 	}
-	if request.Type == routeconfig.Nearest && pos.Less(request.LastCommit) {
+	if request.RouteType == routeconfig.Nearest && pos.Less(request.LastCommit) {
 		pos = request.LastCommit
 	}
 	best, lowestCost := -1, 0.0
--- a/internal/readrouting/readrouting_test.go
+++ b/internal/readrouting/readrouting_test.go
@@ -31,7 +31,7 @@
 		Up: func(id string) bool { return !down[id] }, Busy: func(id string) int { return busy[id] },
 		Idle: func(string) bool { return true },
 	}
-	request := Request{Service: "svc", Type: "bounded", MaxStaleness: 1500 * ms, Received: clock.now}
+	request := Request{Service: "svc", RouteType: "bounded", MaxStaleness: 1500 * ms, Received: clock.now}
 	expect := func(name, id string, minPosition lineprotocol.Position) {
 		t.Helper()
 		if choice, ok := router.Pick(request, candidates); !ok && id != "" || choice.Database.ID != id || choice.MinPosition != minPosition {
@@ -47,7 +47,7 @@
 		router.RecordLatency("route", "near", 50*ms)
 	}
 	expect("the faster replica, though in another zone", "far", pos(8))
-	request.Type, request.LastCommit = "nearest", pos(12)
+	request.RouteType, request.LastCommit = "nearest", pos(12)
 	expect("the session's own commit", "far", pos(12))
 	router.MarkLagging("far")
 	expect("the other replica", "near", pos(12))
@@ -59,6 +59,6 @@
 	request.Received += 1100 * ms
 	expect("no observation is fresh enough", "p", lineprotocol.Position{})
 	request.Received -= 1100 * ms
-	request.Type = "primary"
+	request.RouteType = "primary"
 	expect("a primary route", "p", lineprotocol.Position{})
 }
--- a/internal/simulation/late_heartbeat_test.go
+++ b/internal/simulation/late_heartbeat_test.go
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		w.WaitUntil("the remaining replica is primary", 3*time.Second, func() bool { return g.Primary() == remaining })
-		if leader := recordedLeader(t, w); leader.Waived == "" {
+		if leader := recordedLeader(t, w); leader.WaivedPosition == "" {
 			t.Errorf("the accepted loss is not recorded: %+v", leader)
 		}
 		primary.Return("ledger-1b")
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -384,7 +384,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	leaders, err := failover.Decode(state.Entries)
+	leaders, err := failover.DecodeLeaders(state.Entries)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tools/accept.go
+++ b/internal/tools/accept.go
@@ -60,7 +60,7 @@
 	endpoint := rpc.NewEndpoint(kernel.NewKernel("tools", network, slog.New(slog.DiscardHandler)), "")
 	defer endpoint.CloseConnections()
 	request := failover.AcceptLoss{Service: b.Service, FailoverID: failoverID, By: by}
-	if err := endpoint.Call(ctx, b.Control, failover.AcceptOp, request, nil, requestTimeout); err != nil {
+	if err := endpoint.Call(ctx, b.Control, failover.AcceptLossOp, request, nil, requestTimeout); err != nil {
 		return fmt.Errorf("the order was not taken: %w", err)
 	}
 	return nil
--- a/internal/tools/check.go
+++ b/internal/tools/check.go
@@ -189,7 +189,7 @@
 	if _, err := discovery.Decode(state.Entries); err != nil {
 		faults = append(faults, Fault{"state: databases", err.Error()})
 	}
-	if _, err := failover.Decode(state.Entries); err != nil {
+	if _, err := failover.DecodeLeaders(state.Entries); err != nil {
 		faults = append(faults, Fault{"state: leads", err.Error()})
 	}
 	return faults
--- a/internal/tools/replay.go
+++ b/internal/tools/replay.go
@@ -160,29 +160,29 @@
 // applyChoice repeats the choice of a new primary and returns the rule that the recorded choice
 // violates, or "".
 func (r *replayer) applyChoice(choice failover.Choice) string {
-	target, reason := failover.ChoosePrimary(choice.Situation)
+	target, reason := failover.ChoosePrimary(choice.Input)
 	fmt.Fprintf(r.w, "%d us: lead of %s: %s\n", r.time, choice.Service, cmp.Or(target, "waits, "+reason))
 	if choice.Epoch < r.choiceEpoch {
 		return fmt.Sprintf("a choice in epoch %d after epoch %d", choice.Epoch, r.choiceEpoch)
 	}
 	r.choiceEpoch = choice.Epoch
-	if choice.To == "" || choice.Accepted {
+	if choice.Target == "" || choice.Accepted {
 		return ""
 	}
-	chosen := slices.IndexFunc(choice.Situation.Copies, func(replica failover.PausedReplica) bool { return replica.ID == choice.To })
+	chosen := slices.IndexFunc(choice.Input.Paused, func(replica failover.PausedReplica) bool { return replica.ID == choice.Target })
 	if chosen < 0 {
-		return fmt.Sprintf("%s was chosen and did not answer", choice.To)
+		return fmt.Sprintf("%s was chosen and did not answer", choice.Target)
 	}
 	if target == "" {
-		return fmt.Sprintf("%s was chosen, though %s", choice.To, reason)
+		return fmt.Sprintf("%s was chosen, though %s", choice.Target, reason)
 	}
-	received := choice.Situation.Copies[chosen].Received
-	if acked := choice.Situation.AckedUpperBound; acked != nil && !received.Less(*acked) {
+	received := choice.Input.Paused[chosen].Received
+	if acked := choice.Input.AckedUpperBound; acked != nil && !received.Less(*acked) {
 		return "" // it has all commits that were acknowledged to clients
 	}
-	for _, other := range choice.Situation.Copies {
+	for _, other := range choice.Input.Paused {
 		if received.Less(other.Received) {
-			return fmt.Sprintf("%s was chosen, though %s had received more", choice.To, other.ID)
+			return fmt.Sprintf("%s was chosen, though %s had received more", choice.Target, other.ID)
 		}
 	}
 	return ""
--- a/internal/tools/report.go
+++ b/internal/tools/report.go
@@ -115,7 +115,7 @@
 	if r.Databases, err = discovery.Decode(state.Entries); err != nil {
 		return err
 	}
-	if r.Leaders, err = failover.Decode(state.Entries); err != nil {
+	if r.Leaders, err = failover.DecodeLeaders(state.Entries); err != nil {
 		return err
 	}
 	r.Quotas = kernel.Need[*quota.LedgerServer](k).Accounts()
--- a/internal/tools/status.go
+++ b/internal/tools/status.go
@@ -170,7 +170,7 @@
 			role += fmt.Sprintf(", lead of term %d", leader.Term)
 		}
 		if failingOver {
-			role += ", moving to " + cmp.Or(leader.To, "one to be chosen")
+			role += ", moving to " + cmp.Or(leader.Target, "one to be chosen")
 		}
 		deviates := down || failingOver || database.Draining || database.Gone
 		if deviates {
