--- a/internal/distribution/drain.go
+++ b/internal/distribution/drain.go
@@ -80,7 +80,7 @@
 
 // APIKeysCurrent reports whether this proxy's knowledge of the valid API keys is recent enough
 // to accept keys.
-func (s *Subscriber) KeysKnown() bool {
+func (s *Subscriber) APIKeysCurrent() bool {
 	revoke := s.cfg.Bounds().Revoke
 	if revoke == 0 {
 		return true
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -138,7 +138,7 @@
 }
 
 // ServiceDatabases returns the databases of a service, which must not be modified.
-func (s *Subscriber) Serving(service string) []discovery.Database {
+func (s *Subscriber) ServiceDatabases(service string) []discovery.Database {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.byService[service]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,9 +34,9 @@
 	Ready() bool
 	Config() *routeconfig.Index
 	Changed() <-chan struct{}
-	Serving(service string) []discovery.Database
+	ServiceDatabases(service string) []discovery.Database
 	MaySend(database string) error
-	KeysKnown() bool
+	APIKeysCurrent() bool
 }
 
 // Config holds the settings of a gateway.
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -275,7 +275,7 @@
 // candidates returns the input for the selection of a database.
 func (g *Gateway) candidates(service string, avoid []string) loadbalance.Candidates {
 	return loadbalance.Candidates{
-		Service: service, Databases: g.control.Serving(service), Zone: g.cfg.Zone,
+		Service: service, Databases: g.control.ServiceDatabases(service), Zone: g.cfg.Zone,
 		Self: g.ring.Self().Addr, Peers: g.ring.ZonePeers(), Up: g.health.Up, Avoid: avoid,
 	}
 }
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -28,7 +28,7 @@
 		j.gateway.k.Counters.Add("gateway.denied", 1)
 		return &refusal{status: http.StatusUnauthorized, text: "no such key"}
 	}
-	if !j.gateway.control.KeysKnown() {
+	if !j.gateway.control.APIKeysCurrent() {
 		return j.unavailable("whether the key holds is not known here")
 	}
 	j.tenant = tenant
--- a/internal/pooler/tenant.go
+++ b/internal/pooler/tenant.go
@@ -33,7 +33,7 @@
 		s.trace.setCause(causeDenied)
 		return nil, lineprotocol.Denied
 	}
-	if !s.pooler.control.KeysKnown() {
+	if !s.pooler.control.APIKeysCurrent() {
 		// This pooler cannot tell whether the key is still valid, so it asks the client to retry.
 		s.pooler.k.Counters.Add("pooler.keys_unknown", 1)
 		s.trace.setCause(causeKeysStale)
