--- a/internal/history/answers.go
+++ b/internal/history/answers.go
@@ -12,9 +12,9 @@
 // ownFault reports whether, in a time span, a fault without warning hit the node's own process
 // or its connections to clients. Whatever else fails, a node must answer its clients.
 func (c *trafficCheck) ownFault(node string, from, to time.Duration) bool {
-	return slices.ContainsFunc(c.faults, func(f Trouble) bool {
-		own := f.Everywhere || f.Node == node && !f.Elsewhere
-		return own && !f.Planned && f.At <= to && f.Till+answerRecovery >= from
+	return slices.ContainsFunc(c.faults, func(f Fault) bool {
+		own := f.AllNodes || f.Node == node && !f.DependencyOnly
+		return own && !f.Planned && f.At <= to && f.End+answerRecovery >= from
 	})
 }
 
@@ -22,12 +22,12 @@
 // The system's rules are weaker: they require no answer while any fault is present.
 func (c *trafficCheck) checkUnanswered() {
 	for _, s := range c.traffic.statements {
-		sent := max(s.Sent, s.Last)
-		if s.Code != Unanswered || s.Done-sent <= c.bounds.Slack {
+		sent := max(s.Sent, s.LastSent)
+		if s.Code != Unanswered || s.Done-sent <= c.bounds.AnswerGrace {
 			continue
 		}
 		if !c.ownFault(s.Pooler, sent, s.Done) {
-			c.addBreach(Lost, s.Done, "%s at %s, sent at %.3f s, has no answer", s.ID, s.Pooler, sent.Seconds())
+			c.addBreach(RuleLost, s.Done, "%s at %s, sent at %.3f s, has no answer", s.ID, s.Pooler, sent.Seconds())
 		}
 	}
 }
@@ -36,10 +36,10 @@
 // deadline, unless its node itself had a fault.
 func (c *trafficCheck) checkLateAnswers() {
 	for _, s := range c.traffic.statements {
-		sent := max(s.Sent, s.Last)
-		late := s.Done - sent - s.Within - c.bounds.Answer
-		if s.Within > 0 && s.Code != Unanswered && late > 0 && !c.ownFault(s.Pooler, sent, s.Done) {
-			c.addBreach(RuleConfig, s.Done, "%s at %s is answered %d ms after its deadline", s.ID, s.Pooler, (late + c.bounds.Answer).Milliseconds())
+		sent := max(s.Sent, s.LastSent)
+		late := s.Done - sent - s.Deadline - c.bounds.DeadlineGrace
+		if s.Deadline > 0 && s.Code != Unanswered && late > 0 && !c.ownFault(s.Pooler, sent, s.Done) {
+			c.addBreach(RuleConfig, s.Done, "%s at %s is answered %d ms after its deadline", s.ID, s.Pooler, (late + c.bounds.DeadlineGrace).Milliseconds())
 		}
 	}
 }
--- a/internal/history/forward.go
+++ b/internal/history/forward.go
@@ -37,10 +37,10 @@
 // fault may meet either incarnation and are compared neither with earlier nor with later ones.
 func (c *trafficCheck) incarnationsBefore(p Probe) (n int) {
 	for _, f := range c.faults {
-		endsProcess := f.Kind != "freeze" && f.Kind != settingsChange && !f.Elsewhere
-		if endsProcess && (f.Everywhere || f.Node == p.Pooler) && f.At <= p.Done {
+		endsProcess := f.Kind != "freeze" && f.Kind != settingsChange && !f.DependencyOnly
+		if endsProcess && (f.AllNodes || f.Node == p.Pooler) && f.At <= p.Done {
 			n++
-			if f.Till <= p.Sent {
+			if f.End <= p.Sent {
 				n++
 			}
 		}
--- a/internal/history/orders.go
+++ b/internal/history/orders.go
@@ -37,18 +37,18 @@
 )
 
 // InvalidKinds lists the kinds of invalid orders.
-var Faults = []string{UnknownService, Truncated, NoDeadline, DuplicateRoute}
+var InvalidKinds = []string{UnknownService, Truncated, NoDeadline, DuplicateRoute}
 
 // Template is the part of a configuration that all orders of a history share.
-type Frame struct {
-	Service string // the service of the orders' routes
-	Type    string // the type of the orders' routes; "" means primary
-	Routes  []FrameRoute
-	Others  []string // services in addition to Service
+type Template struct {
+	Service       string // the service of the orders' routes
+	Type          string // the type of the orders' routes; "" means primary
+	Routes        []TemplateRoute
+	OtherServices []string // services in addition to Service
 }
 
 // TemplateRoute is a route that is in every configuration.
-type FrameRoute struct{ Host, Prefix, Type, Service string }
+type TemplateRoute struct{ Host, Prefix, Type, Service string }
 
 // wireRoute, wireService, wireOrder and wireUpsert are an order as the control API accepts it.
 type wireRoute struct {
@@ -91,7 +91,7 @@
 
 // Body returns the order as the JSON document that is sent to the control API, with what the
 // template adds unless the order is an update.
-func (o Order) Body(t Frame) []byte {
+func (o Order) Body(t Template) []byte {
 	var routes []wireRoute
 	for _, name := range slices.Sorted(maps.Keys(o.Routes)) {
 		routes = append(routes, wireRoute{Name: name, Host: name, PathPrefix: "/", Type: cmp.Or(t.Type, "primary"), Service: t.Service, DeadlineMs: o.Routes[name]})
@@ -120,7 +120,7 @@
 	return raw
 }
 
-func (t Frame) wireRoutes() (out []wireRoute) {
+func (t Template) wireRoutes() (out []wireRoute) {
 	for _, r := range t.Routes {
 		out = append(out, wireRoute{
 			Name: "frame-" + r.Host + r.Prefix, Host: r.Host, PathPrefix: cmp.Or(r.Prefix, "/"), Type: r.Type, Service: r.Service,
@@ -130,8 +130,8 @@
 	return out
 }
 
-func (t Frame) wireServices() (out []wireService) {
-	for _, name := range append([]string{t.Service}, t.Others...) {
+func (t Template) wireServices() (out []wireService) {
+	for _, name := range append([]string{t.Service}, t.OtherServices...) {
 		out = append(out, wireService{name, templateMaxConns, 1})
 	}
 	return out
@@ -174,21 +174,21 @@
 func NewOrders() *Orders { return &Orders{start: time.Now()} }
 
 // Timestamp is the logical and the physical time at which an operation started.
-type Moment struct {
+type Timestamp struct {
 	seq int
 	at  time.Duration // since the start of the history
 }
 
 // Tick advances the logical clock and returns the current time.
-func (h *Orders) Tick() Moment {
+func (h *Orders) Tick() Timestamp {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.tick()
 }
 
-func (h *Orders) tick() Moment {
+func (h *Orders) tick() Timestamp {
 	h.lastSeq++
-	return Moment{h.lastSeq, time.Since(h.start)}
+	return Timestamp{h.lastSeq, time.Since(h.start)}
 }
 
 // Add records an order that is about to be sent and returns its number.
@@ -242,7 +242,7 @@
 }
 
 // AddAnswer records the answer, received now, to order n, sent at the given time.
-func (h *Orders) Answered(n int, sent Moment, code int) {
+func (h *Orders) AddAnswer(n int, sent Timestamp, code int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.tick()
@@ -250,7 +250,7 @@
 }
 
 // AddReading records a configuration, received now, that a call sent at the given time read back.
-func (h *Orders) Read(sent Moment, rev int64, routes map[string]int64) {
+func (h *Orders) AddReading(sent Timestamp, rev int64, routes map[string]int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.tick()
@@ -270,12 +270,12 @@
 
 // Rules that histories are checked against.
 const (
-	RuleConfig = "CONFIG" // configurations are kept and applied in order and in time, with their deadlines
-	Lost       = "LOST"   // acknowledged writes are kept, and statements are answered
-	RuleStale  = "STALE"  // reads are no older than their route allows
-	RuleDrain  = "DRAIN"  // no request starts at a database long after its draining was acknowledged
-	RuleRoute  = "ROUTE"  // a request runs only at a database of its route's service
-	One        = "ONE"    // a term of a service has at most one primary
+	RuleConfig        = "CONFIG" // configurations are kept and applied in order and in time, with their deadlines
+	RuleLost          = "LOST"   // acknowledged writes are kept, and statements are answered
+	RuleStale         = "STALE"  // reads are no older than their route allows
+	RuleDrain         = "DRAIN"  // no request starts at a database long after its draining was acknowledged
+	RuleRoute         = "ROUTE"  // a request runs only at a database of its route's service
+	RuleSinglePrimary = "ONE"    // a term of a service has at most one primary
 )
 
 // Breaches checks the history and returns the violations. It takes the last reading as the final
--- a/internal/history/traffic.go
+++ b/internal/history/traffic.go
@@ -9,20 +9,20 @@
 
 // Statement is a statement or request of a client, and its result.
 type Statement struct {
-	Pooler  string        `json:"pooler"`
-	Route   string        `json:"route"`
-	Service string        `json:"svc"` // the service of the route, which is the same in every configuration
-	ID      string        `json:"id"`
-	Write   bool          `json:"write,omitempty"`
-	Thing   string        `json:"thing"`
-	Value   int           `json:"value"`             // the value written or read; each key has one writer, which writes increasing values
-	MayLag  time.Duration `json:"may_lag,omitempty"` // how stale a read may be
-	Within  time.Duration `json:"within,omitempty"`  // the deadline of its route; 0 if it is not checked
-	Sent    time.Duration `json:"sent"`
+	Pooler   string        `json:"pooler"`
+	Route    string        `json:"route"`
+	Service  string        `json:"svc"` // the service of the route, which is the same in every configuration
+	ID       string        `json:"id"`
+	Write    bool          `json:"write,omitempty"`
+	Key      string        `json:"thing"`
+	Value    int           `json:"value"`             // the value written or read; each key has one writer, which writes increasing values
+	MaxLag   time.Duration `json:"may_lag,omitempty"` // how stale a read may be
+	Deadline time.Duration `json:"within,omitempty"`  // the deadline of its route; 0 if it is not checked
+	Sent     time.Duration `json:"sent"`
 	// LastSent is when its last message was sent, if it has several: that of a transaction is COMMIT.
-	Last time.Duration `json:"last,omitempty"`
-	Done time.Duration `json:"done"`
-	Code string        `json:"code,omitempty"` // the error code, "" for success
+	LastSent time.Duration `json:"last,omitempty"`
+	Done     time.Duration `json:"done"`
+	Code     string        `json:"code,omitempty"` // the error code, "" for success
 }
 
 // Unanswered is the code of a statement whose connection was closed before an answer arrived.
@@ -38,7 +38,7 @@
 }
 
 // Drain is the draining of a database, at the time of its acknowledgement.
-type Drains struct {
+type Drain struct {
 	Service  string        `json:"svc"`
 	Database string        `json:"database"`
 	At       time.Duration `json:"at"`
@@ -51,25 +51,25 @@
 	Service  string        `json:"svc"`
 	Database string        `json:"database"`
 	Term     int64         `json:"term,omitempty"`
-	Holds    []string      `json:"holds"`
+	WriteIDs []string      `json:"holds"`
 	At       time.Duration `json:"at"`
 }
 
 // Fault is a fault injected into a node or a database.
-type Trouble struct {
+type Fault struct {
 	Kind    string `json:"kind"`
 	Node    string `json:"node"`
 	Control bool   `json:"control,omitempty"` // it affects control nodes
 	Planned bool   `json:"planned,omitempty"` // it was announced to the process, which could prepare
 	// DependencyOnly is set if the fault affects only what the node depends on, and neither its own
 	// process nor its connections to clients.
-	Elsewhere bool `json:"elsewhere,omitempty"`
+	DependencyOnly bool `json:"elsewhere,omitempty"`
 	// AllNodes is set if the fault affects every node.
-	Everywhere bool `json:"everywhere,omitempty"`
+	AllNodes bool `json:"everywhere,omitempty"`
 	// RecordOnly is set if the fault is reported but relaxes no check.
-	Calm bool          `json:"calm,omitempty"`
-	At   time.Duration `json:"at"`
-	Till time.Duration `json:"till"`
+	RecordOnly bool          `json:"calm,omitempty"`
+	At         time.Duration `json:"at"`
+	End        time.Duration `json:"till"`
 }
 
 // Probe is an attempt of a client to use one of the routes that operators change.
@@ -83,11 +83,11 @@
 
 // Bounds are the time bounds of the rules.
 type Bounds struct {
-	Drain   time.Duration // how long requests may start at a database after its draining was acknowledged
-	Apply   time.Duration // how long a node may take to apply a new configuration
-	Contact time.Duration // how long after a fault a node's configuration is not checked
-	Slack   time.Duration // how soon after a request its connection may close without an answer; it may not have been read
-	Answer  time.Duration // how long after its deadline a request may be answered
+	Drain         time.Duration // how long requests may start at a database after its draining was acknowledged
+	Apply         time.Duration // how long a node may take to apply a new configuration
+	Recovery      time.Duration // how long after a fault a node's configuration is not checked
+	AnswerGrace   time.Duration // how soon after a request its connection may close without an answer; it may not have been read
+	DeadlineGrace time.Duration // how long after its deadline a request may be answered
 }
 
 // Traffic records what clients and databases observed, and the faults injected meanwhile. Times
@@ -98,9 +98,9 @@
 	mu         sync.Mutex
 	statements []Statement
 	runs       []Run
-	drains     []Drains
+	drains     []Drain
 	promotions []Promotion
-	faults     []Trouble
+	faults     []Fault
 	probes     []Probe
 }
 
@@ -111,26 +111,26 @@
 func (t *Traffic) Now() time.Duration { return time.Since(t.start) }
 
 // Offset returns the time from the start to the given time.
-func (t *Traffic) Since(at time.Time) time.Duration { return at.Sub(t.start) }
+func (t *Traffic) Offset(at time.Time) time.Duration { return at.Sub(t.start) }
 
 // AddStatement records a statement.
-func (t *Traffic) Asked(s Statement) { t.add(func() { t.statements = append(t.statements, s) }) }
+func (t *Traffic) AddStatement(s Statement) { t.add(func() { t.statements = append(t.statements, s) }) }
 
 // AddRun records a run.
-func (t *Traffic) Ran(r Run) { t.add(func() { t.runs = append(t.runs, r) }) }
+func (t *Traffic) AddRun(r Run) { t.add(func() { t.runs = append(t.runs, r) }) }
 
 // AddDrain records an acknowledged draining.
-func (t *Traffic) Draining(d Drains) { t.add(func() { t.drains = append(t.drains, d) }) }
+func (t *Traffic) AddDrain(d Drain) { t.add(func() { t.drains = append(t.drains, d) }) }
 
 // AddPromotion records a promotion.
-func (t *Traffic) Promoted(p Promotion) { t.add(func() { t.promotions = append(t.promotions, p) }) }
+func (t *Traffic) AddPromotion(p Promotion) { t.add(func() { t.promotions = append(t.promotions, p) }) }
 
 // openEnded stands for the end of a fault that has not ended yet. It is later than any run ends.
 const openEnded = 24 * time.Hour
 
 // BeginFault records the start of a fault and returns its number.
-func (t *Traffic) Begin(f Trouble) (number int) {
-	f.Till = openEnded
+func (t *Traffic) BeginFault(f Fault) (number int) {
+	f.End = openEnded
 	t.add(func() {
 		number = len(t.faults)
 		t.faults = append(t.faults, f)
@@ -139,13 +139,13 @@
 }
 
 // EndFault records the end of a fault.
-func (t *Traffic) End(number int) {
+func (t *Traffic) EndFault(number int) {
 	now := t.Now()
-	t.add(func() { t.faults[number].Till = now })
+	t.add(func() { t.faults[number].End = now })
 }
 
 // AddProbe records a probe.
-func (t *Traffic) Probed(p Probe) { t.add(func() { t.probes = append(t.probes, p) }) }
+func (t *Traffic) AddProbe(p Probe) { t.add(func() { t.probes = append(t.probes, p) }) }
 
 // add calls record with t.mu held.
 func (t *Traffic) add(record func()) {
@@ -162,7 +162,7 @@
 }
 
 // Faults returns the faults recorded so far.
-func (t *Traffic) Troubles() []Trouble {
+func (t *Traffic) Faults() []Fault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.faults)
@@ -189,7 +189,7 @@
 
 // CheckedProbes returns how many probes are checked against the configuration in force, and how
 // many there are. Probes near a fault that may delay the configuration are not checked.
-func (t *Traffic) Judged(b Bounds) (checked, all int) {
+func (t *Traffic) CheckedProbes(b Bounds) (checked, all int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := newTrafficCheck(t, b)
@@ -205,12 +205,12 @@
 type trafficCheck struct {
 	traffic  *Traffic
 	bounds   Bounds
-	faults   []Trouble // without those that are RecordOnly
+	faults   []Fault // without those that are RecordOnly
 	breaches []Breach
 }
 
 func newTrafficCheck(t *Traffic, b Bounds) *trafficCheck {
-	faults := slices.DeleteFunc(slices.Clone(t.faults), func(f Trouble) bool { return f.Calm })
+	faults := slices.DeleteFunc(slices.Clone(t.faults), func(f Fault) bool { return f.RecordOnly })
 	return &trafficCheck{traffic: t, bounds: b, faults: faults}
 }
 
@@ -222,13 +222,13 @@
 // that was acknowledged to a client before.
 func (c *trafficCheck) checkLostWrites() {
 	for _, p := range c.traffic.promotions {
-		logged := make(map[string]bool, len(p.Holds))
-		for _, id := range p.Holds {
+		logged := make(map[string]bool, len(p.WriteIDs))
+		for _, id := range p.WriteIDs {
 			logged[id] = true
 		}
 		for _, s := range c.traffic.statements {
 			if s.Write && s.Code == "" && s.Service == p.Service && s.Done < p.At && !logged[s.ID] {
-				c.addBreach(Lost, p.At, "%s lacks %s, acknowledged at %.3f s", p.Database, s.ID, s.Done.Seconds())
+				c.addBreach(RuleLost, p.At, "%s lacks %s, acknowledged at %.3f s", p.Database, s.ID, s.Done.Seconds())
 			}
 		}
 	}
@@ -236,9 +236,9 @@
 
 // faultDuring reports whether a matching fault was present in a time span, or had ended less than
 // Bounds.Recovery before it.
-func (c *trafficCheck) faultDuring(from, to time.Duration, matches func(Trouble) bool) bool {
-	return slices.ContainsFunc(c.faults, func(f Trouble) bool {
-		return matches(f) && f.At <= to && f.Till+c.bounds.Contact >= from
+func (c *trafficCheck) faultDuring(from, to time.Duration, matches func(Fault) bool) bool {
+	return slices.ContainsFunc(c.faults, func(f Fault) bool {
+		return matches(f) && f.At <= to && f.End+c.bounds.Recovery >= from
 	})
 }
 
@@ -248,16 +248,16 @@
 	writes := map[string][]Statement{}
 	for _, s := range c.traffic.statements {
 		if s.Write && s.Code == "" {
-			writes[s.Thing] = append(writes[s.Thing], s)
+			writes[s.Key] = append(writes[s.Key], s)
 		}
 	}
 	for _, s := range c.traffic.statements {
 		if s.Write || s.Code != "" {
 			continue
 		}
-		for _, w := range writes[s.Thing] {
-			if w.Done < s.Sent-s.MayLag && w.Value > s.Value {
-				c.addBreach(RuleStale, s.Done, "%s read %d of %s, %d was acknowledged at %.3f s", s.ID, s.Value, s.Thing, w.Value, w.Done.Seconds())
+		for _, w := range writes[s.Key] {
+			if w.Done < s.Sent-s.MaxLag && w.Value > s.Value {
+				c.addBreach(RuleStale, s.Done, "%s read %d of %s, %d was acknowledged at %.3f s", s.ID, s.Value, s.Key, w.Value, w.Done.Seconds())
 				break
 			}
 		}
@@ -307,7 +307,7 @@
 		}
 		current := term{p.Service, p.Term}
 		if other, found := primaries[current]; found && other != p.Database {
-			c.addBreach(One, p.At, "%s and %s both lead %s in term %d", other, p.Database, p.Service, p.Term)
+			c.addBreach(RuleSinglePrimary, p.At, "%s and %s both lead %s in term %d", other, p.Database, p.Service, p.Term)
 		}
 		primaries[current] = p.Database
 	}
@@ -316,7 +316,7 @@
 // disturbed reports whether a fault of the probed node or of the control nodes may have affected
 // a probe. A change of settings does not count as a fault.
 func (c *trafficCheck) disturbed(p Probe) bool {
-	return c.faultDuring(p.Sent, p.Done, func(f Trouble) bool {
+	return c.faultDuring(p.Sent, p.Done, func(f Fault) bool {
 		return f.Kind != settingsChange && (f.Control || f.Node == p.Pooler)
 	})
 }
--- a/internal/history/traffic_test.go
+++ b/internal/history/traffic_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-var testBounds = Bounds{Drain: 7 * time.Second, Apply: 3 * time.Second, Contact: 4 * time.Second, Slack: 200 * ms, Answer: 500 * ms}
+var testBounds = Bounds{Drain: 7 * time.Second, Apply: 3 * time.Second, Recovery: 4 * time.Second, AnswerGrace: 200 * ms, DeadlineGrace: 500 * ms}
 
 // validTraffic returns a history without violations: writes and reads, databases that drain, a
 // promotion, a pooler that shuts down gracefully, killed processes, and a route that is added and
@@ -27,33 +27,33 @@
 	}
 	t := &Traffic{
 		statements: []Statement{
-			{Pooler: "p1", Service: "s", ID: "w1", Write: true, Thing: "x", Value: 1, Sent: 5 * second, Done: 5*second + 10*ms},
-			{Pooler: "p1", Service: "s", ID: "w2", Write: true, Thing: "x", Value: 2, Sent: 6 * second, Done: 6*second + 10*ms},
-			{Pooler: "p1", Service: "s", ID: "w3", Write: true, Thing: "x", Value: 3, Sent: 7 * second, Done: 7*second + 10*ms, Code: "UNKNOWN"},
-			{Pooler: "p2", Service: "s", ID: "r1", Thing: "x", Value: 2, Sent: 6*second + 20*ms, Done: 6*second + 30*ms},
-			{Pooler: "p2", Service: "s", ID: "r2", Thing: "x", Value: 1, MayLag: 1500 * ms, Sent: 7 * second, Done: 7*second + 5*ms},
-			{Pooler: "p2", Service: "other", ID: "r3", Thing: "y", Sent: 7 * second, Done: 7*second + 5*ms},
+			{Pooler: "p1", Service: "s", ID: "w1", Write: true, Key: "x", Value: 1, Sent: 5 * second, Done: 5*second + 10*ms},
+			{Pooler: "p1", Service: "s", ID: "w2", Write: true, Key: "x", Value: 2, Sent: 6 * second, Done: 6*second + 10*ms},
+			{Pooler: "p1", Service: "s", ID: "w3", Write: true, Key: "x", Value: 3, Sent: 7 * second, Done: 7*second + 10*ms, Code: "UNKNOWN"},
+			{Pooler: "p2", Service: "s", ID: "r1", Key: "x", Value: 2, Sent: 6*second + 20*ms, Done: 6*second + 30*ms},
+			{Pooler: "p2", Service: "s", ID: "r2", Key: "x", Value: 1, MaxLag: 1500 * ms, Sent: 7 * second, Done: 7*second + 5*ms},
+			{Pooler: "p2", Service: "other", ID: "r3", Key: "y", Sent: 7 * second, Done: 7*second + 5*ms},
 			// Unanswered as the pooler is killed, and within Bounds.AnswerGrace as a pooler shuts down.
-			{Pooler: "p3", Service: "s", ID: "r4", Thing: "x", Sent: 30 * second, Done: 31 * second, Code: Unanswered},
-			{Pooler: "p1", Service: "s", ID: "r5", Thing: "x", Sent: 50 * second, Done: 50*second + 100*ms, Code: Unanswered},
+			{Pooler: "p3", Service: "s", ID: "r4", Key: "x", Sent: 30 * second, Done: 31 * second, Code: Unanswered},
+			{Pooler: "p1", Service: "s", ID: "r5", Key: "x", Sent: 50 * second, Done: 50*second + 100*ms, Code: Unanswered},
 			// Unanswered and late as all processes are killed, and answered just in time.
-			{Pooler: "p2", Service: "s", ID: "r6", Thing: "x", Sent: 68 * second, Done: 69 * second, Code: Unanswered},
-			{Pooler: "p2", Service: "s", ID: "r7", Thing: "x", Value: 2, Within: second, Sent: 68 * second, Done: 72 * second},
-			{Pooler: "p2", Service: "s", ID: "r8", Thing: "x", Value: 2, Within: second, Sent: 80 * second, Done: 81*second + 500*ms},
+			{Pooler: "p2", Service: "s", ID: "r6", Key: "x", Sent: 68 * second, Done: 69 * second, Code: Unanswered},
+			{Pooler: "p2", Service: "s", ID: "r7", Key: "x", Value: 2, Deadline: second, Sent: 68 * second, Done: 72 * second},
+			{Pooler: "p2", Service: "s", ID: "r8", Key: "x", Value: 2, Deadline: second, Sent: 80 * second, Done: 81*second + 500*ms},
 		},
 		runs: []Run{
 			{"s", "d1", "w1", true, 5*second + 5*ms}, {"s", "d1", "w2", true, 6*second + 5*ms},
 			{"s", "d2", "r1", true, 6*second + 25*ms}, {"other", "o1", "r3", true, 7*second + 2*ms},
 			{"s", "d3", "w1", false, 12 * second}, // continues a transaction
 		},
-		drains:     []Drains{{"s", "d3", 4 * second}, {"s", "d2", 4 * second}},
+		drains:     []Drain{{"s", "d3", 4 * second}, {"s", "d2", 4 * second}},
 		promotions: []Promotion{{"s", "d2", 2, []string{"w1", "w2"}, 8 * second}, {"s", "d2", 0, []string{"w1", "w2"}, 60 * second}},
-		faults: []Trouble{
-			{Kind: "kill", Node: "p3", At: 30*second + 500*ms, Till: 31 * second},
-			{Kind: "term", Node: "p1", Planned: true, At: 49 * second, Till: 55 * second},
-			{Kind: "kill", Node: "c1", Control: true, At: 39 * second, Till: 40 * second},
-			{Kind: "cut_core", Node: "p1", Elsewhere: true, Control: true, At: 52 * second, Till: 56 * second},
-			{Kind: "all", Everywhere: true, Control: true, At: 69 * second, Till: 70 * second},
+		faults: []Fault{
+			{Kind: "kill", Node: "p3", At: 30*second + 500*ms, End: 31 * second},
+			{Kind: "term", Node: "p1", Planned: true, At: 49 * second, End: 55 * second},
+			{Kind: "kill", Node: "c1", Control: true, At: 39 * second, End: 40 * second},
+			{Kind: "cut_core", Node: "p1", DependencyOnly: true, Control: true, At: 52 * second, End: 56 * second},
+			{Kind: "all", AllNodes: true, Control: true, At: 69 * second, End: 70 * second},
 		},
 		probes: []Probe{
 			{"p1", "b", false, 9 * second, 9*second + ms},
@@ -78,8 +78,8 @@
 		t.Errorf("breaches in a valid history: %v", breaches)
 	}
 	for want, invalidate := range map[string]func(t *Traffic, h *Orders){
-		"LOST at 8.000 s: d2 lacks w2":              func(t *Traffic, _ *Orders) { t.promotions[0].Holds = []string{"w1"} },
-		"LOST at 60.000 s: d2 lacks w1":             func(t *Traffic, _ *Orders) { t.promotions[1].Holds = []string{"w2"} },
+		"LOST at 8.000 s: d2 lacks w2":              func(t *Traffic, _ *Orders) { t.promotions[0].WriteIDs = []string{"w1"} },
+		"LOST at 60.000 s: d2 lacks w1":             func(t *Traffic, _ *Orders) { t.promotions[1].WriteIDs = []string{"w2"} },
 		"r4 at p3, sent at 30.000 s, has no answer": func(t *Traffic, _ *Orders) { t.faults[0].Planned = true },
 		"r5 at p1, sent at 50.000 s, has no answer": func(t *Traffic, _ *Orders) { t.statements[7].Done += time.Second },
 		"r1 read 1 of x, 2 was acknowledged":        func(t *Traffic, _ *Orders) { t.statements[3].Value = 1 },
@@ -95,11 +95,11 @@
 		"p3 serves a, which was dropped":                 func(t *Traffic, _ *Orders) { t.faults = t.faults[1:] },
 		"41.001 s: p4 serves a, which was dropped":       func(t *Traffic, _ *Orders) { t.faults[2].Control = false },
 		"42.001 s: p4 goes back: it was at version 9":    func(t *Traffic, _ *Orders) { t.probes[6].Served, t.probes[7].Served = false, true },
-		"r6 at p2, sent at 68.000 s, has no answer":      func(t *Traffic, _ *Orders) { t.faults[4].Everywhere = false },
-		"r7 at p2 is answered 3000 ms after":             func(t *Traffic, _ *Orders) { t.faults[4].Everywhere = false },
+		"r6 at p2, sent at 68.000 s, has no answer":      func(t *Traffic, _ *Orders) { t.faults[4].AllNodes = false },
+		"r7 at p2 is answered 3000 ms after":             func(t *Traffic, _ *Orders) { t.faults[4].AllNodes = false },
 		"r8 at p2 is answered 501 ms after":              func(t *Traffic, _ *Orders) { t.statements[10].Done += ms },
 		"56.001 s: p1 goes back: it was at version 9":    func(t *Traffic, _ *Orders) { t.faults[1].Kind = "hup" },
-		"r6 at p2, sent at 68.000 s, has no answer\n":    func(t *Traffic, _ *Orders) { t.faults[4].Calm = true },
+		"r6 at p2, sent at 68.000 s, has no answer\n":    func(t *Traffic, _ *Orders) { t.faults[4].RecordOnly = true },
 		"p3 serves a, which was dropped\n":               func(t *Traffic, _ *Orders) { t.faults[0].Kind = "hup" },
 		"25.001 s: p1 does not serve a, which was added": func(_ *Traffic, h *Orders) { h.answers = h.answers[:2] },
 	} {
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -21,7 +21,7 @@
 )
 
 // ledgerTemplate is the part of the configuration that all orders of these tests share.
-var ledgerTemplate = history.Frame{Service: "ledger"}
+var ledgerTemplate = history.Template{Service: "ledger"}
 
 // randomOrder returns an order of an operator that knows the version knownRev. It picks one of only
 // two numbers for the new version, so that concurrent operators often pick the same.
@@ -31,7 +31,7 @@
 		order.Routes[string(rune('a'+rng.IntN(5)))] = 1000 + rng.Int64N(1000)
 	}
 	if rng.IntN(12) == 0 {
-		order.Invalid = history.Faults[rng.IntN(len(history.Faults))]
+		order.Invalid = history.InvalidKinds[rng.IntN(len(history.InvalidKinds))]
 	}
 	return order
 }
@@ -88,14 +88,14 @@
 			}
 			rev, routes := parseConfiguration(raw)
 			if rev > 0 {
-				orders.Read(asked, rev, routes)
+				orders.AddReading(asked, rev, routes)
 			}
 			return rev
 		}
 		for range 150 {
 			type call struct {
 				n     int
-				asked history.Moment
+				asked history.Timestamp
 				code  int
 			}
 			var batch []call
@@ -118,7 +118,7 @@
 					apply = registry.Update
 				}
 				code, asked := 200, orders.Tick()
-				err := apply(t.Context(), order.Base, order.Body(history.Frame{Service: "s"}))
+				err := apply(t.Context(), order.Base, order.Body(history.Template{Service: "s"}))
 				switch {
 				case errors.As(err, new(*routeconfig.ValidationError)):
 					code = 400
@@ -156,7 +156,7 @@
 				if crashes {
 					b.code = 0
 				}
-				orders.Answered(b.n, b.asked, b.code)
+				orders.AddAnswer(b.n, b.asked, b.code)
 			}
 			if rng.IntN(2) == 0 {
 				knownRevs[rng.IntN(len(knownRevs))] = readBack()
@@ -196,7 +196,7 @@
 		return 0, false
 	}
 	if rev > 1 { // the first version was not written by an order of the history
-		orders.Read(asked, rev, routes)
+		orders.AddReading(asked, rev, routes)
 	}
 	return rev, true
 }
@@ -230,7 +230,7 @@
 				asked := orders.Tick()
 				w.WaitUntil("an acknowledged order is answered again", 5*time.Second, func() bool {
 					code := w.sendOrder(1+rng.IntN(4), order)
-					orders.Answered(n, asked, code)
+					orders.AddAnswer(n, asked, code)
 					return code != 0
 				})
 			}
@@ -272,7 +272,7 @@
 			if rng.IntN(3) == 0 {
 				code = 0 // the answer is lost
 			}
-			orders.Answered(n, asked, code)
+			orders.AddAnswer(n, asked, code)
 			if code != 0 {
 				break
 			}
@@ -350,14 +350,14 @@
 						p.Wipe()
 					}
 				})
-				orders.Answered(first, asked, <-firstCode)
+				orders.AddAnswer(first, asked, <-firstCode)
 				if c.killed > 1 {
 					forEachKilled(func(_, z int) { w.Start("control", z, false) })
 				}
 				resend := func(n int) (code int) {
 					asked := orders.Tick()
 					w.WaitUntil("an order has a definite answer", 8*time.Second, func() bool { code = w.sendOrder(1+z%4, orders.Get(n)); return code != 0 })
-					orders.Answered(n, asked, code)
+					orders.AddAnswer(n, asked, code)
 					return code
 				}
 				switch codes := [2]int{resend(rival), resend(first)}; codes {
--- a/internal/testbed/database_faults.go
+++ b/internal/testbed/database_faults.go
@@ -49,8 +49,8 @@
 		}
 		defer d.Release()
 	}
-	faultNumber := f.traffic.Begin(history.Trouble{Kind: kind, Node: d.ID, Planned: kind == ReplaceDatabase, At: f.traffic.Now()})
-	defer func() { f.traffic.End(faultNumber) }()
+	faultNumber := f.traffic.BeginFault(history.Fault{Kind: kind, Node: d.ID, Planned: kind == ReplaceDatabase, At: f.traffic.Now()})
+	defer func() { f.traffic.EndFault(faultNumber) }()
 	id := fmt.Sprintf("%s-r%d", g.Service, f.replacementNumbers.next())
 	switch kind {
 	case Crash:
@@ -87,8 +87,8 @@
 		return
 	}
 	defer primary.Release()
-	faultNumber := f.traffic.Begin(history.Trouble{Kind: Crash, Node: primary.ID, At: f.traffic.Now()})
-	defer func() { f.traffic.End(faultNumber) }()
+	faultNumber := f.traffic.BeginFault(history.Fault{Kind: Crash, Node: primary.ID, At: f.traffic.Now()})
+	defer func() { f.traffic.EndFault(faultNumber) }()
 	primary.Crash(false)
 	sleep(ctx, randomDuration(r, maxCrashTime))
 	primary.Return(id)
--- a/internal/testbed/gateways.go
+++ b/internal/testbed/gateways.go
@@ -29,19 +29,19 @@
 	s := standin.NewService(t.cluster.loopback, name)
 	s.Observer = standin.Observer{
 		Ran: func(r standin.Run) {
-			t.traffic.Ran(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: t.traffic.Now()})
+			t.traffic.AddRun(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: t.traffic.Now()})
 		},
 		DrainAcked: func(service, database string) {
-			t.traffic.Draining(history.Drains{Service: service, Database: database, At: t.traffic.Now()})
+			t.traffic.AddDrain(history.Drain{Service: service, Database: database, At: t.traffic.Now()})
 		},
 	}
 	return s
 }
 
 // requestRoutes returns the routes to an HTTP service.
-func requestRoutes(service string) []history.FrameRoute {
+func requestRoutes(service string) []history.TemplateRoute {
 	host := service + ".example"
-	return []history.FrameRoute{
+	return []history.TemplateRoute{
 		{Host: host, Prefix: "/safe/", Type: "idempotent", Service: service},
 		{Host: host, Prefix: "/unsafe/", Type: "mutating", Service: service},
 	}
@@ -73,9 +73,9 @@
 	default:
 		code = strconv.Itoa(r.Status)
 	}
-	t.traffic.Asked(history.Statement{
-		Pooler: r.Gateway, Service: service, ID: r.ID, Within: requestDeadline, Write: false, Thing: r.ID,
-		Sent: t.traffic.Since(r.Sent), Done: t.traffic.Since(r.Done), Code: code,
+	t.traffic.AddStatement(history.Statement{
+		Pooler: r.Gateway, Service: service, ID: r.ID, Deadline: requestDeadline, Write: false, Key: r.ID,
+		Sent: t.traffic.Offset(r.Sent), Done: t.traffic.Offset(r.Done), Code: code,
 	})
 }
 
@@ -105,8 +105,8 @@
 		return nil // it has stopped, or another fault affects it
 	}
 	defer w.Release()
-	faultNumber := f.traffic.Begin(history.Trouble{Kind: kind, Node: w.ID, Planned: kind == ReplaceDatabase, At: f.traffic.Now()})
-	defer func() { f.traffic.End(faultNumber) }()
+	faultNumber := f.traffic.BeginFault(history.Fault{Kind: kind, Node: w.ID, Planned: kind == ReplaceDatabase, At: f.traffic.Now()})
+	defer func() { f.traffic.EndFault(faultNumber) }()
 	id := fmt.Sprintf("%s-r%d", s.Name, f.replacementNumbers.next())
 	switch kind {
 	case Crash:
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -102,8 +102,8 @@
 	if primary == nil {
 		return
 	}
-	faultNumber := f.traffic.Begin(history.Trouble{Kind: CutPrimary, Node: primary.ID, At: f.traffic.Now()})
-	defer func() { f.traffic.End(faultNumber) }()
+	faultNumber := f.traffic.BeginFault(history.Fault{Kind: CutPrimary, Node: primary.ID, At: f.traffic.Now()})
+	defer func() { f.traffic.EndFault(faultNumber) }()
 	peers := f.machineHosts(func(*machine) bool { return r.IntN(2) == 0 })
 	if r.IntN(3) == 0 {
 		peers = map[string]bool{}
@@ -138,8 +138,8 @@
 // degradeLinks drops some responses, or drops and duplicates some datagrams, on the links between
 // machines, operators and databases.
 func (f *faultInjector) degradeLinks(ctx context.Context, kind string, r *rand.Rand) {
-	faultNumber := f.traffic.Begin(history.Trouble{Kind: kind, Control: true, At: f.traffic.Now()})
-	defer func() { f.traffic.End(faultNumber) }()
+	faultNumber := f.traffic.BeginFault(history.Fault{Kind: kind, Control: true, At: f.traffic.Now()})
+	defer func() { f.traffic.EndFault(faultNumber) }()
 	hosts := f.machineHosts(func(*machine) bool { return true })
 	hosts[operatorHost()] = true
 	maps.Copy(hosts, f.databaseHosts(-1))
--- a/internal/testbed/machine_faults.go
+++ b/internal/testbed/machine_faults.go
@@ -181,8 +181,8 @@
 	if !f.cluster.lossLimiter.noneLost() && !f.cluster.plan.ExceedTolerated {
 		return nil
 	}
-	faultNumber := f.traffic.Begin(history.Trouble{Kind: KillAll, Everywhere: true, Control: true, At: f.traffic.Now()})
-	defer func() { f.traffic.End(faultNumber) }()
+	faultNumber := f.traffic.BeginFault(history.Fault{Kind: KillAll, AllNodes: true, Control: true, At: f.traffic.Now()})
+	defer func() { f.traffic.EndFault(faultNumber) }()
 	return f.cluster.restart(ctx, randomDuration(r, maxDowntime)/2, nil)
 }
 
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -21,7 +21,7 @@
 	network  kernel.Network
 	loopback *loopback
 	orders   *history.Orders
-	common   history.Frame
+	common   history.Template
 }
 
 const (
@@ -63,7 +63,7 @@
 		if r.IntN(responsesPerLoss) == 0 {
 			code = 0
 		}
-		o.orders.Answered(n, sentAt, code)
+		o.orders.AddAnswer(n, sentAt, code)
 		if code != 0 || ctx.Err() != nil {
 			return
 		}
@@ -119,7 +119,7 @@
 			routes[route.Name] = route.DeadlineMs
 		}
 	}
-	o.orders.Read(sentAt, c.Rev, routes)
+	o.orders.AddReading(sentAt, c.Rev, routes)
 	return c.Rev, true
 }
 
@@ -131,7 +131,7 @@
 		order.Routes[routeName(r)] = 1000 + r.Int64N(1000)
 	}
 	if r.IntN(ordersPerInvalid) == 0 {
-		order.Invalid = history.Faults[r.IntN(len(history.Faults))]
+		order.Invalid = history.InvalidKinds[r.IntN(len(history.InvalidKinds))]
 	}
 	return order
 }
--- a/internal/testbed/processor_faults.go
+++ b/internal/testbed/processor_faults.go
@@ -24,8 +24,8 @@
 func (f *faultInjector) injectProcessorFault(ctx context.Context, kind string, r *rand.Rand) error {
 	m := f.pickMachine(r, false)
 	runTime := time.Duration((minProcessorShare + (1-minProcessorShare)*r.Float64()) * float64(throttlePeriod))
-	faultNumber := f.traffic.Begin(history.Trouble{Kind: kind, Node: m.clientAddr(), Calm: true, At: f.traffic.Now()})
-	defer func() { f.traffic.End(faultNumber) }()
+	faultNumber := f.traffic.BeginFault(history.Fault{Kind: kind, Node: m.clientAddr(), RecordOnly: true, At: f.traffic.Now()})
+	defer func() { f.traffic.EndFault(faultNumber) }()
 	for end := time.Now().Add(randomDuration(r, maxThrottleTime)); time.Now().Before(end) && ctx.Err() == nil; {
 		m.signal(syscall.SIGSTOP)
 		sleep(ctx, throttlePeriod-runTime)
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -16,7 +16,7 @@
 )
 
 // historyBounds are the time bounds for the checks of a run's history.
-var historyBounds = history.Bounds{Drain: drainBound, Apply: applyBound, Contact: contactBound, Slack: slackBound, Answer: answerBound}
+var historyBounds = history.Bounds{Drain: drainBound, Apply: applyBound, Recovery: contactBound, AnswerGrace: slackBound, DeadlineGrace: answerBound}
 
 // Report is the result of a run.
 type Report struct {
@@ -72,7 +72,7 @@
 	r := &Report{Seed: t.cfg.Plan.Seed, Faults: map[string]int{}, UnexpectedExits: t.cluster.unexpectedExits()}
 	t.countStatements(r)
 	t.countOrders(r)
-	for _, fault := range t.traffic.Troubles() {
+	for _, fault := range t.traffic.Faults() {
 		r.Faults[fault.Kind]++
 	}
 	r.PlatformCalls = t.cluster.platform.Calls()
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, text := range t.cluster.platform.Broken() {
-		r.Breaches = append(r.Breaches, history.Breach{Rule: history.One, At: now, Text: text})
+		r.Breaches = append(r.Breaches, history.Breach{Rule: history.RuleSinglePrimary, At: now, Text: text})
 	}
 	slices.SortStableFunc(r.Breaches, func(a, b history.Breach) int { return int(a.At - b.At) })
 	if len(r.Breaches) > 0 {
@@ -131,7 +131,7 @@
 		}
 	}
 	r.OrdersAcked, r.Orders = len(acked), recorder.latencies()
-	r.ProbesJudged, r.Probes = t.traffic.Judged(historyBounds)
+	r.ProbesJudged, r.Probes = t.traffic.CheckedProbes(historyBounds)
 }
 
 // eventWindow is how long before and after a time eventsAround lists events.
@@ -147,8 +147,8 @@
 		text string
 	}
 	var events []event
-	for _, fault := range t.traffic.Troubles() {
-		events = append(events, event{fault.At, fmt.Sprintf("%s of %s, until %.3f s", fault.Kind, fault.Node, fault.Till.Seconds())})
+	for _, fault := range t.traffic.Faults() {
+		events = append(events, event{fault.At, fmt.Sprintf("%s of %s, until %.3f s", fault.Kind, fault.Node, fault.End.Seconds())})
 	}
 	all := t.orders.All()
 	for _, a := range t.orders.Answers() {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -96,7 +96,7 @@
 	}
 	t := &testRun{cfg: cfg, cluster: cluster, orders: history.NewOrders()}
 	t.traffic = history.NewTraffic(t.orders)
-	common := history.Frame{}
+	common := history.Template{}
 	if cfg.Plan.Tier == Gateway {
 		common.Type = "idempotent"
 	}
@@ -105,7 +105,7 @@
 		if i == 0 {
 			common.Service = service
 		} else {
-			common.Others = append(common.Others, service)
+			common.OtherServices = append(common.OtherServices, service)
 		}
 		if cfg.Plan.Tier == Gateway {
 			common.Routes = append(common.Routes, requestRoutes(service)...)
@@ -113,7 +113,7 @@
 			continue
 		}
 		for kind, routeType := range map[string]string{standin.PrimaryRoute: "primary", standin.BoundedRoute: "bounded", standin.NearestRoute: "nearest"} {
-			common.Routes = append(common.Routes, history.FrameRoute{Host: kind + "." + service, Type: routeType, Service: service})
+			common.Routes = append(common.Routes, history.TemplateRoute{Host: kind + "." + service, Type: routeType, Service: service})
 		}
 		t.groups = append(t.groups, t.newGroup(service))
 	}
@@ -127,13 +127,13 @@
 	g := standin.NewGroup(t.cluster.loopback, service)
 	g.Observe = standin.Observer{
 		Ran: func(r standin.Run) {
-			t.traffic.Ran(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: t.traffic.Now()})
+			t.traffic.AddRun(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: t.traffic.Now()})
 		},
 		DrainAcked: func(service, database string) {
-			t.traffic.Draining(history.Drains{Service: service, Database: database, At: t.traffic.Now()})
+			t.traffic.AddDrain(history.Drain{Service: service, Database: database, At: t.traffic.Now()})
 		},
 		Promoted: func(p standin.Promotion) {
-			t.traffic.Promoted(history.Promotion{Service: p.Service, Database: p.Database, Term: p.Term, Holds: p.LoggedStatements, At: t.traffic.Now()})
+			t.traffic.AddPromotion(history.Promotion{Service: p.Service, Database: p.Database, Term: p.Term, WriteIDs: p.LoggedStatements, At: t.traffic.Now()})
 		},
 	}
 	return g
@@ -180,7 +180,7 @@
 	for code := 0; code != http.StatusOK; {
 		sentAt := t.orders.Tick()
 		code = t.operators.send(r, firstOrder)
-		t.orders.Answered(firstOrder, sentAt, code)
+		t.orders.AddAnswer(firstOrder, sentAt, code)
 		if exits := t.cluster.unexpectedExits(); len(exits) > 0 {
 			return fmt.Errorf("testbed: %s", exits[0])
 		}
@@ -278,8 +278,8 @@
 			controls = append(controls, m)
 		}
 	}
-	faultNumber := t.traffic.Begin(history.Trouble{Kind: KillAll, Everywhere: true, Control: true, At: t.traffic.Now()})
-	defer func() { t.traffic.End(faultNumber) }()
+	faultNumber := t.traffic.BeginFault(history.Fault{Kind: KillAll, AllNodes: true, Control: true, At: t.traffic.Now()})
+	defer func() { t.traffic.EndFault(faultNumber) }()
 	return t.cluster.restart(ctx, randomDuration(r, maxDowntime), controls[r.IntN(len(controls))])
 }
 
@@ -319,9 +319,9 @@
 	if !strings.HasPrefix(s.Route, standin.PrimaryRoute+".") {
 		lag = standin.MaxStaleness
 	}
-	t.traffic.Asked(history.Statement{
-		Pooler: s.Pooler, Route: s.Route, Service: service, ID: s.ID, Write: s.Write, Thing: service + "/" + s.Key, Value: s.Value,
-		MayLag: lag, Within: standin.Deadline, Sent: t.traffic.Since(s.Sent), Last: t.traffic.Since(s.LastSent), Done: t.traffic.Since(s.Done), Code: s.Code,
+	t.traffic.AddStatement(history.Statement{
+		Pooler: s.Pooler, Route: s.Route, Service: service, ID: s.ID, Write: s.Write, Key: service + "/" + s.Key, Value: s.Value,
+		MaxLag: lag, Deadline: standin.Deadline, Sent: t.traffic.Offset(s.Sent), LastSent: t.traffic.Offset(s.LastSent), Done: t.traffic.Offset(s.Done), Code: s.Code,
 	})
 }
 
@@ -335,7 +335,7 @@
 		sent := t.traffic.Now()
 		if t.cfg.Plan.Tier == Gateway {
 			if served, known := t.probeRoute(m.clientAddr(), route, number); known {
-				t.traffic.Probed(history.Probe{Pooler: m.clientAddr(), Route: route, Served: served, Sent: sent, Done: t.traffic.Now()})
+				t.traffic.AddProbe(history.Probe{Pooler: m.clientAddr(), Route: route, Served: served, Sent: sent, Done: t.traffic.Now()})
 			}
 			continue
 		}
@@ -344,7 +344,7 @@
 			s.Close()
 		}
 		if s != nil || code == noSuchRoute {
-			t.traffic.Probed(history.Probe{Pooler: m.clientAddr(), Route: route, Served: s != nil, Sent: sent, Done: t.traffic.Now()})
+			t.traffic.AddProbe(history.Probe{Pooler: m.clientAddr(), Route: route, Served: s != nil, Sent: sent, Done: t.traffic.Now()})
 		}
 	}
 }
@@ -372,7 +372,7 @@
 	}
 	for _, g := range t.groups {
 		if primary := g.Primary(); primary != nil {
-			t.traffic.Promoted(history.Promotion{Service: g.Service, Database: primary.ID, Holds: primary.Holds(), At: t.traffic.Now()})
+			t.traffic.AddPromotion(history.Promotion{Service: g.Service, Database: primary.ID, WriteIDs: primary.Holds(), At: t.traffic.Now()})
 		}
 	}
 	return nil
@@ -389,7 +389,7 @@
 	for ctx.Err() == nil {
 		sentAt := t.orders.Tick()
 		code := t.operators.send(r, n)
-		t.orders.Answered(n, sentAt, code)
+		t.orders.AddAnswer(n, sentAt, code)
 		if code != 0 {
 			return nil
 		}
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -115,7 +115,7 @@
 		if report.PlatformCalls == 0 {
 			continue // no fault hit a primary
 		}
-		if report.Clean() || report.Breaches[0].Rule != history.Lost && !strings.Contains(report.Breaches[0].Text, history.Lost) {
+		if report.Clean() || report.Breaches[0].Rule != history.RuleLost && !strings.Contains(report.Breaches[0].Text, history.RuleLost) {
 			t.Errorf("the lost commits are not reported: %v", report.Breaches)
 		}
 		return
--- a/internal/testbed/timelines.go
+++ b/internal/testbed/timelines.go
@@ -121,10 +121,10 @@
 // recordFault records the start of a fault of a machine; local says that the fault affects the machine's
 // processes or its links to clients. The returned function records the end.
 func (f *faultInjector) recordFault(kind string, m *machine, local bool) (end func()) {
-	faultNumber := f.traffic.Begin(history.Trouble{
-		Kind: kind, Node: m.clientAddr(), Elsewhere: !local, Control: m.control, Planned: kind == Term || kind == Hup, At: f.traffic.Now(),
+	faultNumber := f.traffic.BeginFault(history.Fault{
+		Kind: kind, Node: m.clientAddr(), DependencyOnly: !local, Control: m.control, Planned: kind == Term || kind == Hup, At: f.traffic.Now(),
 	})
-	return func() { f.traffic.End(faultNumber) }
+	return func() { f.traffic.EndFault(faultNumber) }
 }
 
 // randomDuration returns a random duration below limit.
