--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -106,7 +106,7 @@
 		for _, id := range []string{"second", "third"} {
 			database.Crash(false)
 			time.Sleep(time.Second)
-			database.Return(id)
+			database.Restart(id)
 			time.Sleep(5 * time.Second)
 		}
 		sendDelayed(firstID)
--- a/internal/simulation/clients_test.go
+++ b/internal/simulation/clients_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	id := "r" + path
-	s.Expect(id, method+" "+path+" ", method == "GET")
+	s.ExpectRequest(id, method+" "+path+" ", method == "GET")
 	if _, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s.example\r\nX-Indigowalk-Request-Id: %s\r\n\r\n", method, path, s.Name, id); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		fault        Fault
 		clientStalls bool // the client does not read
 	}{
-		"client does not read a short response": {Well, true},
+		"client does not read a short response": {NoFault, true},
 		"client does not read a long response":  {Long, true},
 		"database stalls in a long response":    {Stalls, false},
 	} {
@@ -128,7 +128,7 @@
 				}
 				defer conn.Close()
 				began := time.Now()
-				a := standin.Raw(conn, fmt.Appendf(nil, "%s HTTP/1.1\r\nHost: intake.example\r\nX-Indigowalk-Request-Id: %s\r\nContent-Length: 100\r\n\r\nhalf", c.line, c.id))
+				a := standin.ExchangeRaw(conn, fmt.Appendf(nil, "%s HTTP/1.1\r\nHost: intake.example\r\nX-Indigowalk-Request-Id: %s\r\nContent-Length: 100\r\n\r\nhalf", c.line, c.id))
 				if took := time.Since(began); a.Status != c.status || took > 200*time.Millisecond {
 					t.Errorf("status %d after %v, want %d within 200 ms", a.Status, took, c.status)
 				}
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -42,8 +42,8 @@
 // served writes exceeded the limit.
 func checkWritesServed(t TB, l *Load, limit time.Duration) {
 	t.Helper()
-	if l.Served < 300 || l.Slowest > limit {
-		t.Errorf("%d writes served, want at least 300 (%d refused, %d with unknown outcome); longest gap %v", l.Served, l.Refused, l.Unsure, l.Slowest)
+	if l.Served < 300 || l.LongestWriteGap > limit {
+		t.Errorf("%d writes served, want at least 300 (%d refused, %d with unknown outcome); longest gap %v", l.Served, l.Refused, l.UnknownOutcome, l.LongestWriteGap)
 	}
 }
 
@@ -51,8 +51,8 @@
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {})
 		checkWritesServed(t, load, 500*time.Millisecond)
-		if load.Refused+load.Unsure > 0 {
-			t.Errorf("without faults %d writes were refused and %d had an unknown outcome", load.Refused, load.Unsure)
+		if load.Refused+load.UnknownOutcome > 0 {
+			t.Errorf("without faults %d writes were refused and %d had an unknown outcome", load.Refused, load.UnknownOutcome)
 		}
 	})
 }
@@ -63,7 +63,7 @@
 		load := withLoad(w, g, func() {
 			oldPrimary.Crash(true)
 			time.Sleep(5 * time.Second)
-			oldPrimary.Return("ledger-1b")
+			oldPrimary.Restart("ledger-1b")
 		})
 		checkWritesServed(t, load, 3*time.Second)
 		if newPrimary := g.Primary(); newPrimary == oldPrimary || newPrimary == nil {
@@ -100,7 +100,7 @@
 			if g.Primary() != nil {
 				t.Error("a replica that lacks commits was promoted")
 			}
-			g.DB(2).Return("ledger-3b")
+			g.DB(2).Restart("ledger-3b")
 			w.WaitUntil("a database is promoted", 5*time.Second, func() bool { return g.Primary() != nil })
 		})
 		checkWritesServed(t, load, 9*time.Second)
@@ -114,7 +114,7 @@
 			first := g.Primary()
 			first.Crash(true)
 			time.Sleep(4 * time.Second)
-			first.Return("ledger-1b")
+			first.Restart("ledger-1b")
 			time.Sleep(3 * time.Second)
 			second := g.Primary()
 			second.Crash(true)
@@ -133,7 +133,7 @@
 			primary := g.Primary()
 			primary.Crash(false)
 			time.Sleep(3 * time.Second)
-			primary.Return("ledger-1b")
+			primary.Restart("ledger-1b")
 		})
 		checkWritesServed(t, load, 6*time.Second)
 	})
@@ -152,8 +152,8 @@
 		if g.Primary() == oldPrimary {
 			t.Error("the draining database is still the primary")
 		}
-		if load.Unsure > 0 {
-			t.Errorf("%d writes with unknown outcome during a planned failover", load.Unsure)
+		if load.UnknownOutcome > 0 {
+			t.Errorf("%d writes with unknown outcome during a planned failover", load.UnknownOutcome)
 		}
 	})
 }
@@ -372,7 +372,7 @@
 							if d := g.Primary(); d != nil {
 								d.Crash(rng.IntN(2) == 0)
 								time.Sleep(3 * time.Second)
-								d.Return(fmt.Sprint(d.Addr, "-", round))
+								d.Restart(fmt.Sprint(d.Addr, "-", round))
 							}
 						case 2:
 							w.Net.SetPartitioned(ip(z), ip(1+z%4), true)
--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -14,7 +14,7 @@
 		load := withLoad(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			time.Sleep(time.Second)
-			g.DB(1).Leave(20*time.Second, true)
+			g.DB(1).DrainAndStop(20*time.Second, true)
 			time.Sleep(5 * time.Second)
 			oldPrimary := g.Primary()
 			oldPrimary.Crash(true)
--- a/internal/simulation/failurelog_test.go
+++ b/internal/simulation/failurelog_test.go
@@ -43,7 +43,7 @@
 		if a, id := session.Query("PUT x 1"); a.Code != "" || len(recentFailures(w.Process("pooler", 1))) > 0 {
 			t.Fatalf("statement %s without faults got %v or left a failure in the log", id, a)
 		}
-		g.Primary().Lose(1)
+		g.Primary().DropAnswers(1)
 		_, id := session.Query("PUT x 2")
 		checkFailureLogged(t, w.Process("pooler", 1), id, "unanswered", "deadline")
 		g.DB(1).Crash(false)
@@ -67,12 +67,12 @@
 func TestFailureLogOfRequest(t *testing.T) {
 	withGatewayCluster(t, func(w *World, s *Service) {
 		for _, d := range s.Workers() {
-			d.InjectFault(Loses)
+			d.InjectFault(ClosesAfterRun)
 		}
 		s.Send(1, "unsafe-1", false, "body")
 		checkFailureLogged(t, w.Process("gateway", 1), "unsafe-1", "no_whole_answer", "connection broken")
 		for _, d := range s.Workers() {
-			d.InjectFault(Sheds)
+			d.InjectFault(RejectsAsFull)
 		}
 		s.Send(1, "unsafe-2", false, "body")
 		checkFailureLogged(t, w.Process("gateway", 1), "unsafe-2", "every_database_that_was_asked_is_busy", "not run: 503")
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -31,7 +31,7 @@
 
 // withRequestLoad calls run while clients send requests, and returns the results of the
 // requests. The load starts 2 s before run and ends 4 s after it.
-func withRequestLoad(s *Service, run func()) *Requests {
+func withRequestLoad(s *Service, run func()) *RequestLoad {
 	requests := s.StartRequests(4, 100*time.Millisecond)
 	time.Sleep(2 * time.Second)
 	run()
@@ -42,7 +42,7 @@
 
 // checkRequestsServed fails the test if fewer than 300 requests succeeded or more than maxFailed
 // did not.
-func checkRequestsServed(t *testing.T, requests *Requests, maxFailed int) {
+func checkRequestsServed(t *testing.T, requests *RequestLoad, maxFailed int) {
 	t.Helper()
 	failed := 0
 	for status, n := range requests.Statuses {
@@ -73,7 +73,7 @@
 		fault     Fault
 		maxFailed int
 	}{
-		{"mute", Mute, 16}, {"loses", Loses, 24}, {"breaks", Breaks, 24}, {"garbles", Garbles, 24}, {"surplus", Surplus, 0},
+		{"mute", Mute, 16}, {"loses", ClosesAfterRun, 24}, {"breaks", TruncatesResponse, 24}, {"garbles", SendsGarbage, 24}, {"surplus", Surplus, 0},
 		{"resets", Resets, 24}, {"errors", Errors, 24}, {"forgetful", Forgetful, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,14 +86,14 @@
 
 // loadWithFaultyDatabases returns the results of requests that are sent while two databases
 // misbehave for 3 s.
-func loadWithFaultyDatabases(t *testing.T, s *Service, fault Fault) *Requests {
+func loadWithFaultyDatabases(t *testing.T, s *Service, fault Fault) *RequestLoad {
 	t.Helper()
 	requests := withRequestLoad(s, func() {
 		s.DB(0).InjectFault(fault)
 		s.DB(3).InjectFault(fault)
 		time.Sleep(3 * time.Second)
-		s.DB(0).InjectFault(Well)
-		s.DB(3).InjectFault(Well)
+		s.DB(0).InjectFault(NoFault)
+		s.DB(3).InjectFault(NoFault)
 	})
 	if requests.Slowest > 900*time.Millisecond {
 		t.Errorf("the slowest response took %v, want at most 900ms", requests.Slowest)
@@ -108,7 +108,7 @@
 	var refused []int
 	for range 3 {
 		withGatewayCluster(t, func(_ *World, s *Service) {
-			requests := loadWithFaultyDatabases(t, s, Sheds)
+			requests := loadWithFaultyDatabases(t, s, RejectsAsFull)
 			unavailable := requests.Statuses[503]
 			refused = append(refused, unavailable)
 			checkRequestsServed(t, requests, unavailable)
@@ -132,7 +132,7 @@
 			}
 		}
 		for i := range 8 {
-			s.DB(i).InjectFault(Loses)
+			s.DB(i).InjectFault(ClosesAfterRun)
 		}
 		for z := 1; z <= 4; z++ {
 			for n, idempotent := range []bool{false, true, false} {
@@ -161,7 +161,7 @@
 		}
 		for i := range 8 {
 			d := s.DB(i)
-			if d.Count() == 0 {
+			if d.RequestCount() == 0 {
 				continue
 			}
 			if h := d.Last; h.Get("X-Kept") != "yes" || h.Get("X-Dropped") != "" || h.Get("Te") != "" || h.Get("Connection") != "" {
@@ -189,11 +189,11 @@
 func TestFalseHealthCheckResponses(t *testing.T) {
 	withGatewayCluster(t, func(_ *World, s *Service) {
 		for i := range 8 {
-			s.DB(i).Health(false)
+			s.DB(i).SetHealthy(false)
 		}
-		before := s.DB(0).Count()
+		before := s.DB(0).RequestCount()
 		checkRequestsServed(t, withRequestLoad(s, func() {}), 0)
-		if s.DB(0).Count() == before {
+		if s.DB(0).RequestCount() == before {
 			t.Error("a database that serves requests is not used because its health check fails")
 		}
 	})
@@ -208,21 +208,21 @@
 		requests := withRequestLoad(s, func() {
 			for i := range 2 {
 				d := s.DB(i)
-				d.Leave()
+				d.Drain()
 				time.Sleep(1500 * time.Millisecond)
-				afterDrain = d.Count()
+				afterDrain = d.RequestCount()
 				time.Sleep(500 * time.Millisecond)
-				if n := d.Count(); n > afterDrain {
+				if n := d.RequestCount(); n > afterDrain {
 					t.Errorf("%s received %d requests more than 1.5 s after it was drained", d.ID, n-afterDrain)
 				}
-				d.End()
+				d.Shutdown()
 				s.Add(fmt.Sprint("new-", i), fmt.Sprintf("10.1.109.%d", i+1), "z1")
 			}
 			other.Add("feed-y", s.DB(0).IP, "z1")
 			time.Sleep(2 * time.Second)
 		})
 		checkRequestsServed(t, requests, 0)
-		if n := s.DB(8).Count(); n == 0 {
+		if n := s.DB(8).RequestCount(); n == 0 {
 			t.Error("a new database received no requests")
 		}
 	})
@@ -232,7 +232,7 @@
 // their connections.
 func TestGatewayShutdown(t *testing.T) {
 	withGatewayCluster(t, func(w *World, s *Service) {
-		s.DB(0).Work, s.DB(1).Work = 300*time.Millisecond, 300*time.Millisecond
+		s.DB(0).ServiceTime, s.DB(1).ServiceTime = 300*time.Millisecond, 300*time.Millisecond
 		answers := make(chan Answer, 6)
 		for i := range 6 {
 			go func() { answers <- s.Send(1, fmt.Sprint("in-flight-", i), false, "x") }()
@@ -337,7 +337,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a := standin.Raw(conn, []byte(c.raw))
+			a := standin.ExchangeRaw(conn, []byte(c.raw))
 			conn.Close()
 			if !strings.Contains(c.wantStatuses, fmt.Sprint(a.Status)) {
 				t.Errorf("%s: status %d, want %s", c.name, a.Status, c.wantStatuses)
@@ -379,12 +379,12 @@
 		} {
 			id := fmt.Sprint("tenant-", i)
 			path := c.path + id
-			s.Expect(id, c.method+" "+path+" ", true)
+			s.ExpectRequest(id, c.method+" "+path+" ", true)
 			conn, err := w.Net.Host("10.251.0.1").Dial(context.Background(), ip(1)+":8784", 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			a := standin.Raw(conn, fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s.example\r\nX-Indigowalk-Request-Id: %s\r\nX-Api-Key: %s\r\nX-Indigowalk-Tenant: root\r\n\r\n",
+			a := standin.ExchangeRaw(conn, fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s.example\r\nX-Indigowalk-Request-Id: %s\r\nX-Api-Key: %s\r\nX-Indigowalk-Tenant: root\r\n\r\n",
 				c.method, path, s.Name, id, c.key))
 			conn.Close()
 			if a.Status != c.status {
--- a/internal/simulation/group.go
+++ b/internal/simulation/group.go
@@ -51,7 +51,7 @@
 	}
 	var poolers []standin.Pooler
 	for _, z := range zones {
-		poolers = append(poolers, standin.Pooler{Number: z, Address: standin.At(ip(z) + ":8784"), Network: w.clientHost(z)})
+		poolers = append(poolers, standin.Pooler{Number: z, Address: standin.FixedAddress(ip(z) + ":8784"), Network: w.clientHost(z)})
 	}
 	return standin.NewLoad(g.Group, seed, poolers, nil)
 }
--- a/internal/simulation/late_heartbeat_test.go
+++ b/internal/simulation/late_heartbeat_test.go
@@ -13,9 +13,9 @@
 // delay, and stops replication to the remaining replica, so that only the replacement receives
 // what the primary commits. It returns both.
 func replaceWithLateHeartbeats(g *Group, delay time.Duration) (replacement, remaining *Database) {
-	replacement = g.AddLate("ledger-4", "10.4.64.9", "z4", "replica", delay)
+	replacement = g.AddDelayed("ledger-4", "10.4.64.9", "z4", "replica", delay)
 	time.Sleep(300 * time.Millisecond)
-	g.DB(1).Leave(10*time.Second, true)
+	g.DB(1).DrainAndStop(10*time.Second, true)
 	time.Sleep(1200 * time.Millisecond)
 	remaining = g.DB(2)
 	remaining.SetReplicationStopped(true)
@@ -54,7 +54,7 @@
 			if g.Primary() != nil {
 				t.Error("a database that lacks acknowledged commits was promoted")
 			}
-			primary.Return("ledger-1b")
+			primary.Restart("ledger-1b")
 			w.WaitUntil("the returned database is primary again", 3*time.Second, func() bool { return g.Primary() == primary && strings.Contains(w.statusText(), "1 with a lead") })
 		})
 		checkWritesServed(t, load, 11*time.Second)
@@ -87,7 +87,7 @@
 		if leader := recordedLeader(t, w); leader.WaivedPosition == "" {
 			t.Errorf("the accepted loss is not recorded: %+v", leader)
 		}
-		primary.Return("ledger-1b")
+		primary.Restart("ledger-1b")
 		time.Sleep(5 * time.Second) // until the replaced replica has left and its entry has been removed
 		remaining.Crash(false)
 		load = w.StartLoad(g, 8) // so that a pooler detects the crash
--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -31,11 +31,11 @@
 // the first one.
 func recordOperations(g *Group) *operationTimes {
 	o := &operationTimes{byTenant: map[string][]time.Time{}}
-	g.Observe.Ran = func(run standin.Run) {
+	g.Observer.Ran = func(run standin.Run) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if run.Begins {
-			o.byTenant[run.Who] = append(o.byTenant[run.Who], time.Now())
+			o.byTenant[run.Tenant] = append(o.byTenant[run.Tenant], time.Now())
 		}
 	}
 	return o
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -50,7 +50,7 @@
 					w.Process("pooler", 4).Kill()
 				} else {
 					g.awaitNewPrimary(third, 2*time.Second)
-					second.Return(second.ID + "b")
+					second.Restart(second.ID + "b")
 					return
 				}
 				time.Sleep(5 * time.Second)
@@ -60,7 +60,7 @@
 				if text := w.statusText(); !strings.Contains(text, "service ledger waits: a replica that does not answer may hold an acknowledged commit; "+second.ID) {
 					t.Errorf("unexpected status:\n%s", text)
 				}
-				second.Return(second.ID + "b")
+				second.Restart(second.ID + "b")
 				g.awaitNewPrimary(third, 2*time.Second)
 				w.Start("pooler", 4, false)
 			})
@@ -78,10 +78,10 @@
 func replaceThenCrash(g *Group) (second, third *Database) {
 	g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 	time.Sleep(time.Second)
-	g.DB(2).Leave(8*time.Second, true)
+	g.DB(2).DrainAndStop(8*time.Second, true)
 	g.Add("ledger-5", "10.1.64.9", "z1", "replica")
 	time.Sleep(time.Second)
-	g.DB(0).Leave(8*time.Second, true)
+	g.DB(0).DrainAndStop(8*time.Second, true)
 	second = g.awaitNewPrimary(g.DB(0), 2*time.Second)
 	time.Sleep(2 * time.Second)
 	second.Crash(false)
@@ -106,15 +106,15 @@
 		load := withLoad(w, g, func() {
 			g.Add("ledger-4", "10.4.64.9", "z4", "replica")
 			time.Sleep(time.Second)
-			g.DB(1).Leave(4*time.Second, true)
-			g.DB(3).Leave(20*time.Second, true)
+			g.DB(1).DrainAndStop(4*time.Second, true)
+			g.DB(3).DrainAndStop(20*time.Second, true)
 			time.Sleep(time.Second)
 			g.DB(2).Crash(true)
 			time.Sleep(5 * time.Second)
 			primary := g.Primary()
 			primary.Crash(true)
 			time.Sleep(time.Second)
-			g.DB(2).Return("ledger-3b")
+			g.DB(2).Restart("ledger-3b")
 			g.awaitNewPrimary(primary, 3*time.Second)
 		})
 		checkWritesServed(t, load, 5*time.Second)
@@ -129,7 +129,7 @@
 		load := withLoad(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
 			time.Sleep(time.Second)
-			g.DB(1).Leave(12*time.Second, true)
+			g.DB(1).DrainAndStop(12*time.Second, true)
 			time.Sleep(time.Second)
 			before := g.Acked()
 			time.Sleep(time.Second)
@@ -173,8 +173,8 @@
 			time.Sleep(time.Second)
 			g.DB(2).Crash(true)
 			time.Sleep(time.Second)
-			g.DB(1).Leave(20*time.Second, true)
-			g.DB(3).Leave(3*time.Second, true)
+			g.DB(1).DrainAndStop(20*time.Second, true)
+			g.DB(3).DrainAndStop(3*time.Second, true)
 			time.Sleep(3*time.Second + 100*time.Millisecond)
 			primary := g.Primary()
 			primary.Crash(true)
@@ -182,7 +182,7 @@
 				t.Error("the replica that had received every commit was not promoted")
 			}
 			time.Sleep(time.Second)
-			g.DB(2).Return("ledger-3b")
+			g.DB(2).Restart("ledger-3b")
 			g.awaitNewPrimary(g.DB(1), 3*time.Second)
 		})
 		checkWritesServed(t, load, 4*time.Second)
@@ -223,7 +223,7 @@
 			if g.Primary() != nil {
 				t.Error("a database was promoted although the lost pooler may have acknowledged more commits")
 			}
-			g.DB(2).Return("ledger-3b")
+			g.DB(2).Restart("ledger-3b")
 			g.awaitNewPrimary(primary, 2*time.Second)
 			w.Start("pooler", 2, false)
 		}), 9*time.Second)
@@ -255,14 +255,14 @@
 func TestAllReplicasDraining(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		checkWritesServed(t, withLoad(w, g, func() {
-			g.DB(1).Leave(time.Second, true)
+			g.DB(1).DrainAndStop(time.Second, true)
 			time.Sleep(3 * time.Second)
-			g.DB(2).Leave(9*time.Second, true)
+			g.DB(2).DrainAndStop(9*time.Second, true)
 			time.Sleep(time.Second)
 			primary := g.Primary()
 			primary.Crash(true)
 			g.awaitNewPrimary(primary, 3*time.Second)
-			primary.Return("ledger-1b")
+			primary.Restart("ledger-1b")
 		}), 4*time.Second)
 	})
 }
@@ -273,7 +273,7 @@
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
-			g.DB(1).Leave(3*time.Second, false)
+			g.DB(1).DrainAndStop(3*time.Second, false)
 			time.Sleep(3*time.Second - time.Millisecond)
 			primary := g.Primary()
 			primary.Crash(false)
@@ -286,7 +286,7 @@
 			if text := w.statusText(); !strings.Contains(text, "waits: a database that is gone may have held an acknowledged commit; ledger-2, gone") {
 				t.Errorf("unexpected status:\n%s", text)
 			}
-			primary.Return("ledger-1b") // the only one that holds the commits
+			primary.Restart("ledger-1b") // the only one that holds the commits
 			w.WaitUntil("the old primary is primary again", 3*time.Second, func() bool { return g.Primary() == primary })
 			databaseEntry := func(id string) string {
 				raw, err := w.Process("control", controlPrimaryZone(w)).replica().Read("database/" + id)
@@ -312,8 +312,8 @@
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {
 			g.DB(2).SetReplicationStopped(true)
-			g.DB(1).Leave(4*time.Second, true)
-			g.DB(0).Leave(3*time.Second, true)
+			g.DB(1).DrainAndStop(4*time.Second, true)
+			g.DB(0).DrainAndStop(3*time.Second, true)
 			time.Sleep(8 * time.Second)
 			if g.Primary() != nil {
 				t.Error("a database that lacks commits was promoted")
@@ -435,7 +435,7 @@
 				}
 				g.DB(3 - slices.Index(g.Databases(), second)).Crash(true)
 				time.Sleep(5 * time.Second)
-				second.Return(second.ID + "b")
+				second.Restart(second.ID + "b")
 				w.WaitUntil("the promoted replica is primary after its return", 3*time.Second, func() bool { return strings.Contains(w.statusText(), "1 services, 1 with a lead") })
 			})
 			if !otherCrashes {
@@ -452,7 +452,7 @@
 	withCluster(t, func(w *World, g *Group) {
 		withLoad(w, g, func() {
 			replica := g.DB(2)
-			replica.Leave(8*time.Second, true)
+			replica.DrainAndStop(8*time.Second, true)
 			readState := func() (pausedTerm int64, received, limit lineprotocol.Position) {
 				state, err := w.Process("control", controlPrimaryZone(w)).replica().DurableState()
 				if err != nil {
--- a/internal/simulation/service.go
+++ b/internal/simulation/service.go
@@ -13,29 +13,29 @@
 	world *World
 }
 
-// Worker is one database of a Service, Answer the response to a client of a gateway, Requests a
+// Worker is one database of a Service, Answer the response to a client of a gateway, RequestLoad a
 // workload of requests, and Fault a way in which a worker misbehaves.
 type (
-	Worker   = standin.Worker
-	Answer   = standin.Answer
-	Requests = standin.Requests
-	Fault    = standin.Fault
+	Worker      = standin.Worker
+	Answer      = standin.Answer
+	RequestLoad = standin.RequestLoad
+	Fault       = standin.Fault
 )
 
 // Faults that can be injected into workers; package standin describes them.
 const (
-	Well      = standin.Well
-	Mute      = standin.Mute
-	Loses     = standin.Loses
-	Breaks    = standin.Breaks
-	Garbles   = standin.Garbles
-	Surplus   = standin.Surplus
-	Sheds     = standin.Sheds
-	Resets    = standin.Resets
-	Errors    = standin.Errors
-	Forgetful = standin.Forgetful
-	Long      = standin.Long
-	Stalls    = standin.Stalls
+	NoFault           = standin.NoFault
+	Mute              = standin.Mute
+	ClosesAfterRun    = standin.ClosesAfterRun
+	TruncatesResponse = standin.TruncatesResponse
+	SendsGarbage      = standin.SendsGarbage
+	Surplus           = standin.Surplus
+	RejectsAsFull     = standin.RejectsAsFull
+	Resets            = standin.Resets
+	Errors            = standin.Errors
+	Forgetful         = standin.Forgetful
+	Long              = standin.Long
+	Stalls            = standin.Stalls
 )
 
 // requestHost is the IP address of the gateways' clients.
@@ -55,14 +55,14 @@
 
 // Send sends one request to a zone's gateway. A safe request may run more than once.
 func (s *Service) Send(zone int, id string, safe bool, body string) Answer {
-	return s.Service.Ask(s.world.Net.Host(requestHost), ip(zone)+":8784", id, safe, body)
+	return s.Service.SendRequest(s.world.Net.Host(requestHost), ip(zone)+":8784", id, safe, body)
 }
 
 // StartRequests starts clients that send safe and unsafe requests to the gateways of all zones.
-func (s *Service) StartRequests(clients int, pause time.Duration) *Requests {
-	var entries []standin.Entry
+func (s *Service) StartRequests(clients int, pause time.Duration) *RequestLoad {
+	var entries []standin.Gateway
 	for z := 1; z <= s.world.Zones; z++ {
-		entries = append(entries, standin.Entry{Number: z, Address: standin.At(ip(z) + ":8784"), Network: s.world.Net.Host(requestHost)})
+		entries = append(entries, standin.Gateway{Number: z, Address: standin.FixedAddress(ip(z) + ":8784"), Network: s.world.Net.Host(requestHost)})
 	}
-	return s.Service.Load(entries, clients, pause, nil)
+	return s.Service.StartLoad(entries, clients, pause, nil)
 }
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -22,14 +22,14 @@
 func TestSlowReplicaIsNotDown(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		load := withLoad(w, g, func() {
-			g.DB(1).Slow(1500 * time.Millisecond)
+			g.DB(1).SetExtraLatency(1500 * time.Millisecond)
 			time.Sleep(6 * time.Second)
 			for z := 1; z <= 4; z++ {
 				if monitor := kernel.Need[*health.Monitor](w.Process("pooler", z).Kernel); !monitor.Up(g.DB(1).ID) {
 					t.Errorf("pooler %d considers the slow replica down", z)
 				}
 			}
-			g.DB(1).Slow(0)
+			g.DB(1).SetExtraLatency(0)
 		})
 		checkWritesServed(t, load, 2*time.Second)
 	})
@@ -44,12 +44,12 @@
 		for range 20 {
 			session.Query("FETCH k")
 		}
-		g.Primary().Lose(1)
+		g.Primary().DropAnswers(1)
 		start := time.Now()
 		if answer, _ := session.Query("FETCH k"); answer.Code != "" || time.Since(start) > 300*time.Millisecond {
 			t.Errorf("read whose answer was lost: %q after %v", answer.Code, time.Since(start))
 		}
-		g.Primary().Lose(1)
+		g.Primary().DropAnswers(1)
 		if answer, _ := session.Query("PUT k 1"); answer.Code != lineprotocol.Unknown {
 			t.Errorf("write whose answer was lost: %q", answer.Code)
 		}
--- a/internal/simulation/shutdown_test.go
+++ b/internal/simulation/shutdown_test.go
@@ -55,16 +55,16 @@
 					}
 				}
 				if c.silent {
-					g.Primary().Behave(standin.Silent, 1)
+					g.Primary().InjectMisbehavior(standin.Silent, 1)
 				} else {
-					g.Primary().Slow(time.Minute)
+					g.Primary().SetExtraLatency(time.Minute)
 				}
 				if c.poolExhausted {
 					occupyConnections(w, 60)
 				}
 				start := time.Now()
 				time.AfterFunc(10*time.Millisecond, w.Process("pooler", 1).Terminate)
-				a := s.Raw(fmt.Appendf(nil, "QUERY q1 %s\r\n", c.statement), 20*time.Second)
+				a := s.ExchangeRaw(fmt.Appendf(nil, "QUERY q1 %s\r\n", c.statement), 20*time.Second)
 				if took := time.Since(start); a.Code != c.want || took > shutdownGrace-200*time.Millisecond {
 					t.Errorf("answered %q %q after %v, want %s", a.Code, a.Text, took, c.want)
 				}
@@ -80,7 +80,7 @@
 func TestPoolerShutdownAnswersNewSessions(t *testing.T) {
 	withCluster(t, func(w *World, g *Group) {
 		pooler := w.Process("pooler", 1)
-		g.Primary().Slow(50 * time.Millisecond)
+		g.Primary().SetExtraLatency(50 * time.Millisecond)
 		stop := make(chan struct{})
 		var clients sync.WaitGroup
 		for range 10 {
@@ -134,7 +134,7 @@
 		}
 		go func() {
 			defer s.Close()
-			s.Raw(fmt.Appendf(nil, "QUERY busy%d PUT x%d 1\r\n", i, i), 90*time.Second)
+			s.ExchangeRaw(fmt.Appendf(nil, "QUERY busy%d PUT x%d 1\r\n", i, i), 90*time.Second)
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -161,9 +161,9 @@
 		request := func(method, path string) Answer {
 			c := dial()
 			defer c.Close()
-			s.Expect("r"+path, method+" "+path+" ", true)
+			s.ExpectRequest("r"+path, method+" "+path+" ", true)
 			start := time.Now()
-			a := standin.Raw(c, fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s.example\r\nX-Indigowalk-Request-Id: r%s\r\n\r\n", method, path, s.Name, path))
+			a := standin.ExchangeRaw(c, fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s.example\r\nX-Indigowalk-Request-Id: r%s\r\n\r\n", method, path, s.Name, path))
 			a.Took = time.Since(start)
 			return a
 		}
--- a/internal/simulation/standin_test.go
+++ b/internal/simulation/standin_test.go
@@ -60,7 +60,7 @@
 			}
 			primary.Control("STEPDOWN", "9")
 			a := <-first
-			if a != nil && standin.Promises(a.Code) && slices.Contains(g.DB(1).Holds(), "a.1") {
+			if a != nil && standin.PromisesNotCommitted(a.Code) && slices.Contains(g.DB(1).LoggedStatements(), "a.1") {
 				t.Errorf("second write delayed by %d ms: the first write was answered with %s although a replica has it", delayMs, a.Code)
 			}
 		})
@@ -77,10 +77,10 @@
 		oldPrimary := g.Primary()
 		oldPrimary.SetReplicationStopped(true)
 		oldPrimary.Crash(false)
-		g.PromoteTo(g.DB(1).ID)
+		g.StartPromotion(g.DB(1).ID)
 		time.Sleep(time.Second)
 		oldPrimary.SetReplicationStopped(false)
-		oldPrimary.Return("ledger-1b")
+		oldPrimary.Restart("ledger-1b")
 		if promoted := g.DB(1); oldPrimary.Role() != "replica" || g.Primary() != promoted {
 			t.Errorf("the old primary restarted as %s, and the primary is %v", oldPrimary.Role(), g.Primary().ID)
 		}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -105,12 +105,12 @@
 	if g == nil {
 		return http.StatusBadRequest
 	}
-	return g.PromoteTo(id)
+	return g.StartPromotion(id)
 }
 
 // RefusePlatformCalls makes the platform respond to the next calls with these statuses instead of
 // carrying them out; 0 leaves a call without a response.
-func (w *World) RefusePlatformCalls(codes ...int) { w.platform.Refuse(codes...) }
+func (w *World) RefusePlatformCalls(codes ...int) { w.platform.ForceResponses(codes...) }
 
 // PlatformCalls returns how many calls the platform has received.
 func (w *World) PlatformCalls() int { return w.platform.Calls() }
@@ -260,7 +260,7 @@
 func (w *World) Close() {
 	w.Net.Heal()
 	for _, g := range w.Groups {
-		g.End()
+		g.Stop()
 	}
 	for _, s := range w.Services {
 		for _, d := range s.Workers() {
@@ -273,16 +273,16 @@
 	w.Net.CloseSockets(platformIP)
 	time.Sleep(2 * time.Minute)
 	for _, g := range w.Groups {
-		for _, violation := range g.Broken() {
+		for _, violation := range g.Violations() {
 			w.T.Errorf("%s: %s", g.Service, violation)
 		}
 	}
 	for _, s := range w.Services {
-		for _, violation := range s.Broken() {
+		for _, violation := range s.Violations() {
 			w.T.Errorf("%s: %s", s.Name, violation)
 		}
 	}
-	for _, violation := range w.platform.Broken() {
+	for _, violation := range w.platform.Violations() {
 		w.T.Errorf("platform: %s", violation)
 	}
 }
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -92,7 +92,7 @@
 
 // Restart restarts a crashed database with its log and under a new id. A primary that another one has
 // superseded becomes a replica.
-func (d *Database) Return(id string) {
+func (d *Database) Restart(id string) {
 	d.g.mu.Lock()
 	d.ID, d.heartbeatSeq, d.pausedTerm, d.heartbeatAddr = id, 0, 0, ""
 	d.drainAckedAt, d.misbehavior = time.Time{}, NoMisbehavior
@@ -127,7 +127,7 @@
 
 // DrainAndStop drains the database and keeps it serving for the given time. It then deregisters the
 // database if deregister is set, and stops it; its log is lost.
-func (d *Database) Leave(after time.Duration, deregister bool) {
+func (d *Database) DrainAndStop(after time.Duration, deregister bool) {
 	d.Drain()
 	time.AfterFunc(after, func() {
 		if deregister {
@@ -249,7 +249,7 @@
 }
 
 // LoggedStatements returns the sorted ids of the statements in the log.
-func (d *Database) Holds() []string {
+func (d *Database) LoggedStatements() []string {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.statementIDs()))
@@ -286,8 +286,8 @@
 	if owner, known := d.g.owners[session]; known && owner != "" && owner != user {
 		d.g.recordViolation("UNASKED: %s of %s runs at %s for %q", id, owner, d.ID, user)
 	}
-	if d.g.Observe.Ran != nil {
-		d.g.Observe.Ran(Run{Service: d.g.Service, Database: d.ID, ID: id, Who: user, Begins: begins})
+	if d.g.Observer.Ran != nil {
+		d.g.Observer.Ran(Run{Service: d.g.Service, Database: d.ID, ID: id, Tenant: user, Begins: begins})
 	}
 	if after := time.Since(d.drainAckedAt); begins && !d.drainAckedAt.IsZero() && after > maxDrainTime {
 		d.g.recordViolation("DRAIN: %s begins at %s %v after its leaving was acknowledged", id, d.ID, after)
@@ -295,14 +295,14 @@
 }
 
 // SetExtraLatency sets a latency that is added to every login and statement.
-func (d *Database) Slow(latency time.Duration) {
+func (d *Database) SetExtraLatency(latency time.Duration) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	d.extraLatency = latency
 }
 
 // DropAnswers drops the next n answers to FETCH and PUT statements; the connections stay open.
-func (d *Database) Lose(n int) {
+func (d *Database) DropAnswers(n int) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	d.answersToDrop = n
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -14,9 +14,9 @@
 
 // Group is the set of replicated databases of a service. It checks the invariants between them.
 type Group struct {
-	Service string
-	Promote time.Duration // how long a promotion takes
-	Observe Observer
+	Service  string
+	Promote  time.Duration // how long a promotion takes
+	Observer Observer
 
 	env        Environment
 	mu         sync.Mutex
@@ -39,7 +39,7 @@
 type Run struct {
 	Service, Database string
 	ID                string // of the statement or request
-	Who               string // the tenant named in the login of its connection
+	Tenant            string // the tenant named in the login of its connection
 	Begins            bool   // it is not a later statement of an open transaction
 }
 
@@ -124,7 +124,7 @@
 }
 
 // Violations returns the violations recorded so far.
-func (g *Group) Broken() []string {
+func (g *Group) Violations() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.violations)
@@ -160,7 +160,7 @@
 }
 
 // Stop stops every database.
-func (g *Group) End() {
+func (g *Group) Stop() {
 	for _, d := range g.Databases() {
 		d.Crash(false)
 	}
@@ -179,10 +179,10 @@
 }
 
 // Add starts a database and adds it to the group.
-func (g *Group) Add(id, ip, zone, role string) *Database { return g.AddLate(id, ip, zone, role, 0) }
+func (g *Group) Add(id, ip, zone, role string) *Database { return g.AddDelayed(id, ip, zone, role, 0) }
 
 // AddDelayed is like Add, for a database whose heartbeats take the given time to arrive.
-func (g *Group) AddLate(id, ip, zone, role string, heartbeatDelay time.Duration) *Database {
+func (g *Group) AddDelayed(id, ip, zone, role string, heartbeatDelay time.Duration) *Database {
 	d := &Database{
 		g: g, ID: id, IP: ip, Addr: net.JoinHostPort(ip, databasePort), zone: zone,
 		role: role, term: 1, applied: map[string]bool{}, heartbeatDelay: heartbeatDelay,
@@ -244,7 +244,7 @@
 // StartPromotion starts to promote a database to primary of the next term, as the platform does, and
 // returns the HTTP status of the platform's response. A promoted database whose log lacks an
 // acknowledged commit violates LOST.
-func (g *Group) PromoteTo(id string) int {
+func (g *Group) StartPromotion(id string) int {
 	g.mu.Lock()
 	var d *Database
 	for _, other := range g.dbs {
@@ -274,8 +274,8 @@
 			}
 		}
 		g.term++
-		if g.Observe.Promoted != nil {
-			g.Observe.Promoted(Promotion{g.Service, d.ID, g.term, slices.Sorted(maps.Keys(logged))})
+		if g.Observer.Promoted != nil {
+			g.Observer.Promoted(Promotion{g.Service, d.ID, g.term, slices.Sorted(maps.Keys(logged))})
 		}
 		d.role, d.term, d.pausedTerm = primary, g.term, 0
 		for _, other := range g.dbs {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -35,7 +35,7 @@
 }
 
 // FixedAddress returns an Address function for a pooler or gateway whose address never changes.
-func At(address string) func() string { return func() string { return address } }
+func FixedAddress(address string) func() string { return func() string { return address } }
 
 // Statement is a client's statement and its result.
 type Statement struct {
@@ -57,13 +57,13 @@
 	poolers []Pooler
 	observe func(Statement)
 
-	mu       sync.Mutex
-	acks     map[string][]ack   // acknowledged writes by key
-	refusals map[string]refusal // by id of the statements, which must not be committed
-	Served   int                // writes that were acknowledged
-	Refused  int                // writes whose error code promises that they are not committed
-	Unsure   int                // writes of unknown outcome
-	Slowest  time.Duration      // the longest time between two consecutive served writes
+	mu              sync.Mutex
+	acks            map[string][]ack   // acknowledged writes by key
+	refusals        map[string]refusal // by id of the statements, which must not be committed
+	Served          int                // writes that were acknowledged
+	Refused         int                // writes whose error code promises that they are not committed
+	UnknownOutcome  int                // writes of unknown outcome
+	LongestWriteGap time.Duration      // the longest time between two consecutive served writes
 
 	lastServed time.Time
 	stop       chan struct{}
@@ -136,7 +136,7 @@
 }
 
 // PromisesNotCommitted reports whether an error code guarantees that the statement is not committed.
-func Promises(code string) bool {
+func PromisesNotCommitted(code string) bool {
 	switch code {
 	case lineprotocol.Retry, lineprotocol.RolledBack, lineprotocol.Lagging, lineprotocol.ReadOnly, lineprotocol.WrongNode, lineprotocol.MaxConn:
 		return true
@@ -218,15 +218,15 @@
 	switch {
 	case a.Code == "":
 		l.acks[key] = append(l.acks[key], ack{n, now})
-		l.Slowest = max(l.Slowest, now.Sub(l.lastServed))
+		l.LongestWriteGap = max(l.LongestWriteGap, now.Sub(l.lastServed))
 		l.lastServed = now
 		l.Served++
 		l.g.Ack(id)
-	case Promises(a.Code):
+	case PromisesNotCommitted(a.Code):
 		l.Refused++
 		l.refusals[id] = refusal{s.Address, a.Code, now}
 	default:
-		l.Unsure++
+		l.UnknownOutcome++
 	}
 }
 
--- a/internal/standin/manners.go
+++ b/internal/standin/manners.go
@@ -36,7 +36,7 @@
 
 // InjectMisbehavior makes the database misbehave for a share (0 to 1) of the statements from now on.
 // NoMisbehavior ends it.
-func (d *Database) Behave(kind Misbehavior, share float64) {
+func (d *Database) InjectMisbehavior(kind Misbehavior, share float64) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	d.misbehavior, d.misbehaviorShare = kind, share
@@ -101,7 +101,7 @@
 		return
 	}
 	d.drainAckedAt = time.Now()
-	if d.g.Observe.DrainAcked != nil {
-		d.g.Observe.DrainAcked(d.g.Service, d.ID)
+	if d.g.Observer.DrainAcked != nil {
+		d.g.Observer.DrainAcked(d.g.Service, d.ID)
 	}
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -25,7 +25,7 @@
 
 // ForceResponses makes the platform respond to the next calls with these statuses instead of carrying
 // the calls out; 0 leaves a call without a response.
-func (p *Platform) Refuse(codes ...int) {
+func (p *Platform) ForceResponses(codes ...int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forcedStatuses = codes
@@ -39,7 +39,7 @@
 }
 
 // Violations returns the violations recorded so far.
-func (p *Platform) Broken() []string {
+func (p *Platform) Violations() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.violations)
--- a/internal/standin/requests.go
+++ b/internal/standin/requests.go
@@ -28,12 +28,12 @@
 
 // SendRequest sends one request to a gateway and checks a successful response. Only a safe request may
 // run more than once.
-func (s *Service) Ask(network kernel.Network, addr, id string, safe bool, body string) Answer {
+func (s *Service) SendRequest(network kernel.Network, addr, id string, safe bool, body string) Answer {
 	path, method := "/safe/"+id+"?x=%2F%41", "GET"
 	if !safe {
 		path, method = "/unsafe/"+id, "POST"
 	}
-	s.Expect(id, method+" "+path+" "+body, safe)
+	s.ExpectRequest(id, method+" "+path+" "+body, safe)
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), requestDialTimeout)
 	defer cancel()
@@ -49,7 +49,7 @@
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
 	}
 	b.WriteString("\r\n" + body)
-	a := Raw(c, b.Bytes())
+	a := ExchangeRaw(c, b.Bytes())
 	a.Took = time.Since(start)
 	a.Unsent = a.Status == 0 && !s.env.ReachedPeer(c)
 	if a.Status == http.StatusOK {
@@ -79,7 +79,7 @@
 
 // ExchangeRaw sends bytes as they are and reads one HTTP response. The status is 0 without a complete
 // response.
-func Raw(c net.Conn, b []byte) (a Answer) {
+func ExchangeRaw(c net.Conn, b []byte) (a Answer) {
 	if c.SetReadDeadline(time.Now().Add(requestTimeout)) != nil {
 		return a
 	}
@@ -108,7 +108,7 @@
 }
 
 // Gateway is a gateway as seen by its clients.
-type Entry struct {
+type Gateway struct {
 	Number  int           // distinguishes the ids of the requests sent to it
 	Address func() string // the current address
 	Network kernel.Network
@@ -124,7 +124,7 @@
 }
 
 // RequestLoad is a workload of clients that send requests to gateways.
-type Requests struct {
+type RequestLoad struct {
 	s       *Service
 	observe func(Request)
 	stop    chan struct{}
@@ -144,8 +144,8 @@
 
 // StartLoad starts the given number of clients at each gateway, which send safe and unsafe requests. If
 // observe is not nil, it is called with each request that reached a gateway.
-func (s *Service) Load(gateways []Entry, clients int, pause time.Duration, observe func(Request)) *Requests {
-	l := &Requests{s: s, observe: observe, stop: make(chan struct{}), Statuses: map[int]int{}}
+func (s *Service) StartLoad(gateways []Gateway, clients int, pause time.Duration, observe func(Request)) *RequestLoad {
+	l := &RequestLoad{s: s, observe: observe, stop: make(chan struct{}), Statuses: map[int]int{}}
 	for _, g := range gateways {
 		for i := range clients {
 			l.wg.Go(func() { l.client(g, i, pause) })
@@ -156,7 +156,7 @@
 
 // client sends requests to one gateway until the load is stopped. It checks that requests refused with
 // status 503 have not run.
-func (l *Requests) client(g Entry, number int, pause time.Duration) {
+func (l *RequestLoad) client(g Gateway, number int, pause time.Duration) {
 	for n := 0; ; n++ {
 		select {
 		case <-l.stop:
@@ -171,7 +171,7 @@
 			safe, body = false, strings.Repeat(body+" ", longRequestBytes/(len(body)+1))
 		}
 		addr, sent := g.Address(), time.Now()
-		a := l.s.Ask(g.Network, addr, id, safe, body)
+		a := l.s.SendRequest(g.Network, addr, id, safe, body)
 		if a.Status == http.StatusServiceUnavailable {
 			l.s.Refused(id)
 		}
@@ -188,7 +188,7 @@
 }
 
 // Stop ends the load.
-func (l *Requests) Stop() {
+func (l *RequestLoad) Stop() {
 	close(l.stop)
 	l.wg.Wait()
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -36,38 +36,38 @@
 
 // Faults of workers.
 const (
-	Well      Fault = iota
-	Mute            // runs the request and sends no response
-	Loses           // runs the request and closes the connection without a response
-	Breaks          // runs the request, sends a part of the response and closes the connection
-	Garbles         // runs the request and sends bytes that are no HTTP response
-	Surplus         // runs the request, responds, and shortly afterwards responds again
-	Sheds           // doesn't run the request and responds that it is full, with status 503
-	Resets          // doesn't run the request and closes the connection
-	Errors          // runs the request and responds with status 500
-	Forgetful       // closes a connection that was idle when the next request arrives, without running it
-	Early           // rejects a long request before reading its body, then reads the body
-	Dribbles        // runs the request and sends the response in small pieces
-	Mislabels       // runs the request and responds with another request's id
-	Trails          // runs the request and sends stray bytes after the response
-	Long            // runs the request and sends a long response, which is allowed
-	Stalls          // runs the request, sends half of a long response and stalls
+	NoFault           Fault = iota
+	Mute                    // runs the request and sends no response
+	ClosesAfterRun          // runs the request and closes the connection without a response
+	TruncatesResponse       // runs the request, sends a part of the response and closes the connection
+	SendsGarbage            // runs the request and sends bytes that are no HTTP response
+	Surplus                 // runs the request, responds, and shortly afterwards responds again
+	RejectsAsFull           // doesn't run the request and responds that it is full, with status 503
+	Resets                  // doesn't run the request and closes the connection
+	Errors                  // runs the request and responds with status 500
+	Forgetful               // closes a connection that was idle when the next request arrives, without running it
+	Early                   // rejects a long request before reading its body, then reads the body
+	Dribbles                // runs the request and sends the response in small pieces
+	Mislabels               // runs the request and responds with another request's id
+	Trails                  // runs the request and sends stray bytes after the response
+	Long                    // runs the request and sends a long response, which is allowed
+	Stalls                  // runs the request, sends half of a long response and stalls
 )
 
 // longAnswerBytes is the size of the response bodies of Long and Stalls.
 const longAnswerBytes = 1 << 20
 
 // AllFaults lists the faults that may be injected under any workload; Long and Stalls are not among them.
-var AllFaults = []Fault{Mute, Loses, Breaks, Garbles, Surplus, Sheds, Resets, Errors, Forgetful, Early, Dribbles, Mislabels, Trails}
+var AllFaults = []Fault{Mute, ClosesAfterRun, TruncatesResponse, SendsGarbage, Surplus, RejectsAsFull, Resets, Errors, Forgetful, Early, Dribbles, Mislabels, Trails}
 
 // Worker is one server of a Service. Like a database, it announces itself to the control nodes by
 // heartbeats.
 type Worker struct {
-	s        *Service
-	ID       string
-	IP, Zone string
-	Slots    int           // requests that it runs at the same time
-	Work     time.Duration // how long a request runs
+	s           *Service
+	ID          string
+	IP, Zone    string
+	Slots       int           // requests that it runs at the same time
+	ServiceTime time.Duration // how long a request runs
 
 	mu       sync.Mutex
 	reserved bool // for a fault; see Reserve
@@ -91,7 +91,7 @@
 
 // Add starts a worker and adds it to the service.
 func (s *Service) Add(id, ip, zone string) *Worker {
-	w := &Worker{s: s, ID: id, IP: ip, Zone: zone, Slots: 2, Work: 20 * time.Millisecond, healthy: true}
+	w := &Worker{s: s, ID: id, IP: ip, Zone: zone, Slots: 2, ServiceTime: 20 * time.Millisecond, healthy: true}
 	s.mu.Lock()
 	s.workers = append(s.workers, w)
 	s.mu.Unlock()
@@ -112,7 +112,7 @@
 func (s *Service) DB(i int) *Worker { return s.Workers()[i] }
 
 // Violations returns the violations recorded so far.
-func (s *Service) Broken() []string {
+func (s *Service) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.violations)
@@ -127,7 +127,7 @@
 
 // ExpectRequest records the id and the content (method, path and body) of a request that a client is about
 // to send. A request that is not safe may run only once.
-func (s *Service) Expect(id, content string, safe bool) {
+func (s *Service) ExpectRequest(id, content string, safe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expected[id], s.unsafe[id] = content, !safe
@@ -141,7 +141,7 @@
 }
 
 // SetHealthy sets whether the worker responds to health checks as healthy. A draining worker never does.
-func (w *Worker) Health(healthy bool) {
+func (w *Worker) SetHealthy(healthy bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.healthy = healthy
@@ -155,7 +155,7 @@
 }
 
 // RequestCount returns how many requests have run or are running.
-func (w *Worker) Count() int {
+func (w *Worker) RequestCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.Arrived
@@ -175,7 +175,7 @@
 
 // Drain reports the worker as draining and returns true once a control node has acknowledged that, or
 // false if none has within drainAckTimeout.
-func (w *Worker) Leave() bool {
+func (w *Worker) Drain() bool {
 	w.mu.Lock()
 	w.draining = true
 	w.mu.Unlock()
@@ -215,7 +215,7 @@
 }
 
 // Shutdown deregisters the worker and stops it.
-func (w *Worker) End() {
+func (w *Worker) Shutdown() {
 	w.call("/Servers.Deregister/"+w.ID, nil)
 	w.Crash(false)
 }
@@ -329,7 +329,7 @@
 		return writeHTTPResponse(c, status, map[string]string{"X-Indigowalk-Instance-Id": w.ID}, "")
 	case q.Header.Get("X-Indigowalk-Target-Instance") != w.ID:
 		return writeHTTPResponse(c, 421, map[string]string{"X-Indigowalk-Not-Run": "1"}, "")
-	case fault == Sheds || full:
+	case fault == RejectsAsFull || full:
 		return writeHTTPResponse(c, 503, map[string]string{"X-Indigowalk-Not-Run": "1", "X-Indigowalk-Request-Id": id}, "")
 	case fault == Resets:
 		return false
@@ -346,12 +346,12 @@
 	case Mute:
 		<-w.ctx.Done()
 		return false
-	case Loses:
+	case ClosesAfterRun:
 		return false
-	case Breaks:
+	case TruncatesResponse:
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Indigowalk-Request-Id: %s\r\nX-Indigowalk-Seal: s\r\nContent-Length: 900\r\n\r\nhalf", id)
 		return false
-	case Garbles:
+	case SendsGarbage:
 		io.WriteString(c, "\x00\x01 no answer at all\r\n\r\n")
 		return false
 	case Errors:
@@ -430,7 +430,7 @@
 	queued := w.running / w.Slots
 	w.running++
 	w.mu.Unlock()
-	time.Sleep(time.Duration(queued+1) * w.Work)
+	time.Sleep(time.Duration(queued+1) * w.ServiceTime)
 	w.mu.Lock()
 	w.running--
 	w.mu.Unlock()
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -85,7 +85,7 @@
 func (s *Session) Close() { s.c.Close() }
 
 // ExchangeRaw sends bytes as they are and reads one answer.
-func (s *Session) Raw(b []byte, timeout time.Duration) *lineprotocol.Answer {
+func (s *Session) ExchangeRaw(b []byte, timeout time.Duration) *lineprotocol.Answer {
 	if err := s.c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return &lineprotocol.Answer{Code: Cut, Text: err.Error()}
 	}
@@ -109,7 +109,7 @@
 func (s *Session) Query(text string) (a *lineprotocol.Answer, id string) {
 	s.queryCount++
 	id = s.Name + "." + strconv.Itoa(s.queryCount)
-	return s.Raw(lineprotocol.AppendMessage(nil, "QUERY", id, text), queryTimeout), id
+	return s.ExchangeRaw(lineprotocol.AppendMessage(nil, "QUERY", id, text), queryTimeout), id
 }
 
 // Row returns the first field of the first row.
--- a/internal/testbed/database_faults.go
+++ b/internal/testbed/database_faults.go
@@ -56,7 +56,7 @@
 	case Crash:
 		d.Crash(r.IntN(3) == 0)
 		sleep(ctx, randomDuration(r, maxCrashTime))
-		d.Return(id)
+		d.Restart(id)
 	case ReplaceDatabase:
 		f.replaceDatabase(ctx, g, serviceIndex, d, id, r)
 	case Reset:
@@ -72,9 +72,9 @@
 		d.SetReplicationStopped(false)
 	case ProtocolViolation:
 		choices := standin.AllMisbehaviors
-		d.Behave(choices[r.IntN(len(choices))], r.Float64()/2)
+		d.InjectMisbehavior(choices[r.IntN(len(choices))], r.Float64()/2)
 		sleep(ctx, randomDuration(r, maxProtocolViolation))
-		d.Behave(standin.NoMisbehavior, 0)
+		d.InjectMisbehavior(standin.NoMisbehavior, 0)
 	}
 	return nil
 }
@@ -91,7 +91,7 @@
 	defer func() { f.traffic.EndFault(faultNumber) }()
 	primary.Crash(false)
 	sleep(ctx, randomDuration(r, maxCrashTime))
-	primary.Return(id)
+	primary.Restart(id)
 }
 
 // replaceDatabase adds a database and then drains and removes the given one. Some databases deregister
@@ -103,13 +103,13 @@
 		heartbeatDelay = randomDuration(r, maxHeartbeatDelay)
 	}
 	f.addMu.Lock()
-	g.AddLate(id, address(databaseGroup+serviceIndex, len(g.Databases())), zone, "replica", heartbeatDelay)
+	g.AddDelayed(id, address(databaseGroup+serviceIndex, len(g.Databases())), zone, "replica", heartbeatDelay)
 	f.addMu.Unlock()
 	sleep(ctx, time.Second)
 	if r.IntN(3) == 0 {
 		d.DeregisterAndStop(drainDuration)
 	} else {
-		d.Leave(drainDuration, true)
+		d.DrainAndStop(drainDuration, true)
 	}
 	sleep(ctx, drainDuration+time.Second)
 }
--- a/internal/testbed/gateways.go
+++ b/internal/testbed/gateways.go
@@ -50,16 +50,16 @@
 // startRequests starts the clients of every service at every gateway.
 func (t *testRun) startRequests() {
 	for _, s := range t.services {
-		var gateways []standin.Entry
+		var gateways []standin.Gateway
 		for i, m := range t.cluster.currentMachines() {
 			if m.proxy {
-				gateways = append(gateways, standin.Entry{
+				gateways = append(gateways, standin.Gateway{
 					Number: i + 1, Address: func() string { return t.cluster.currentMachines()[i].clientAddr() },
 					Network: t.cluster.loopback.Network(address(clientGroup, 1+i)),
 				})
 			}
 		}
-		t.requests = append(t.requests, s.Load(gateways, clientsPerGateway, requestPause, func(r standin.Request) { t.recordRequest(s.Name, r) }))
+		t.requests = append(t.requests, s.StartLoad(gateways, clientsPerGateway, requestPause, func(r standin.Request) { t.recordRequest(s.Name, r) }))
 	}
 }
 
@@ -89,8 +89,8 @@
 	}
 	defer c.Close()
 	id := fmt.Sprintf("probe-%s-%d", addr, number)
-	t.services[0].Expect(id, "GET "+probeRequestPath+" ", true)
-	a := standin.Raw(c, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Indigowalk-Request-Id: %s\r\n\r\n", probeRequestPath, route, id))
+	t.services[0].ExpectRequest(id, "GET "+probeRequestPath+" ", true)
+	a := standin.ExchangeRaw(c, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Indigowalk-Request-Id: %s\r\n\r\n", probeRequestPath, route, id))
 	return a.Status == http.StatusOK, a.Status == http.StatusOK || a.Status == http.StatusNotFound
 }
 
@@ -121,10 +121,10 @@
 		if r.IntN(3) == 0 {
 			w.Deregister()
 		} else {
-			w.Leave()
+			w.Drain()
 		}
 		sleep(ctx, workerDrainTime)
-		w.End()
+		w.Shutdown()
 	case Reset:
 		f.cluster.loopback.ResetConns(w.IP)
 	case Hang:
@@ -132,7 +132,7 @@
 	case ProtocolViolation:
 		w.InjectFault(standin.AllFaults[r.IntN(len(standin.AllFaults))])
 		sleep(ctx, randomDuration(r, maxProtocolViolation))
-		w.InjectFault(standin.Well)
+		w.InjectFault(standin.NoFault)
 	}
 	return nil
 }
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -80,16 +80,16 @@
 	now := t.traffic.Now()
 	r.Breaches = append(append(r.Breaches, leaks...), t.cluster.logBreaches(now)...)
 	for _, g := range t.groups {
-		for _, text := range g.Broken() {
+		for _, text := range g.Violations() {
 			r.Breaches = append(r.Breaches, history.Breach{Rule: "DATABASES", At: now, Text: text})
 		}
 	}
 	for _, s := range t.services {
-		for _, text := range s.Broken() {
+		for _, text := range s.Violations() {
 			r.Breaches = append(r.Breaches, history.Breach{Rule: "DATABASES", At: now, Text: text})
 		}
 	}
-	for _, text := range t.cluster.platform.Broken() {
+	for _, text := range t.cluster.platform.Violations() {
 		r.Breaches = append(r.Breaches, history.Breach{Rule: history.RuleSinglePrimary, At: now, Text: text})
 	}
 	slices.SortStableFunc(r.Breaches, func(a, b history.Breach) int { return int(a.At - b.At) })
@@ -107,7 +107,7 @@
 			recorder.add(s.Done - s.Sent)
 		case s.Code == history.Unanswered:
 			r.Unanswered++
-		case standin.Promises(s.Code):
+		case standin.PromisesNotCommitted(s.Code):
 			r.Refused++
 		default:
 			r.Unclear++
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -53,7 +53,7 @@
 	groups    []*standin.Group
 	loads     []*standin.Load
 	services  []*standin.Service
-	requests  []*standin.Requests
+	requests  []*standin.RequestLoad
 
 	mu  sync.Mutex
 	err error // the first error that makes the run invalid
@@ -79,7 +79,7 @@
 	}
 	leaks := t.cluster.checkLeaks(ctx, t.traffic.Now())
 	for _, g := range t.groups {
-		g.End()
+		g.Stop()
 	}
 	for _, s := range t.services {
 		for _, d := range s.Workers() {
@@ -125,7 +125,7 @@
 // newGroup creates a database service whose databases record their events in the history.
 func (t *testRun) newGroup(service string) *standin.Group {
 	g := standin.NewGroup(t.cluster.loopback, service)
-	g.Observe = standin.Observer{
+	g.Observer = standin.Observer{
 		Ran: func(r standin.Run) {
 			t.traffic.AddRun(history.Run{Service: r.Service, Database: r.Database, ID: r.ID, Begins: r.Begins, At: t.traffic.Now()})
 		},
@@ -160,7 +160,7 @@
 	}
 	for _, g := range t.groups {
 		if g.Service == service {
-			return g.PromoteTo(id)
+			return g.StartPromotion(id)
 		}
 	}
 	return http.StatusBadRequest
@@ -372,7 +372,7 @@
 	}
 	for _, g := range t.groups {
 		if primary := g.Primary(); primary != nil {
-			t.traffic.AddPromotion(history.Promotion{Service: g.Service, Database: primary.ID, WriteIDs: primary.Holds(), At: t.traffic.Now()})
+			t.traffic.AddPromotion(history.Promotion{Service: g.Service, Database: primary.ID, WriteIDs: primary.LoggedStatements(), At: t.traffic.Now()})
 		}
 	}
 	return nil
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -104,7 +104,7 @@
 				d.TruncateLog(50)
 			}
 		}
-		return groups[0].PromoteTo(id)
+		return groups[0].StartPromotion(id)
 	}
 	for seed := int64(1); seed <= 5; seed++ {
 		plan.Seed = seed
