--- a/cmd/indigowalk/tools.go
+++ b/cmd/indigowalk/tools.go
@@ -204,9 +204,9 @@
 		if err != nil {
 			return t.fail(err)
 		}
-		var faults []routeconfig.Fault
-		if config, faults = routeconfig.Parse(raw); faults != nil {
-			return t.fail(fmt.Errorf("%s: %w", operands[1], faults[0]))
+		var fieldErrors []routeconfig.FieldError
+		if config, fieldErrors = routeconfig.Parse(raw); fieldErrors != nil {
+			return t.fail(fmt.Errorf("%s: %w", operands[1], fieldErrors[0]))
 		}
 	case step == "drain", step == "release", step == "lose", step == "grow":
 		target = operands[1]
--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -272,9 +272,9 @@
 		var invalid *routeconfig.ValidationError
 		switch {
 		case errors.As(err, &invalid):
-			fields := make([]string, 0, len(invalid.Faults))
-			for _, f := range invalid.Faults {
-				fields = append(fields, f.Error())
+			fields := make([]string, 0, len(invalid.Errors))
+			for _, fieldError := range invalid.Errors {
+				fields = append(fields, fieldError.Error())
 			}
 			s.writeError(w, http.StatusBadRequest, "invalid configuration", fields...)
 		case errors.Is(err, routeconfig.ErrVersionConflict):
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -143,7 +143,7 @@
 type Publisher struct {
 	k           *kernel.Kernel
 	replica     *controlstate.Replica
-	readers     *failover.ReadLeases
+	readLeases  *failover.ReadLeases
 	lease       kernel.Micros
 	pollTimeout func() kernel.Micros
 	reportDown  func(proxy, id string) // called for each database that a proxy considers down
@@ -216,8 +216,8 @@
 
 // NewPublisher returns a publisher that serves polls through the endpoint. mbps is the bandwidth
 // of the link in Mbit/s, 0 if it is not known.
-func NewPublisher(k *kernel.Kernel, endpoint *rpc.Endpoint, replica *controlstate.Replica, readers *failover.ReadLeases, lease kernel.Micros, pollTimeout func() kernel.Micros, reportDown func(proxy, id string), linkMbps float64) *Publisher {
-	p := &Publisher{k: k, replica: replica, readers: readers, lease: lease, pollTimeout: pollTimeout, reportDown: reportDown}
+func NewPublisher(k *kernel.Kernel, endpoint *rpc.Endpoint, replica *controlstate.Replica, readLeases *failover.ReadLeases, lease kernel.Micros, pollTimeout func() kernel.Micros, reportDown func(proxy, id string), linkMbps float64) *Publisher {
+	p := &Publisher{k: k, replica: replica, readLeases: readLeases, lease: lease, pollTimeout: pollTimeout, reportDown: reportDown}
 	p.pacer.rate = linkShare * linkMbps / 8
 	rpc.HandleTyped(endpoint, pollOp, p.handlePoll)
 	return p
@@ -245,12 +245,12 @@
 // incarnation of the proxy.
 func (p *Publisher) recordReport(request pollRequest) (newest int64, ok bool) {
 	report := failover.Report{Released: request.Released, AckedUpperBound: request.AckedUpperBounds, AckedLowerBound: request.AckedLowerBounds}
-	if newest, ok := p.readers.RecordReport(request.Proxy, request.Incarnation, report, p.k.Clock.Now()); !ok {
+	if newest, ok := p.readLeases.RecordReport(request.Proxy, request.Incarnation, report, p.k.Clock.Now()); !ok {
 		p.k.Counters.Add("distribution.old_life", 1)
 		return newest, false
 	}
 	if request.Positions != nil {
-		p.readers.RecordObservation(failover.Observation{Term: request.Positions.Term, Stamp: request.Positions.Stamp, Positions: request.Positions.Positions})
+		p.readLeases.RecordObservation(failover.Observation{Term: request.Positions.Term, Stamp: request.Positions.Stamp, Positions: request.Positions.Positions})
 	}
 	for _, id := range request.Down {
 		p.reportDown(request.Proxy, id)
@@ -327,12 +327,12 @@
 	if err != nil {
 		return err
 	}
-	if !p.readers.InTerm(term.FirstEpoch()) {
+	if !p.readLeases.InTerm(term.FirstEpoch()) {
 		proxies, err := failover.DecodeRegistrations(state.Entries)
 		if err != nil {
 			return err
 		}
-		p.readers.BeginTerm(term.FirstEpoch(), proxies, p.k.Clock.Now(), p.lease)
+		p.readLeases.BeginTerm(term.FirstEpoch(), proxies, p.k.Clock.Now(), p.lease)
 	}
 	if failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
 		return nil
@@ -371,14 +371,14 @@
 	if !failover.IsRegistered(state.Entries, request.Proxy, request.Incarnation) {
 		return nil, errors.New("proxy is no longer registered")
 	}
-	if !p.readers.Grant(request.Proxy, request.Incarnation, p.k.Clock.Now()+p.lease) {
+	if !p.readLeases.Grant(request.Proxy, request.Incarnation, p.k.Clock.Now()+p.lease) {
 		return nil, errors.New("a later incarnation of this proxy is known")
 	}
 	if !term.Valid() {
 		p.k.Counters.Add("distribution.term_ended", 1)
 		return pollReply{}, nil
 	}
-	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: p.lease, Proxies: p.readers.CountLeases(p.k.Clock.Now() - proxyCountWindow)}
+	response := pollReply{Epoch: state.Epoch, Seq: state.Seq, Lease: p.lease, Proxies: p.readLeases.CountLeases(p.k.Clock.Now() - proxyCountWindow)}
 	if request.CostTerm != term.FirstEpoch() {
 		request.CostSeq = 0
 	}
@@ -386,7 +386,7 @@
 		response.CostTerm = term.FirstEpoch()
 	}
 	now := p.k.Clock.Now()
-	if services := p.readers.ServicesToObserve(request.Proxy, now); len(services) > 0 {
+	if services := p.readLeases.ServicesToObserve(request.Proxy, now); len(services) > 0 {
 		response.Query = (&positionQuery{Term: term.FirstEpoch(), Stamp: now, Services: services}).omitKnownServices(request.QueryChecksum)
 	}
 	raw, err := json.Marshal(response)
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -61,9 +61,9 @@
 // A poll that was processed in a term that has ended is granted no lease and gets no update. The
 // lease is recorded all the same, for a failover that waits for it.
 func TestNoLeaseAfterTermEnds(t *testing.T) {
-	publisher := &Publisher{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), readers: failover.NewReadLeases(), lease: kernel.Second}
-	publisher.readers.BeginTerm(3, nil, 0, 0)
-	publisher.readers.RecordReport("d", 1, failover.Report{}, publisher.k.Clock.Now())
+	publisher := &Publisher{k: kernel.NewKernel("control", nil, slog.New(slog.DiscardHandler)), readLeases: failover.NewReadLeases(), lease: kernel.Second}
+	publisher.readLeases.BeginTerm(3, nil, 0, 0)
+	publisher.readLeases.RecordReport("d", 1, failover.Report{}, publisher.k.Clock.Now())
 	state := controlstate.State{Epoch: 2, Seq: 9}
 	if response, err := publisher.respond(pollRequest{Proxy: "d", Incarnation: 1}, state, nil, newObservations(publisher.k.Clock), nil); err == nil {
 		t.Errorf("responded %v to a proxy that is no longer registered", response)
@@ -73,7 +73,7 @@
 	if got, ok := response.(pollReply); err != nil || !ok || got.Lease != 0 || got.Seq != 0 || got.Update != nil {
 		t.Errorf("responded %s, error %v, want neither a lease nor an update", response, err)
 	}
-	if publisher.readers.BeginTerm(2, map[string]int64{}, 0, 0); publisher.readers.InTerm(2) || publisher.readers.CountLeases(publisher.k.Clock.Now()) != 1 {
+	if publisher.readLeases.BeginTerm(2, map[string]int64{}, 0, 0); publisher.readLeases.InTerm(2) || publisher.readLeases.CountLeases(publisher.k.Clock.Now()) != 1 {
 		t.Error("an earlier term was begun again, or the recorded lease was lost")
 	}
 }
--- a/internal/failover/readers_test.go
+++ b/internal/failover/readers_test.go
@@ -7,7 +7,7 @@
 	"indigowalk/internal/kernel"
 )
 
-func TestExpiredReadersAreRemoved(t *testing.T) {
+func TestExpiredLeaseHoldersAreRemoved(t *testing.T) {
 	const span = 10 * kernel.Second
 	now := 100 * kernel.Second
 	readLeases := NewReadLeases()
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestRemovalOfExpiredReadersEndsWithTheTerm(t *testing.T) {
+func TestRemovalOfExpiredLeaseHoldersEndsWithTheTerm(t *testing.T) {
 	const span = 10 * kernel.Second
 	now := 100 * kernel.Second
 	readLeases := NewReadLeases()
--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -19,11 +19,11 @@
 	p := &patch{}
 	switch {
 	case !json.Valid(raw):
-		return nil, &ValidationError{[]Fault{{"body", "is not JSON in full"}}}
+		return nil, &ValidationError{[]FieldError{{"body", "is not JSON in full"}}}
 	case json.Unmarshal(raw, p) != nil:
-		return nil, &ValidationError{[]Fault{{"body", "is not rev, upsert and remove"}}}
+		return nil, &ValidationError{[]FieldError{{"body", "is not rev, upsert and remove"}}}
 	case p.Rev <= 0:
-		return nil, &ValidationError{[]Fault{{"rev", "fails gt=0"}}}
+		return nil, &ValidationError{[]FieldError{{"rev", "fails gt=0"}}}
 	}
 	return p, nil
 }
@@ -34,7 +34,7 @@
 		Name string `json:"name"`
 	}
 	if err := json.Unmarshal(raw, &item); err != nil || item.Name == "" {
-		return "", &ValidationError{[]Fault{{field, "has no name"}}}
+		return "", &ValidationError{[]FieldError{{field, "has no name"}}}
 	}
 	return item.Name, nil
 }
@@ -77,7 +77,7 @@
 	items := []json.RawMessage{}
 	if len(raw) > 0 && !bytes.Equal(raw, []byte("null")) {
 		if err := json.Unmarshal(raw, &items); err != nil {
-			return nil, &ValidationError{[]Fault{{kind, "is no list of named items"}}}
+			return nil, &ValidationError{[]FieldError{{kind, "is no list of named items"}}}
 		}
 	}
 	indexOf := map[string]int{}
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -90,10 +90,10 @@
 	Tenants  []Tenant  `json:"tenants,omitempty" validate:"dive"`
 }
 
-// Fault says which field of a configuration is wrong, and why.
-type Fault struct{ Field, Reason string }
+// FieldError says which field of a configuration is wrong, and why.
+type FieldError struct{ Field, Reason string }
 
-func (f Fault) Error() string { return f.Field + ": " + f.Reason }
+func (e FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 var structValidator = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
@@ -104,12 +104,12 @@
 	return v
 }()
 
-// Parse decodes and validates a configuration. It returns every fault that can be found without
+// Parse decodes and validates a configuration. It returns every error that can be found without
 // knowledge of the previous version.
-func Parse(raw []byte) (*Configuration, []Fault) {
+func Parse(raw []byte) (*Configuration, []FieldError) {
 	config := &Configuration{}
 	if !json.Valid(raw) {
-		return nil, []Fault{{"body", "is not JSON in full"}}
+		return nil, []FieldError{{"body", "is not JSON in full"}}
 	}
 	if err := json.Unmarshal(raw, config); err != nil {
 		field := "body"
@@ -117,9 +117,9 @@
 		if errors.As(err, &typeErr) && typeErr.Field != "" {
 			field = typeErr.Field
 		}
-		return nil, []Fault{{field, "has the wrong type"}}
+		return nil, []FieldError{{field, "has the wrong type"}}
 	}
-	var faults []Fault
+	var fieldErrors []FieldError
 	var invalid validator.ValidationErrors
 	if err := structValidator.Struct(config); errors.As(err, &invalid) {
 		for _, f := range invalid {
@@ -128,55 +128,55 @@
 			if f.Param() != "" {
 				reason += "=" + f.Param()
 			}
-			faults = append(faults, Fault{field, reason})
+			fieldErrors = append(fieldErrors, FieldError{field, reason})
 		}
 	}
 	services := map[string]bool{}
 	for i, s := range config.Services {
 		if services[s.Name] {
-			faults = append(faults, Fault{fmt.Sprintf("services[%d].name", i), "is there twice"})
+			fieldErrors = append(fieldErrors, FieldError{fmt.Sprintf("services[%d].name", i), "is there twice"})
 		}
 		services[s.Name] = true
 	}
 	type match struct{ host, prefix string }
 	matches := map[match]bool{}
 	for i, r := range config.Routes {
-		faults = append(faults, r.faults(fmt.Sprintf("routes[%d]", i), services)...)
+		fieldErrors = append(fieldErrors, r.check(fmt.Sprintf("routes[%d]", i), services)...)
 		key := match{r.Host, r.Prefix}
 		if matches[key] {
-			faults = append(faults, Fault{fmt.Sprintf("routes[%d].host", i), "same host and path_prefix as another route"})
+			fieldErrors = append(fieldErrors, FieldError{fmt.Sprintf("routes[%d].host", i), "same host and path_prefix as another route"})
 		}
 		matches[key] = true
 	}
-	faults = append(faults, checkTenants(config.Tenants)...)
-	if len(faults) > 0 {
-		return nil, faults
+	fieldErrors = append(fieldErrors, checkTenants(config.Tenants)...)
+	if len(fieldErrors) > 0 {
+		return nil, fieldErrors
 	}
 	return config, nil
 }
 
-// faults returns the faults of the route itself and of its target.
-func (r Route) faults(field string, services map[string]bool) (faults []Fault) {
+// check returns the field errors of the route itself and of its target.
+func (r Route) check(field string, services map[string]bool) (fieldErrors []FieldError) {
 	if (len(r.Weighted) == 0 || r.Service != "") && !services[r.Service] {
-		faults = append(faults, Fault{field + ".svc", "names an unknown service"})
+		fieldErrors = append(fieldErrors, FieldError{field + ".svc", "names an unknown service"})
 	}
 	if r.StaleMs > 0 && r.MaxStaleMs > 0 && r.StaleMs != r.MaxStaleMs {
-		faults = append(faults, Fault{field + ".max_stale_ms", "is not the same as stale_ms"})
+		fieldErrors = append(fieldErrors, FieldError{field + ".max_stale_ms", "is not the same as stale_ms"})
 	}
 	if len(r.Weighted) == 0 {
-		return faults
+		return fieldErrors
 	}
 	sum := 0.0
 	for i, s := range r.Weighted {
 		sum += s.Weight
 		if !services[s.Service] {
-			faults = append(faults, Fault{fmt.Sprintf("%s.weighted[%d].svc", field, i), "names an unknown service"})
+			fieldErrors = append(fieldErrors, FieldError{fmt.Sprintf("%s.weighted[%d].svc", field, i), "names an unknown service"})
 		}
 	}
 	if sum <= 0 {
-		faults = append(faults, Fault{field + ".weighted", "the shares add up to 0"})
+		fieldErrors = append(fieldErrors, FieldError{field + ".weighted", "the shares add up to 0"})
 	}
-	return faults
+	return fieldErrors
 }
 
 // Key is the key of the control state entry that holds the configuration.
@@ -203,8 +203,8 @@
 	ErrOutcomeUnknown = errors.New("routeconfig: whether this was taken is not known any more")
 )
 
-// ValidationError lists the faults for which a configuration was rejected.
-type ValidationError struct{ Faults []Fault }
+// ValidationError lists the field errors for which a configuration was rejected.
+type ValidationError struct{ Errors []FieldError }
 
 func (e *ValidationError) Error() string { return "routeconfig: invalid configuration" }
 
@@ -247,9 +247,9 @@
 
 // Replace makes the configuration in raw the current one, if base is the current version.
 func (r *Registry) Replace(ctx context.Context, base int64, raw []byte) error {
-	config, faults := Parse(raw)
-	if faults != nil {
-		return r.countRefusal(&ValidationError{faults})
+	config, fieldErrors := Parse(raw)
+	if fieldErrors != nil {
+		return r.countRefusal(&ValidationError{fieldErrors})
 	}
 	body, err := compact(raw)
 	if err != nil {
@@ -275,8 +275,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if _, faults := Parse(next); faults != nil {
-			return nil, &ValidationError{faults}
+		if _, fieldErrors := Parse(next); fieldErrors != nil {
+			return nil, &ValidationError{fieldErrors}
 		}
 		return next, nil
 	})
@@ -286,7 +286,7 @@
 func compact(raw []byte) ([]byte, error) {
 	var body bytes.Buffer
 	if err := json.Compact(&body, raw); err != nil {
-		return nil, &ValidationError{[]Fault{{"body", "is not JSON in full"}}}
+		return nil, &ValidationError{[]FieldError{{"body", "is not JSON in full"}}}
 	}
 	return body.Bytes(), nil
 }
@@ -296,7 +296,7 @@
 // ErrOutcomeUnknown if it is no longer known whether the change was accepted.
 func (r *Registry) change(ctx context.Context, id changeID, next func(json.RawMessage) (json.RawMessage, error)) error {
 	if id.Rev <= id.Base { // such a change was never accepted
-		return r.countRefusal(&ValidationError{[]Fault{{"rev", fmt.Sprintf("is not higher than %d, on which it builds", id.Base)}}})
+		return r.countRefusal(&ValidationError{[]FieldError{{"rev", fmt.Sprintf("is not higher than %d, on which it builds", id.Base)}}})
 	}
 	var accepted bool
 	err := r.state.Update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
@@ -320,7 +320,7 @@
 			return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 		}
 		if len(entry) > MaxConfigBytes {
-			return nil, &ValidationError{[]Fault{{"body", fmt.Sprintf("makes a configuration of over %d bytes", MaxConfigBytes)}}}
+			return nil, &ValidationError{[]FieldError{{"body", fmt.Sprintf("makes a configuration of over %d bytes", MaxConfigBytes)}}}
 		}
 		record, err := json.Marshal(id)
 		if err != nil {
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -17,9 +17,9 @@
 "services":[{"name":"s","max_conns":96,"sync_replicas":1}],"limits":{"txn_idle_ms":3000},"new_field":1}`
 
 func TestParse(t *testing.T) {
-	config, faults := Parse([]byte(validConfig))
-	if faults != nil || config.Rev != 7 {
-		t.Fatalf("parsed %+v, faults %v", config, faults)
+	config, fieldErrors := Parse([]byte(validConfig))
+	if fieldErrors != nil || config.Rev != 7 {
+		t.Fatalf("parsed %+v, errors %v", config, fieldErrors)
 	}
 	var history History
 	history.Advance(config, 1)
@@ -42,9 +42,9 @@
 		{`"new_field":1}`, ``, "body"},
 	} {
 		body := strings.Replace(validConfig, c.old, c.new, 1)
-		parsed, faults := Parse([]byte(body))
-		if parsed != nil || len(faults) == 0 || faults[0].Field != c.field {
-			t.Errorf("%s: faults %v, want the first in %s", c.new, faults, c.field)
+		parsed, fieldErrors := Parse([]byte(body))
+		if parsed != nil || len(fieldErrors) == 0 || fieldErrors[0].Field != c.field {
+			t.Errorf("%s: errors %v, want the first in %s", c.new, fieldErrors, c.field)
 		}
 	}
 }
@@ -52,9 +52,9 @@
 // The maximum staleness can be given as stale_ms or as max_stale_ms.
 func TestStalenessFieldAliases(t *testing.T) {
 	for _, name := range []string{"stale_ms", "max_stale_ms"} {
-		config, faults := Parse([]byte(strings.Replace(validConfig, "stale_ms", name, 1)))
-		if faults != nil {
-			t.Fatalf("%s: %v", name, faults)
+		config, fieldErrors := Parse([]byte(strings.Replace(validConfig, "stale_ms", name, 1)))
+		if fieldErrors != nil {
+			t.Fatalf("%s: %v", name, fieldErrors)
 		}
 		var history History
 		history.Advance(config, 1)
@@ -135,9 +135,9 @@
 	{"name":"b","host":"h","path_prefix":"/x/","type":"mutating","deadline_ms":9,"weighted":[{"svc":"s","share":90},{"svc":"t","share":10},{"svc":"s","share":0}]},
 	{"name":"c","host":"h","path_prefix":"/x/y/","type":"mutating","deadline_ms":8,"svc":"t"}],
 	"services":[{"name":"s"},{"name":"t"}]}`
-	config, faults := Parse([]byte(body))
-	if faults != nil {
-		t.Fatal(faults)
+	config, fieldErrors := Parse([]byte(body))
+	if fieldErrors != nil {
+		t.Fatal(fieldErrors)
 	}
 	var history History
 	history.Advance(config, 1)
@@ -166,8 +166,8 @@
 	}
 	for oldText, field := range map[string]string{`"share":90},{"svc":"t","share":10`: "routes[1].weighted", `"svc":"t","share":10`: "routes[1].weighted[1].svc"} {
 		invalid := strings.Replace(body, oldText, map[string]string{"routes[1].weighted": `"share":0},{"svc":"t","share":0`, "routes[1].weighted[1].svc": `"svc":"u","share":10`}[field], 1)
-		if _, faults := Parse([]byte(invalid)); len(faults) != 1 || faults[0].Field != field {
-			t.Errorf("invalid %s: faults %v", field, faults)
+		if _, fieldErrors := Parse([]byte(invalid)); len(fieldErrors) != 1 || fieldErrors[0].Field != field {
+			t.Errorf("invalid %s: errors %v", field, fieldErrors)
 		}
 	}
 }
--- a/internal/routeconfig/tenant.go
+++ b/internal/routeconfig/tenant.go
@@ -54,34 +54,34 @@
 	return nil
 }
 
-// checkTenants returns the faults of the tenants, including conflicts between them. The faults
+// checkTenants returns the field errors of the tenants, including conflicts between them. The errors
 // never contain an API key.
-func checkTenants(tenants []Tenant) (faults []Fault) {
+func checkTenants(tenants []Tenant) (fieldErrors []FieldError) {
 	if len(tenants) > maxTenants {
-		return []Fault{{"tenants", fmt.Sprintf("are over %d", maxTenants)}}
+		return []FieldError{{"tenants", fmt.Sprintf("are over %d", maxTenants)}}
 	}
 	names, keys := map[string]bool{}, map[string]int{}
 	for i, t := range tenants {
 		field := fmt.Sprintf("tenants[%d]", i)
 		if names[t.Name] {
-			faults = append(faults, Fault{field + ".name", "is there twice"})
+			fieldErrors = append(fieldErrors, FieldError{field + ".name", "is there twice"})
 		}
 		names[t.Name] = true
 		if t.RatePerS > maxRate || t.Burst > maxRate {
-			faults = append(faults, Fault{field, fmt.Sprintf("has a rate_per_s or burst over %.0f", maxRate)})
+			fieldErrors = append(fieldErrors, FieldError{field, fmt.Sprintf("has a rate_per_s or burst over %.0f", maxRate)})
 		}
 		for k, key := range t.Keys {
 			owner, known := keys[key]
 			switch {
 			case key == "":
-				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", field, k), "is empty"})
+				fieldErrors = append(fieldErrors, FieldError{fmt.Sprintf("%s.api_keys[%d]", field, k), "is empty"})
 			case known && owner != i:
-				faults = append(faults, Fault{fmt.Sprintf("%s.api_keys[%d]", field, k), "is a key of another tenant too"})
+				fieldErrors = append(fieldErrors, FieldError{fmt.Sprintf("%s.api_keys[%d]", field, k), "is a key of another tenant too"})
 			}
 			keys[key] = i
 		}
 	}
-	return faults
+	return fieldErrors
 }
 
 // Redacted returns the configuration without API keys, for readers who may see everything else.
--- a/internal/routeconfig/tenant_test.go
+++ b/internal/routeconfig/tenant_test.go
@@ -29,17 +29,17 @@
 		`[{"name":"a","rate_per_s":"many"}]`:                                "has the wrong type",
 		"[" + strings.Repeat(`{"name":"a"},`, maxTenants) + `{"name":"a"}]`: "tenants: are over 10000",
 	} {
-		_, faults := Parse(configWithTenants(tenants))
+		_, fieldErrors := Parse(configWithTenants(tenants))
 		var text []string
-		for _, f := range faults {
+		for _, f := range fieldErrors {
 			text = append(text, f.Error())
 		}
 		got := strings.Join(text, "\n")
 		if want == "" && got != "" || !strings.Contains(got, want) {
-			t.Errorf("%.80s: faults %.200q", tenants, got)
+			t.Errorf("%.80s: errors %.200q", tenants, got)
 		}
 		if strings.Contains(got, "k1") {
-			t.Errorf("the faults contain an API key: %q", got)
+			t.Errorf("the errors contain an API key: %q", got)
 		}
 	}
 }
--- a/internal/simulation/clients_test.go
+++ b/internal/simulation/clients_test.go
@@ -54,7 +54,7 @@
 		t.Run(method, func(t *testing.T) {
 			withGatewayCluster(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
-					d.InjectFault(Mute)
+					d.InjectFault(SendsNoResponse)
 				}
 				conn := sendRequest(t, w, s, requestHost, method, path)
 				time.Sleep(100 * time.Millisecond)
@@ -84,8 +84,8 @@
 		clientStalls bool // the client does not read
 	}{
 		"client does not read a short response": {NoFault, true},
-		"client does not read a long response":  {Long, true},
-		"database stalls in a long response":    {Stalls, false},
+		"client does not read a long response":  {SendsLongResponse, true},
+		"database stalls in a long response":    {StallsInResponse, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withGatewayCluster(t, func(w *World, s *Service) {
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -73,8 +73,8 @@
 		fault     Fault
 		maxFailed int
 	}{
-		{"mute", Mute, 16}, {"loses", ClosesAfterRun, 24}, {"breaks", TruncatesResponse, 24}, {"garbles", SendsGarbage, 24}, {"surplus", Surplus, 0},
-		{"resets", Resets, 24}, {"errors", Errors, 24}, {"forgetful", Forgetful, 2},
+		{"no response", SendsNoResponse, 16}, {"closes after run", ClosesAfterRun, 24}, {"truncates response", TruncatesResponse, 24}, {"sends garbage", SendsGarbage, 24}, {"responds twice", RespondsTwice, 0},
+		{"resets", Resets, 24}, {"errors", Errors, 24}, {"closes idle connections", ClosesIdle, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withGatewayCluster(t, func(_ *World, s *Service) {
@@ -151,7 +151,7 @@
 func TestIdleConnectionsAndHopByHopHeaders(t *testing.T) {
 	withGatewayCluster(t, func(_ *World, s *Service) {
 		for i := range 8 {
-			s.DB(i).InjectFault(Forgetful)
+			s.DB(i).InjectFault(ClosesIdle)
 		}
 		for n := range 30 {
 			if a := s.Send(1, fmt.Sprint("idle-", n), false, "x"); a.Status != 200 {
--- a/internal/simulation/service.go
+++ b/internal/simulation/service.go
@@ -25,17 +25,17 @@
 // Faults that can be injected into workers; package standin describes them.
 const (
 	NoFault           = standin.NoFault
-	Mute              = standin.Mute
+	SendsNoResponse   = standin.SendsNoResponse
 	ClosesAfterRun    = standin.ClosesAfterRun
 	TruncatesResponse = standin.TruncatesResponse
 	SendsGarbage      = standin.SendsGarbage
-	Surplus           = standin.Surplus
+	RespondsTwice     = standin.RespondsTwice
 	RejectsAsFull     = standin.RejectsAsFull
 	Resets            = standin.Resets
 	Errors            = standin.Errors
-	Forgetful         = standin.Forgetful
-	Long              = standin.Long
-	Stalls            = standin.Stalls
+	ClosesIdle        = standin.ClosesIdle
+	SendsLongResponse = standin.SendsLongResponse
+	StallsInResponse  = standin.StallsInResponse
 )
 
 // requestHost is the IP address of the gateways' clients.
@@ -60,9 +60,9 @@
 
 // StartRequests starts clients that send safe and unsafe requests to the gateways of all zones.
 func (s *Service) StartRequests(clients int, pause time.Duration) *RequestLoad {
-	var entries []standin.Gateway
+	var gateways []standin.Gateway
 	for z := 1; z <= s.world.Zones; z++ {
-		entries = append(entries, standin.Gateway{Number: z, Address: standin.FixedAddress(ip(z) + ":8784"), Network: s.world.Net.Host(requestHost)})
+		gateways = append(gateways, standin.Gateway{Number: z, Address: standin.FixedAddress(ip(z) + ":8784"), Network: s.world.Net.Host(requestHost)})
 	}
-	return s.Service.StartLoad(entries, clients, pause, nil)
+	return s.Service.StartLoad(gateways, clients, pause, nil)
 }
--- a/internal/simulation/shutdown_test.go
+++ b/internal/simulation/shutdown_test.go
@@ -147,7 +147,7 @@
 		w.WaitUntil("a configuration is accepted", 3*time.Second, func() bool { return w.Replace(1, 1, w.configurationWithLongDeadlines(2)) == 200 })
 		time.Sleep(time.Second)
 		for i := range 2 * w.Zones {
-			s.DB(i).InjectFault(Mute)
+			s.DB(i).InjectFault(SendsNoResponse)
 		}
 		dial := func() net.Conn {
 			c, err := w.Net.Host("10.251.0.1").Dial(context.Background(), ip(1)+":8784", 0)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -49,22 +49,22 @@
 
 // World is a simulated deployment with its databases, platform and network.
 type World struct {
-	T             TB
-	Net           *Net
-	Zones         int // numbered from 1
-	Groups        map[string]*Group
-	Services      map[string]*Service
-	Deploy        string // settings key deploy; "" means pooler
-	dir           string
-	processes     map[string]*Process
-	platform      *standin.Platform
-	PollMs        int       // settings key tune.poll_ms
-	TolerateHosts int       // settings key tolerate.hosts
-	MaxConns      int       // max_conns of the services
-	ControlNodes  int       // how many zones, from the first, have a control node; 0 means all
-	Seeds         []string  // seeds of processes started from now on; nil means the first three control nodes
-	Settings      string    // additional settings of processes started from now on, as lines
-	LogOutput     io.Writer // receives what processes log, unless it is nil
+	T                 TB
+	Net               *Net
+	Zones             int // numbered from 1
+	Groups            map[string]*Group
+	Services          map[string]*Service
+	Deploy            string // settings key deploy; "" means pooler
+	dir               string
+	processes         map[string]*Process
+	platform          *standin.Platform
+	LongPollTimeoutMs int       // settings key tune.poll_ms
+	TolerateHosts     int       // settings key tolerate.hosts
+	MaxConns          int       // max_conns of the services
+	ControlNodes      int       // how many zones, from the first, have a control node; 0 means all
+	Seeds             []string  // seeds of processes started from now on; nil means the first three control nodes
+	Settings          string    // additional settings of processes started from now on, as lines
+	LogOutput         io.Writer // receives what processes log, unless it is nil
 }
 
 // Process is a control node, pooler or gateway of the deployment.
@@ -87,7 +87,7 @@
 func NewWorld(t TB, seed uint64, zones int) *World {
 	w := &World{
 		T: t, Net: NewNet(seed), Zones: zones, Groups: map[string]*Group{}, Services: map[string]*Service{}, dir: t.TempDir(),
-		processes: map[string]*Process{}, PollMs: 600, TolerateHosts: 1, MaxConns: 90,
+		processes: map[string]*Process{}, LongPollTimeoutMs: 600, TolerateHosts: 1, MaxConns: 90,
 	}
 	w.platform = &standin.Platform{Promote: w.promoteDatabase}
 	listener, err := w.Net.Host(platformIP).Listen(platformIP + ":8783")
@@ -171,7 +171,7 @@
 tolerate.hosts=%[9]d
 deploy=%[10]s
 tune.metrics_port=0
-%[11]s`, name, p.IP, zone, seeds, bootstrap, p.dir, platformIP, w.PollMs, w.TolerateHosts, cmp.Or(w.Deploy, "pooler"), w.Settings)
+%[11]s`, name, p.IP, zone, seeds, bootstrap, p.dir, platformIP, w.LongPollTimeoutMs, w.TolerateHosts, cmp.Or(w.Deploy, "pooler"), w.Settings)
 	s, err := settings.Parse([]byte(text))
 	if err != nil {
 		w.T.Fatalf("settings: %v", err)
--- a/internal/standin/manners.go
+++ b/internal/standin/manners.go
@@ -12,20 +12,20 @@
 
 // Misbehaviors of databases.
 const (
-	NoMisbehavior Misbehavior = iota
-	Silent                    // runs the statement, sends no answer and keeps the connection open
-	Pieces                    // sends its answer in small pieces
-	CutsShort                 // sends half of its answer and closes the connection
-	AnswersTwice              // sends a surplus answer after the first
-	EndsFirst                 // runs the statement and closes the connection without an answer
-	EndsUnread                // closes the connection before reading the statement
-	ShedsLoad                 // runs no statement and answers that the database is full
-	MuteLogin                 // accepts connections but answers no login
-	WrongLogin                // answers logins as another database would
+	NoMisbehavior      Misbehavior = iota
+	Silent                         // runs the statement, sends no answer and keeps the connection open
+	AnswersInPieces                // sends its answer in small pieces
+	TruncatesAnswer                // sends half of its answer and closes the connection
+	AnswersTwice                   // sends a surplus answer after the first
+	ClosesBeforeAnswer             // runs the statement and closes the connection without an answer
+	ClosesBeforeRead               // closes the connection before reading the statement
+	ShedsLoad                      // runs no statement and answers that the database is full
+	MuteLogin                      // accepts connections but answers no login
+	WrongLogin                     // answers logins as another database would
 )
 
 // AllMisbehaviors lists every misbehavior.
-var AllMisbehaviors = []Misbehavior{Silent, Pieces, CutsShort, AnswersTwice, EndsFirst, EndsUnread, ShedsLoad, MuteLogin, WrongLogin}
+var AllMisbehaviors = []Misbehavior{Silent, AnswersInPieces, TruncatesAnswer, AnswersTwice, ClosesBeforeAnswer, ClosesBeforeRead, ShedsLoad, MuteLogin, WrongLogin}
 
 // pieceBytes is the size of the pieces of an answer or response that is sent in pieces, and piecePause
 // the pause between two pieces.
@@ -55,14 +55,14 @@
 	switch {
 	case d.misbehaves(Silent):
 		return true
-	case d.misbehaves(EndsFirst):
+	case d.misbehaves(ClosesBeforeAnswer):
 		return false
-	case d.misbehaves(CutsShort):
+	case d.misbehaves(TruncatesAnswer):
 		_, _ = c.Write(answer[:len(answer)/2]) // the connection is closed either way
 		return false
 	case d.misbehaves(AnswersTwice):
 		answer = append(bytes.Clone(answer), "COMPLETE surplus\r\nIDLE I 9.999999\r\n"...)
-	case d.misbehaves(Pieces):
+	case d.misbehaves(AnswersInPieces):
 		for len(answer) > pieceBytes {
 			if _, err := c.Write(answer[:pieceBytes]); err != nil {
 				return false
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -36,29 +36,30 @@
 
 // Faults of workers.
 const (
-	NoFault           Fault = iota
-	Mute                    // runs the request and sends no response
-	ClosesAfterRun          // runs the request and closes the connection without a response
-	TruncatesResponse       // runs the request, sends a part of the response and closes the connection
-	SendsGarbage            // runs the request and sends bytes that are no HTTP response
-	Surplus                 // runs the request, responds, and shortly afterwards responds again
-	RejectsAsFull           // doesn't run the request and responds that it is full, with status 503
-	Resets                  // doesn't run the request and closes the connection
-	Errors                  // runs the request and responds with status 500
-	Forgetful               // closes a connection that was idle when the next request arrives, without running it
-	Early                   // rejects a long request before reading its body, then reads the body
-	Dribbles                // runs the request and sends the response in small pieces
-	Mislabels               // runs the request and responds with another request's id
-	Trails                  // runs the request and sends stray bytes after the response
-	Long                    // runs the request and sends a long response, which is allowed
-	Stalls                  // runs the request, sends half of a long response and stalls
+	NoFault            Fault = iota
+	SendsNoResponse          // runs the request and sends no response
+	ClosesAfterRun           // runs the request and closes the connection without a response
+	TruncatesResponse        // runs the request, sends a part of the response and closes the connection
+	SendsGarbage             // runs the request and sends bytes that are no HTTP response
+	RespondsTwice            // runs the request, responds, and shortly afterwards responds again
+	RejectsAsFull            // doesn't run the request and responds that it is full, with status 503
+	Resets                   // doesn't run the request and closes the connection
+	Errors                   // runs the request and responds with status 500
+	ClosesIdle               // closes a connection that was idle when the next request arrives, without running it
+	RejectsEarly             // rejects a long request before reading its body, then reads the body
+	RespondsInPieces         // runs the request and sends the response in small pieces
+	SendsWrongID             // runs the request and responds with another request's id
+	SendsTrailingBytes       // runs the request and sends stray bytes after the response
+	SendsLongResponse        // runs the request and sends a long response, which is allowed
+	StallsInResponse         // runs the request, sends half of a long response and stalls
 )
 
-// longAnswerBytes is the size of the response bodies of Long and Stalls.
+// longAnswerBytes is the size of the response bodies of SendsLongResponse and StallsInResponse.
 const longAnswerBytes = 1 << 20
 
-// AllFaults lists the faults that may be injected under any workload; Long and Stalls are not among them.
-var AllFaults = []Fault{Mute, ClosesAfterRun, TruncatesResponse, SendsGarbage, Surplus, RejectsAsFull, Resets, Errors, Forgetful, Early, Dribbles, Mislabels, Trails}
+// AllFaults lists the faults that may be injected under any workload. SendsLongResponse and
+// StallsInResponse are not among them.
+var AllFaults = []Fault{SendsNoResponse, ClosesAfterRun, TruncatesResponse, SendsGarbage, RespondsTwice, RejectsAsFull, Resets, Errors, ClosesIdle, RejectsEarly, RespondsInPieces, SendsWrongID, SendsTrailingBytes}
 
 // Worker is one server of a Service. Like a database, it announces itself to the control nodes by
 // heartbeats.
@@ -275,7 +276,7 @@
 		w.Last = q.Header
 		fault := w.fault
 		w.mu.Unlock()
-		if fault == Early && q.ContentLength > earlyRejectBytes {
+		if fault == RejectsEarly && q.ContentLength > earlyRejectBytes {
 			if !w.rejectEarly(c, q) {
 				return
 			}
@@ -285,7 +286,7 @@
 		if err != nil {
 			return
 		}
-		if fault == Forgetful && time.Since(idleSince) > 200*time.Millisecond {
+		if fault == ClosesIdle && time.Since(idleSince) > 200*time.Millisecond {
 			return
 		}
 		if !w.handle(c, q, body, fault) {
@@ -294,7 +295,7 @@
 	}
 }
 
-// earlyRejectBytes is the body size above which Early rejects a request before reading it.
+// earlyRejectBytes is the body size above which RejectsEarly rejects a request before reading it.
 const earlyRejectBytes = 64 << 10
 
 // rejectEarly responds to a long request before reading its body, then reads the body and checks it: the
@@ -343,7 +344,7 @@
 func (w *Worker) respond(c net.Conn, id string, fault Fault) bool {
 	header := map[string]string{"X-Indigowalk-Request-Id": id, "X-Indigowalk-Seal": "seal-of-" + id}
 	switch fault {
-	case Mute:
+	case SendsNoResponse:
 		<-w.ctx.Done()
 		return false
 	case ClosesAfterRun:
@@ -365,16 +366,16 @@
 // as the fault says; without one of these faults it writes a correct response.
 func (w *Worker) writeWithFault(c net.Conn, header map[string]string, id string, fault Fault) bool {
 	switch fault {
-	case Mislabels:
+	case SendsWrongID:
 		header["X-Indigowalk-Request-Id"] = "of-another"
-	case Dribbles:
+	case RespondsInPieces:
 		return writeInPieces(c, header, "run "+id)
-	case Trails:
+	case SendsTrailingBytes:
 		_, err := c.Write(append(encodeHTTPResponse(http.StatusOK, header, "run "+id), "run and run"...))
 		return err == nil
-	case Long:
+	case SendsLongResponse:
 		return writeHTTPResponse(c, 200, header, strings.Repeat("x", longAnswerBytes))
-	case Stalls:
+	case StallsInResponse:
 		b := encodeHTTPResponse(http.StatusOK, header, strings.Repeat("x", longAnswerBytes))
 		if _, err := c.Write(b[:len(b)/2]); err == nil {
 			<-w.ctx.Done()
@@ -384,7 +385,7 @@
 	if !writeHTTPResponse(c, 200, header, "run "+id) {
 		return false
 	}
-	if fault == Surplus {
+	if fault == RespondsTwice {
 		time.Sleep(5 * time.Millisecond)
 		header["X-Indigowalk-Request-Id"] = "of-another"
 		writeHTTPResponse(c, 200, header, "of another")
--- a/internal/standin/statements.go
+++ b/internal/standin/statements.go
@@ -45,7 +45,7 @@
 		if len(out) > 0 && !d.writeAnswer(c, out) {
 			return
 		}
-		if d.misbehaves(EndsUnread) {
+		if d.misbehaves(ClosesBeforeRead) {
 			return
 		}
 		if line, err = r.Line(); err != nil {
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -15,15 +15,15 @@
 	"indigowalk/internal/standin"
 )
 
-// Time bounds. All but slackBound are passed to the processes in their settings; the first four are also
+// Time bounds. All but answerGrace are passed to the processes in their settings; the first four are also
 // bounds of the checks.
 const (
-	drainBound   = 7 * time.Second
-	contactBound = 4 * time.Second
-	applyBound   = 3 * time.Second
-	slackBound   = 200 * time.Millisecond
-	catchUpTime  = 4 * time.Second
-	gracePeriod  = 6 * time.Second
+	drainBound    = 7 * time.Second
+	recoveryBound = 4 * time.Second
+	applyBound    = 3 * time.Second
+	answerGrace   = 200 * time.Millisecond
+	catchUpTime   = 4 * time.Second
+	gracePeriod   = 6 * time.Second
 )
 
 // zoneCount is the number of availability zones that the machines are spread over.
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -212,7 +212,7 @@
 	}
 	line("tolerate.hosts", plan.Tolerate)
 	line("bounds.drain_ms", drainBound.Milliseconds())
-	line("bounds.contact_ms", contactBound.Milliseconds())
+	line("bounds.contact_ms", recoveryBound.Milliseconds())
 	line("bounds.apply_ms", applyBound.Milliseconds())
 	line("bounds.grace_s", int(gracePeriod/time.Second))
 	line("bounds.catchup_s", int(catchUpTime/time.Second))
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -16,7 +16,7 @@
 )
 
 // historyBounds are the time bounds for the checks of a run's history.
-var historyBounds = history.Bounds{Drain: drainBound, Apply: applyBound, Recovery: contactBound, AnswerGrace: slackBound, DeadlineGrace: answerBound}
+var historyBounds = history.Bounds{Drain: drainBound, Apply: applyBound, Recovery: recoveryBound, AnswerGrace: answerGrace, DeadlineGrace: deadlineGrace}
 
 // Report is the result of a run.
 type Report struct {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -29,7 +29,7 @@
 	// startTimeout is how long the cluster may take to accept the first configuration and to get ready.
 	startTimeout = 30 * time.Second
 	// faultFreeEnd is the time at the end of the workload in which no fault is injected.
-	faultFreeEnd = contactBound + 2*time.Second
+	faultFreeEnd = recoveryBound + 2*time.Second
 	// faultFreeEndAfterKill is the same period for plans that kill every process at the end.
 	faultFreeEndAfterKill = faultFreeEnd + 10*time.Second
 	// finalCheckTimeout bounds the operators' final requests.
@@ -37,8 +37,8 @@
 	// maxOrdersResent is how many orders are sent again at the end. It is less than the number
 	// of orders that the control state deduplicates, since some of those were never acknowledged.
 	maxOrdersResent = 256
-	// answerBound is how long after its deadline a statement must have received its response.
-	answerBound = 500 * time.Millisecond
+	// deadlineGrace is how long after its deadline a statement must have received its response.
+	deadlineGrace = 500 * time.Millisecond
 	// probeInterval is the pause between two probes of a proxy.
 	probeInterval = 250 * time.Millisecond
 )
