--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -38,9 +38,9 @@
 	// time. A higher score is better; with a negative one the borrower must not use it.
 	Score(want Want, idle kernel.Micros) int
 	// Attach sets the database generation under which the connection was opened, and the callback
-	// for when it breaks. byUs tells the callback that this process closed the connection itself,
-	// unresponsive that the database stopped responding.
-	Attach(generation int64, onBroken func(byUs, unresponsive bool))
+	// for when it breaks. closedLocally tells the callback that this process closed the connection
+	// itself, unresponsive that the database stopped responding.
+	Attach(generation int64, onBroken func(closedLocally, unresponsive bool))
 }
 
 // MaxPerDatabase returns how many connections this process may hold to each database of a service.
@@ -334,7 +334,7 @@
 // handleBroken runs when a connection has broken. An idle one is dropped here, a borrowed one when
 // it is returned. The break is reported to the health monitor, unless this process closed the
 // connection, or its database was removed or is draining.
-func (ps *Pools[Want, C]) handleBroken(c C, byUs, unresponsive bool) {
+func (ps *Pools[Want, C]) handleBroken(c C, closedLocally, unresponsive bool) {
 	ps.mu.Lock()
 	origin, open := ps.origins[c]
 	if !open {
@@ -348,7 +348,7 @@
 	}
 	known := ps.pools[origin.id] == p && !p.db.Draining
 	ps.mu.Unlock()
-	if !byUs && known {
+	if !closedLocally && known {
 		ps.k.Counters.Add("connpool.broken", 1)
 		ps.health.Report(origin.id, origin.generation, unresponsive)
 	}
--- a/internal/connpool/invariants_test.go
+++ b/internal/connpool/invariants_test.go
@@ -15,11 +15,11 @@
 // fakeConnection is a connection that never breaks.
 type fakeConnection struct{ closed bool }
 
-func (c *fakeConnection) Alive() bool                                 { return !c.closed }
-func (c *fakeConnection) Close()                                      { c.closed = true }
-func (c *fakeConnection) Reusable() bool                              { return true }
-func (c *fakeConnection) Score(struct{}, kernel.Micros) int           { return 0 }
-func (c *fakeConnection) Attach(int64, func(byUs, unresponsive bool)) {}
+func (c *fakeConnection) Alive() bool                                          { return !c.closed }
+func (c *fakeConnection) Close()                                               { c.closed = true }
+func (c *fakeConnection) Reusable() bool                                       { return true }
+func (c *fakeConnection) Score(struct{}, kernel.Micros) int                    { return 0 }
+func (c *fakeConnection) Attach(int64, func(closedLocally, unresponsive bool)) {}
 
 // fakePools returns pools of fake connections to one database, "a".
 func fakePools() (*kernel.Kernel, *Pools[struct{}, *fakeConnection]) {
--- a/internal/connpool/open.go
+++ b/internal/connpool/open.go
@@ -164,7 +164,7 @@
 func (ps *Pools[Want, C]) admit(p *pool[Want, C], c C, generation int64) {
 	p.open++
 	ps.origins[c] = origin[Want, C]{pool: p, id: p.db.ID, address: p.db.Address, generation: generation}
-	c.Attach(generation, func(byUs, unresponsive bool) { ps.handleBroken(c, byUs, unresponsive) })
+	c.Attach(generation, func(closedLocally, unresponsive bool) { ps.handleBroken(c, closedLocally, unresponsive) })
 	if ps.pools[p.db.ID] != p || !c.Alive() {
 		ps.closeConn(p, c)
 		p.failWaiters(ErrBroken)
--- a/internal/dbconn/conn.go
+++ b/internal/dbconn/conn.go
@@ -62,7 +62,7 @@
 	outstanding    bool // a statement was sent and its answer has not been received by the borrower
 	answered       bool // the answer to the outstanding statement has arrived
 	desynchronized bool // data arrived that does not belong to the answer of a statement
-	onBroken       func(byUs, unresponsive bool)
+	onBroken       func(closedLocally, unresponsive bool)
 	closed         bool
 }
 
@@ -157,15 +157,15 @@
 	close(c.broken)
 	c.conn.Close()
 	c.mu.Lock()
-	onBroken, byUs := c.onBroken, c.closed
+	onBroken, closedLocally := c.onBroken, c.closed
 	c.mu.Unlock()
 	if onBroken != nil {
-		onBroken(byUs, c.unresponsive)
+		onBroken(closedLocally, c.unresponsive)
 	}
 }
 
 // Attach implements connpool.Connection.
-func (c *Conn) Attach(generation int64, onBroken func(byUs, unresponsive bool)) {
+func (c *Conn) Attach(generation int64, onBroken func(closedLocally, unresponsive bool)) {
 	c.Generation = generation
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/history/orders.go
+++ b/internal/history/orders.go
@@ -321,7 +321,7 @@
 	for _, r := range c.history.readings {
 		n := int(r.Routes[markRoute]) - 1
 		if n < 0 || n >= len(c.history.orders) || c.history.orders[n].Rev != r.Rev {
-			c.addBreach(r.Done, "version %d is read back, and no order was like that", r.Rev)
+			c.addBreach(r.Done, "version %d is read back, but no order made it", r.Rev)
 			continue
 		}
 		c.addCommitted(r.Done, r.Rev, n)
@@ -371,7 +371,7 @@
 		case a.Code != 412 && o.Invalid == "":
 			c.addBreach(a.Done, "order %d is valid and was refused with %d", a.Order, a.Code)
 		case o.Invalid == "" && final <= o.Base:
-			c.addBreach(a.Done, "order %d was refused with %d, and nothing took its base", a.Order, a.Code)
+			c.addBreach(a.Done, "order %d was refused with %d, but its base is still the newest version", a.Order, a.Code)
 		}
 	}
 }
--- a/internal/history/orders_test.go
+++ b/internal/history/orders_test.go
@@ -46,9 +46,9 @@
 		"version 5 is read back after 9 was": func(h *Orders) {
 			h.readings = append(h.readings, Reading{SentSeq: 19, DoneSeq: 20, Rev: 5, Routes: h.orders[1].Routes})
 		},
-		"is read back as map[a:9 mark:3]":                    func(h *Orders) { delete(h.readings[0].Routes, "b") },
-		"version 7 is read back, and no order was like that": func(h *Orders) { h.readings[0].Rev = 7 },
-		"order 2 was refused with 412, and nothing took its base": func(h *Orders) {
+		"is read back as map[a:9 mark:3]":              func(h *Orders) { delete(h.readings[0].Routes, "b") },
+		"version 7 is read back, but no order made it": func(h *Orders) { h.readings[0].Rev = 7 },
+		"order 2 was refused with 412, but its base is still the newest version": func(h *Orders) {
 			h.answers[8].Code, h.readings[0] = 412, Reading{SentSeq: 17, DoneSeq: 18, Rev: 5, Routes: map[string]int64{"a": 7, "b": 8, markRoute: 2}}
 		},
 	} {
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -116,7 +116,7 @@
 	sent              int                         // number of requests sent
 	idleTimeout       kernel.Micros               // the database closes the connection when idle for this time; 0 if not announced
 	unresponsive      bool
-	onBroken          func(byUs, unresponsive bool)
+	onBroken          func(closedLocally, unresponsive bool)
 }
 
 // headerLimiter limits how much is read of a response's header.
@@ -300,7 +300,7 @@
 	pending := c.pending
 	c.pending = nil
 	c.unresponsive = errors.Is(err, syscall.ETIMEDOUT)
-	onBroken, byUs, unresponsive := c.onBroken, c.closed || c.tainted, c.unresponsive
+	onBroken, closedLocally, unresponsive := c.onBroken, c.closed || c.tainted, c.unresponsive
 	c.mu.Unlock()
 	close(c.done)
 	c.conn.Close()
@@ -308,7 +308,7 @@
 		pending.result <- Result{Err: closeError(err)}
 	}
 	if onBroken != nil {
-		onBroken(byUs, unresponsive)
+		onBroken(closedLocally, unresponsive)
 	}
 }
 
@@ -482,7 +482,7 @@
 }
 
 // Attach implements connpool.Connection.
-func (c *Conn) Attach(_ int64, onBroken func(byUs, unresponsive bool)) {
+func (c *Conn) Attach(_ int64, onBroken func(closedLocally, unresponsive bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onBroken = onBroken
--- a/internal/pooler/job.go
+++ b/internal/pooler/job.go
@@ -379,9 +379,9 @@
 // be made.
 func (j *job) handleAttemptError(conn *dbconn.Conn, binding *health.Binding, err error) *lineprotocol.Answer {
 	p, id := j.s.pooler, conn.DB.ID
-	if silent := errors.Is(err, connpool.ErrUnresponsive); silent || errors.Is(err, connpool.ErrBroken) {
+	if unresponsive := errors.Is(err, connpool.ErrUnresponsive); unresponsive || errors.Is(err, connpool.ErrBroken) {
 		_, generation := binding.Bound()
-		p.health.Report(id, min(generation, conn.Generation), silent)
+		p.health.Report(id, min(generation, conn.Generation), unresponsive)
 	}
 	if !blockedLocally(err) {
 		conn.Close()
--- a/internal/scalebench/scalebench.go
+++ b/internal/scalebench/scalebench.go
@@ -59,7 +59,7 @@
 // stepTimeout bounds each step of the benchmark that waits.
 const stepTimeout = 60 * time.Second
 
-var errStepTimeout = errors.New("scalebench: a step takes too long")
+var errStepTimeout = errors.New("scalebench: a step timed out")
 
 // Run measures one cluster size and kills every process that it started.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -54,8 +54,8 @@
 	StallsInResponse         // runs the request, sends half of a long response and stalls
 )
 
-// longAnswerBytes is the size of the response bodies of SendsLongResponse and StallsInResponse.
-const longAnswerBytes = 1 << 20
+// longResponseBytes is the size of the response bodies of SendsLongResponse and StallsInResponse.
+const longResponseBytes = 1 << 20
 
 // AllFaults lists the faults that may be injected under any workload. SendsLongResponse and
 // StallsInResponse are not among them.
@@ -268,28 +268,28 @@
 	r := bufio.NewReader(c)
 	for {
 		idleSince := time.Now()
-		q, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
 		w.mu.Lock()
-		w.Last = q.Header
+		w.Last = request.Header
 		fault := w.fault
 		w.mu.Unlock()
-		if fault == RejectsEarly && q.ContentLength > earlyRejectBytes {
-			if !w.rejectEarly(c, q) {
+		if fault == RejectsEarly && request.ContentLength > earlyRejectBytes {
+			if !w.rejectEarly(c, request) {
 				return
 			}
 			continue
 		}
-		body, err := io.ReadAll(q.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
 		if fault == ClosesIdle && time.Since(idleSince) > 200*time.Millisecond {
 			return
 		}
-		if !w.handle(c, q, body, fault) {
+		if !w.handle(c, request, body, fault) {
 			return
 		}
 	}
@@ -300,42 +300,42 @@
 
 // rejectEarly responds to a long request before reading its body, then reads the body and checks it: the
 // sender must complete the request and not send another one in its place.
-func (w *Worker) rejectEarly(c net.Conn, q *http.Request) bool {
-	id := q.Header.Get("X-Indigowalk-Request-Id")
+func (w *Worker) rejectEarly(c net.Conn, request *http.Request) bool {
+	id := request.Header.Get("X-Indigowalk-Request-Id")
 	header := map[string]string{"X-Indigowalk-Not-Run": "1", "X-Indigowalk-Request-Id": id}
 	if !writeHTTPResponse(c, http.StatusServiceUnavailable, header, "") {
 		return false
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return false // the body is cut short, which is no violation
 	}
-	w.check(id, q.Method+" "+q.RequestURI+" "+string(body))
+	w.check(id, request.Method+" "+request.RequestURI+" "+string(body))
 	return true
 }
 
 // handle responds to a health check or runs one request and responds to it. The caller closes the
 // connection if it returns false.
-func (w *Worker) handle(c net.Conn, q *http.Request, body []byte, fault Fault) bool {
+func (w *Worker) handle(c net.Conn, request *http.Request, body []byte, fault Fault) bool {
 	w.mu.Lock()
 	healthy, full := w.healthy && !w.draining, w.running >= w.Slots+8
 	w.mu.Unlock()
-	id := q.Header.Get("X-Indigowalk-Request-Id")
+	id := request.Header.Get("X-Indigowalk-Request-Id")
 	switch {
-	case q.URL.Path == "/healthz":
+	case request.URL.Path == "/healthz":
 		status := 200
 		if !healthy {
 			status = 503
 		}
 		return writeHTTPResponse(c, status, map[string]string{"X-Indigowalk-Instance-Id": w.ID}, "")
-	case q.Header.Get("X-Indigowalk-Target-Instance") != w.ID:
+	case request.Header.Get("X-Indigowalk-Target-Instance") != w.ID:
 		return writeHTTPResponse(c, 421, map[string]string{"X-Indigowalk-Not-Run": "1"}, "")
 	case fault == RejectsAsFull || full:
 		return writeHTTPResponse(c, 503, map[string]string{"X-Indigowalk-Not-Run": "1", "X-Indigowalk-Request-Id": id}, "")
 	case fault == Resets:
 		return false
 	}
-	w.run(id, q.Method+" "+q.RequestURI+" "+string(body))
+	w.run(id, request.Method+" "+request.RequestURI+" "+string(body))
 	return w.respond(c, id, fault)
 }
 
@@ -362,8 +362,8 @@
 	return w.writeWithFault(c, header, id, fault)
 }
 
-// writeWithFault writes a response that is mislabeled, long, stalled, in pieces or followed by more bytes,
-// as the fault says; without one of these faults it writes a correct response.
+// writeWithFault writes a response that has a wrong id, is long, stalls, comes in pieces or is followed
+// by more bytes, as the fault says; without one of these faults it writes a correct response.
 func (w *Worker) writeWithFault(c net.Conn, header map[string]string, id string, fault Fault) bool {
 	switch fault {
 	case SendsWrongID:
@@ -374,9 +374,9 @@
 		_, err := c.Write(append(encodeHTTPResponse(http.StatusOK, header, "run "+id), "run and run"...))
 		return err == nil
 	case SendsLongResponse:
-		return writeHTTPResponse(c, 200, header, strings.Repeat("x", longAnswerBytes))
+		return writeHTTPResponse(c, 200, header, strings.Repeat("x", longResponseBytes))
 	case StallsInResponse:
-		b := encodeHTTPResponse(http.StatusOK, header, strings.Repeat("x", longAnswerBytes))
+		b := encodeHTTPResponse(http.StatusOK, header, strings.Repeat("x", longResponseBytes))
 		if _, err := c.Write(b[:len(b)/2]); err == nil {
 			<-w.ctx.Done()
 		}
