--- a/internal/dbconn/plugin.go
+++ b/internal/dbconn/plugin.go
@@ -19,21 +19,21 @@
 		Name: "dbconn", Rank: 50, Roles: []string{"pooler"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			d := &Dialer{
-				Net: k.Net, ClientName: s.NodeName, ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
+			dialer := &Dialer{
+				Net: k.Net, ClientName: s.NodeName, ConnectTimeout: settings.FromMillis(s.CheckTimeoutMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
 				DialSlots: make(chan struct{}, connpool.MaxConcurrentDials),
 			}
 			pools := connpool.New[Want](k, connpool.Config[Want, *Conn]{
 				Open: func(ctx context.Context, db discovery.Database, want Want, wait kernel.Micros) (*Conn, error) {
-					return d.OpenForTenant(ctx, db, want.Tenant, wait)
+					return dialer.OpenForTenant(ctx, db, want.Tenant, wait)
 				},
 				Evict:       true,
-				OpenTimeout: 2 * kernel.Second, CheckTimeout: settings.FromMillis(s.CheckWaitMs), IdleTimeout: 15 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
-				Share: func(svc string) int { return kernel.Need[connpool.Share](k)(svc) },
+				OpenTimeout: 2 * kernel.Second, CheckTimeout: settings.FromMillis(s.CheckTimeoutMs), IdleTimeout: 15 * kernel.Second, UnusedTimeout: 5 * kernel.Second,
+				MaxPerDatabase: func(svc string) int { return kernel.Need[connpool.MaxPerDatabase](k)(svc) },
 			}, kernel.Need[*health.Monitor](k))
 			kernel.Offer(k, pools)
-			kernel.Offer(k, connpool.Updater(pools.SetDatabases))
-			kernel.Offer(k, connpool.Counts(pools.Counts))
+			kernel.Offer(k, connpool.DatabaseUpdater(pools.SetDatabases))
+			kernel.Offer(k, connpool.ConnectionCounts(pools.Counts))
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool { return connpool.CheckPassed(pools.Check(ctx, id)) })
 			k.Supervise("dbconn", pools.Serve)
 			return nil
@@ -43,27 +43,27 @@
 		Name: "dbconn-check", Rank: 50, Roles: []string{"control"},
 		Build: func(k *kernel.Kernel) error {
 			s := kernel.Need[*settings.Live](k).Now()
-			v := kernel.Need[*controlstate.Replica](k)
-			d := &Dialer{
-				Net: k.Net, ClientName: "control", ConnectTimeout: settings.FromMillis(s.CheckWaitMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
+			replica := kernel.Need[*controlstate.Replica](k)
+			dialer := &Dialer{
+				Net: k.Net, ClientName: "control", ConnectTimeout: settings.FromMillis(s.CheckTimeoutMs), UnresponsiveTimeout: settings.FromMillis(s.PeerTimeoutMs),
 				DialSlots: make(chan struct{}, connpool.MaxConcurrentDials),
 			}
 			unresponsive := &connpool.UnresponsiveTracker{}
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
-				return probe(ctx, k, v, d, unresponsive, id)
+				return probe(ctx, k, replica, dialer, unresponsive, id)
 			})
 			return nil
 		},
 	})
 }
 
-// probe tests, for a control node, whether a database accepts a connection. If several don't
-// respond at once, the control node's own link may be saturated: before that leads to a leader
-// change, they are tried again, with twice the time limit.
+// probe tests, for a control node, whether a database accepts a connection. If several databases are
+// unresponsive at about the same time, the control node's own link may be saturated: they are tried
+// again with twice the time limit, before the failure leads to a failover.
 func probe(ctx context.Context, k *kernel.Kernel, replica *controlstate.Replica, dialer *Dialer, unresponsive *connpool.UnresponsiveTracker, id string) bool {
 	raw, err := replica.Read(discovery.Key(id))
 	if err != nil || raw == nil {
-		return true // no longer the primary, or the database was removed: nothing to decide
+		return true // this node is no longer the primary, or the database was removed: no decision is needed
 	}
 	var db discovery.Database
 	if err := json.Unmarshal(raw, &db); err != nil {
--- a/internal/distribution/plugin.go
+++ b/internal/distribution/plugin.go
@@ -23,7 +23,7 @@
 			live := kernel.Need[*settings.Live](k)
 			monitor := kernel.Need[*health.Monitor](k)
 			NewPublisher(k, kernel.Need[*rpc.Endpoint](k), kernel.Need[*controlstate.Replica](k),
-				kernel.Need[*failover.Readers](k), settings.FromMillis(live.Now().ReaderLeaseMs), longPollTimeout(live), monitor.HandleNotice, live.Now().NetMbps)
+				kernel.Need[*failover.ReadLeases](k), settings.FromMillis(live.Now().ReaderLeaseMs), longPollTimeout(live), monitor.HandleNotice, live.Now().NetMbps)
 			return nil
 		},
 	})
@@ -47,7 +47,7 @@
 				Peers:         func() []string { return members.Peers(k.Role) },
 				Lease:         settings.FromMillis(live.Now().ReaderLeaseMs),
 				DownDatabases: kernel.Need[*health.Monitor](k).Down,
-				OnDatabases:   kernel.Need[connpool.Updater](k),
+				OnDatabases:   kernel.Need[connpool.DatabaseUpdater](k),
 				OnPosition:    func(string, kernel.Micros, lineprotocol.Position) {},
 				Bounds: func() Bounds {
 					now := live.Now()
@@ -68,7 +68,7 @@
 			}
 			subscriber := NewSubscriber(k, kernel.Need[*rpc.Endpoint](k), cfg)
 			kernel.Offer(k, subscriber)
-			kernel.Offer(k, connpool.Share(func(service string) int {
+			kernel.Offer(k, connpool.MaxPerDatabase(func(service string) int {
 				return subscriber.connectionShare(service, 1+len(members.Peers(k.Role)))
 			}))
 			k.Supervise("distribution", subscriber.Serve)
@@ -103,7 +103,7 @@
 
 // longPollTimeout is the setting for how long a control node may hold a poll.
 func longPollTimeout(live *settings.Live) func() kernel.Micros {
-	return func() kernel.Micros { return settings.FromMillis(live.Now().PollMs) }
+	return func() kernel.Micros { return settings.FromMillis(live.Now().LongPollTimeoutMs) }
 }
 
 // reservedShare is the share of max_conns left for health checks, the failover manager and
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,133 +9,133 @@
 )
 
 // roundTrip sends p and reports whether it is acknowledged within timeout.
-func (r *Memberlist) roundTrip(ctx context.Context, addr string, p packet, timeout kernel.Micros) bool {
-	ch := make(chan struct{})
-	r.mu.Lock()
-	r.nextSeq++
-	seq := r.nextSeq
+func (l *Memberlist) roundTrip(ctx context.Context, addr string, p packet, timeout kernel.Micros) bool {
+	acked := make(chan struct{})
+	l.mu.Lock()
+	l.nextSeq++
+	seq := l.nextSeq
 	p.Seq = seq
-	r.pendingAcks[seq] = ch
-	r.mu.Unlock()
+	l.pendingAcks[seq] = acked
+	l.mu.Unlock()
 	if p.Updates == nil {
-		p.Updates = r.updatesWithSelf()
+		p.Updates = l.updatesWithSelf()
 	}
-	r.send(p, addr)
+	l.send(p, addr)
 	defer func() {
-		r.mu.Lock()
-		delete(r.pendingAcks, seq)
-		r.mu.Unlock()
+		l.mu.Lock()
+		delete(l.pendingAcks, seq)
+		l.mu.Unlock()
 	}()
-	t := time.NewTimer(timeout.Duration())
-	defer t.Stop()
+	timer := time.NewTimer(timeout.Duration())
+	defer timer.Stop()
 	select {
-	case <-ch:
+	case <-acked:
 		return true
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// probeLoop probes one member per interval, synchronizes with others periodically, and
-// suspects a member that answers neither the direct nor the indirect probes.
-func (r *Memberlist) probeLoop(ctx context.Context) {
-	r.joinSeeds(ctx)
-	for round := 0; kernel.Sleep(ctx, r.cfg.ProbeInterval); round++ {
-		r.removeExpired()
-		target, n := r.nextProbeTarget()
+// probeLoop probes one member per interval, and suspects it if it answers neither the
+// direct nor the indirect probes. It also synchronizes with other members periodically.
+func (l *Memberlist) probeLoop(ctx context.Context) {
+	l.joinSeeds(ctx)
+	for round := 0; kernel.Sleep(ctx, l.cfg.ProbeInterval); round++ {
+		l.removeExpired()
+		target, known := l.nextProbeTarget()
 		if target == "" || round%8 == 7 {
-			r.joinSeeds(ctx)
+			l.joinSeeds(ctx)
 		}
 		// Updates reach their transmission limit before every member has received
 		// them, most of all when many processes start at once. Two members therefore
 		// exchange their differences periodically (anti-entropy).
 		syncPeer := ""
-		if r.outOfSync.Swap(false) {
-			syncPeer = r.pickSyncPeer()
+		if l.outOfSync.Swap(false) {
+			syncPeer = l.pickSyncPeer()
 		} else if round%syncEveryRounds == 2 {
 			syncPeer = target
 		}
-		if syncPeer != "" && syncPeer != r.cfg.Self.Addr {
-			go r.roundTrip(ctx, syncPeer, packet{Kind: join, Checksums: r.checksums()}, r.cfg.ProbeInterval/2)
+		if syncPeer != "" && syncPeer != l.cfg.Self.Addr {
+			go l.roundTrip(ctx, syncPeer, packet{Kind: syncRequest, Checksums: l.checksums()}, l.cfg.ProbeInterval/2)
 		}
 		if target == "" {
 			continue
 		}
-		if n > 0 && !r.roundTrip(ctx, target, packet{Kind: ping}, r.cfg.ProbeInterval/2) && !r.probeIndirectly(ctx, target) && ctx.Err() == nil {
-			r.suspect(target)
+		if known > 0 && !l.roundTrip(ctx, target, packet{Kind: ping}, l.cfg.ProbeInterval/2) && !l.probeIndirectly(ctx, target) && ctx.Err() == nil {
+			l.suspect(target)
 		}
 	}
 }
 
 // pickSyncPeer picks a random control node, or a seed if no control node is known:
 // those are the members that every starting process joins.
-func (r *Memberlist) pickSyncPeer() string {
-	known := r.Peers("control")
-	if len(known) == 0 {
-		known = r.cfg.Seeds
+func (l *Memberlist) pickSyncPeer() string {
+	candidates := l.Peers("control")
+	if len(candidates) == 0 {
+		candidates = l.cfg.Seeds
 	}
-	if len(known) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return known[rand.IntN(len(known))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
-// joinSeeds sends a join to the seeds that are not known to be alive.
-func (r *Memberlist) joinSeeds(ctx context.Context) {
-	for _, s := range r.cfg.Seeds {
-		r.mu.Lock()
-		e := r.members[s]
-		r.mu.Unlock()
-		if s != r.cfg.Self.Addr && (e == nil || e.Status != Alive) {
-			go r.roundTrip(ctx, s, packet{Kind: join}, r.cfg.ProbeInterval/2)
+// joinSeeds requests all members from the seeds that are not known to be alive.
+func (l *Memberlist) joinSeeds(ctx context.Context) {
+	for _, seed := range l.cfg.Seeds {
+		l.mu.Lock()
+		e := l.members[seed]
+		l.mu.Unlock()
+		if seed != l.cfg.Self.Addr && (e == nil || e.Status != Alive) {
+			go l.roundTrip(ctx, seed, packet{Kind: syncRequest}, l.cfg.ProbeInterval/2)
 		}
 	}
 }
 
 // nextProbeTarget picks members round-robin in shuffled order, so that each is probed
 // within bounded time. It also returns the number of known members.
-func (r *Memberlist) nextProbeTarget() (string, int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (l *Memberlist) nextProbeTarget() (string, int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for range 2 {
-		for len(r.probeOrder) > 0 {
-			addr := r.probeOrder[0]
-			r.probeOrder = r.probeOrder[1:]
-			if e := r.members[addr]; e != nil && e.Status != Dead {
-				return addr, len(r.members)
+		for len(l.probeOrder) > 0 {
+			addr := l.probeOrder[0]
+			l.probeOrder = l.probeOrder[1:]
+			if e := l.members[addr]; e != nil && e.Status != Dead {
+				return addr, len(l.members)
 			}
 		}
-		for addr := range r.members {
-			r.probeOrder = append(r.probeOrder, addr)
+		for addr := range l.members {
+			l.probeOrder = append(l.probeOrder, addr)
 		}
-		rand.Shuffle(len(r.probeOrder), func(i, j int) { r.probeOrder[i], r.probeOrder[j] = r.probeOrder[j], r.probeOrder[i] })
+		rand.Shuffle(len(l.probeOrder), func(i, j int) { l.probeOrder[i], l.probeOrder[j] = l.probeOrder[j], l.probeOrder[i] })
 	}
 	return "", 0
 }
 
 // probeIndirectly has indirectProbes other members probe target and reports whether it
 // answers any of them.
-func (r *Memberlist) probeIndirectly(ctx context.Context, target string) bool {
-	return r.probeThroughOthers(ctx, target, indirectProbes)
+func (l *Memberlist) probeIndirectly(ctx context.Context, target string) bool {
+	return l.probeThroughOthers(ctx, target, indirectProbes)
 }
 
 // probeThroughOthers has up to maxHelpers other members probe target and reports
 // whether it answers any of them.
-func (r *Memberlist) probeThroughOthers(ctx context.Context, target string, maxHelpers int) bool {
-	r.mu.Lock()
+func (l *Memberlist) probeThroughOthers(ctx context.Context, target string, maxHelpers int) bool {
+	l.mu.Lock()
 	var helpers []string
-	for addr, e := range r.members {
+	for addr, e := range l.members {
 		if addr != target && e.Status == Alive {
 			helpers = append(helpers, addr)
 		}
 	}
-	r.mu.Unlock()
+	l.mu.Unlock()
 	rand.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
 	helpers = helpers[:min(len(helpers), maxHelpers)]
 	acked := make(chan bool, len(helpers))
 	for _, helper := range helpers {
-		go func() { acked <- r.roundTrip(ctx, helper, packet{Kind: pingReq, Target: target}, r.cfg.ProbeInterval) }()
+		go func() { acked <- l.roundTrip(ctx, helper, packet{Kind: pingReq, Target: target}, l.cfg.ProbeInterval) }()
 	}
 	for range helpers {
 		if <-acked {
@@ -151,38 +151,38 @@
 
 // Reachable reports whether a process answers a probe by this one, or by any of several
 // other members that are requested to probe it, before ctx is done.
-func (r *Memberlist) Reachable(ctx context.Context, addr string) bool {
+func (l *Memberlist) Reachable(ctx context.Context, addr string) bool {
 	helpers := make(chan bool, 1)
-	go func() { helpers <- r.probeThroughOthers(ctx, addr, reachableIndirectProbes) }()
-	return r.roundTrip(ctx, addr, packet{Kind: ping}, r.cfg.ProbeInterval) || <-helpers
+	go func() { helpers <- l.probeThroughOthers(ctx, addr, reachableIndirectProbes) }()
+	return l.roundTrip(ctx, addr, packet{Kind: ping}, l.cfg.ProbeInterval) || <-helpers
 }
 
 // suspect marks a member that is alive as suspected.
-func (r *Memberlist) suspect(addr string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if e := r.members[addr]; e != nil && e.Status == Alive {
-		e.Status, e.statusSince = Suspect, r.k.Clock.Now()
-		r.queueUpdate(e, r.retransmitLimit())
-		r.k.Counters.Add("membership.suspected", 1)
+func (l *Memberlist) suspect(addr string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if e := l.members[addr]; e != nil && e.Status == Alive {
+		e.Status, e.statusSince = Suspect, l.k.Clock.Now()
+		l.queueUpdate(e, l.retransmitLimit())
+		l.k.Counters.Add("membership.suspected", 1)
 	}
 }
 
 // removeExpired declares dead the members that have been suspected for three probe
 // intervals without a refutation, and forgets dead members after 60 probe intervals.
-func (r *Memberlist) removeExpired() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.k.Clock.Now()
-	for addr, e := range r.members {
+func (l *Memberlist) removeExpired() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.k.Clock.Now()
+	for addr, e := range l.members {
 		switch {
-		case e.Status == Suspect && now-e.statusSince > 3*r.cfg.ProbeInterval:
+		case e.Status == Suspect && now-e.statusSince > 3*l.cfg.ProbeInterval:
 			e.Status, e.statusSince = Dead, now
-			r.queueUpdate(e, r.retransmitLimit())
-			r.k.Log.Info("member declared dead: suspicion not refuted in time", "name", e.Name, "role", e.Role)
-			r.changes.NotifyAll()
-		case e.Status == Dead && now-e.statusSince > 60*r.cfg.ProbeInterval:
-			delete(r.members, addr)
+			l.queueUpdate(e, l.retransmitLimit())
+			l.k.Log.Info("member declared dead: suspicion not refuted in time", "name", e.Name, "role", e.Role)
+			l.changes.NotifyAll()
+		case e.Status == Dead && now-e.statusSince > 60*l.cfg.ProbeInterval:
+			delete(l.members, addr)
 		}
 	}
 }
--- a/internal/simulation/clients_test.go
+++ b/internal/simulation/clients_test.go
@@ -15,7 +15,7 @@
 // connectionsInUse returns the number of database connections that requests at a zone's gateway have
 // checked out of the pool.
 func connectionsInUse(w *World, zone int) (n int) {
-	for _, c := range kernel.Need[connpool.Counts](w.Process("gateway", zone).Kernel)() {
+	for _, c := range kernel.Need[connpool.ConnectionCounts](w.Process("gateway", zone).Kernel)() {
 		n += c[0] - c[1]
 	}
 	return n
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	id := "r" + path
-	s.Expect(id, method+" "+path+" ", method == "GET")
+	s.ExpectRequest(id, method+" "+path+" ", method == "GET")
 	if _, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s.example\r\nX-Indigowalk-Request-Id: %s\r\n\r\n", method, path, s.Name, id); err != nil {
 		t.Fatal(err)
 	}
@@ -52,9 +52,9 @@
 func TestClientDisconnects(t *testing.T) {
 	for method, path := range map[string]string{"GET": "/safe/a", "POST": "/unsafe/b"} {
 		t.Run(method, func(t *testing.T) {
-			serveRequests(t, func(w *World, s *Service) {
+			withGatewayCluster(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
-					d.InjectFault(Mute)
+					d.InjectFault(SendsNoResponse)
 				}
 				conn := sendRequest(t, w, s, requestHost, method, path)
 				time.Sleep(100 * time.Millisecond)
@@ -83,18 +83,18 @@
 		fault        Fault
 		clientStalls bool // the client does not read
 	}{
-		"client does not read a short response": {Well, true},
-		"client does not read a long response":  {Long, true},
-		"database stalls in a long response":    {Stalls, false},
+		"client does not read a short response": {NoFault, true},
+		"client does not read a long response":  {SendsLongResponse, true},
+		"database stalls in a long response":    {StallsInResponse, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			serveRequests(t, func(w *World, s *Service) {
+			withGatewayCluster(t, func(w *World, s *Service) {
 				for _, d := range s.Workers() {
 					d.InjectFault(c.fault)
 				}
 				conn := sendRequest(t, w, s, stalledClient, "GET", "/safe/a")
 				defer conn.Close()
-				w.Net.Full(stalledClient, c.clientStalls)
+				w.Net.SetReceiveBlocked(stalledClient, c.clientStalls)
 				time.Sleep(2600 * time.Millisecond)
 				if connectionsInUse(w, 1) != 0 || openRequests(w, 1) != 0 {
 					t.Errorf("600 ms after the deadline %d database connections are in use and %d requests open, want none", connectionsInUse(w, 1), openRequests(w, 1))
@@ -103,7 +103,7 @@
 				if n := clientConnections(w, 1); c.clientStalls && n > 0 {
 					t.Errorf("%d connections of clients that do not read are still open", n)
 				}
-				w.Net.Full(stalledClient, false)
+				w.Net.SetReceiveBlocked(stalledClient, false)
 				time.Sleep(time.Minute)
 			})
 		})
@@ -121,14 +121,14 @@
 		"no id":    {"POST /unsafe/1", "", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			serveRequests(t, func(w *World, _ *Service) {
+			withGatewayCluster(t, func(w *World, _ *Service) {
 				conn, err := w.Net.Host(requestHost).Dial(context.Background(), ip(1)+":8784", 0)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer conn.Close()
 				began := time.Now()
-				a := standin.Raw(conn, fmt.Appendf(nil, "%s HTTP/1.1\r\nHost: intake.example\r\nX-Indigowalk-Request-Id: %s\r\nContent-Length: 100\r\n\r\nhalf", c.line, c.id))
+				a := standin.ExchangeRaw(conn, fmt.Appendf(nil, "%s HTTP/1.1\r\nHost: intake.example\r\nX-Indigowalk-Request-Id: %s\r\nContent-Length: 100\r\n\r\nhalf", c.line, c.id))
 				if took := time.Since(began); a.Status != c.status || took > 200*time.Millisecond {
 					t.Errorf("status %d after %v, want %d within 200 ms", a.Status, took, c.status)
 				}
--- a/internal/simulation/latebeat_test.go
+++ b/internal/simulation/late_heartbeat_test.go
@@ -13,9 +13,9 @@
 // delay, and stops replication to the remaining replica, so that only the replacement receives
 // what the primary commits. It returns both.
 func replaceWithLateHeartbeats(g *Group, delay time.Duration) (replacement, remaining *Database) {
-	replacement = g.AddLate("ledger-4", "10.4.64.9", "z4", "replica", delay)
+	replacement = g.AddDelayed("ledger-4", "10.4.64.9", "z4", "replica", delay)
 	time.Sleep(300 * time.Millisecond)
-	g.DB(1).Leave(10*time.Second, true)
+	g.DB(1).DrainAndStop(10*time.Second, true)
 	time.Sleep(1200 * time.Millisecond)
 	remaining = g.DB(2)
 	remaining.SetReplicationStopped(true)
@@ -24,28 +24,28 @@
 }
 
 // Guards against the loss of acknowledged commits (LOST) when a replica receives commits before
-// its first heartbeat has arrived. It alone holds acknowledged commits, so no other replica may
-// be promoted, and it must be as soon as it is known.
+// its first heartbeat has arrived. The latest acknowledged commits are on no other replica, so only
+// this one may be promoted, and it must be promoted once its heartbeat has arrived.
 func TestCommitsOnReplicaWithLateFirstHeartbeat(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			replacement, _ := replaceWithLateHeartbeats(g, 3*time.Second)
 			primary := g.Primary()
 			primary.Crash(false)
-			if g.next(primary, 5*time.Second) != replacement {
+			if g.awaitNewPrimary(primary, 5*time.Second) != replacement {
 				t.Error("the replica that holds the acknowledged commits was not promoted")
 			}
 		})
-		served(t, load, 5*time.Second)
+		checkWritesServed(t, load, 5*time.Second)
 	})
 }
 
-// Guards against a failover that waits forever: the replica that was not known yet crashes as
-// well, and the old primary has the acknowledged commits when it returns, so it must become primary
-// again.
+// Guards against a failover that waits forever: the primary crashes together with the only replica
+// that has its latest acknowledged commits, before that replica's first heartbeat has arrived. The
+// old primary has these commits when it returns, so it must become primary again.
 func TestPrimaryReturnsWhenNoKnownReplicaHasItsCommits(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
 			replacement, _ := replaceWithLateHeartbeats(g, 3*time.Second)
 			primary := g.Primary()
 			primary.Crash(false)
@@ -54,19 +54,19 @@
 			if g.Primary() != nil {
 				t.Error("a database that lacks acknowledged commits was promoted")
 			}
-			primary.Return("ledger-1b")
-			w.Until("the returned database is primary again", 3*time.Second, func() bool { return g.Primary() == primary && strings.Contains(w.status(), "1 with a lead") })
+			primary.Restart("ledger-1b")
+			w.WaitUntil("the returned database is primary again", 3*time.Second, func() bool { return g.Primary() == primary && strings.Contains(w.statusText(), "1 with a lead") })
 		})
-		served(t, load, 11*time.Second)
+		checkWritesServed(t, load, 11*time.Second)
 	})
 }
 
 // Guards against a failover that waits forever: the only replica with the last acknowledged commits
-// is lost before its first heartbeat arrives. An operator accepts the loss, and the next failover
-// does not wait for these commits either.
+// is lost before its first heartbeat arrives. Once an operator has accepted the loss, neither this
+// failover nor the next one waits for these commits.
 func TestAcceptedLossOfCommitsOnUnregisteredReplica(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := w.NewLoad(g, 7)
+	withCluster(t, func(w *World, g *Group) {
+		load := w.StartLoad(g, 7)
 		time.Sleep(3 * time.Second)
 		replacement, remaining := replaceWithLateHeartbeats(g, 30*time.Second)
 		primary := g.Primary()
@@ -75,7 +75,7 @@
 		time.Sleep(7 * time.Second)
 		load.Stop()
 		host := w.Net.Host("10.250.0.9")
-		blocked, err := tools.CollectReports(context.Background(), host, []string{ip(controlPrimary(w)) + ":7440"}, true).FindBlocked("ledger")
+		blocked, err := tools.CollectReports(context.Background(), host, []string{ip(controlPrimaryZone(w)) + ":7440"}, true).FindBlocked("ledger")
 		if err != nil || !strings.Contains(blocked.Reason, "an acknowledged commit is on no replica that is known; 1.") || g.Primary() != nil {
 			t.Fatalf("blocked failover: %+v, error %v, primary %v", blocked, err, g.Primary())
 		}
@@ -83,15 +83,15 @@
 		if err := blocked.AcceptLoss(context.Background(), host, blocked.FailoverID, "someone"); err != nil {
 			t.Fatal(err)
 		}
-		w.Until("the remaining replica is primary", 3*time.Second, func() bool { return g.Primary() == remaining })
-		if leader := leadOf(t, w); leader.Waived == "" {
+		w.WaitUntil("the remaining replica is primary", 3*time.Second, func() bool { return g.Primary() == remaining })
+		if leader := recordedLeader(t, w); leader.WaivedPosition == "" {
 			t.Errorf("the accepted loss is not recorded: %+v", leader)
 		}
-		primary.Return("ledger-1b")
+		primary.Restart("ledger-1b")
 		time.Sleep(5 * time.Second) // until the replaced replica has left and its entry has been removed
 		remaining.Crash(false)
-		load = w.NewLoad(g, 8) // so that a pooler detects the crash
+		load = w.StartLoad(g, 8) // so that a pooler detects the crash
 		defer load.Stop()
-		g.next(remaining, 8*time.Second)
+		g.awaitNewPrimary(remaining, 8*time.Second)
 	})
 }
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -20,36 +20,36 @@
 )
 
 func TestSlowReplicaIsNotDown(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		load := under(w, g, func() {
-			g.DB(1).Slow(1500 * time.Millisecond)
+	withCluster(t, func(w *World, g *Group) {
+		load := withLoad(w, g, func() {
+			g.DB(1).SetExtraLatency(1500 * time.Millisecond)
 			time.Sleep(6 * time.Second)
 			for z := 1; z <= 4; z++ {
 				if monitor := kernel.Need[*health.Monitor](w.Process("pooler", z).Kernel); !monitor.Up(g.DB(1).ID) {
 					t.Errorf("pooler %d considers the slow replica down", z)
 				}
 			}
-			g.DB(1).Slow(0)
+			g.DB(1).SetExtraLatency(0)
 		})
-		served(t, load, 2*time.Second)
+		checkWritesServed(t, load, 2*time.Second)
 	})
 }
 
 // An answer is lost while its connection stays open: a read is sent again; a write is not, and its
 // outcome is reported as unknown.
 func TestLostAnswers(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		session, _ := w.Login(2, "p.ledger")
 		defer session.Close()
 		for range 20 {
 			session.Query("FETCH k")
 		}
-		g.Primary().Lose(1)
+		g.Primary().DropAnswers(1)
 		start := time.Now()
 		if answer, _ := session.Query("FETCH k"); answer.Code != "" || time.Since(start) > 300*time.Millisecond {
 			t.Errorf("read whose answer was lost: %q after %v", answer.Code, time.Since(start))
 		}
-		g.Primary().Lose(1)
+		g.Primary().DropAnswers(1)
 		if answer, _ := session.Query("PUT k 1"); answer.Code != lineprotocol.Unknown {
 			t.Errorf("write whose answer was lost: %q", answer.Code)
 		}
@@ -62,34 +62,34 @@
 // A primary that drains right after a handover between control nodes must be replaced without
 // waiting for leases that poolers have acknowledged giving up.
 func TestDrainAfterControlHandover(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		old := g.Primary()
-		load := under(w, g, func() {
-			control := controlPrimary(w)
+	withCluster(t, func(w *World, g *Group) {
+		oldPrimary := g.Primary()
+		load := withLoad(w, g, func() {
+			primaryZone := controlPrimaryZone(w)
 			go func() {
 				time.Sleep(300 * time.Millisecond)
-				old.Drain()
+				oldPrimary.Drain()
 			}()
-			w.Process("control", control).Term()
-			w.Start("control", control, false)
-			w.Until("a new primary is promoted", 3*time.Second, func() bool { p := g.Primary(); return p != nil && p != old })
+			w.Process("control", primaryZone).Terminate()
+			w.Start("control", primaryZone, false)
+			w.WaitUntil("a new primary is promoted", 3*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
 		})
-		served(t, load, 1500*time.Millisecond)
+		checkWritesServed(t, load, 1500*time.Millisecond)
 	})
 }
 
 // A platform that enforces its rate limit, is unavailable, does not respond, or reports that the
 // database is not running delays a failover but does not abort it.
 func TestPlatformErrorsDelayFailover(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		old := g.Primary()
-		load := under(w, g, func() {
-			w.Refuse(429, 503, 0, 409)
-			old.Crash(false)
-			w.Until("a new primary is promoted", 8*time.Second, func() bool { p := g.Primary(); return p != nil && p != old })
+	withCluster(t, func(w *World, g *Group) {
+		oldPrimary := g.Primary()
+		load := withLoad(w, g, func() {
+			w.RefusePlatformCalls(429, 503, 0, 409)
+			oldPrimary.Crash(false)
+			w.WaitUntil("a new primary is promoted", 8*time.Second, func() bool { p := g.Primary(); return p != nil && p != oldPrimary })
 		})
-		served(t, load, 6*time.Second)
-		if calls := w.Calls(); calls < 5 || calls > 8 {
+		checkWritesServed(t, load, 6*time.Second)
+		if calls := w.PlatformCalls(); calls < 5 || calls > 8 {
 			t.Errorf("%d calls to the platform, want 5 to 8", calls)
 		}
 	})
@@ -97,12 +97,12 @@
 
 // Malformed or unauthorized messages of a peer are counted and dropped.
 func TestFaultyPeer(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		control := controlPrimary(w)
-		controlKernel := w.Process("control", control).Kernel
+	withCluster(t, func(w *World, g *Group) {
+		primaryZone := controlPrimaryZone(w)
+		controlKernel := w.Process("control", primaryZone).Kernel
 		host := w.Net.Host("10.250.0.9")
 		for _, message := range []string{"{\n", `{"id":1,"op":"nothing"}` + "\n"} {
-			conn, err := host.Dial(context.Background(), ip(control)+":7440", 0)
+			conn, err := host.Dial(context.Background(), ip(primaryZone)+":7440", 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -116,26 +116,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		datagrams.WriteTo([]byte("noise"), address(ip(control)+":7440"))
-		datagrams.WriteTo([]byte(`{"k":"fault","f":"10.250.0.9:7440","b":7}`), address(ip(control)+":7440"))
+		datagrams.WriteTo([]byte("not a message"), address(ip(primaryZone)+":7440"))
+		datagrams.WriteTo([]byte(`{"k":"fault","f":"10.250.0.9:7440","b":7}`), address(ip(primaryZone)+":7440"))
 		datagrams.Close()
 
 		endpoint := rpc.NewEndpoint(kernel.NewKernel("peer", host, slog.New(slog.DiscardHandler)), "10.250.0.9:7440")
 		defer endpoint.CloseConnections()
-		unknownMember := controlstate.Member{Name: "stranger", Addr: "10.250.0.9:7440", Disk: "foreign"}
+		unknownMember := controlstate.Member{Name: "unknown", Addr: "10.250.0.9:7440", Disk: "foreign"}
 		for op, request := range map[string]any{
 			"controlstate.write": map[string]any{"epoch": 0, "seq": 1, "changes": map[string]any{"configuration": nil}},
 			"controlstate.copy":  map[string]any{"epoch": 99, "seq": 9},
 			"distribution.poll":  map[string]any{"pooler": "", "life": 0},
 		} {
 			var refused *rpc.Refused
-			if err := endpoint.Call(context.Background(), ip(control)+":7440", op, request, nil, kernel.Second); !errors.As(err, &refused) {
+			if err := endpoint.Call(context.Background(), ip(primaryZone)+":7440", op, request, nil, kernel.Second); !errors.As(err, &refused) {
 				t.Errorf("%s: %v", op, err)
 			}
 		}
 		var response struct{ Granted bool }
 		oldView := controlstate.View{Epoch: 0, Primary: unknownMember, Backups: []controlstate.Member{unknownMember}}
-		if err := endpoint.Call(context.Background(), ip(control)+":7440", "controlstate.renew", map[string]any{"view": oldView}, &response, kernel.Second); err != nil || response.Granted {
+		if err := endpoint.Call(context.Background(), ip(primaryZone)+":7440", "controlstate.renew", map[string]any{"view": oldView}, &response, kernel.Second); err != nil || response.Granted {
 			t.Errorf("lease renewal for an unknown node: %v %v", response, err)
 		}
 		time.Sleep(time.Second)
@@ -145,20 +145,20 @@
 				t.Errorf("counter %s is 0", counter)
 			}
 		}
-		if controlPrimary(w) != control || w.Fetch() != 1 {
+		if controlPrimaryZone(w) != primaryZone || w.FetchVersion() != 1 {
 			t.Error("an unknown node changed the control state")
 		}
 	})
 }
 
-func TestBadInput(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+func TestInvalidClientInput(t *testing.T) {
+	withCluster(t, func(w *World, g *Group) {
 		for _, c := range []struct{ text, code, state string }{
 			{"WAITPOS 1.1 FETCH x", lineprotocol.Malformed, "I"},
 			{"STAT", lineprotocol.Malformed, "I"},
 			{"FETCH", lineprotocol.Malformed, "I"},
-			{"RUN nobody x", lineprotocol.NoSuch, "I"},
-			{"CLOSE nobody", lineprotocol.NoSuch, "I"},
+			{"RUN unknown x", lineprotocol.NoSuch, "I"},
+			{"CLOSE unknown", lineprotocol.NoSuch, "I"},
 			{"COMMIT", lineprotocol.Malformed, "I"},
 			{"PARSE a DROP x", lineprotocol.Malformed, "I"},
 			{"PUT x 1", "", "I"},
@@ -189,7 +189,7 @@
 // Prepared statements and options with the same name in two sessions, split and pipelined input,
 // and transactions that stay idle too long.
 func TestSessions(t *testing.T) {
-	play(t, func(w *World, g *Group) {
+	withCluster(t, func(w *World, g *Group) {
 		redSession, _ := w.Login(1, "p.ledger")
 		blueSession, _ := w.Login(1, "p.ledger")
 		redSession.Query("OPTION colour red")
@@ -230,10 +230,10 @@
 // The status and plan tools query a running system: the status covers all processes, plans name the
 // databases that may be promoted, and processes that do not respond are reported.
 func TestStatusAndPlan(t *testing.T) {
-	play(t, func(w *World, g *Group) {
-		primary := controlPrimary(w)
+	withCluster(t, func(w *World, g *Group) {
+		primaryZone := controlPrimaryZone(w)
 		host := w.Net.Host("10.250.0.9")
-		sys := tools.CollectReports(context.Background(), host, []string{ip(primary) + ":7440"}, true)
+		sys := tools.CollectReports(context.Background(), host, []string{ip(primaryZone) + ":7440"}, true)
 		if len(sys.Reports) != 8 || len(sys.Missing) != 0 || sys.Primary() == nil {
 			t.Fatalf("%d reports, %v missing", len(sys.Reports), sys.Missing)
 		}
@@ -256,8 +256,8 @@
 		if err != nil || len(plan.Warnings) != 0 || !strings.Contains(plan.Effects[0], "[ledger-2 ledger-3]") || plan.Headroom["ledger"] != 14 || plan.Conns["ledger"] != 20 {
 			t.Errorf("plan of a release: %+v %v", plan, err)
 		}
-		plan, err = sys.MakePlan("lose", fmt.Sprintf("control-%d", primary), nil)
-		if err != nil || !strings.Contains(strings.Join(plan.Effects, "\n"), "takes over") || !strings.HasSuffix(plan.Restart[7], fmt.Sprintf("control-%d", primary)) {
+		plan, err = sys.MakePlan("lose", fmt.Sprintf("control-%d", primaryZone), nil)
+		if err != nil || !strings.Contains(strings.Join(plan.Effects, "\n"), "takes over") || !strings.HasSuffix(plan.Restart[7], fmt.Sprintf("control-%d", primaryZone)) {
 			t.Errorf("plan of a loss: %+v %v", plan, err)
 		}
 		plan, err = sys.MakePlan("grow", "40", nil)
@@ -271,7 +271,7 @@
 			t.Error("a plan to drain an unknown database was made")
 		}
 		w.Process("pooler", 2).Kill()
-		sys = tools.CollectReports(context.Background(), host, []string{ip(primary) + ":7440"}, true)
+		sys = tools.CollectReports(context.Background(), host, []string{ip(primaryZone) + ":7440"}, true)
 		if len(sys.Reports) != 7 || len(sys.Missing) != 1 {
 			t.Errorf("after a pooler was killed: %d reports, %v missing", len(sys.Reports), sys.Missing)
 		}
--- a/internal/simulation/standin_test.go
+++ b/internal/simulation/standin_test.go
@@ -41,12 +41,12 @@
 // with a code that guarantees that the write is not committed: the replication of a later commit
 // may have copied it to a replica meanwhile. Which of the two waiting commits checks first depends
 // on milliseconds, so the test tries several intervals between the writes.
-func TestStandinMakesNoPromiseForLoggedWrite(t *testing.T) {
+func TestStandinDemotedWithLoggedWrite(t *testing.T) {
 	for delayMs := range 6 {
 		synctest.Test(t, func(t *testing.T) {
 			w := NewWorld(t, 1, 3)
 			defer w.Close()
-			g := w.Group("ledger")
+			g := w.AddGroup("ledger")
 			primary := g.Primary()
 			g.DB(1).SetReplicationStopped(true)
 			g.DB(2).SetReplicationStopped(true)
@@ -60,7 +60,7 @@
 			}
 			primary.Control("STEPDOWN", "9")
 			a := <-first
-			if a != nil && standin.Promises(a.Code) && slices.Contains(g.DB(1).Holds(), "a.1") {
+			if a != nil && standin.PromisesNotCommitted(a.Code) && slices.Contains(g.DB(1).LoggedStatements(), "a.1") {
 				t.Errorf("second write delayed by %d ms: the first write was answered with %s although a replica has it", delayMs, a.Code)
 			}
 		})
@@ -73,16 +73,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(t, 1, 3)
 		defer w.Close()
-		g := w.Group("ledger")
-		old := g.Primary()
-		old.SetReplicationStopped(true)
-		old.Crash(false)
-		g.PromoteTo(g.DB(1).ID)
+		g := w.AddGroup("ledger")
+		oldPrimary := g.Primary()
+		oldPrimary.SetReplicationStopped(true)
+		oldPrimary.Crash(false)
+		g.StartPromotion(g.DB(1).ID)
 		time.Sleep(time.Second)
-		old.SetReplicationStopped(false)
-		old.Return("ledger-1b")
-		if promoted := g.DB(1); old.Role() != "replica" || g.Primary() != promoted {
-			t.Errorf("the old primary restarted as %s, and the primary is %v", old.Role(), g.Primary().ID)
+		oldPrimary.SetReplicationStopped(false)
+		oldPrimary.Restart("ledger-1b")
+		if promoted := g.DB(1); oldPrimary.Role() != "replica" || g.Primary() != promoted {
+			t.Errorf("the old primary restarted as %s, and the primary is %v", oldPrimary.Role(), g.Primary().ID)
 		}
 	})
 }
