--- a/internal/controlstate/model_test.go
+++ b/internal/controlstate/model_test.go
@@ -410,11 +410,11 @@
 // runPendingSteps carries out the pending calls in random order, in at most 500 steps.
 func (w *model) runPendingSteps() {
 	for range 500 {
-		pending := w.nodesWithPendingStep()
-		if len(pending) == 0 {
+		nodes := w.nodesWithPendingStep()
+		if len(nodes) == 0 {
 			return
 		}
-		pending[w.rng.IntN(len(pending))].step(w)
+		nodes[w.rng.IntN(len(nodes))].step(w)
 	}
 }
 
