--- a/internal/controlstate/model_test.go
+++ b/internal/controlstate/model_test.go
@@ -175,6 +175,7 @@
 	return out
 }
 
+// observe adopts the view if it is newer. A primary that learns of a newer epoch loses its lease.
 func (n *node) observe(w *model, view View) {
 	if view.Epoch > n.newestView.Epoch || len(n.newestView.Witnesses) == 0 {
 		if n.active && view.Epoch > n.newestView.Epoch {
@@ -185,6 +186,7 @@
 	}
 }
 
+// notePrimaryAlive postpones the takeover, since the primary of the view is alive.
 func (n *node) notePrimaryAlive(w *model, view View) {
 	n.observe(w, view)
 	if view.Epoch == n.newestView.Epoch && !n.active {
@@ -410,11 +412,11 @@
 // runPendingSteps carries out the pending calls in random order, in at most 500 steps.
 func (w *model) runPendingSteps() {
 	for range 500 {
-		nodes := w.nodesWithPendingStep()
-		if len(nodes) == 0 {
+		waiting := w.nodesWithPendingStep()
+		if len(waiting) == 0 {
 			return
 		}
-		nodes[w.rng.IntN(len(nodes))].step(w)
+		waiting[w.rng.IntN(len(waiting))].step(w)
 	}
 }
 
