--- a/internal/connpool/open.go
+++ b/internal/connpool/open.go
@@ -10,13 +10,13 @@
 )
 
 // openForWaiters starts opening connections for waiters, up to maxOpen connections to the database.
-// The caller holds the lock.
+// The caller holds ps.mu, as it does for evictIdle, makeRoom, openFailed, grantOrIdle and admit.
 func (ps *Pools[Want, C]) openForWaiters(p *pool[Want, C], maxOpen int) {
 	if ps.k.Clock.Now() < p.atLimitUntil {
 		maxOpen = max(1, p.open)
 	}
-	// Grow gradually, at most doubling the pool: a connection that becomes free serves a waiter sooner
-	// than one of many that all proxies open at the same time.
+	// Grow gradually, at most doubling the pool: a waiter is served sooner by a connection that becomes
+	// free than by a new one if all proxies open many at the same time.
 	for _, w := range p.waiters {
 		switch {
 		case w.opening:
@@ -31,7 +31,7 @@
 }
 
 // evictIdle closes the longest-idle connection to the database, to make room for one that suits a
-// waiter. It reports whether there was one to close.
+// waiter. It reports whether it closed one; it never does unless the pools are configured to evict.
 func (ps *Pools[Want, C]) evictIdle(p *pool[Want, C]) bool {
 	if !ps.cfg.Evict || len(p.idle) == 0 {
 		return false
@@ -108,6 +108,8 @@
 		return
 	}
 	ps.k.Counters.Add("connpool.open_failed", 1)
+	// If another database was unresponsive at almost the same time, this process's own link may be at
+	// fault. A refused connection is certain evidence all the same.
 	unresponsive := errors.Is(err, ErrUnresponsive)
 	if unresponsive && ps.cfg.SuspectOwnLink && !errors.Is(err, syscall.ECONNREFUSED) && ps.unresponsive.Record(ps.k.Clock.Now(), id) {
 		ps.k.Counters.Add("connpool.silence_doubted", 1)
@@ -117,7 +119,8 @@
 	p.failWaiters(ErrBroken)
 }
 
-// grantOrIdle lends a connection to the most urgent waiter that it suits, or makes it idle.
+// grantOrIdle grants a connection to the most urgent waiter that it suits, or else adds it to the idle
+// ones.
 func (ps *Pools[Want, C]) grantOrIdle(p *pool[Want, C], c C) {
 	for i, w := range p.waiters {
 		if c.Score(w.want, 0) >= 0 {
@@ -130,7 +133,8 @@
 	p.idle = append(p.idle, idleConn[C]{c, ps.k.Clock.Now()})
 }
 
-// Check tests whether the database accepts a new connection, and adds that connection to the pool.
+// Check probes the database over a new connection, which it then adds to the pool. CheckPassed
+// evaluates the error.
 func (ps *Pools[Want, C]) Check(ctx context.Context, id string) error {
 	ps.mu.Lock()
 	p := ps.pools[id]
@@ -160,7 +164,8 @@
 	return err == nil || errors.Is(err, ErrConnectionLimit) || errors.Is(err, ErrNotReady)
 }
 
-// admit adds a new connection to its pool.
+// admit adds a new connection to its pool, or closes it if the pool was replaced or removed, or if the
+// connection is already broken.
 func (ps *Pools[Want, C]) admit(p *pool[Want, C], c C, generation int64) {
 	p.open++
 	ps.origins[c] = origin[Want, C]{pool: p, id: p.db.ID, address: p.db.Address, generation: generation}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -44,14 +44,14 @@
 // HadID reports whether the database had that ID in an earlier incarnation.
 func (d Database) HadID(id string) bool { return slices.Contains(strings.Fields(d.PreviousIDs), id) }
 
-// SuccessorOf returns the record of the database as the next incarnation of another.
+// SuccessorOf returns the record of d as the next incarnation of old.
 func (d Database) SuccessorOf(old Database) Database {
 	ids := append([]string{old.ID}, strings.Fields(old.PreviousIDs)...)
 	d.PreviousIDs = strings.Join(ids[:min(maxPreviousIDs, len(ids))], " ")
 	return d
 }
 
-// Beat is the heartbeat that a database sends periodically. The name of the type stands in the
+// Beat is the heartbeat that a database sends periodically. The name of the type appears in the
 // response to a malformed one ("json: cannot unmarshal ... field Beat.svc"), so it must not change.
 type Beat struct {
 	Service  string `json:"svc"`
@@ -65,27 +65,28 @@
 	Role     string `json:"target_role"`
 }
 
-// ObservedState is the state of a database that is kept in memory only.
+// ObservedState is what a database's latest heartbeat reported and is kept in memory only.
 type ObservedState struct {
 	Role      string
-	Seq       int64
-	LastHeard kernel.Micros
+	Seq       int64         // sequence number of the heartbeat
+	LastHeard kernel.Micros // time at which it arrived
 }
 
-// keyPrefix is the prefix of the keys of the control state's entries that hold databases.
+// keyPrefix is the prefix of the keys under which the control state holds databases.
 const keyPrefix = "database/"
 
-// Key returns the key of the entry that holds a database.
+// Key returns the key of a database in the control state.
 func Key(id string) string { return keyPrefix + id }
 
-// IsKey reports whether a key is that of an entry that holds a database.
+// IsKey reports whether a key of the control state is that of a database.
 func IsKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
 // reorderWindow is the time after a heartbeat during which another with a lower sequence number is
-// considered delayed. After that the database is assumed to have restarted its sequence.
+// considered delayed. After that, the database is assumed to have restarted its numbering.
 const reorderWindow = 3 * kernel.Second
 
-// Errors of this package.
+// Errors returned by Registry. ErrUnavailable means that the control state could not be read or
+// changed, or that a delayed heartbeat came from a database that is not registered.
 var (
 	ErrUnavailable = errors.New("discovery: can't be changed now")
 	ErrMalformed   = errors.New("discovery: malformed beat")
@@ -105,7 +106,7 @@
 	roleChanges kernel.Notifier
 }
 
-// New returns a registry that is stored in that replica of the control state.
+// New returns a registry that is stored in the control state, which it accesses through the given replica.
 func New(k *kernel.Kernel, state *controlstate.Replica) *Registry {
 	return &Registry{k: k, state: state, decoder: Decoder(), departureDecoder: controlstate.NewDecoder[departure](departedPrefix), observed: map[string]ObservedState{}}
 }
@@ -113,15 +114,15 @@
 // Decoder returns a decoder of the databases in the control state.
 func Decoder() *controlstate.Decoder[Database] { return controlstate.NewDecoder[Database](keyPrefix) }
 
-// Decode returns the databases in the control state, by ID. For repeated use, a decoder of
-// Decoder is cheaper.
+// Decode returns the databases in the control state, by ID. For repeated use, a decoder
+// returned by Decoder is cheaper.
 func Decode(entries map[string]json.RawMessage) (map[string]Database, error) {
 	return Decoder().Decode(entries)
 }
 
 // Heartbeat processes a heartbeat. It returns nil only once everything in it that belongs to the
 // control state is durable. A draining database remains draining as long as it has that ID, and one
-// that is gone or was replaced never returns: a heartbeat that says otherwise is a delayed one.
+// that is gone or was replaced never returns: a heartbeat that says otherwise was delayed.
 func (r *Registry) Heartbeat(ctx context.Context, id string, beat Beat) error {
 	if id == "" || beat.Service == "" || beat.Address == "" {
 		r.k.Counters.Add("discovery.malformed", 1)
@@ -163,7 +164,7 @@
 	}, "database known", "id", id, "zone", beat.Zone, "status", beat.Status, "role", beat.Role)
 }
 
-// unchangedBy reports whether a heartbeat with the reported state contains nothing new.
+// unchangedBy reports whether a heartbeat with the reported state requires no change of the record.
 func (d Database) unchangedBy(reported Database) bool {
 	reported.PreviousIDs, reported.CommitLimit, reported.Gone, reported.Draining = d.PreviousIDs, d.CommitLimit, d.Gone, d.Draining || reported.Draining
 	return reported == d
@@ -191,9 +192,9 @@
 }
 
 // registrationChanges returns the changes of the control state that register a database and replace
-// any other at its address. Another database of the same service is the previous incarnation of
-// this one, before a crash, unless it was draining: then its log is gone with it. A draining one,
-// or one of another service, is marked as gone.
+// any other at its address. If the other one belongs to the same service and was not draining, it is
+// the previous incarnation of this one, which crashed and restarted with its log. Otherwise it has
+// left together with its log, and is marked as gone.
 func registrationChanges(databases map[string]Database, d Database) (changes map[string]json.RawMessage, err error) {
 	changes = map[string]json.RawMessage{}
 	if old, ok := databases[d.ID]; ok {
@@ -220,7 +221,7 @@
 }
 
 // Deregister records that a database has shut down gracefully. The departure of an unknown database
-// is recorded too, since heartbeats of it may still arrive.
+// is recorded too, so that its delayed heartbeats do not register it.
 func (r *Registry) Deregister(ctx context.Context, id string) error {
 	return r.update(ctx, func(entries map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		if gone, err := r.hasDeparted(entries, id); gone || err != nil {
@@ -251,7 +252,8 @@
 	return changes, err
 }
 
-// Remove removes the entries of databases that are gone and held no commits that the others lack.
+// Remove removes the entries of databases. The caller ensures that they are gone and held no commits
+// that the others lack.
 func (r *Registry) Remove(ctx context.Context, ids ...string) error {
 	return r.update(ctx, func(map[string]json.RawMessage) (map[string]json.RawMessage, error) {
 		changes := make(map[string]json.RawMessage, len(ids))
--- a/internal/distribution/observations.go
+++ b/internal/distribution/observations.go
@@ -7,9 +7,10 @@
 	"indigowalk/internal/kernel"
 )
 
-// Observation is what a proxy observed of a database since its last report: the number of
-// responses, the sum of the ratios of their latencies to the usual latency, in hundredths, and
-// the number of failed requests.
+// Observation is what a proxy observed of a database since its last report:
+//   - [0]: the number of responses
+//   - [1]: the sum, over these responses, of latency divided by usual latency, in hundredths
+//   - [2]: the number of failed requests
 type Observation [3]int
 
 // observations aggregates what all proxies observe of each database, and publishes the relative
@@ -27,28 +28,30 @@
 
 // databaseStats are the aggregated observations of one database.
 type databaseStats struct {
-	latency       float64
+	latency       float64 // moving average, as a multiple of the usual latency
 	latencyAt     kernel.Micros
-	failureRate   float64
+	failureRate   float64 // moving average, from 0 to 1
 	failureRateAt kernel.Micros
 	published     int   // the published cost, in hundredths
-	publishedSeq  int64 // seq at which that was published
+	publishedSeq  int64 // observations.seq of that change
 }
 
 const (
 	// publishInterval is the shortest time between two evaluations of the costs.
 	publishInterval = 300 * kernel.Millisecond
-	// One response, or one failure, replaces this share of the previous average.
+	// latencyWeight is the weight of one response in the average latency, and failureWeight that of
+	// one response or failure in the failure rate.
 	latencyWeight = 0.04
 	failureWeight = 0.2
-	// Averages decay to their usual values with these time constants.
+	// Time constants with which the latency decays to the usual one, and the failure rate to 0.
 	latencyDecay = 30 * kernel.Second
 	failureDecay = 3 * kernel.Second
-	// failureCost is the added cost of a request to a database where every request fails.
+	// failureCost is what a failure rate of 1 adds to the cost.
 	failureCost = 20
-	// A cost is published again once it has changed by this share.
+	// publishThreshold is the change of a cost, as a share of the published one, above which it is
+	// published again.
 	publishThreshold = 0.15
-	// maxObservedDatabases bounds the memory used.
+	// maxObservedDatabases limits memory use: further databases are ignored.
 	maxObservedDatabases = 10_000
 )
 
@@ -56,12 +59,12 @@
 	return &observations{clock: clock, byDatabase: map[string]*databaseStats{}}
 }
 
-// decay returns v after the elapsed time, decaying exponentially towards the baseline.
+// decay returns what remains of v after the elapsed time, as it decays exponentially to the baseline.
 func decay(v, baseline float64, elapsed, timeConstant kernel.Micros) float64 {
 	return baseline + (v-baseline)*math.Exp(-float64(elapsed)/float64(timeConstant))
 }
 
-// add adds the observations of one proxy.
+// add adds the observations that one proxy reported.
 func (o *observations) add(reported map[string]Observation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,7 +94,8 @@
 	}
 }
 
-// since returns the costs that changed after seq, and the newest seq.
+// since returns the published costs that changed after seq, in hundredths, and the newest seq. Before
+// that it publishes the costs that have changed enough, at most once per publishInterval.
 func (o *observations) since(seq int64) (costs map[string]int, newest int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -117,7 +121,7 @@
 	return costs, o.seq
 }
 
-// retain removes the databases that no longer exist.
+// retain removes the observations of databases that no longer exist.
 func (o *observations) retain(exists func(id string) bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -20,18 +20,18 @@
 // ("json: cannot unmarshal ... field AcceptLoss.svc"), so it must not change.
 type AcceptLoss struct {
 	Service    string `json:"svc"`
-	FailoverID int64  `json:"turn"` // of the failover that is waiting
+	FailoverID int64  `json:"turn"` // ID of the waiting failover; operators know it as the turn
 	By         string `json:"by"`   // name of the operator
 }
 
-// LossAcceptance is the record of an accepted loss, which is stored with the leader.
+// LossAcceptance is the record of an accepted loss. It is stored in the service's Leader record.
 type LossAcceptance struct {
 	FailoverID int64  `json:"turn"`
 	By         string `json:"by"`
 	AtMs       int64  `json:"at_ms"` // Unix time in milliseconds
 }
 
-// Errors returned for rejected requests.
+// Errors returned by AcceptLoss for requests that it rejects.
 var (
 	ErrNoOperator = errors.New("failover: the operator's name is missing or too long") // longer than maxNameLength
 	ErrNotWaiting = errors.New("failover: no failover of that service with that turn is waiting for a database")
@@ -42,11 +42,13 @@
 
 // registerHandlers registers the handlers of operators' requests at the RPC endpoint.
 func (m *Manager) registerHandlers(endpoint *rpc.Endpoint) {
-	rpc.HandleTyped(endpoint, AcceptLossOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, m.AcceptLoss(ctx, q) })
+	rpc.HandleTyped(endpoint, AcceptLossOp, func(ctx context.Context, request AcceptLoss) (any, error) {
+		return struct{}{}, m.AcceptLoss(ctx, request)
+	})
 }
 
-// AcceptLoss records that the loss is accepted for the failover that is waiting now. The next
-// failover waits again. A repeated request has no further effect.
+// AcceptLoss records that the loss is accepted for the failover that is waiting now. The acceptance
+// does not extend to later failovers. A repeated request has no further effect.
 func (m *Manager) AcceptLoss(ctx context.Context, request AcceptLoss) error {
 	if request.By == "" || len(request.By) > maxNameLength {
 		return ErrNoOperator
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// canAcceptLoss reports whether an operator may override that refusal to choose a primary.
+// canAcceptLoss reports whether an operator may override the given reason not to choose a primary.
 func canAcceptLoss(refusal string) bool {
 	switch refusal {
 	case unresponsiveMayHoldCommit, removedMayHaveHeldCommit, allHoldersRemoved, awaitingFirstHeartbeat, acknowledgedCommitMissing:
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -12,7 +12,7 @@
 	"indigowalk/internal/kernel"
 )
 
-// clientWriteTimeout is how long a client may accept none of the data written to it.
+// clientWriteTimeout is how long one write to a client may take.
 const clientWriteTimeout = 5 * kernel.Second
 
 // errClientDisconnected reports that the client has closed its connection.
@@ -22,11 +22,11 @@
 // otherwise a client that reads nothing would occupy its request's resources forever.
 type clientConn struct {
 	meteredConn
-	writeDeadline atomic.Int64 // Unix microseconds; later writes fail; 0 for no limit
-	readStopped   atomic.Bool  // reading was stopped from this side, so a failed read does not mean that the client disconnected
+	writeDeadline atomic.Int64 // in Unix microseconds; writes past it fail; 0 for no deadline
+	readStopped   atomic.Bool  // set by stopReading; a failed read then does not mean that the client disconnected
 }
 
-// Write implements net.Conn.
+// Write writes b within clientWriteTimeout, and before writeDeadline if that is earlier.
 func (c *clientConn) Write(b []byte) (int, error) {
 	deadline := time.Now().Add(clientWriteTimeout.Duration())
 	if limit := c.writeDeadline.Load(); limit > 0 && time.UnixMicro(limit).Before(deadline) {
@@ -69,15 +69,15 @@
 	return &clientConn{meteredConn: meteredConn{c, l.meter}}, nil
 }
 
-// clientFromRequest returns the connection a request arrived on, or nil in tests that call a handler
-// directly.
+// clientFromRequest returns the connection on which a request arrived, or nil in tests that call a
+// handler directly.
 func clientFromRequest(request *http.Request) *clientConn {
 	c, _ := request.Context().Value(connKey{}).(*clientConn)
 	return c
 }
 
-// watchDisconnect arranges for j.disconnected to be closed when the client closes its connection,
-// until the returned function is called.
+// watchDisconnect creates j.disconnected, which is closed when the client closes its connection. The
+// returned function ends the watch.
 func (j *job) watchDisconnect(client *clientConn) (stop func() bool) {
 	disconnected := make(chan struct{})
 	j.disconnected = disconnected
@@ -98,9 +98,9 @@
 	}
 }
 
-// awaitResult waits for the result of an attempt, at most until the drain period expires. For an
-// idempotent request the wait also ends when the client disconnects; any other request runs to its
-// end even if the client has disconnected.
+// awaitResult waits for the result of an attempt, at most until the time limit or the drain period
+// expires. For an idempotent request the wait also ends when the client disconnects; any other request
+// runs to its end even if the client has disconnected.
 func (j *job) awaitResult(a *attempt, wait kernel.Micros) (*httpconn.Reply, error) {
 	disconnected := j.disconnected
 	if !j.idempotent() {
--- a/internal/gateway/invariants.go
+++ b/internal/gateway/invariants.go
@@ -8,8 +8,8 @@
 // deadlineTolerance is how long after its deadline a request may be answered.
 const deadlineTolerance = 500 * kernel.Millisecond
 
-// checkAnsweredInTime checks that the request that is about to be answered is not answered too
-// late, unless the process was stalled in the meantime.
+// checkAnsweredInTime checks that the request, which is about to be answered, is not answered more
+// than deadlineTolerance after its deadline, unless the process was stalled since it was received.
 func (j *job) checkAnsweredInTime() {
 	late := j.now() - j.deadline
 	if j.deadline > 0 && late > deadlineTolerance && !j.gateway.stalls.StalledSince(j.received) {
@@ -17,15 +17,16 @@
 	}
 }
 
-// checkSentOnce checks that a request that must not run twice is not sent again after it may have run,
-// and that the request is sent to no more databases than the route allows.
+// checkSentOnce is called before a request is sent to a database. It checks that a request that is not
+// idempotent is not sent again once it may have run, and that there are no more attempts than the
+// route allows.
 func (j *job) checkSentOnce(database string) {
 	j.gateway.k.Invariants.Check(!j.mayHaveRun || j.idempotent(), invariant.NoUnsafeRetry, "%s is sent to %s, and may have run before", j.id, database)
 	j.gateway.k.Invariants.Check(j.attempts <= max(1, j.route.Tries), invariant.TriesBounded, "%s is sent to database %d of %d", j.id, j.attempts, j.route.Tries)
 }
 
 // checkNoneUnanswered checks, at the end of draining, that every request that was read has been
-// answered or its response is being written, unless the process stalled since draining began.
+// answered or is being answered, unless the process was stalled since draining began, at the given time.
 func (g *Gateway) checkNoneUnanswered(since kernel.Micros) {
 	g.mu.Lock()
 	unanswered := 0
--- a/internal/gateway/linkmeter.go
+++ b/internal/gateway/linkmeter.go
@@ -8,8 +8,8 @@
 	"indigowalk/internal/kernel"
 )
 
-// linkMeter estimates the utilization of the machine's own link from what this process sends and
-// receives. A saturated link delays all traffic by seconds, updates of the control state included, so
+// linkMeter estimates the utilization of the machine's own network link from what this process sends
+// and receives. A saturated link delays all traffic by seconds, updates of the control state included, so
 // a gateway refuses requests beyond what its link can carry.
 type linkMeter struct {
 	clock   kernel.Clock
@@ -19,11 +19,11 @@
 
 // direction is one direction of the link.
 type direction struct {
-	bytes atomic.Int64
+	bytes atomic.Int64 // transferred so far, including estimated packet headers
 
 	mu          sync.Mutex
 	updatedAt   kernel.Micros
-	counted     int64
+	counted     int64   // bytes as of updatedAt
 	backlog     float64 // estimated bytes that are queued at the link
 	utilization float64 // recent average, as a fraction of the rate
 }
@@ -42,7 +42,7 @@
 	return &linkMeter{clock: clock, rate: usableShare * mbps / 8}
 }
 
-// update brings the estimates up to now and returns them.
+// update updates the estimates and returns them, the backlog as the time that it takes to transfer.
 func (d *direction) update(now kernel.Micros, rate float64) (backlog kernel.Micros, utilization float64) {
 	if rate == 0 {
 		return 0, 0
@@ -60,7 +60,7 @@
 	return kernel.Micros(d.backlog / rate), d.utilization
 }
 
-// load returns how long data sent now would be queued, and the utilization of the link, each for
+// load returns how long data that is sent now would wait in the queue of the link, and the utilization of the link, each for
 // the more heavily loaded direction.
 func (m *linkMeter) load() (wait kernel.Micros, utilization float64) {
 	now := m.clock.Now()
@@ -69,7 +69,7 @@
 	return max(inWait, outWait), max(inUtilization, outUtilization)
 }
 
-// meteredConn counts the bytes read from and written to a connection.
+// meteredConn is a connection whose traffic the meter counts.
 type meteredConn struct {
 	net.Conn
 	meter *linkMeter
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -18,14 +18,14 @@
 
 // connectTimeoutFactor is the connect timeout as a multiple of the health check timeout. Requests go
 // to another database instead of waiting for a slow connection, so the timeout can be long enough to
-// tell an unreachable database from a saturated link.
+// distinguish an unreachable database from a saturated link.
 const connectTimeoutFactor = 4
 
-// reservedDescriptors is the number of file descriptors that are reserved for files.
+// reservedDescriptors is the number of file descriptors that are kept free for files.
 const reservedDescriptors = 200
 
-// maxConnections returns the maximum number of connections to databases: half of the sockets that the
-// limit on file descriptors allows. There are client connections too.
+// maxConnections returns the maximum number of connections to databases, given the limit on file
+// descriptors: half of the sockets that it allows. The other half is left to client connections.
 func maxConnections(fds int64) int { return int(max(0, fds-reservedDescriptors)) / 2 }
 
 func init() {
@@ -61,9 +61,9 @@
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
 				began := k.Clock.Now()
 				err := pools.Check(ctx, id)
-				// A database at capacity resets connections, that of a health check included. So
-				// a check that failed in this way passes if the database has served a request
-				// since the check began.
+				// A database at capacity resets new connections, including those of health checks.
+				// So a check whose connection broke still passes if the database has served a
+				// request since the check began.
 				return connpool.CheckPassed(err) || errors.Is(err, connpool.ErrBroken) && balancer.LastServed(id) >= began
 			})
 			k.Supervise("httpconn", pools.Serve)
--- a/internal/kernel/notify.go
+++ b/internal/kernel/notify.go
@@ -11,7 +11,8 @@
 	ch chan struct{}
 }
 
-// Wait returns a channel that is closed at the next notification.
+// Wait returns a channel that is closed at the next notification. Call it before reading the state
+// that may change, so that no change is missed.
 func (n *Notifier) Wait() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lineprotocol/fuzz_test.go
+++ b/internal/lineprotocol/fuzz_test.go
@@ -9,11 +9,11 @@
 	"testing/iotest"
 )
 
-// answers reads answers until there are no more.
+// answers reads answers until the first error or the end of the stream.
 func answers(r io.Reader) (out []*Answer) {
-	in := NewReader(r)
+	reader := NewReader(r)
 	for {
-		a, err := ReadAnswer(in)
+		a, err := ReadAnswer(reader)
 		if err != nil {
 			return out
 		}
@@ -21,34 +21,34 @@
 	}
 }
 
-// expected splits a stream into complete answers, independently of ReadAnswer: each consists of
-// rows, one COMPLETE or ERROR, and one IDLE.
+// expected returns the lines of each complete answer before the first malformed message, parsed
+// independently of ReadAnswer. An answer consists of rows, one COMPLETE or ERROR, and one IDLE.
 func expected(input string) (out [][]string) {
-	var now []string
+	var current []string // lines of the answer being read
 	for {
 		line, rest, ok := strings.Cut(input, "\n")
-		text, cr := strings.CutSuffix(line, "\r")
-		if !ok || !cr {
+		text, hasCR := strings.CutSuffix(line, "\r")
+		if !ok || !hasCR {
 			return out
 		}
 		word, arg, _ := strings.Cut(text, " ")
-		ended := len(now) > 0 && !strings.HasPrefix(now[len(now)-1], "ROW")
+		ended := len(current) > 0 && !strings.HasPrefix(current[len(current)-1], "ROW")
 		switch {
 		case word == "ROW" && !ended:
 		case word == "COMPLETE" && !ended && arg != "":
 		case word == "ERROR" && !ended && arg != "" && arg[0] != ' ':
 		case word == "IDLE" && ended && len(arg) > 0 && strings.Contains("ITE", arg[:1]) && (len(arg) == 1 || arg[1] == ' '):
-			out, now, input = append(out, append(now, text)), nil, rest
+			out, current, input = append(out, append(current, text)), nil, rest
 			continue
 		default:
 			return out
 		}
-		now, input = append(now, text), rest
+		current, input = append(current, text), rest
 	}
 }
 
-// Whatever a database sends, and however it is split, exactly the complete answers before the
-// first fault of the stream are read: no part of one is read as part of another.
+// Whatever a database sends, and however the network splits it, exactly the complete answers before
+// the first malformed message are read: no part of one answer is read as part of another.
 func FuzzReadAnswer(f *testing.F) {
 	a, b := "ROW x y\r\nCOMPLETE 7.1\r\nIDLE T 3.12\r\n", "ERROR RETRY later\r\nIDLE I -\r\n"
 	for _, text := range []string{
@@ -61,7 +61,7 @@
 		got := answers(strings.NewReader(input))
 		want := expected(input)
 		if len(got) != len(want) {
-			t.Fatalf("%d answers, not %d", len(got), len(want))
+			t.Fatalf("read %d answers, want %d", len(got), len(want))
 		}
 		for i, a := range got {
 			lines := want[i]
@@ -71,7 +71,7 @@
 			}
 			end := lines[len(lines)-2]
 			if string(a.Rows) != rows || a.Code == "" && end != "COMPLETE "+a.Seal || a.Code != "" && !strings.HasPrefix(end, "ERROR "+a.Code) {
-				t.Errorf("%+v from %q", a, lines)
+				t.Errorf("answer %+v was read from %q", a, lines)
 			}
 		}
 		split := answers(iotest.OneByteReader(strings.NewReader(input)))
--- a/internal/lineprotocol/lineprotocol.go
+++ b/internal/lineprotocol/lineprotocol.go
@@ -1,4 +1,5 @@
-// Package lineprotocol encodes and decodes the line protocol that clients and databases use.
+// Package lineprotocol encodes and decodes the line protocol that clients, poolers and databases use.
+// A message is one line that ends with CR LF, and consists of a word and fields separated by spaces.
 package lineprotocol
 
 import (
@@ -15,23 +16,23 @@
 
 // Codes of ERROR messages.
 const (
-	Retry      = "RETRY"
-	RolledBack = "ROLLEDBACK"
-	Lagging    = "LAGGING"
-	ReadOnly   = "RDONLY"
-	WrongNode  = "WRONGNODE"
-	MaxConn    = "MAXCONN"
-	NoSuch     = "NOSUCH"
-	Failed     = "FAILED"
-	Expired    = "EXPIRED"
-	Unknown    = "UNKNOWN"
-	NoDB       = "NODB"
-	Denied     = "DENIED"
-	Oversize   = "OVERSIZE"
-	Malformed  = "MALFORMED"
+	Retry      = "RETRY"      // temporarily refused; from a pooler, the text is the retry delay in milliseconds
+	RolledBack = "ROLLEDBACK" // the transaction was rolled back
+	Lagging    = "LAGGING"    // the replica has not reached the position to wait for
+	ReadOnly   = "RDONLY"     // the database accepts no writes
+	WrongNode  = "WRONGNODE"  // another database than the intended one was reached
+	MaxConn    = "MAXCONN"    // the database is at its connection limit
+	NoSuch     = "NOSUCH"     // no prepared statement of that name
+	Failed     = "FAILED"     // the statement failed; a write may have taken effect
+	Expired    = "EXPIRED"    // the deadline passed before the answer arrived
+	Unknown    = "UNKNOWN"    // whether the write took effect is unknown
+	NoDB       = "NODB"       // no database of that name is configured
+	Denied     = "DENIED"     // the API key is not valid
+	Oversize   = "OVERSIZE"   // the message is longer than MaxMessage
+	Malformed  = "MALFORMED"  // the message is not valid, or not allowed in the current state
 )
 
-// Errors of reading messages.
+// Errors returned by Reader.Line and ReadAnswer.
 var (
 	ErrOversize    = errors.New("lineprotocol: message too long")
 	ErrMalformed   = errors.New("lineprotocol: malformed message")
@@ -44,16 +45,16 @@
 // ParsePosition parses TERM.NUMBER. It reports false for "-", which stands for no position, and
 // for anything else.
 func ParsePosition(s string) (Position, bool) {
-	t, n, ok := strings.Cut(s, ".")
+	termText, numberText, ok := strings.Cut(s, ".")
 	if !ok {
 		return Position{}, false
 	}
-	term, err1 := strconv.ParseInt(t, 10, 64)
-	num, err2 := strconv.ParseInt(n, 10, 64)
-	if err1 != nil || err2 != nil || term < 0 || num < 0 {
+	term, termErr := strconv.ParseInt(termText, 10, 64)
+	number, numberErr := strconv.ParseInt(numberText, 10, 64)
+	if termErr != nil || numberErr != nil || term < 0 || number < 0 {
 		return Position{}, false
 	}
-	return Position{term, num}, true
+	return Position{term, number}, true
 }
 
 // Less reports whether p comes before q; positions are ordered by term, then by number.
@@ -70,13 +71,14 @@
 
 // Reader reads messages from a connection.
 type Reader struct {
-	// ReserveMemory, if not nil, is asked whether the given number of bytes may be held for a message that
-	// arrives in parts, and is called with 0 when the next message begins.
+	// ReserveMemory, if not nil, reports whether a message that arrives in parts may occupy the given
+	// number of bytes in total. It is called before each part is stored, and with 0 to release the memory
+	// when the next message begins.
 	ReserveMemory func(bytes int) bool
 
 	b          *bufio.Reader
-	part       []byte // the start of a message that is incomplete, or that is longer than the buffer
-	incomplete bool   // part belongs to the message being read
+	part       []byte // what has arrived of an incomplete message, or the last message if it arrived in parts
+	incomplete bool   // part is the beginning of a message whose end has not arrived
 }
 
 // maxRetainedBuffer is the size in bytes of the largest buffer that is reused for later messages.
@@ -105,7 +107,8 @@
 	return line[:len(line)-1], nil
 }
 
-// discardPart discards the previous message. Its memory is reused for the next one if it is small.
+// discardPart discards the previous message. Its buffer is kept for reuse unless it is larger than
+// maxRetainedBuffer.
 func (r *Reader) discardPart() {
 	if r.part = r.part[:0]; cap(r.part) > maxRetainedBuffer {
 		r.part = nil
@@ -115,7 +118,7 @@
 	}
 }
 
-// assemble puts a message together that arrives in parts.
+// assemble assembles a message that arrives in parts. line and err are the result of the latest read.
 func (r *Reader) assemble(line []byte, err error) ([]byte, error) {
 	for {
 		if r.ReserveMemory != nil && !r.ReserveMemory(len(r.part)+len(line)) {
@@ -148,13 +151,13 @@
 // Buffered reports whether unread input is buffered.
 func (r *Reader) Buffered() bool { return r.b.Buffered() > 0 }
 
-// Word splits a message at its first blank.
+// Word splits a message at its first space.
 func Word(line []byte) (word, rest []byte) {
 	word, rest, _ = bytes.Cut(line, []byte{' '})
 	return word, rest
 }
 
-// AppendMessage appends the fields as one message, separated by blanks.
+// AppendMessage appends the fields as one message, separated by spaces.
 func AppendMessage(b []byte, fields ...string) []byte {
 	for i, f := range fields {
 		if i > 0 {
@@ -165,14 +168,14 @@
 	return append(b, '\r', '\n')
 }
 
-// Answer is a database's answer to one QUERY or LOGIN.
+// Answer is the answer to one QUERY or LOGIN.
 type Answer struct {
 	Rows  []byte // ROW messages as received, line ends included
-	Seal  string // text of COMPLETE
+	Seal  string // text of COMPLETE; "-" if there is no seal
 	Code  string // code of ERROR, "" for success
 	Text  string // text of ERROR
-	State byte   // I, T or E
-	Pos   string
+	State byte   // transaction state: I for none, T for an open one, E for a failed one
+	Pos   string // log position in IDLE, to be parsed by ParsePosition; "-" or "" for none
 }
 
 // ReadAnswer reads one answer up to its IDLE: any rows, then exactly one COMPLETE or ERROR.
@@ -213,7 +216,7 @@
 	}
 }
 
-// Append appends the answer in the form in which it is sent to a client.
+// Append appends the encoded answer to b.
 func (a *Answer) Append(b []byte) []byte {
 	b = append(b, a.Rows...)
 	if a.Code != "" {
--- a/internal/lineprotocol/lineprotocol_test.go
+++ b/internal/lineprotocol/lineprotocol_test.go
@@ -16,14 +16,14 @@
 	r := NewReader(iotest.OneByteReader(strings.NewReader(in)))
 	for _, want := range []string{"QUERY 1 FETCH a", long} {
 		if got, err := r.Line(); err != nil || string(got) != want {
-			t.Errorf("%.20q %v", got, err)
+			t.Errorf("read %.20q, error %v", got, err)
 		}
 	}
 	if _, err := NewReader(strings.NewReader(strings.Repeat("x", MaxMessage) + "\r\n")).Line(); !errors.Is(err, ErrOversize) {
-		t.Errorf("too long: %v", err)
+		t.Errorf("message over the limit: %v", err)
 	}
 	if _, err := NewReader(strings.NewReader("QUIT\n")).Line(); !errors.Is(err, ErrMalformed) {
-		t.Errorf("no CR: %v", err)
+		t.Errorf("line end without CR: %v", err)
 	}
 }
 
@@ -52,64 +52,66 @@
 	long := strings.Repeat("x", 5000)
 	r := NewReader(&trickle{parts: []string{"QUERY 1 PUT a ", long, "\r", "\nQUERY 2", " FETCH b\r\n", "QUERY 3"}})
 	var got []string
-	for waits := 0; waits < 30; {
+	for timeouts := 0; timeouts < 30; {
 		line, err := r.Line()
 		switch {
 		case err == nil:
 			got = append(got, string(line))
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			waits++
+			timeouts++
 		default:
-			waits = 30
+			timeouts = 30
 		}
 	}
 	if want := []string{"QUERY 1 PUT a " + long, "QUERY 2 FETCH b"}; !slices.Equal(got, want) {
 		t.Errorf("read %.60q", got)
 	}
 	if r.PartialBytes() != len("QUERY 3") {
-		t.Errorf("%d bytes of the last message", r.PartialBytes())
+		t.Errorf("%d bytes of the incomplete message are counted", r.PartialBytes())
 	}
 }
 
 func TestReadAnswer(t *testing.T) {
-	whole := "ROW a b\r\nCOMPLETE 7.1\r\nIDLE T 3.12\r\n"
-	a, err := ReadAnswer(NewReader(strings.NewReader(whole)))
-	if err != nil || a.Seal != "7.1" || a.State != 'T' || string(a.Append(nil)) != whole {
-		t.Errorf("%+v %v", a, err)
+	encoded := "ROW a b\r\nCOMPLETE 7.1\r\nIDLE T 3.12\r\n"
+	a, err := ReadAnswer(NewReader(strings.NewReader(encoded)))
+	if err != nil || a.Seal != "7.1" || a.State != 'T' || string(a.Append(nil)) != encoded {
+		t.Errorf("answer %+v, error %v", a, err)
 	}
-	for _, cut := range []string{
+	for _, malformed := range []string{
 		"ROW a\r\nCOMPLETE 7\r\n", "NOISE\r\n", "IDLE\r\n", "IDLE I 3.1\r\n", "ROW a\r\nIDLE I 3.1\r\n", "ERROR \r\nIDLE I -\r\n",
 		"COMPLETE 7\r\nROW a\r\nCOMPLETE 8\r\nIDLE I -\r\n", "COMPLETE 7\r\nERROR RETRY\r\nIDLE I -\r\n", "COMPLETE 7\r\nIDLE X -\r\n",
 	} {
-		if a, err := ReadAnswer(NewReader(strings.NewReader(cut))); err == nil {
-			t.Errorf("%q gave %+v", cut, a)
+		if a, err := ReadAnswer(NewReader(strings.NewReader(malformed))); err == nil {
+			t.Errorf("malformed %q was read as %+v", malformed, a)
 		}
 	}
 }
 
+// Parsing keeps the text, and accepts none of the statements that are reserved for the system's own
+// processes.
 func FuzzParseStatement(f *testing.F) {
-	for _, s := range []string{"BEGIN", "BEGIN FETCH", "PUT a b c", "PARSE s PUT q", "RUN s a", "OPTION a b", "WAITPOS 1.1 FETCH a"} {
-		f.Add(s)
+	for _, text := range []string{"BEGIN", "BEGIN FETCH", "PUT a b c", "PARSE s PUT q", "RUN s a", "OPTION a b", "WAITPOS 1.1 FETCH a"} {
+		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s := ParseStatement("1", text)
 		if s.Text != text {
-			t.Errorf("%q became %q", text, s.Text)
+			t.Errorf("text %q was stored as %q", text, s.Text)
 		}
 		if s.Verb != Invalid && (strings.HasPrefix(text, "WAITPOS") || strings.HasPrefix(text, "STAT")) {
-			t.Errorf("%q is reserved for the system", text)
+			t.Errorf("%q was accepted, but clients may not send it", text)
 		}
 	})
 }
 
 func TestPosition(t *testing.T) {
-	for _, bad := range []string{"-", "", "3", "a.1", "-1.2"} {
-		if p, ok := ParsePosition(bad); ok {
-			t.Errorf("%q gave %v", bad, p)
+	for _, invalid := range []string{"-", "", "3", "a.1", "-1.2"} {
+		if p, ok := ParsePosition(invalid); ok {
+			t.Errorf("%q was parsed as %v", invalid, p)
 		}
 	}
 	p, ok := ParsePosition("3.1207")
 	if !ok || p.String() != "3.1207" || !p.Less(Position{4, 1}) || p.Less(Position{3, 1207}) {
-		t.Errorf("%v %v", p, ok)
+		t.Errorf("position %v, valid: %v", p, ok)
 	}
 }
--- a/internal/lineprotocol/text.go
+++ b/internal/lineprotocol/text.go
@@ -7,30 +7,31 @@
 
 // Verbs that clients may send. Invalid stands for anything else.
 const (
-	Invalid Verb = iota
-	Begin
-	BeginFetch
+	Invalid    Verb = iota
+	Begin           // begins a read-write transaction
+	BeginFetch      // begins a read-only transaction
 	Commit
 	Abort
-	Fetch
-	Put
-	Option
-	Parse
-	Run
-	Close
+	Fetch  // reads
+	Put    // writes
+	Option // sets a value of the session
+	Parse  // prepares a Fetch or Put under a name
+	Run    // executes a prepared statement
+	Close  // deletes a prepared statement
 )
 
-// Statement is a client's QUERY, parsed as far as the pool needs it.
+// Statement is a client's QUERY, parsed as far as the pooler needs it.
 type Statement struct {
-	ID   string
-	Text string
+	ID   string // chosen by the client
+	Text string // the unparsed text
 	Verb Verb
 	Name string // set for OPTION, PARSE, RUN and CLOSE
 	Rest string // the text after the name, and after the kind for PARSE
-	Kind Verb   // for PARSE: Fetch or Put
+	Kind Verb   // for PARSE: what the prepared statement does, Fetch or Put
 }
 
-// ParseStatement parses a text. The verb is Invalid if it is not one that clients may send.
+// ParseStatement parses the text of the QUERY with the given ID. The verb is Invalid if the text is
+// not one that clients may send.
 func ParseStatement(id, text string) Statement {
 	s := Statement{ID: id, Text: text}
 	verb, rest, _ := strings.Cut(text, " ")
@@ -80,9 +81,9 @@
 	return s
 }
 
-// KindName returns the protocol's word for Fetch or Put.
-func KindName(v Verb) string {
-	if v == Put {
+// KindName returns the protocol's word for the kind of a prepared statement, Fetch or Put.
+func KindName(kind Verb) string {
+	if kind == Put {
 		return "PUT"
 	}
 	return "FETCH"
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -21,15 +21,15 @@
 	From             string `json:"from,omitempty"`  // the sender's address; empty for a command-line tool
 	To               string `json:"to,omitempty"`    // the intended receiver; empty if any process may answer
 	Incarnation      int64  `json:"life"`            // the sender's incarnation
-	Seq              int64  `json:"seq,omitempty"`   // of the connection within the caller's incarnation
-	KnownIncarnation int64  `json:"known,omitempty"` // of the receiver, as far as the sender knows
+	Seq              int64  `json:"seq,omitempty"`   // number of the connection within the caller's incarnation
+	KnownIncarnation int64  `json:"known,omitempty"` // the newest incarnation of the receiver that the sender knows
 	// Stale reports that the receiver's incarnation or connection is superseded;
 	// KnownIncarnation is then the newest incarnation.
 	Stale bool `json:"old,omitempty"`
 }
 
-// maxIncarnation is later than any wall-clock time. Incarnations that are not below it are
-// rejected as invalid.
+// maxIncarnation is the bound below which an incarnation is valid. An incarnation is derived from the
+// wall clock, which never reaches the bound.
 const maxIncarnation = 1 << 60
 
 func (h *hello) valid() bool {
@@ -40,7 +40,7 @@
 // and its newest incoming connection, which is the only one kept open.
 type process struct {
 	incarnation int64
-	seq         int64    // of its newest incoming connection
+	seq         int64    // sequence number of its newest incoming connection
 	conn        net.Conn // nil if no incoming connection is open
 }
 
@@ -60,9 +60,10 @@
 	errUnresponsive         = errors.New("peer left calls unanswered")
 )
 
-// recordIncarnation records the incarnation of the process at an address. It reports
-// whether that is the newest one, and returns the newest. If an incoming connection
-// is given, it must be newer than the caller's previous one, which it replaces.
+// recordIncarnation records the incarnation of the process at an address. It returns the
+// newest known incarnation, and whether the given one is accepted: it must not be older.
+// An incoming connection, if conn is not nil, must also be newer than the previous one of
+// that incarnation, and replaces it. A connection of an older incarnation is closed.
 func (e *Endpoint) recordIncarnation(addr string, incarnation, seq int64, conn net.Conn) (newest int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,9 +90,9 @@
 	return incarnation, true
 }
 
-// raiseIncarnation moves this process to the incarnation after other, unless its own is
-// later already. The incarnation other belonged to an earlier process at this address, and
-// the clock has stepped back since.
+// raiseIncarnation raises this process's incarnation above other, unless it is higher already.
+// other belonged to an earlier process at this address; it is not lower only because the clock
+// has stepped back since.
 func (e *Endpoint) raiseIncarnation(other int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,7 +109,7 @@
 }
 
 // acceptHello reads a caller's hello and replies to it. It returns the caller's
-// address and whether its calls are accepted.
+// address, empty for a command-line tool, and whether the caller's calls are accepted.
 func (e *Endpoint) acceptHello(scanner *bufio.Scanner, c net.Conn) (from string, ok bool) {
 	if c.SetReadDeadline(time.Now().Add(helloTimeout.Duration())) != nil || !scanner.Scan() {
 		e.countOversizedLine(scanner)
@@ -167,7 +168,7 @@
 	return scanner
 }
 
-// countOversizedLine counts a line that exceeded maxLineBytes as malformed.
+// countOversizedLine counts a malformed line if the scanner stopped at one longer than maxLineBytes.
 func (e *Endpoint) countOversizedLine(scanner *bufio.Scanner) {
 	if errors.Is(scanner.Err(), bufio.ErrTooLong) {
 		e.k.Counters.Add("rpc.malformed", 1)
@@ -193,8 +194,8 @@
 	helloLine []byte      // nil once sent
 
 	mu       sync.Mutex
-	queued   int // calls waiting to be sent
-	lastID   uint64
+	queued   int                     // calls that wait for sendGate
+	lastID   uint64                  // ID of the latest call
 	pending  map[uint64]chan message // by ID; the channel of an abandoned call is nil
 	closeErr error                   // why the connection was closed; nil while it is open
 }
@@ -250,7 +251,7 @@
 	return &clientConn{conn: c, addr: addr, sendGate: kernel.NewGate(), helloLine: raw, pending: map[uint64]chan message{}}, err
 }
 
-// call sends a call once and waits for its response.
+// call sends a call, at most once, and waits for its response.
 func (p *peer) call(ctx context.Context, e *Endpoint, op string, body json.RawMessage) (message, error) {
 	cc, err := p.connect(ctx, e)
 	if err != nil {
@@ -415,8 +416,9 @@
 	return cc.closeErr
 }
 
-// abandon stops waiting for a call, if it was sent. A connection on which a call went
-// unanswered may be dead, so it is closed if no other call waits on it.
+// abandon gives up on the response to a call; id is 0 if the call was not sent. A connection
+// on which a call went unanswered may be dead, so it is closed if no other call waits on it,
+// or if more than maxAbandonedCalls of its calls are abandoned and unanswered.
 func (cc *clientConn) abandon(id uint64) {
 	cc.mu.Lock()
 	if _, waiting := cc.pending[id]; waiting {
