--- a/internal/failover/accept.go
+++ b/internal/failover/accept.go
@@ -42,13 +42,11 @@
 
 // registerHandlers registers the handlers of operators' requests at the RPC endpoint.
 func (m *Manager) registerHandlers(endpoint *rpc.Endpoint) {
-	rpc.HandleTyped(endpoint, AcceptLossOp, func(ctx context.Context, request AcceptLoss) (any, error) {
-		return struct{}{}, m.AcceptLoss(ctx, request)
-	})
+	rpc.HandleTyped(endpoint, AcceptLossOp, func(ctx context.Context, q AcceptLoss) (any, error) { return struct{}{}, m.AcceptLoss(ctx, q) })
 }
 
 // AcceptLoss records that the loss is accepted for the failover that is waiting now. The acceptance
-// does not extend to later failovers. A repeated request has no further effect.
+// does not extend to later failovers, which wait again. A repeated request has no further effect.
 func (m *Manager) AcceptLoss(ctx context.Context, request AcceptLoss) error {
 	if request.By == "" || len(request.By) > maxNameLength {
 		return ErrNoOperator
--- a/internal/lineprotocol/lineprotocol.go
+++ b/internal/lineprotocol/lineprotocol.go
@@ -23,7 +23,7 @@
 	WrongNode  = "WRONGNODE"  // another database than the intended one was reached
 	MaxConn    = "MAXCONN"    // the database is at its connection limit
 	NoSuch     = "NOSUCH"     // no prepared statement of that name
-	Failed     = "FAILED"     // the statement failed; a write may have taken effect
+	Failed     = "FAILED"     // the statement failed, but may have had an effect
 	Expired    = "EXPIRED"    // the deadline passed before the answer arrived
 	Unknown    = "UNKNOWN"    // whether the write took effect is unknown
 	NoDB       = "NODB"       // no database of that name is configured
