--- a/internal/gateway/linkmeter.go
+++ b/internal/gateway/linkmeter.go
@@ -42,7 +42,7 @@
 	return &linkMeter{clock: clock, rate: usableShare * mbps / 8}
 }
 
-// update updates the estimates and returns them, the backlog as the time that it takes to transfer.
+// update updates the estimates and returns them, the backlog as the time needed to transfer it.
 func (d *direction) update(now kernel.Micros, rate float64) (backlog kernel.Micros, utilization float64) {
 	if rate == 0 {
 		return 0, 0
@@ -60,8 +60,8 @@
 	return kernel.Micros(d.backlog / rate), d.utilization
 }
 
-// load returns how long data that is sent now would wait in the queue of the link, and the utilization of the link, each for
-// the more heavily loaded direction.
+// load returns how long data that is sent now would wait in the queue of the link, and the
+// utilization of the link, each for the more heavily loaded direction.
 func (m *linkMeter) load() (wait kernel.Micros, utilization float64) {
 	now := m.clock.Now()
 	inWait, inUtilization := m.in.update(now, m.rate)
--- a/internal/httpconn/plugin.go
+++ b/internal/httpconn/plugin.go
@@ -61,7 +61,7 @@
 			kernel.Offer[health.Checker](k, func(ctx context.Context, id string) bool {
 				began := k.Clock.Now()
 				err := pools.Check(ctx, id)
-				// A database at capacity resets new connections, including those of health checks.
+				// A database at capacity resets connections, including those of health checks.
 				// So a check whose connection broke still passes if the database has served a
 				// request since the check began.
 				return connpool.CheckPassed(err) || errors.Is(err, connpool.ErrBroken) && balancer.LastServed(id) >= began
